--- a/curlewshift/capacity/at_control.py
+++ b/curlewshift/capacity/at_control.py
@@ -12,7 +12,7 @@
 from curlewshift.capacity.size import DAY, Size
 
 LIST_MEMORY, LIST_IDLE, LIST_START = "memory-by-servers", "idle-time-by-servers", "restart-time-by-servers"
-# Servers in one whole list: the bulletin's records of 27 bytes in a frame of 16 KiB; a test holds it to `node/bulletin.py`.
+# Servers in one whole list: the bulletin's records of 27 bytes in a frame of 16 KiB; a test holds it to `node/discovery.py`.
 MOST_LISTED = 606
 LISTS = Mechanism("curlewshift/node/follower.py", "class Follower")
 MACHINE = Mechanism("curlewshift/control/machine.py", "class Machine")
--- a/curlewshift/capacity/at_node.py
+++ b/curlewshift/capacity/at_node.py
@@ -17,9 +17,9 @@
 BY_REQUEST, BY_NOTICE, BY_RUNG = "processor-time-by-request", "processor-time-by-notice", "processor-time-by-change-of-rung"
 P99_BY_REQUEST, P99_BY_NOTICE = "p99-by-request", "p99-by-notice"
 
-WIRE = Mechanism("curlewshift/node/wire.py", "class Wire")
-DESK = Mechanism("curlewshift/desk/desk.py", "class Desk")
-DOOR = Mechanism("curlewshift/node/door.py", "def sweep")
+WIRE = Mechanism("curlewshift/node/buffered_connection.py", "class Wire")
+DESK = Mechanism("curlewshift/session_core/session_core.py", "class Desk")
+DOOR = Mechanism("curlewshift/node/client_listener.py", "def sweep")
 
 
 def open_and_playing(size: Size, measured: Measured, both: str, resting: str, unit: str) -> Figure | None:
--- a/curlewshift/capture/replay.py
+++ b/curlewshift/capture/replay.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from curlewshift.capture.tap import BEGAN, DID, TOLD, tapped
-from curlewshift.desk.desk import Desk, Misuse
-from curlewshift.desk.errands import Result
-from curlewshift.desk.roster import Roster, Row
 from curlewshift.model import Outcome, Package, Server, Terms
 from curlewshift.peaks.calendar import Calendar, Nonsense, Peak
 from curlewshift.rules import Rules
+from curlewshift.session_core.server_commands import Result
+from curlewshift.session_core.server_list import Roster, Row
+from curlewshift.session_core.session_core import Desk, Misuse
 
 SECOND = 1_000_000_000
 
--- a/curlewshift/capture/store.py
+++ b/curlewshift/capture/store.py
@@ -20,7 +20,7 @@
 from curlewshift.capture.index import Index, Indexer
 from curlewshift.capture.records import MAGIC, NotALog, Reading, frame
 from curlewshift.capture.retention import Kept, to_let_go
-from curlewshift.state.behind import Behind
+from curlewshift.state.background_writer import Behind
 
 SEGMENT = 4 * 1024 * 1024
 BUDGET = 256 * 1024 * 1024
--- a/curlewshift/capture/tap.py
+++ b/curlewshift/capture/tap.py
@@ -15,13 +15,13 @@
 from dataclasses import asdict
 from typing import Any
 
-from curlewshift.desk.course import Course, Request, TuneIn
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.errands import Errand, Result
-from curlewshift.desk.roster import Roster, Row
 from curlewshift.model import Outcome, Server, Terms
 from curlewshift.peaks.calendar import Calendar, Peak
-from curlewshift.retries.endings import Ending
+from curlewshift.retries.session_ends import Ending
+from curlewshift.session_core.front_session import Course, Request, TuneIn
+from curlewshift.session_core.server_commands import Errand, Result
+from curlewshift.session_core.server_list import Roster, Row
+from curlewshift.session_core.session_core import Desk
 
 BEGAN, TOLD, DID = 0, 1, 2
 
--- a/curlewshift/commands/common.py
+++ b/curlewshift/commands/common.py
@@ -35,7 +35,7 @@
     """Spoilt fronts are loaded for a rehearsal that names one, and for no other."""
     if name is None:
         return
-    from curlewshift.front.spoilt import NAMES
+    from curlewshift.front.planted_faults import NAMES
 
     if name not in NAMES:
         click.echo(f"there is no sabotage {name!r}, but {', '.join(NAMES)}", err=True)
--- a/curlewshift/commands/control.py
+++ b/curlewshift/commands/control.py
@@ -34,7 +34,7 @@
     state.mkdir(parents=True, exist_ok=True)
     kind = Machine
     if sabotage is not None:
-        from curlewshift.front.spoilt_configured import MACHINES
+        from curlewshift.front.planted_configuration_faults import MACHINES
 
         kind = MACHINES[sabotage]
     try:
--- a/curlewshift/commands/front.py
+++ b/curlewshift/commands/front.py
@@ -37,7 +37,7 @@
         state.mkdir(parents=True, exist_ok=True)
     if held.configuration is not None:
         if sabotage is not None:
-            from curlewshift.front.spoilt_configured import spoilt_begin
+            from curlewshift.front.planted_configuration_faults import spoilt_begin
 
             how["begun"] = spoilt_begin(sabotage, site, held, state)
         else:
@@ -59,7 +59,7 @@
     )
     try:
         if sabotage is not None:
-            from curlewshift.front.spoilt import spoilt
+            from curlewshift.front.planted_faults import spoilt
 
             made = spoilt(sabotage, *arguments, led=led, **how)
         else:
@@ -74,7 +74,7 @@
         made.desk.peaks.__class__ = FixedReserve
         made.desk.peaks.package, made.desk.peaks.share = made.desk.packages[package], float(share)
     if busy:
-        from curlewshift.rehearsal.joins import fill_background
+        from curlewshift.fault_injection.joins import fill_background
 
         fill_background(made.background, made.now())
     run(made.run)
--- a/curlewshift/commands/leavers.py
+++ b/curlewshift/commands/leavers.py
@@ -21,8 +21,8 @@
 def leavers(out, seed, seconds, viewers, sabotage):
     """Count the attempts that begin over 0.1 s after their client has left. Exit 1 if there are any, if nothing could be judged,
     if somebody was not answered, or if the node logged a fault."""
-    from curlewshift.rehearsal.node_day import NodeDay
-    from curlewshift.rehearsal.node_spoilt import FAULTS
+    from curlewshift.fault_injection.node_day import NodeDay
+    from curlewshift.fault_injection.node_planted_faults import FAULTS
 
     if sabotage and sabotage not in FAULTS:
         click.echo(f"there is no sabotage {sabotage!r}, but {', '.join(FAULTS)}", err=True)
--- a/curlewshift/commands/measure.py
+++ b/curlewshift/commands/measure.py
@@ -29,7 +29,7 @@
 @click.option("--count", type=click.IntRange(10, 100_000), default=1500, help="Joins each way.")
 def measure_joins(out, count):
     """Joins through a front, plain and with TLS, beside the same joins straight at a stand-in."""
-    from curlewshift.rehearsal.joins import measure_joins as measured
+    from curlewshift.fault_injection.joins import measure_joins as measured
 
     keep(out, run(measured, count))
 
@@ -39,7 +39,7 @@
 @click.option("--count", type=click.IntRange(100, 1_000_000), default=3000, help="Requests for each size.")
 def measure_fleet(out, count):
     """What a request and a whole list cost at 100 to 6,400 servers."""
-    from curlewshift.rehearsal.fleet_cost import measure_fleet as measured
+    from curlewshift.fault_injection.fleet_cost import measure_fleet as measured
 
     keep(out, measured(count))
 
@@ -48,7 +48,7 @@
 @click.option("--out", type=PATH, required=True, help="A JSON file for the figures.")
 def measure_keys(out):
     """What a key costs in the table beside a plain dictionary that is swept."""
-    from curlewshift.rehearsal.key_cost import measure_keys as measured
+    from curlewshift.fault_injection.key_cost import measure_keys as measured
 
     keep(out, measured())
 
@@ -57,7 +57,7 @@
 @click.option("--out", type=PATH, required=True, help="A JSON file for the figures.")
 def measure_wheel(out):
     """What setting, taking back and telling timers costs on the wheel beside a heap."""
-    from curlewshift.rehearsal.wheel_cost import measure_wheel as measured
+    from curlewshift.fault_injection.wheel_cost import measure_wheel as measured
 
     keep(out, measured())
 
@@ -66,7 +66,7 @@
 @click.option("--out", type=PATH, required=True, help="A JSON file for the figures.")
 def measure_recovery(out):
     """How long a front that starts again takes to know what plays, by how many sessions there are."""
-    from curlewshift.rehearsal.recovery_cost import measure_recovery as measured
+    from curlewshift.fault_injection.recovery_cost import measure_recovery as measured
 
     keep(out, run(measured))
 
@@ -88,7 +88,7 @@
     """Whether the emulator shows the picture that sockets showed; exit 1 where a bound is passed."""
     from curlewshift.emulator.agreement import agreement, picture
     from curlewshift.emulator.world import World
-    from curlewshift.rehearsal.rehearse import figures_of
+    from curlewshift.fault_injection.rehearse import figures_of
     from curlewshift.standins.script import read_script
     from curlewshift.standins.traffic import read_traffic
     from curlewshift.verdict.verdict import judge
@@ -113,7 +113,7 @@
 @click.option("--out", type=PATH, required=True, help="A JSON file for the figures.")
 def measure_flood(out):
     """What clients get while others flood the door, with limits and without, with few descriptors."""
-    from curlewshift.rehearsal.flood import measure_flood as measured
+    from curlewshift.fault_injection.flood import measure_flood as measured
 
     keep(out, run(measured))
 
@@ -122,7 +122,7 @@
 @click.option("--out", type=PATH, required=True, help="A JSON file for the figures.")
 def measure_limits(out):
     """What a refusal costs beside a join, a million addresses in memory, and how far off the sketch is."""
-    from curlewshift.rehearsal.limits_cost import measure_limits as measured
+    from curlewshift.fault_injection.limits_cost import measure_limits as measured
 
     keep(out, run(measured))
 
@@ -133,7 +133,7 @@
 def measure_peers(out, count):
     """Whether fronts know each other rightly at 8 to 1,000 (simulated), and what that costs those who only serve."""
     from curlewshift.emulator.peer_figures import measure_peers_emulated
-    from curlewshift.rehearsal.peers_cost import measure_service
+    from curlewshift.fault_injection.peers_cost import measure_service
 
     emulated = measure_peers_emulated()
     keep(out, {"emulated": emulated, "service": run(measure_service, count)})
--- a/curlewshift/commands/rehearse.py
+++ b/curlewshift/commands/rehearse.py
@@ -31,14 +31,14 @@
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TextColumn
 
-    from curlewshift.rehearsal.chart import draw_day
-    from curlewshift.rehearsal.rehearse import Rehearsal, StartFailed
-    from curlewshift.rehearsal.table import verdict_tables
+    from curlewshift.fault_injection.chart import draw_day
+    from curlewshift.fault_injection.rehearse import Rehearsal, StartFailed
+    from curlewshift.fault_injection.table import verdict_tables
     from curlewshift.standins.script import read_script
     from curlewshift.standins.traffic import read_traffic
 
     if trouble is not None:
-        from curlewshift.rehearsal.mix import mixed_script
+        from curlewshift.fault_injection.mix import mixed_script
 
         try:
             script = mixed_script(script or EXAMPLES / "bad-day.xml", trouble.split(","), seed or 1, out)
--- a/curlewshift/commands/walk.py
+++ b/curlewshift/commands/walk.py
@@ -19,7 +19,7 @@
     from itertools import permutations
 
     if of == "budgets":
-        from curlewshift.walk import budgets as world
+        from curlewshift.model_checker import budget_checker as world
 
         faults = {name: {"loans": loans} for name, loans in world.FAULTS.items()}
         walked = world.walk_budgets
@@ -27,7 +27,7 @@
         from curlewshift.emulator import lease_histories
 
         faults = lease_histories.FAULTS
-        from curlewshift.walk import leases as world
+        from curlewshift.model_checker import lease_checker as world
 
         walked = world.walk_rounds if rounds else world.walk_leases
     if fault is not None and fault not in faults:
@@ -50,7 +50,7 @@
 
 def _walk_versions(depth: int, fault: str | None, rounds: bool, courses: int | None, length: int, seed: int) -> None:
     from curlewshift.emulator.version_histories import FAULTS
-    from curlewshift.walk.versions import long_courses, walk_versions
+    from curlewshift.model_checker.version_checker import long_courses, walk_versions
 
     if fault is not None and fault not in FAULTS:
         click.echo(f"there is no fault {fault!r}, but {', '.join(FAULTS)}", err=True)
@@ -110,9 +110,9 @@
         return
     if kind is None:
         raise click.UsageError(f"a kind of viewing is needed: {', '.join(KINDS)}")
-    from curlewshift.walk.walk import crash_points
-    from curlewshift.walk.walk import walk as walked
-    from curlewshift.walk.world import Budgets, World
+    from curlewshift.model_checker.session_checker import crash_points
+    from curlewshift.model_checker.session_checker import walk as walked
+    from curlewshift.model_checker.world import Budgets, World
 
     def make():
         return World(Budgets(), **KINDS[kind])
--- a/curlewshift/emulator/front.py
+++ b/curlewshift/emulator/front.py
@@ -7,11 +7,6 @@
 
 from dataclasses import dataclass
 
-from curlewshift.desk.course import Answer, Kind, Request, TuneIn
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.errands import Result
-from curlewshift.desk.offer import Offer
-from curlewshift.desk.roster import Roster
 from curlewshift.emulator.machine import Machine, SetUp
 from curlewshift.emulator.overloaded import EmulatedOverload
 from curlewshift.emulator.shared import EmulatedSharing
@@ -19,9 +14,14 @@
 from curlewshift.peaks.calendar import Calendar
 from curlewshift.recovery.recovery import Doubt, Found, recovery_of
 from curlewshift.rules import Rules
+from curlewshift.session_core.front_session import Answer, Kind, Request, TuneIn
+from curlewshift.session_core.offer import Offer
+from curlewshift.session_core.server_commands import Result
+from curlewshift.session_core.server_list import Roster
+from curlewshift.session_core.session_core import Desk
 from curlewshift.standins.server import front_of
-from curlewshift.state.book import Book, Remembered, remembered
 from curlewshift.state.intents import Intent, Intents, intent_of
+from curlewshift.state.session_registry import Book, Remembered, remembered
 from curlewshift.state.setting_up import SEND, setting_up
 
 NS = 1_000_000_000
@@ -73,7 +73,7 @@
         site, terms = world.site, world.site.terms(self.now(), seed, number)
         desk = Desk
         if wrong:
-            from curlewshift.emulator.wrongs import wronged
+            from curlewshift.emulator.planted_faults import wronged
 
             desk, rules, terms = wronged(wrong, terms, rules)
         self.calendar = Calendar(terms.packages)
--- a/curlewshift/emulator/goodput.py
+++ b/curlewshift/emulator/goodput.py
@@ -14,8 +14,8 @@
 from curlewshift.emulator.overloaded import Shedding
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
+from curlewshift.fault_injection.rehearse import figures_of
 from curlewshift.overload.terms import OverloadTerms
-from curlewshift.rehearsal.rehearse import figures_of
 from curlewshift.rules import Rules
 from curlewshift.standins.script import Trouble
 from curlewshift.verdict.shed import judge_shed
--- a/curlewshift/emulator/lease_histories.py
+++ b/curlewshift/emulator/lease_histories.py
@@ -10,8 +10,8 @@
 from itertools import count
 from random import Random
 
-from curlewshift.leases.asker import Asker
-from curlewshift.leases.keeper import Keeper
+from curlewshift.leases.acceptor import Keeper
+from curlewshift.leases.proposer import Asker
 from curlewshift.leases.terms import LeaseTerms
 
 MS = 1_000_000
--- a/curlewshift/emulator/overloaded.py
+++ b/curlewshift/emulator/overloaded.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from random import Random
 
-from curlewshift.desk import shedding
 from curlewshift.emulator.shared import next_front
 from curlewshift.overload.overload import Overload
 from curlewshift.overload.terms import OverloadTerms
+from curlewshift.session_core import shedding
 
 MS = 1_000_000
 WAY = (0.4 * MS, 2 * MS)
--- a/curlewshift/emulator/peer_figures.py
+++ b/curlewshift/emulator/peer_figures.py
@@ -10,7 +10,7 @@
 
 from curlewshift.emulator.peer_histories import histories
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet
-from curlewshift.membership.manners import usual_manners
+from curlewshift.membership.terms import usual_manners
 
 PERIOD = NS
 SIZES = (8, 32, 200, 1000)
--- a/curlewshift/emulator/peer_histories.py
+++ b/curlewshift/emulator/peer_histories.py
@@ -8,8 +8,8 @@
 from random import Random
 
 from curlewshift.emulator.peers import BORN, MS, NS, PeerFleet
-from curlewshift.membership.manners import Manners, usual_manners
 from curlewshift.membership.membership import Membership
+from curlewshift.membership.terms import Manners, usual_manners
 
 PERIOD = NS // 2
 # Periods of trouble, and of quiet after it: the last one of many waits nine for an answer and then 18 for a suspect.
--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -9,9 +9,9 @@
 from random import Random
 
 from curlewshift.emulator.queue import Buckets
-from curlewshift.membership.manners import Manners
 from curlewshift.membership.member import Member, Rank
 from curlewshift.membership.membership import Membership
+from curlewshift.membership.terms import Manners
 from curlewshift.peering.channel import Channel
 
 NS = 1_000_000_000
--- a/curlewshift/emulator/wrongs.py
+++ b/curlewshift/emulator/planted_faults.py
@@ -4,10 +4,10 @@
 
 from dataclasses import replace
 
-from curlewshift.desk.desk import Desk
-from curlewshift.front.spoilt import IgnoreDrain, LostTeardown, PushCold, ResendPaid, StubbornDesk
+from curlewshift.front.planted_faults import IgnoreDrain, LostTeardown, PushCold, ResendPaid, StubbornDesk
 from curlewshift.model import Terms
 from curlewshift.rules import Rules
+from curlewshift.session_core.session_core import Desk
 
 NAMES = (
     "lose-answer",
--- a/curlewshift/emulator/shed_wrongs.py
+++ b/curlewshift/emulator/planted_shedding_faults.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from curlewshift.overload.again import Advice
 from curlewshift.overload.order import Order
 from curlewshift.overload.overload import Overload
+from curlewshift.overload.retry_budget import Advice
 
 
 class ShedAtRandom(Overload):
--- a/curlewshift/emulator/versions.py
+++ b/curlewshift/emulator/versions.py
@@ -12,7 +12,7 @@
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import digest_of
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet, Post
-from curlewshift.membership.manners import usual_manners
+from curlewshift.membership.terms import usual_manners
 from curlewshift.peering.distributed import DistributionWire
 
 EVERY = 200 * MS
--- a/curlewshift/emulator/viewers.py
+++ b/curlewshift/emulator/viewers.py
@@ -11,7 +11,7 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from curlewshift.desk.course import Answer, Kind
+from curlewshift.session_core.front_session import Answer, Kind
 from curlewshift.standins.script import Part, drawn_part, pressure
 from curlewshift.standins.viewers import ASKS_ON, FOR_LINES, HANGS_UP_AFTER, LEAVES_AFTER, MEDIA_WITHIN, MOST_VISITS, PAUSE
 
--- a/curlewshift/emulator/world.py
+++ b/curlewshift/emulator/world.py
@@ -11,7 +11,6 @@
 from collections.abc import Callable
 from random import Random
 
-from curlewshift.desk.roster import Row
 from curlewshift.emulator.front import Disk, EmulatedFront
 from curlewshift.emulator.machine import Machine, Session
 from curlewshift.emulator.overloaded import Shedding
@@ -19,6 +18,7 @@
 from curlewshift.emulator.shared import Shares
 from curlewshift.emulator.viewers import Viewers
 from curlewshift.rules import Rules
+from curlewshift.session_core.server_list import Row
 from curlewshift.standins.fleet import DRAIN_FOR, LINK_OFF, LONG_AGO, PREEMPT_FOR, RIVAL_PACE
 from curlewshift.standins.listing import LATE
 from curlewshift.standins.physics import LinkModel, Uplink
--- a/curlewshift/experiments/one_run.py
+++ b/curlewshift/experiments/one_run.py
@@ -11,7 +11,7 @@
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
 from curlewshift.experiments.experiment import Experiment, Run
-from curlewshift.rehearsal.rehearse import figures_of
+from curlewshift.fault_injection.rehearse import figures_of
 from curlewshift.rules import Rules
 from curlewshift.standins.script import Script, usual
 from curlewshift.verdict.verdict import judge
--- a/curlewshift/rehearsal/configuring.py
+++ b/curlewshift/fault_injection/configuring.py
@@ -14,8 +14,8 @@
 import anyio
 from lxml import etree
 
-from curlewshift.rehearsal.members import MemberProcess
-from curlewshift.rehearsal.processes import Child
+from curlewshift.fault_injection.members import MemberProcess
+from curlewshift.fault_injection.processes import Child
 
 # Control machines get so long to come up (s), and a majority to take a version.
 START_WITHIN, PUT_WITHIN = 30.0, 8.0
--- a/curlewshift/rehearsal/fleet_cost.py
+++ b/curlewshift/fault_injection/fleet_cost.py
@@ -4,9 +4,9 @@
 
 import time
 
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.roster import Roster, Row
 from curlewshift.model import Package, Terms
+from curlewshift.session_core.server_list import Roster, Row
+from curlewshift.session_core.session_core import Desk
 
 SECOND = 1_000_000_000
 HOLDERS = 5
--- a/curlewshift/rehearsal/flood.py
+++ b/curlewshift/fault_injection/flood.py
@@ -20,8 +20,8 @@
 import anyio
 
 from curlewshift.exchange.client import Broken, Call, NeverSent
-from curlewshift.rehearsal.joins import FINGERPRINT, SDP, all_listen, site_file
-from curlewshift.rehearsal.processes import Child, free_ports
+from curlewshift.fault_injection.joins import FINGERPRINT, SDP, all_listen, site_file
+from curlewshift.fault_injection.processes import Child, free_ports
 from curlewshift.signalling.sdp import offer_text
 
 SERVERS = 4
--- a/curlewshift/rehearsal/joins.py
+++ b/curlewshift/fault_injection/joins.py
@@ -19,7 +19,7 @@
 
 from curlewshift.exchange.client import connect
 from curlewshift.exchange.tls import client_context
-from curlewshift.rehearsal.processes import Child, free_ports, listens
+from curlewshift.fault_injection.processes import Child, free_ports, listens
 from curlewshift.signalling.sdp import offer_text
 from curlewshift.site.authority import issue, make_authority
 
--- a/curlewshift/rehearsal/limits_cost.py
+++ b/curlewshift/fault_injection/limits_cost.py
@@ -11,11 +11,11 @@
 from random import Random
 
 from curlewshift.exchange.client import connect
+from curlewshift.fault_injection.joins import FINGERPRINT, SDP, SERVERS, all_listen, cpu_of, memory_of, site_file
+from curlewshift.fault_injection.processes import Child, free_ports
 from curlewshift.limits.buckets import Buckets
 from curlewshift.limits.heavy import PLACES, Heavy
 from curlewshift.limits.prefixes import Prefixes
-from curlewshift.rehearsal.joins import FINGERPRINT, SDP, SERVERS, all_listen, cpu_of, memory_of, site_file
-from curlewshift.rehearsal.processes import Child, free_ports
 from curlewshift.signalling.sdp import offer_text
 
 ADDRESSES = 1_000_000
--- a/curlewshift/rehearsal/members.py
+++ b/curlewshift/fault_injection/members.py
@@ -4,8 +4,8 @@
 
 import anyio
 
+from curlewshift.fault_injection.processes import Child
 from curlewshift.front.control import tell
-from curlewshift.rehearsal.processes import Child
 
 
 class MemberProcess:
--- a/curlewshift/rehearsal/node_day.py
+++ b/curlewshift/fault_injection/node_day.py
@@ -17,8 +17,8 @@
 
 import anyio
 
-from curlewshift.rehearsal.node_sides import FAILED, PATIENCE_MS, PLAYS, REFUSED, Server, Viewer
-from curlewshift.rehearsal.processes import ROOT, free_ports, listens
+from curlewshift.fault_injection.node_sides import FAILED, PATIENCE_MS, PLAYS, REFUSED, Server, Viewer
+from curlewshift.fault_injection.processes import ROOT, free_ports, listens
 from curlewshift.standins.traffic import Traffic, read_traffic
 from curlewshift.verdict.attempts import judge_attempts
 
@@ -33,7 +33,7 @@
 
 
 class NodeDay:
-    """`sabotage` is a name of node_spoilt.py. Raises `OSError` if the node does not start."""
+    """`sabotage` is a name of node_planted_faults.py. Raises `OSError` if the node does not start."""
 
     def __init__(self, out: Path, seed: int, seconds: float, viewers: int, sabotage: str = "", stops: int = STOPS):
         self.out, self.seed, self.sabotage, self.stops = out, seed, sabotage, stops
@@ -74,7 +74,7 @@
         return verdict
 
     async def _day(self) -> None:
-        start = ["curlewshift.rehearsal.node_spoilt", self.sabotage] if self.sabotage else ["curlewshift.node"]
+        start = ["curlewshift.fault_injection.node_planted_faults", self.sabotage] if self.sabotage else ["curlewshift.node"]
         with open(self.out / "node.log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", *start],
--- a/curlewshift/rehearsal/node_spoilt.py
+++ b/curlewshift/fault_injection/node_planted_faults.py
@@ -1,5 +1,5 @@
-"""`python -m curlewshift.rehearsal.node_spoilt NAME`: a front node that does not see one way in which viewers leave. Started by
-node_day.py alone, to see that its judge catches each; no node that serves anyone is made from it."""
+"""`python -m curlewshift.fault_injection.node_planted_faults NAME`: a front node that does not see one way in which
+viewers leave. Started by node_day.py alone, to see that its judge catches each; no node that serves anyone is made from it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from curlewshift.node import __main__ as start
 from curlewshift.node import node
-from curlewshift.node.door import Door, rtsp
+from curlewshift.node.client_listener import Door, rtsp
 
 
 class DeafToEnds(Door):
--- a/curlewshift/rehearsal/peers_cost.py
+++ b/curlewshift/fault_injection/peers_cost.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from random import Random
 
-from curlewshift.rehearsal.joins import SITE, all_listen, memory_of, one_way
-from curlewshift.rehearsal.processes import Child, free_ports
+from curlewshift.fault_injection.joins import SITE, all_listen, memory_of, one_way
+from curlewshift.fault_injection.processes import Child, free_ports
 
 FRONTS, SERVERS, TURNS = 8, 4, 6
 
--- a/curlewshift/rehearsal/recovery_cost.py
+++ b/curlewshift/fault_injection/recovery_cost.py
@@ -18,9 +18,9 @@
 
 from curlewshift.exchange.client import ask
 from curlewshift.exchange.server import serve
+from curlewshift.fault_injection.joins import FINGERPRINT, SDP, site_file
+from curlewshift.fault_injection.processes import free_ports
 from curlewshift.front.front import Front
-from curlewshift.rehearsal.joins import FINGERPRINT, SDP, site_file
-from curlewshift.rehearsal.processes import free_ports
 from curlewshift.signalling.bodies import ListRow
 from curlewshift.signalling.sdp import offer_text
 from curlewshift.site.site import read_site
@@ -28,8 +28,8 @@
 from curlewshift.standins.physics import LinkModel, Uplink
 from curlewshift.standins.server import MediaServer, Session
 from curlewshift.standins.traffic import Traffic
-from curlewshift.state.book import Book, Remembered
 from curlewshift.state.journal import Journal
+from curlewshift.state.session_registry import Book, Remembered
 
 SERVERS = 8
 SIZES = (100, 1000, 3000, 10_000)
--- a/curlewshift/rehearsal/rehearse.py
+++ b/curlewshift/fault_injection/rehearse.py
@@ -15,10 +15,10 @@
 
 from curlewshift.capture.replay import Replay
 from curlewshift.capture.store import read_capture
+from curlewshift.fault_injection.configuring import OF_MACHINES, Configuring
+from curlewshift.fault_injection.members import MemberProcess
+from curlewshift.fault_injection.processes import Child, free_ports, listens
 from curlewshift.front.control import tell
-from curlewshift.rehearsal.configuring import OF_MACHINES, Configuring
-from curlewshift.rehearsal.members import MemberProcess
-from curlewshift.rehearsal.processes import Child, free_ports, listens
 from curlewshift.site.site import Site
 from curlewshift.standins.script import OF_FRONTS, Announced, Script, Trouble
 from curlewshift.standins.traffic import Traffic, read_traffic
--- a/curlewshift/front/followers.py
+++ b/curlewshift/front/followers.py
@@ -6,11 +6,11 @@
 
 import anyio
 
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.roster import Row
 from curlewshift.exchange.client import Broken, Call, NeverSent, connect
 from curlewshift.front.kept import KeptList
 from curlewshift.model import Server
+from curlewshift.session_core.server_list import Row
+from curlewshift.session_core.session_core import Desk
 from curlewshift.signalling.bodies import BadBody, ListNews, ListRow, Note, decode
 from curlewshift.signalling.events import Event, Reader, TooLong
 from curlewshift.site.site import host_port
--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -12,21 +12,16 @@
 
 from curlewshift.capture.store import CaptureWriter
 from curlewshift.capture.tap import tapped
-from curlewshift.desk.course import Answer, Course, Kind, Request, TuneIn
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.errands import Errand
-from curlewshift.desk.offer import Offer
-from curlewshift.desk.roster import Roster
 from curlewshift.exchange.server import serve
 from curlewshift.exchange.tls import BadCertificate, ServerTls, client_context
 from curlewshift.front.begun import Begun
 from curlewshift.front.configured import Configured
 from curlewshift.front.control import Control
-from curlewshift.front.door import Door
 from curlewshift.front.followers import ListFollower, NotesFollower, row_of
-from curlewshift.front.keeper import Keeper
+from curlewshift.front.http_listener import Door
 from curlewshift.front.kept import KeptList, KeptShared
-from curlewshift.front.reach import Reach, Session, doubt_mark
+from curlewshift.front.server_pool import Reach, Session, doubt_mark
+from curlewshift.front.session_writer import Keeper
 from curlewshift.limits.admission import Admission
 from curlewshift.limits.descriptors import Gate
 from curlewshift.limits.permits import BadKeys, Permits, read_keys
@@ -38,16 +33,21 @@
 from curlewshift.peering.shared import SharedWire
 from curlewshift.peering.wire import PeerWire
 from curlewshift.recovery.recovery import Doubt, Found, Recovery, recovery_of
-from curlewshift.retries.endings import Ending
+from curlewshift.retries.session_ends import Ending
 from curlewshift.schedule.background import Background, Job
 from curlewshift.schedule.clock import Clock, LedClock
 from curlewshift.schedule.waking import Waking
+from curlewshift.session_core.front_session import Answer, Course, Kind, Request, TuneIn
+from curlewshift.session_core.offer import Offer
+from curlewshift.session_core.server_commands import Errand
+from curlewshift.session_core.server_list import Roster
+from curlewshift.session_core.session_core import Desk
 from curlewshift.site.places import distribution_of, places_of
 from curlewshift.site.site import Site
-from curlewshift.state.book import Book, Remembered
 from curlewshift.state.intents import Intents
 from curlewshift.state.journal import Journal, Lock
 from curlewshift.state.peaks import PeakStore
+from curlewshift.state.session_registry import Book, Remembered
 
 NS = 1_000_000_000
 # A front that shares hears from its peers for so long at the most before its door opens (s).
@@ -485,7 +485,7 @@
                 return course
         return None
 
-    # ---- the desk's outside, see curlewshift/desk/outside.py
+    # ---- the desk's outside, see curlewshift/session_core/driver.py
 
     def now(self) -> int:
         return self.clock.now()
--- a/curlewshift/front/door.py
+++ b/curlewshift/front/http_listener.py
@@ -9,15 +9,15 @@
 
 import anyio
 
-from curlewshift.desk.course import Answer, Course, Kind, Request
-from curlewshift.desk.desk import Desk, Misuse, Unknown
-from curlewshift.desk.offer import Offer
 from curlewshift.exchange.server import Exchange, PeerGone
-from curlewshift.front.reach import SDP
+from curlewshift.front.server_pool import SDP
 from curlewshift.front.sessions import EVENTS, LAYERS, PATCHES, PREFLIGHT, Sessions, Wrong
 from curlewshift.limits.admission import Admission
 from curlewshift.limits.permits import NoPermit, Permit, Permits, allow
 from curlewshift.limits.queue import Ticket
+from curlewshift.session_core.front_session import Answer, Course, Kind, Request
+from curlewshift.session_core.offer import Offer
+from curlewshift.session_core.session_core import Desk, Misuse, Unknown
 from curlewshift.signalling.sdp import PLAYS, PUBLISHES, BadDescription, checked_offer, identity
 from curlewshift.site.site import Site
 
--- a/curlewshift/front/in_service.py
+++ b/curlewshift/front/in_service.py
@@ -8,9 +8,9 @@
 
 from math import inf
 
-from curlewshift.desk.roster import Roster, Title
 from curlewshift.limits.buckets import Buckets
 from curlewshift.rules import COME_BACK
+from curlewshift.session_core.server_list import Roster, Title
 from curlewshift.site.changes import OF_PACKAGES
 from curlewshift.site.site import Site
 
--- a/curlewshift/front/led.py
+++ b/curlewshift/front/led.py
@@ -10,7 +10,7 @@
 import signal
 
 from curlewshift.exchange.client import NeverSent
-from curlewshift.front.reach import Reach
+from curlewshift.front.server_pool import Reach
 from curlewshift.model import Outcome
 
 
--- a/curlewshift/front/spoilt_configured.py
+++ b/curlewshift/front/planted_configuration_faults.py
@@ -1,4 +1,4 @@
-"""How fronts and control machines are spoilt in what they make of versions; see spoilt.py."""
+"""How fronts and control machines are spoilt in what they make of versions; see planted_faults.py."""
 
 from __future__ import annotations
 
--- a/curlewshift/front/spoilt.py
+++ b/curlewshift/front/planted_faults.py
@@ -7,30 +7,30 @@
 
 from dataclasses import replace
 
-from curlewshift.desk.desk import Desk
 from curlewshift.emulator.lease_histories import FAULTS as LEASE_FAULTS
+from curlewshift.emulator.planted_shedding_faults import FAULTS as SHED_FAULTS
 from curlewshift.emulator.seat_histories import FAULTS as SEAT_FAULTS
-from curlewshift.emulator.shed_wrongs import FAULTS as SHED_FAULTS
-from curlewshift.front.door import Door
 from curlewshift.front.front import Front
-from curlewshift.front.reach import Reach
-from curlewshift.front.spoilt_configured import FRONTS as CONFIGURATION_FAULTS
-from curlewshift.front.spoilt_configured import MACHINES as MACHINE_FAULTS
-from curlewshift.leases.asker import Asker
-from curlewshift.leases.keeper import Keeper
+from curlewshift.front.http_listener import Door
+from curlewshift.front.planted_configuration_faults import FRONTS as CONFIGURATION_FAULTS
+from curlewshift.front.planted_configuration_faults import MACHINES as MACHINE_FAULTS
+from curlewshift.front.server_pool import Reach
+from curlewshift.leases.acceptor import Keeper
+from curlewshift.leases.proposer import Asker
 from curlewshift.membership.membership import Membership
 from curlewshift.model import Outcome
+from curlewshift.model_checker.budget_checker import FAULTS
 from curlewshift.overload.overload import Overload
 from curlewshift.peering.leased import LeaseWire
 from curlewshift.peering.overloaded import OverloadWire
 from curlewshift.peering.shared import SharedWire
 from curlewshift.peering.wire import PeerWire
 from curlewshift.rules import NEVER_RAN, Rules
+from curlewshift.session_core.session_core import Desk
 from curlewshift.sharing.evidence import Evidence
 from curlewshift.sharing.loans import Loans
 from curlewshift.sharing.sharing import Sharing
 from curlewshift.sharing.standing import StandingLoans
-from curlewshift.walk.budgets import FAULTS
 
 EVERY = 8
 
--- a/curlewshift/front/reach.py
+++ b/curlewshift/front/server_pool.py
@@ -12,13 +12,13 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from curlewshift.desk.course import TuneIn
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.errands import Errand, Result
 from curlewshift.exchange.client import Answered, Broken, Call, NeverSent, ask, connect
 from curlewshift.model import Outcome, Server
 from curlewshift.recovery.recovery import Found, Recovery
-from curlewshift.retries.endings import Ending
+from curlewshift.retries.session_ends import Ending
+from curlewshift.session_core.front_session import TuneIn
+from curlewshift.session_core.server_commands import Errand, Result
+from curlewshift.session_core.session_core import Desk
 from curlewshift.signalling.bodies import (
     PROBLEM_TYPE,
     TURNED_AWAY,
--- a/curlewshift/front/keeper.py
+++ b/curlewshift/front/session_writer.py
@@ -1,15 +1,15 @@
 """Writes down what plays, from a thread, in the order in which it came; requests never wait for it.
 
-What it decides to write stands in curlewshift/state/book.py. A disk that takes no more ends it with a word in the log:
-the front goes on, and what it sets up from then on is not known after a kill.
+What it decides to write stands in curlewshift/state/session_registry.py. A disk that takes no more ends it with a word in the
+log: the front goes on, and what it sets up from then on is not known after a kill.
 """
 
 from __future__ import annotations
 
-from curlewshift.desk.course import Course
-from curlewshift.state.behind import Behind
-from curlewshift.state.book import Book, remembered
+from curlewshift.session_core.front_session import Course
+from curlewshift.state.background_writer import Behind
 from curlewshift.state.journal import Journal, NotKept
+from curlewshift.state.session_registry import Book, remembered
 
 # Records that may wait for a disk that stalls.
 MOST_WAITING = 100_000
--- a/curlewshift/front/sessions.py
+++ b/curlewshift/front/sessions.py
@@ -8,11 +8,11 @@
 import anyio
 import msgspec
 
-from curlewshift.desk.course import Course
-from curlewshift.desk.errands import Errand, Result
 from curlewshift.exchange.server import Exchange, PeerGone
-from curlewshift.front.reach import Patch
+from curlewshift.front.server_pool import Patch
 from curlewshift.limits.permits import NoPermit, Permit
+from curlewshift.session_core.front_session import Course
+from curlewshift.session_core.server_commands import Errand, Result
 from curlewshift.signalling.bodies import BadBody, LayerChoice, decode
 from curlewshift.signalling.events import CONTENT_TYPE, KEEP_ALIVE, Event, encode_event
 from curlewshift.signalling.fragments import CONTENT_TYPE as PATCHES
--- a/curlewshift/leases/keeper.py
+++ b/curlewshift/leases/acceptor.py
@@ -11,7 +11,7 @@
 
 from curlewshift.leases.ballots import NONE, Ballot
 from curlewshift.leases.terms import LeaseTerms
-from curlewshift.schedule.steady import Steady
+from curlewshift.schedule.steady_clock import Steady
 
 # Leases that one keeper knows; who asks for more is not answered.
 MOST = 8192
--- a/curlewshift/membership/membership.py
+++ b/curlewshift/membership/membership.py
@@ -12,11 +12,11 @@
 from random import Random
 from typing import Protocol
 
-from curlewshift.membership.manners import Manners
 from curlewshift.membership.member import Claim, Member, Rank
-from curlewshift.membership.news import News, spread
+from curlewshift.membership.terms import Manners
+from curlewshift.membership.updates import News, spread
 from curlewshift.membership.views import BUCKETS, Views, bucket_of
-from curlewshift.schedule.steady import Steady
+from curlewshift.schedule.steady_clock import Steady
 
 
 class Outside(Protocol):
--- a/curlewshift/walk/budgets.py
+++ b/curlewshift/model_checker/budget_checker.py
@@ -9,9 +9,9 @@
 
 from copy import copy
 
+from curlewshift.model_checker.explore import Broken, Walked, explore
 from curlewshift.sharing.loans import Loans
 from curlewshift.sharing.terms import SharingTerms
-from curlewshift.walk.explore import Broken, Walked, explore
 
 # A tick is four units of a true clock; a clock at the bound shows three or five.
 UNITS, DRIFT = 4, 0.25
--- a/curlewshift/walk/explore.py
+++ b/curlewshift/model_checker/explore.py
@@ -1,4 +1,5 @@
-"""Walks a small world breadth first through all that can happen in it, each state once. Called by budgets.py and leases.py."""
+"""Walks a small world breadth first through all that can happen in it, each state once. Called by
+budget_checker.py and lease_checker.py."""
 
 from __future__ import annotations
 
--- a/curlewshift/walk/leases.py
+++ b/curlewshift/model_checker/lease_checker.py
@@ -11,11 +11,11 @@
 from copy import copy
 from random import Random
 
-from curlewshift.leases.asker import Asker, Try
+from curlewshift.leases.acceptor import Keeper
 from curlewshift.leases.ballots import NONE
-from curlewshift.leases.keeper import Keeper
+from curlewshift.leases.proposer import Asker, Try
 from curlewshift.leases.terms import LeaseTerms
-from curlewshift.walk.explore import Broken, Walked, explore
+from curlewshift.model_checker.explore import Broken, Walked, explore
 
 # A tick is four units of a true clock; one at the bound shows three or five.
 UNITS, DRIFT = 4, 0.25
--- a/curlewshift/walk/walk.py
+++ b/curlewshift/model_checker/session_checker.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 from random import Random
 
-from curlewshift.walk.world import Breach, World
+from curlewshift.model_checker.world import Breach, World
 
 
 @dataclass(slots=True)
--- a/curlewshift/walk/versions.py
+++ b/curlewshift/model_checker/version_checker.py
@@ -17,7 +17,7 @@
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import Version, digest_of
 from curlewshift.distribution.writer import Writer
-from curlewshift.walk.explore import Broken, Walked, explore
+from curlewshift.model_checker.explore import Broken, Walked, explore
 
 STORES, WRITERS, NODES = ("a", "b", "c"), 2, 2
 # Due at once, whenever the walk has it so: time is a choice here.
--- a/curlewshift/walk/world.py
+++ b/curlewshift/model_checker/world.py
@@ -9,15 +9,15 @@
 
 from dataclasses import dataclass, field
 
-from curlewshift.desk.course import Answer, Kind, Request, TuneIn
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.errands import Result
-from curlewshift.desk.offer import Offer
-from curlewshift.desk.roster import Roster, Row
 from curlewshift.model import Outcome, Package, Terms
 from curlewshift.recovery.recovery import Doubt, Found, recovery_of
-from curlewshift.state.book import Book, Remembered, remembered
+from curlewshift.session_core.front_session import Answer, Kind, Request, TuneIn
+from curlewshift.session_core.offer import Offer
+from curlewshift.session_core.server_commands import Result
+from curlewshift.session_core.server_list import Roster, Row
+from curlewshift.session_core.session_core import Desk
 from curlewshift.state.intents import Intents, intent_of
+from curlewshift.state.session_registry import Book, Remembered, remembered
 from curlewshift.state.setting_up import SEND, setting_up
 
 SECOND = 1_000_000_000
--- a/curlewshift/node/door.py
+++ b/curlewshift/node/client_listener.py
@@ -13,12 +13,12 @@
 
 import anyio
 
-from curlewshift.desk.course import Answer, Course, Kind, Request
-from curlewshift.desk.desk import Misuse
 from curlewshift.exchange.accepting import Patient
 from curlewshift.node import rtsp
-from curlewshift.node.trail import trail_of
-from curlewshift.node.wire import Errand, Intake, Listener, Wire
+from curlewshift.node.buffered_connection import Errand, Intake, Listener, Wire
+from curlewshift.node.trace import trail_of
+from curlewshift.session_core.front_session import Answer, Course, Kind, Request
+from curlewshift.session_core.session_core import Misuse
 
 MS = 1_000_000
 NS = 1_000_000_000
--- a/curlewshift/node/configuration.py
+++ b/curlewshift/node/configuration.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from curlewshift.deployment import terms_of
-from curlewshift.node.bulletin import DRAINING, GONE, READY
+from curlewshift.node.discovery import DRAINING, GONE, READY
 
 STATES = {"active": READY, "leaving": DRAINING, "left": GONE}
 
@@ -156,7 +156,7 @@
 
 def events(posting: Posting) -> list[tuple[int, bool, Callable]]:
     """Number and fullness of each known event, and a function that calls its argument for each row, as
-    `bulletin.each_record` does."""
+    `discovery.each_record` does."""
     zones, kinds = posting.settings.get("areas") or [], posting.settings.get("flavors") or []
     return [
         (int(item["no"]), bool(item["roster"]["full"]), lambda told, item=item: _rows(item, zones, kinds, told))
--- a/curlewshift/node/connections.py
+++ b/curlewshift/node/connections.py
@@ -1,6 +1,6 @@
 """What the node knows of media servers: the server as it is reached, its connections, attempts that are out, sessions that stand.
 
-Made and moved by reach.py alone. Times are nanoseconds.
+Made and moved by server_pool.py alone. Times are nanoseconds.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from curlewshift.desk.course import Course, TuneIn
 from curlewshift.model import Server
 from curlewshift.node import isup
-from curlewshift.node.wire import Errand, Intake, Wire
+from curlewshift.node.buffered_connection import Errand, Intake, Wire
+from curlewshift.session_core.front_session import Course, TuneIn
 
 if TYPE_CHECKING:
-    from curlewshift.node.reach import Reach
+    from curlewshift.node.server_pool import Reach
 
 
 @dataclass(eq=False, slots=True)
--- a/curlewshift/node/follower.py
+++ b/curlewshift/node/follower.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from curlewshift.node import bulletin
-from curlewshift.node.wire import ENDED, Wire, dial
+from curlewshift.node import discovery
+from curlewshift.node.buffered_connection import ENDED, Wire, dial
 
 # An empty frame comes each second: without any for so long, whatever is open there is dead (s).
 SILENT_FOR = 2.2
@@ -49,7 +49,7 @@
             with anyio.CancelScope() as self.scope:
                 try:
                     await self._follow(heard)
-                except (bulletin.Malformed, *ENDED) as wrong:
+                except (discovery.Malformed, *ENDED) as wrong:
                     self.log.warning("bulletin-broke", last=self.last, cause=repr(wrong))
                 except Exception as fault:
                     self.log.error("fault", what="the bulletin", cause=repr(fault), exc_info=fault)
@@ -68,9 +68,9 @@
             sock = await dial(self.address, CONNECT_WITHIN, spare if spare is not None else _socket())
             if sock is None:
                 raise TimeoutError("no connection in time")
-            wire, reader = Wire(sock, self.tasks), bulletin.Reader()
+            wire, reader = Wire(sock, self.tasks), discovery.Reader()
             try:
-                wire.send(bulletin.ask(self.last))
+                wire.send(discovery.ask(self.last))
                 while True:
                     data = await self._receive(wire, heard)
                     if not data:
@@ -78,7 +78,7 @@
                     wrong = None
                     try:
                         frames = reader.feed(data)
-                    except bulletin.Malformed as caught:
+                    except discovery.Malformed as caught:
                         frames, wrong = caught.before, caught
                     heard += frames[:1] if not heard else ()
                     if not self._take(frames):
@@ -109,17 +109,17 @@
         for number, kind, payload in frames:
             if number <= self.last:
                 continue
-            missing = kind == bulletin.NOTHING_NEW or (kind == bulletin.CHANGES and number != self.last + 1)
+            missing = kind == discovery.NOTHING_NEW or (kind == discovery.CHANGES and number != self.last + 1)
             now = anyio.current_time()
-            again = kind == bulletin.NOTHING_NEW and now - self.gap_at > ASK_AGAIN
+            again = kind == discovery.NOTHING_NEW and now - self.gap_at > ASK_AGAIN
             if missing and (self.gap_after != self.last or again):
                 self.gap_after, self.gap_at = self.last, now
                 self.log.warning("bulletin-gap", last=self.last, came=number)
                 return False
-            if kind == bulletin.NOTHING_NEW:
+            if kind == discovery.NOTHING_NEW:
                 continue
             self.last = number
-            self.told(kind == bulletin.WHOLE, payload)
+            self.told(kind == discovery.WHOLE, payload)
         return True
 
 
--- a/curlewshift/node/node.py
+++ b/curlewshift/node/node.py
@@ -14,20 +14,20 @@
 import anyio
 
 from curlewshift.deployment import Fleet, terms_of
-from curlewshift.desk.course import Answer, Course, Kind, Request, TuneIn
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.errands import Errand, Result
 from curlewshift.limits.descriptors import Gate
 from curlewshift.model import Listed, Outcome, Server
-from curlewshift.node import bulletin, configuration, isup
+from curlewshift.node import configuration, discovery, isup
+from curlewshift.node.buffered_connection import Listener
+from curlewshift.node.client_listener import SWEEP, Door
 from curlewshift.node.connections import Session
-from curlewshift.node.door import SWEEP, Door
 from curlewshift.node.follower import Follower
-from curlewshift.node.reach import Reach
-from curlewshift.node.wire import Listener
-from curlewshift.retries.endings import Ending
+from curlewshift.node.server_pool import Reach
+from curlewshift.retries.session_ends import Ending
 from curlewshift.schedule.clock import Clock
 from curlewshift.schedule.waking import Waking
+from curlewshift.session_core.front_session import Answer, Course, Kind, Request, TuneIn
+from curlewshift.session_core.server_commands import Errand, Result
+from curlewshift.session_core.session_core import Desk
 
 MS = 1_000_000
 NS = 1_000_000_000
@@ -194,7 +194,7 @@
     # ---- the list
 
     def _news(self, whole: bool, payload: bytes) -> None:
-        self._listed(lambda told: bulletin.each_record(payload, told), whole, self.follower.last)
+        self._listed(lambda told: discovery.each_record(payload, told), whole, self.follower.last)
 
     def _listed(self, rows, full: bool, version: int, stale: bool = False) -> None:
         lines, named = [], set()
@@ -203,13 +203,13 @@
             server = self.fleet.listed(name, cell, _nth(self.zones, zone), _nth(self.kinds, kind), weight)
             named.add(server)
             started = started_ms * MS
-            if state == bulletin.GONE:
+            if state == discovery.GONE:
                 self.fleet.unlisted(server)
             else:
                 self.reach.listed(server, address)
             if started > server.started and self.reach.stands(server):
                 self.reach.restarted(server, started)
-            lines.append(Listed(server, state == bulletin.READY, started))
+            lines.append(Listed(server, state == discovery.READY, started))
 
         rows(told)
         if full:
@@ -301,7 +301,7 @@
         if asked is not None and asked.course is course:
             self.door.release(asked, cause)
 
-    # ---- the desk's outside, see curlewshift/desk/outside.py
+    # ---- the desk's outside, see curlewshift/session_core/driver.py
 
     def now(self) -> int:
         return self.clock.now()
--- a/curlewshift/node/reach.py
+++ b/curlewshift/node/server_pool.py
@@ -12,13 +12,13 @@
 import anyio
 
 from curlewshift.deployment import use_of
-from curlewshift.desk.course import Course, TuneIn
 from curlewshift.model import Outcome, Server
 from curlewshift.node import isup
+from curlewshift.node.buffered_connection import Wire, dial
 from curlewshift.node.connections import Attempt, Endpoint, Line, Session
 from curlewshift.node.teardowns import Teardowns
-from curlewshift.node.wire import Wire, dial
-from curlewshift.retries.endings import Ending
+from curlewshift.retries.session_ends import Ending
+from curlewshift.session_core.front_session import Course, TuneIn
 from curlewshift.teardown.pending import Copy
 
 MS = 1_000_000
--- a/curlewshift/node/teardowns.py
+++ b/curlewshift/node/teardowns.py
@@ -3,7 +3,7 @@
 `curlewshift/teardown/pending.py` keeps the records; this module writes them. A release goes out at once, an attempt's on its
 own connection. If nothing confirms it, its connection is tested with a probe, which a server answers in the order of what it
 reads. If that is not answered either, all that waits for the server is said again on another connection, with a test behind it.
-What waits is said on each connection that comes up, before anything else. Called by reach.py.
+What waits is said on each connection that comes up, before anything else. Called by server_pool.py.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from curlewshift.teardown.pending import PendingRelease, PendingReleases, State
 
 if TYPE_CHECKING:
-    from curlewshift.node.reach import Reach
+    from curlewshift.node.server_pool import Reach
 
 MS = 1_000_000
 NS = 1_000_000_000
--- a/curlewshift/node/trail.py
+++ b/curlewshift/node/trace.py
@@ -9,7 +9,7 @@
 import os
 from collections import OrderedDict
 
-from curlewshift.node.wire import Errand
+from curlewshift.node.buffered_connection import Errand
 
 MS = 1_000_000
 MOST = 2000
--- a/curlewshift/overload/overload.py
+++ b/curlewshift/overload/overload.py
@@ -15,9 +15,9 @@
 from typing import Protocol
 
 from curlewshift.model import Package, Server
-from curlewshift.overload.again import Advice, Again
 from curlewshift.overload.level import Level, Round
 from curlewshift.overload.order import Order
+from curlewshift.overload.retry_budget import Advice, Again
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.sharing.counts import picked
 
--- a/curlewshift/peering/channel.py
+++ b/curlewshift/peering/channel.py
@@ -11,9 +11,9 @@
 from random import Random
 from typing import Protocol
 
-from curlewshift.membership.manners import Manners
 from curlewshift.membership.member import Claim, Member, Rank
 from curlewshift.membership.membership import Membership
+from curlewshift.membership.terms import Manners
 from curlewshift.peering.frames import (
     ACK,
     ASK,
--- a/curlewshift/peering/distributed.py
+++ b/curlewshift/peering/distributed.py
@@ -26,8 +26,8 @@
 from curlewshift.distribution.versions import MOST_CONTENT, NONE, Ballot, Version
 from curlewshift.distribution.writer import Writer, refused
 from curlewshift.membership.member import Member
-from curlewshift.membership.news import spread
-from curlewshift.schedule.steady import Steady
+from curlewshift.membership.updates import spread
+from curlewshift.schedule.steady_clock import Steady
 
 KIND = 20
 NS = 1_000_000_000
--- a/curlewshift/peering/leasing.py
+++ b/curlewshift/peering/leasing.py
@@ -11,9 +11,9 @@
 import msgspec
 from msgspec import Meta
 
-from curlewshift.leases.asker import Asker
+from curlewshift.leases.acceptor import Keeper
 from curlewshift.leases.ballots import NONE, Ballot
-from curlewshift.leases.keeper import Keeper
+from curlewshift.leases.proposer import Asker
 from curlewshift.leases.terms import LeaseTerms
 from curlewshift.membership.member import Member
 from curlewshift.peering.channel import Channel
--- a/curlewshift/peering/overloaded.py
+++ b/curlewshift/peering/overloaded.py
@@ -12,10 +12,10 @@
 import msgspec
 from msgspec import Meta
 
-from curlewshift.desk.shedding import Shedding
 from curlewshift.membership.member import Member
 from curlewshift.overload.overload import Overload
 from curlewshift.overload.terms import OverloadTerms
+from curlewshift.session_core.shedding import Shedding
 
 KIND = 19
 NS = 1_000_000_000
--- a/curlewshift/peering/shared.py
+++ b/curlewshift/peering/shared.py
@@ -12,10 +12,10 @@
 import msgspec
 from msgspec import Meta
 
-from curlewshift.desk.desk import Desk
 from curlewshift.membership.member import Member
 from curlewshift.model import Server
 from curlewshift.peering.channel import Channel
+from curlewshift.session_core.session_core import Desk
 from curlewshift.sharing.sharing import Sharing
 from curlewshift.sharing.terms import SharingTerms, Together
 
--- a/curlewshift/recovery/recovery.py
+++ b/curlewshift/recovery/recovery.py
@@ -21,12 +21,12 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from curlewshift.desk.course import Course
-from curlewshift.desk.desk import Desk, Misuse
-from curlewshift.desk.offer import Offer
 from curlewshift.model import Outcome, Server
-from curlewshift.state.book import Book, Remembered
+from curlewshift.session_core.front_session import Course
+from curlewshift.session_core.offer import Offer
+from curlewshift.session_core.session_core import Desk, Misuse
 from curlewshift.state.intents import KEPT_ON, Intent
+from curlewshift.state.session_registry import Book, Remembered
 
 SECOND = 1_000_000_000
 # Servers asked at once: the door is open meanwhile, and joins come first.
--- a/curlewshift/scale/fleet.py
+++ b/curlewshift/scale/fleet.py
@@ -10,9 +10,9 @@
 
 import anyio
 
+from curlewshift.fault_injection.joins import BEHIND, cpu_of, memory_of
+from curlewshift.fault_injection.processes import Child, free_ports, listens
 from curlewshift.front.control import tell
-from curlewshift.rehearsal.joins import BEHIND, cpu_of, memory_of
-from curlewshift.rehearsal.processes import Child, free_ports, listens
 from curlewshift.scale.plan import CONTROL, KEEPERS, Place, Plan, write_plan
 from curlewshift.scale.talk import Spoken
 
--- a/curlewshift/scale/hollow.py
+++ b/curlewshift/scale/hollow.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from curlewshift.rehearsal.joins import memory_of
+from curlewshift.fault_injection.joins import memory_of
 from curlewshift.scale.node import HollowNode
 from curlewshift.scale.plan import read_plan
 from curlewshift.scale.talk import obey, say
--- a/curlewshift/scale/slopes_control.py
+++ b/curlewshift/scale/slopes_control.py
@@ -8,7 +8,7 @@
 
 from curlewshift.emulator.peers import NS, PeerFleet
 from curlewshift.emulator.sharing_bytes import SECONDS, Among
-from curlewshift.membership.manners import usual_manners
+from curlewshift.membership.terms import usual_manners
 from curlewshift.scale.slopes import Run, Slope
 
 # The fleet of the users' size.
--- a/curlewshift/scale/slopes_node.py
+++ b/curlewshift/scale/slopes_node.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from random import Random
 
-from curlewshift.rehearsal.processes import ROOT, free_ports
+from curlewshift.fault_injection.processes import ROOT, free_ports
 from curlewshift.scale.slopes_crowd import OPTIONS, PATIENCE
 from curlewshift.scale.slopes_stands import Stands
 
--- a/curlewshift/scale/talk.py
+++ b/curlewshift/scale/talk.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from curlewshift.rehearsal.processes import Child
+from curlewshift.fault_injection.processes import Child
 
 
 async def obey(carry_out: Callable[[dict], Awaitable[dict | None]]) -> None:
--- a/curlewshift/scale/viewers.py
+++ b/curlewshift/scale/viewers.py
@@ -8,7 +8,7 @@
 import anyio
 
 from curlewshift.exchange.client import Broken, NeverSent, connect
-from curlewshift.rehearsal.joins import FINGERPRINT, SDP, one_way
+from curlewshift.fault_injection.joins import FINGERPRINT, SDP, one_way
 from curlewshift.scale.fleet import Fleet, RealFront
 from curlewshift.signalling.sdp import offer_text
 
--- a/curlewshift/search/search.py
+++ b/curlewshift/search/search.py
@@ -13,7 +13,7 @@
 from curlewshift.emulator.oracle import Oracle
 from curlewshift.emulator.queue import Runaway
 from curlewshift.emulator.world import World
-from curlewshift.rehearsal.rehearse import figures_of
+from curlewshift.fault_injection.rehearse import figures_of
 from curlewshift.rules import Rules
 from curlewshift.standins.script import EMULATED, Script, usual
 from curlewshift.verdict.verdict import judge
--- a/curlewshift/desk/outside.py
+++ b/curlewshift/session_core/driver.py
@@ -8,10 +8,10 @@
 
 from typing import Protocol
 
-from curlewshift.desk.course import Answer, Request, TuneIn
-from curlewshift.desk.errands import Errand
 from curlewshift.model import Server
-from curlewshift.retries.endings import Ending
+from curlewshift.retries.session_ends import Ending
+from curlewshift.session_core.front_session import Answer, Request, TuneIn
+from curlewshift.session_core.server_commands import Errand
 
 
 class Outside(Protocol):
--- a/curlewshift/desk/course.py
+++ b/curlewshift/session_core/front_session.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from curlewshift.desk.errands import Errands
 from curlewshift.model import Outcome, Server, Viewing
 from curlewshift.retries.keys import Held
+from curlewshift.session_core.server_commands import Errands
 
 
 class Kind(Enum):
--- a/curlewshift/desk/desk.py
+++ b/curlewshift/session_core/session_core.py
@@ -13,17 +13,17 @@
 from collections.abc import Iterable
 
 from curlewshift.deployment import Fleet, mark_of
-from curlewshift.desk.course import Answer, Course, Kind, Request, TuneIn
-from curlewshift.desk.errands import Errand, Errands, Result
-from curlewshift.desk.outside import Outside
-from curlewshift.desk.roster import Gap, Roster, Row
-from curlewshift.desk.timers import Timers
 from curlewshift.model import Listed, Outcome, Package, Server, Terms, Viewing
 from curlewshift.peaks.calendar import Calendar, Peak
 from curlewshift.peaks.peaks import Peaks
-from curlewshift.retries.endings import Ending, Endings
 from curlewshift.retries.keys import MOST_ENDED, KeyTable
+from curlewshift.retries.session_ends import Ending, Endings
 from curlewshift.rules import Rules
+from curlewshift.session_core.driver import Outside
+from curlewshift.session_core.front_session import Answer, Course, Kind, Request, TuneIn
+from curlewshift.session_core.server_commands import Errand, Errands, Result
+from curlewshift.session_core.server_list import Gap, Roster, Row
+from curlewshift.session_core.timers import Timers
 from curlewshift.state.intents import KEPT_ON
 
 SECOND = 1_000_000_000
--- a/curlewshift/desk/shedding.py
+++ b/curlewshift/session_core/shedding.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from curlewshift.desk.course import Answer, Course, Kind, Request, TuneIn
 from curlewshift.model import Package, Server
+from curlewshift.session_core.front_session import Answer, Course, Kind, Request, TuneIn
 
 
 class Shedding:
--- a/curlewshift/sharing/loans.py
+++ b/curlewshift/sharing/loans.py
@@ -14,7 +14,7 @@
 from itertools import count
 from typing import Protocol
 
-from curlewshift.schedule.steady import Steady
+from curlewshift.schedule.steady_clock import Steady
 from curlewshift.sharing.terms import SharingTerms
 
 # Keys of one message, and asks that may be out.
--- a/curlewshift/sharing/sharing.py
+++ b/curlewshift/sharing/sharing.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from curlewshift.model import Server
-from curlewshift.schedule.steady import Steady
+from curlewshift.schedule.steady_clock import Steady
 from curlewshift.sharing.budgets import FURTHER, SEAT, Further, Pool, Seats
 from curlewshift.sharing.clock_watch import ClockWatch
 from curlewshift.sharing.counts import AGAIN, Counts, picked
--- a/curlewshift/site/site.py
+++ b/curlewshift/site/site.py
@@ -8,7 +8,7 @@
 
 from curlewshift.leases.terms import LeaseTerms
 from curlewshift.limits.admission import Bounds
-from curlewshift.membership.manners import Manners, usual_manners
+from curlewshift.membership.terms import Manners, usual_manners
 from curlewshift.model import Package, Terms
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.sharing.terms import SharingTerms, Together
--- a/curlewshift/soak/plants.py
+++ b/curlewshift/soak/plants.py
@@ -8,12 +8,12 @@
 import sys
 from collections.abc import Callable
 
-from curlewshift.desk import desk
 from curlewshift.node import __main__ as start
-from curlewshift.node import door, isup, node, reach, rtsp, teardowns
-from curlewshift.node.door import Door
+from curlewshift.node import client_listener, isup, node, rtsp, server_pool, teardowns
+from curlewshift.node.client_listener import Door
 from curlewshift.node.follower import Follower
 from curlewshift.rules import Rules
+from curlewshift.session_core import session_core
 from curlewshift.teardown.pending import PendingReleases
 
 
@@ -72,11 +72,11 @@
     def answer(self, asked, answer, description=b""):
         whole = rtsp.answer
         if int(asked.name, 16) % 50 == 0 and description:
-            door.rtsp.answer = lambda *told, **more: whole(*told, **more)[:-7]
+            client_listener.rtsp.answer = lambda *told, **more: whole(*told, **more)[:-7]
         try:
             super().answer(asked, answer, description)
         finally:
-            door.rtsp.answer = whole
+            client_listener.rtsp.answer = whole
 
 
 class AnswersOfAnother(Door):
@@ -150,14 +150,14 @@
 
 
 def _with_rules(rules: type[Rules]) -> None:
-    desk.Desk.__init__.__defaults__ = (rules, *desk.Desk.__init__.__defaults__[1:])
+    session_core.Desk.__init__.__defaults__ = (rules, *session_core.Desk.__init__.__defaults__[1:])
 
 
 PLANTS: dict[str, Callable[[], None]] = {
     "retry-before-release": lambda: setattr(teardowns, "PendingReleases", WaitsForNoRelease),
-    "release-on-another-connection": lambda: setattr(reach, "Teardowns", ReleaseElsewhere),
-    "end-once": lambda: setattr(reach, "Teardowns", SaysOnce),
-    "end-queue-head": lambda: setattr(reach, "Teardowns", OneEndAtATime),
+    "release-on-another-connection": lambda: setattr(server_pool, "Teardowns", ReleaseElsewhere),
+    "end-once": lambda: setattr(server_pool, "Teardowns", SaysOnce),
+    "end-queue-head": lambda: setattr(server_pool, "Teardowns", OneEndAtATime),
     "answer-twice": lambda: setattr(node, "Door", AnswersTwice),
     "half-answer": lambda: setattr(node, "Door", HalfAnswers),
     "answer-of-another": lambda: setattr(node, "Door", AnswersOfAnother),
--- a/curlewshift/soak/processes.py
+++ b/curlewshift/soak/processes.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from curlewshift.rehearsal.processes import ROOT, listens
+from curlewshift.fault_injection.processes import ROOT, listens
 from curlewshift.soak.records import Life, Records, Signal
 
 READY_WITHIN_S = 30.0
--- a/curlewshift/soak/run.py
+++ b/curlewshift/soak/run.py
@@ -15,7 +15,7 @@
 import anyio
 import msgspec
 
-from curlewshift.rehearsal.processes import PORTS, ROOT
+from curlewshift.fault_injection.processes import PORTS, ROOT
 from curlewshift.soak.judge import RULES, Judge, Verdict
 from curlewshift.soak.plan import plan_of
 from curlewshift.soak.timeline import timeline
--- a/curlewshift/soak/trial.py
+++ b/curlewshift/soak/trial.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from curlewshift.rehearsal.processes import free_ports
+from curlewshift.fault_injection.processes import free_ports
 from curlewshift.soak.clients import Clients
 from curlewshift.soak.discovery import DRAINING, GONE, READY, Address, Change, Discovery
 from curlewshift.soak.legs import ClientLeg, ServerLeg
--- a/curlewshift/standins/server.py
+++ b/curlewshift/standins/server.py
@@ -1,6 +1,6 @@
 """A media server's stand-in: WHEP on a loopback socket, a link that is shared, and all the ways to go wrong.
 
-It speaks what curlewshift/front/reach.py asks of a server: POST /whep/PACKAGE/TITLE?layer=N, POST /session/ID/layer,
+It speaks what curlewshift/front/server_pool.py asks of a server: POST /whep/PACKAGE/TITLE?layer=N, POST /session/ID/layer,
 DELETE /session/ID, GET /notes, GET /load, GET /sessions and POST /sessions/adopt, and GET /media/UFRAG for viewers, which stands
 for the media itself: a line every half second with the rung in force and the share delivered. A session that nobody watches ends
 by itself.
--- a/curlewshift/state/intents.py
+++ b/curlewshift/state/intents.py
@@ -17,7 +17,7 @@
 from curlewshift.rules import NEVER_RAN
 
 if TYPE_CHECKING:
-    from curlewshift.desk.course import TuneIn
+    from curlewshift.session_core.front_session import TuneIn
 
 SECOND = 1_000_000_000
 # Kept for so long past its patience: a client may come again late, and clocks may differ a little.
--- a/curlewshift/state/book.py
+++ b/curlewshift/state/session_registry.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from curlewshift.desk.course import Course
+    from curlewshift.session_core.front_session import Course
 
 BEGAN, CHANGED, ENDED, BOOT = "session", "changed", "over", "boot"
 # The log is begun anew once it has so many records, and this many times as many as there are sessions in it.
--- a/curlewshift/state/setting_up.py
+++ b/curlewshift/state/setting_up.py
@@ -1,7 +1,7 @@
 """The steps of one tune-in on its way out, in the order that has to hold however it is carried out. No I/O.
 
-Whoever carries a tune-in out (curlewshift/front/reach.py on sockets, curlewshift/walk in a model) runs these steps and
-does what each asks for. That the intent is on the disk before the first byte goes out is decided here alone, so that
+Whoever carries a tune-in out (curlewshift/front/server_pool.py on sockets, curlewshift/model_checker in a model) runs these steps
+and does what each asks for. That the intent is on the disk before the first byte goes out is decided here alone, so that
 what the walk tries in every order is the order that serves.
 """
 
@@ -10,8 +10,8 @@
 from collections.abc import Generator
 from typing import Any
 
-from curlewshift.desk.course import TuneIn
 from curlewshift.model import Outcome
+from curlewshift.session_core.front_session import TuneIn
 from curlewshift.state.intents import Intent, Intents
 
 WRITE, SEND = "write", "send"
--- a/curlewshift/tasks/tasks.py
+++ b/curlewshift/tasks/tasks.py
@@ -9,7 +9,7 @@
 
 from typing import Protocol
 
-from curlewshift.leases.asker import Asker
+from curlewshift.leases.proposer import Asker
 from curlewshift.sharing.counts import picked
 
 
--- a/tests/desk_fake.py
+++ b/tests/fake_driver.py
@@ -1,10 +1,10 @@
 """A fake outside for the desk, which keeps the books that the six rules are checked by."""
 
-from curlewshift.desk.course import Kind
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.roster import Roster, Row
 from curlewshift.model import Outcome, Terms
 from curlewshift.rules import NEVER_RAN
+from curlewshift.session_core.front_session import Kind
+from curlewshift.session_core.server_list import Roster, Row
+from curlewshift.session_core.session_core import Desk
 from tests.fake import MS, SECOND, package
 
 PACKAGES = [
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -25,7 +25,7 @@
 # Those that take longest begin first, so that the last to end is not one of them.
 LONGEST_FIRST = (
     "test_sharing.py",
-    "test_rehearsal.py",
+    "test_fault_injection.py",
     "test_together.py",
     "test_front.py",
     "test_leases.py",
--- a/tests/node_place.py
+++ b/tests/node_place.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from curlewshift.node import configuration, isup, rtsp, wire
+from curlewshift.node import buffered_connection, configuration, isup, rtsp
 from curlewshift.node.node import Node
 from tests.sockets import until
 
@@ -219,7 +219,7 @@
 
     @contextlib.contextmanager
     def all(self):
-        readable, dial = anyio.wait_readable, wire.dial
+        readable, dial = anyio.wait_readable, buffered_connection.dial
 
         async def read(sock):
             await readable(sock)
@@ -233,7 +233,10 @@
             return sock
 
         self.up = anyio.Event()
-        with mock.patch.object(wire.anyio, "wait_readable", read), mock.patch("curlewshift.node.reach.dial", dialled):
+        with (
+            mock.patch.object(buffered_connection.anyio, "wait_readable", read),
+            mock.patch("curlewshift.node.server_pool.dial", dialled),
+        ):
             yield self
 
 
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from curlewshift.rehearsal.processes import listens
+from curlewshift.fault_injection.processes import listens
 from curlewshift.soak.proxy import Proxy, Shape
 from tests.node_place import Place
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -9,8 +9,8 @@
 import structlog
 
 from curlewshift.exchange.client import Call, connect
+from curlewshift.fault_injection.processes import free_ports
 from curlewshift.front.front import Front
-from curlewshift.rehearsal.processes import free_ports
 from curlewshift.signalling.bodies import ListRow
 from curlewshift.signalling.sdp import offer_text
 from curlewshift.site.site import Door, Duties, Machine, Site
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -17,7 +17,7 @@
 
 import anyio
 
-from curlewshift.rehearsal.processes import ROOT, free_ports
+from curlewshift.fault_injection.processes import ROOT, free_ports
 from tests.node_place import CLIP, Place, Plain
 from tests.sockets import story
 
--- a/tests/test_attempt_order.py
+++ b/tests/test_attempt_order.py
@@ -7,9 +7,9 @@
 
 import anyio
 
-from curlewshift.front import reach
-from curlewshift.node import isup, wire
-from curlewshift.node.wire import Wire
+from curlewshift.front import server_pool
+from curlewshift.node import buffered_connection, isup
+from curlewshift.node.buffered_connection import Wire
 from tests.node_place import Place, Plain
 from tests.proxied import Proxied
 from tests.sockets import SmallSite, story, until
@@ -136,7 +136,7 @@
             await ready(sock)
 
         ready = anyio.wait_writable
-        with mock.patch.object(Wire, "_push", pushed), mock.patch.object(wire.anyio, "wait_writable", writable):
+        with mock.patch.object(Wire, "_push", pushed), mock.patch.object(buffered_connection.anyio, "wait_writable", writable):
             await until(lambda: held.waiting)
             times["given up"] = anyio.current_time()
             await until(lambda: second.had(isup.SET_UP))
@@ -188,7 +188,7 @@
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             site.tasks.start_soon(listener.serve, takes_and_says_nothing)
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
-            with mock.patch.object(reach, "host_port", lambda name: ("127.0.0.1", port)):
+            with mock.patch.object(server_pool, "host_port", lambda name: ("127.0.0.1", port)):
                 site.tasks.start_soon(site.ask)
                 await until(lambda: asked)
                 await anyio.sleep(1.2)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,9 +15,9 @@
 import anyio
 
 from curlewshift.exchange.client import connect
-from curlewshift.front import reach
-from curlewshift.front.spoilt import DeafDesk
-from curlewshift.rehearsal.processes import PORTS
+from curlewshift.fault_injection.processes import PORTS
+from curlewshift.front import server_pool
+from curlewshift.front.planted_faults import DeafDesk
 from curlewshift.standins.traffic import TICK, arrived_at
 from curlewshift.state.journal import Journal
 from curlewshift.verdict.attempts import judge_attempts
@@ -161,7 +161,7 @@
             await go.wait()
             return call
 
-        with mock.patch.object(reach, "connect", held):
+        with mock.patch.object(server_pool, "connect", held):
             yield
 
     @staticmethod
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -23,7 +23,7 @@
 from curlewshift.commands.main import NOUNS, main
 from curlewshift.distribution.terms import NS, DistributionTerms
 from curlewshift.emulator.versions import site_file
-from curlewshift.node import bulletin
+from curlewshift.node import discovery
 from curlewshift.peering import leasing, overloaded
 from curlewshift.peering.frames import Frame, encode
 from curlewshift.site.reading import Mistakes
@@ -145,7 +145,7 @@
         for row in all_rows(read_size(USUAL), Measured(MEASURED)):
             if row.by is not None:
                 self.assertTrue(row.by.there(ROOT), row.by)
-        self.assertFalse(Mechanism("curlewshift/node/wire.py", "class Wirre").there(ROOT))
+        self.assertFalse(Mechanism("curlewshift/node/buffered_connection.py", "class Wirre").there(ROOT))
 
 
 class SizeFiles(InAFolder):
@@ -336,7 +336,7 @@
         self.assertEqual(row.verdict(ROOT), "not known: ×0.56 of 18 s in a smaller run, and not carried")
 
     def test_servers_of_a_list_are_what_they_add_and_more_than_a_frame_holds_is_over(self):
-        self.assertEqual((bulletin.MOST - 9) // bulletin.RECORD.size, MOST_LISTED)
+        self.assertEqual((discovery.MOST - 9) // discovery.RECORD.size, MOST_LISTED)
         measured = self.files(slope_list=line_file("memory-by-servers", 30_000_000, 4_000))
         self.assertAlmostEqual(self.row(measured, "a list of 2,000 servers").figure.value, 8.0)
         bent = self.files(slope_list=line_file("memory-by-servers", 30_000_000, 0, bend=1.0, xs=(1000, 2000, 3000, 4000)))
@@ -516,7 +516,9 @@
         self.assertIn("nobody is left", tables(read_size(alone), self.files(), ROOT)["failures"])
 
     def test_verdicts(self):
-        def verdict(value, error=0.0, bound=100.0, by=Mechanism("curlewshift/node/wire.py", "class Wire"), least=False):
+        def verdict(
+            value, error=0.0, bound=100.0, by=Mechanism("curlewshift/node/buffered_connection.py", "class Wire"), least=False
+        ):
             figure = (
                 None if value is None else Figure(value, "MB", "worked out", error, measured_to=1, wanted_at=2, at_least=least)
             )
@@ -532,7 +534,7 @@
         self.assertEqual(verdict(50, by=Mechanism("curlewshift/none.py", "x")), "carried by nothing")
 
     def test_the_order_has_first_what_nothing_carries_and_most_rests_on_then_the_largest_factor(self):
-        wire = Mechanism("curlewshift/node/wire.py", "class Wire")
+        wire = Mechanism("curlewshift/node/buffered_connection.py", "class Wire")
 
         def row(key, value, by):
             return Row(key, FRONT, MEMORY, key, Figure(value, "MB", "measured"), 10.0, by)
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -12,13 +12,13 @@
 from curlewshift.capture.replay import Replay
 from curlewshift.capture.store import CaptureWriter, read_capture
 from curlewshift.capture.tap import DID, TOLD, tapped
-from curlewshift.desk.desk import Desk, KeyReused
 from curlewshift.model import Outcome
 from curlewshift.peaks.calendar import Calendar
 from curlewshift.rules import Rules
-from tests import desk_fake
-from tests.desk_fake import PACKAGES, FakeOutside
+from curlewshift.session_core.session_core import Desk, KeyReused
+from tests import fake_driver
 from tests.fake import MS, SECOND
+from tests.fake_driver import PACKAGES, FakeOutside
 
 FAILED = [Outcome.ERROR, Outcome.FULL, Outcome.SILENT, Outcome.UNREACHED, Outcome.BROKEN]
 
@@ -26,7 +26,7 @@
 def a_day(seed, steps=400, **changed):
     """A random day of one front, captured. Returns its records and its outside."""
     records = []
-    with mock.patch.object(desk_fake, "Desk", tapped(Desk, records.append)):
+    with mock.patch.object(fake_driver, "Desk", tapped(Desk, records.append)):
         outside = FakeOutside(calendar=Calendar(PACKAGES), **changed)
     chance, requests, desk = random.Random(seed), [], outside.desk
     for _ in range(steps):
@@ -91,7 +91,7 @@
 
     def test_with_a_peak_on_the_calendar_and_the_wall_set(self):
         records = []
-        with mock.patch.object(desk_fake, "Desk", tapped(Desk, records.append)):
+        with mock.patch.object(fake_driver, "Desk", tapped(Desk, records.append)):
             outside = FakeOutside(calendar=Calendar(PACKAGES))
         from tests.test_peaks import peak
 
@@ -105,7 +105,7 @@
 
     def test_things_of_one_instant_keep_their_order(self):
         records, outside = [], None
-        with mock.patch.object(desk_fake, "Desk", tapped(Desk, records.append)):
+        with mock.patch.object(fake_driver, "Desk", tapped(Desk, records.append)):
             outside = FakeOutside()
         first, second = outside.ask("paid"), outside.ask("paid")
         tune_in = outside.out[0]
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -10,9 +10,9 @@
 
 import anyio
 
+from curlewshift.fault_injection.processes import listens
 from curlewshift.node import isup
 from curlewshift.node.connections import Session
-from curlewshift.rehearsal.processes import listens
 from tests.node_place import CLIP, Held, Media, Place, Plain
 from tests.sockets import story, until
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -11,7 +11,7 @@
 
 from curlewshift.commands.main import main
 from curlewshift.emulator.peers import PeerFleet
-from curlewshift.membership.manners import usual_manners
+from curlewshift.membership.terms import usual_manners
 
 ROOT = Path(__file__).resolve().parents[1]
 NODE_ALONE = """
@@ -20,7 +20,7 @@
 main.get_command(None, "node")
 import curlewshift.node.node
 print([name for name in sys.modules if name.split(".")[0] in ("matplotlib", "lxml", "rich")
-       or name.startswith(("curlewshift.emulator", "curlewshift.peering", "curlewshift.rehearsal", "curlewshift.front."))])
+       or name.startswith(("curlewshift.emulator", "curlewshift.peering", "curlewshift.fault_injection", "curlewshift.front."))])
 """
 
 
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -13,18 +13,18 @@
 import zstandard
 
 from curlewshift.control.machine import Machine
-from curlewshift.desk.roster import Row
 from curlewshift.distribution.copy import ENCODER, Kept
 from curlewshift.distribution.versions import Version, digest_of
+from curlewshift.fault_injection.configuring import marked
+from curlewshift.fault_injection.processes import free_ports
 from curlewshift.front.begun import Begun, begin, checked
 from curlewshift.front.configured import Configured
 from curlewshift.front.control import tell
 from curlewshift.front.front import Front
 from curlewshift.front.in_service import Swap, in_service
-from curlewshift.front.spoilt_configured import HalfSwap, spoilt_begin
+from curlewshift.front.planted_configuration_faults import HalfSwap, spoilt_begin
 from curlewshift.peering.frames import Frame, encode
-from curlewshift.rehearsal.configuring import marked
-from curlewshift.rehearsal.processes import free_ports
+from curlewshift.session_core.server_list import Row
 from curlewshift.site.changes import refusals
 from curlewshift.site.reading import Mistakes, read_xml
 from curlewshift.site.site import SCHEMA, read_site, site_of
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,9 +15,9 @@
 import anyio
 
 from curlewshift.node import configuration, isup
-from curlewshift.node.door import Door
+from curlewshift.node.buffered_connection import Listener, Wire
+from curlewshift.node.client_listener import Door
 from curlewshift.node.node import Node
-from curlewshift.node.wire import Listener, Wire
 from tests.node_place import CLIP, Bulletin, Held, Place, Plain, set_up
 from tests.sockets import story, until
 
--- a/tests/test_crossings_reloads.py
+++ b/tests/test_crossings_reloads.py
@@ -12,8 +12,8 @@
 import anyio
 
 from curlewshift.node import configuration, isup
+from curlewshift.node.buffered_connection import Listener
 from curlewshift.node.node import Node
-from curlewshift.node.wire import Listener
 from tests.fake import SECOND
 from tests.node_place import CLIP, Bulletin, Held, Place, Plain
 from tests.sockets import story, until
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -19,10 +19,10 @@
 from curlewshift.emulator.version_figures import changes
 from curlewshift.emulator.version_histories import FAULTS, NS, VersionHistory, histories, planted
 from curlewshift.emulator.versions import VersionFleet, site_file
-from curlewshift.membership.manners import usual_manners
+from curlewshift.membership.terms import usual_manners
+from curlewshift.model_checker.version_checker import long_courses, walk_versions
 from curlewshift.peering.distributed import DistributionWire
 from curlewshift.peering.frames import ACK, PING, decode
-from curlewshift.walk.versions import long_courses, walk_versions
 
 
 def version(fence, count=1, content=b"content"):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -10,10 +10,10 @@
 from random import Random
 
 from curlewshift.emulator.agreement import BOUNDS, agreement
+from curlewshift.emulator.planted_faults import NAMES
 from curlewshift.emulator.queue import Buckets, Heap, Runaway
 from curlewshift.emulator.world import World
-from curlewshift.emulator.wrongs import NAMES
-from curlewshift.rehearsal.rehearse import figures_of
+from curlewshift.fault_injection.rehearse import figures_of
 from curlewshift.standins.script import read_script, usual
 from curlewshift.verdict.verdict import judge
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_fault_injection.py
@@ -64,7 +64,7 @@
         self.assertGreater(verdict["rules"]["1"]["broken"], 0)
 
     def test_any_mix_of_troubles_is_drawn_by_its_seed_and_replayed(self):
-        from curlewshift.rehearsal.mix import mixed_script
+        from curlewshift.fault_injection.mix import mixed_script
 
         base = self.folder / "day.xml"
         first, again, other = (
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -111,7 +111,10 @@
     @story
     async def test_a_refused_connection_sends_a_paid_viewing_on(self):
         async with SmallSite(servers=2).up() as site:
-            with mock.patch("curlewshift.desk.desk.Desk.notes_broke"), mock.patch("curlewshift.desk.desk.Desk.server_lost"):
+            with (
+                mock.patch("curlewshift.session_core.session_core.Desk.notes_broke"),
+                mock.patch("curlewshift.session_core.session_core.Desk.server_lost"),
+            ):
                 site.servers["s0"].die()
                 await until(lambda: site.traffic.all("dead"))
                 statuses = [(await site.ask("paid")).status for _ in range(6)]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -3,13 +3,13 @@
 import unittest
 
 from curlewshift.emulator.lease_histories import FAULTS, LASTS, MS, TERMS, LeaseHistory, broken
+from curlewshift.leases.acceptor import Keeper
 from curlewshift.leases.ballots import NONE, Ballot
-from curlewshift.leases.keeper import Keeper
 from curlewshift.leases.terms import LeaseTerms
+from curlewshift.model_checker.lease_checker import LeaseRounds, walk_leases, walk_rounds
 from curlewshift.tasks.servers import Probing
 from curlewshift.tasks.tasks import Tasks
 from curlewshift.verdict.leases import judge_leases
-from curlewshift.walk.leases import LeaseRounds, walk_leases, walk_rounds
 
 SECOND = 1000 * MS
 
--- a/tests/test_walk.py
+++ b/tests/test_model_checker.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from curlewshift.desk.desk import Desk
 from curlewshift.model import Outcome
+from curlewshift.model_checker.session_checker import crash_points, done_again, walk
+from curlewshift.model_checker.world import Breach, Budgets, World
+from curlewshift.session_core.session_core import Desk
 from curlewshift.state.setting_up import SEND, WRITE
-from curlewshift.walk.walk import crash_points, done_again, walk
-from curlewshift.walk.world import Breach, Budgets, World
 
 
 def world(paid=True, seats=0, clients=1, **more):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -500,7 +500,7 @@
     async def test_without_a_descriptor_left_a_viewing_is_refused_in_words_and_no_server_is_held_for_it(self):
         async with Place(2).up() as place:
             viewer, none_left = await place.viewer(), OSError(errno.EMFILE, "no descriptor left")
-            with mock.patch("curlewshift.node.reach.dial", side_effect=none_left):
+            with mock.patch("curlewshift.node.server_pool.dial", side_effect=none_left):
                 answer = await viewer.answer(A, package=CLIP)
             self.assertEqual((answer.status, int(answer.fields["x-pause"]) > 0), (453, True))
             self.assertEqual([server.trouble for server in place.node.fleet.servers.values()], [0.0, 0.0])
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -38,7 +38,7 @@
 
 socket.socket.__init__ = opened
 if len(sys.argv) > 1:
-    from curlewshift.node.door import Door
+    from curlewshift.node.client_listener import Door
     planted, taken = sys.argv[1], Door._set_up
 
     def used(self, *args):
--- a/tests/test_node_codecs.py
+++ b/tests/test_node_codecs.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from curlewshift.node import bulletin, configuration, isup, rtsp
+from curlewshift.node import configuration, discovery, isup, rtsp
 
 VIEWER = (
     b"SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: 9b1f03aa5c7e2d41\r\n"
@@ -30,10 +30,10 @@
         for data, kind, plain in (
             (VIEWER, rtsp.Reader, lambda m: (m.method, m.status, m.fields, m.body)),
             (SERVER, isup.Reader, lambda m: m),
-            (FRAMES, bulletin.Reader, lambda m: m),
+            (FRAMES, discovery.Reader, lambda m: m),
         ):
             whole = [plain(message) for message in fed(kind(), [data])]
-            self.assertEqual(len(whole), 2 if kind is bulletin.Reader else 3)
+            self.assertEqual(len(whole), 2 if kind is discovery.Reader else 3)
             for at in range(1, len(data)):
                 self.assertEqual([plain(message) for message in fed(kind(), [data[:at], data[at:]])], whole)
             self.assertEqual([plain(m) for m in fed(kind(), [data[at : at + 1] for at in range(len(data))])], whole)
@@ -42,7 +42,7 @@
         for reader, data, wrong in (
             (rtsp.Reader(), VIEWER + b"\x91\xf5\n", rtsp.Malformed),
             (isup.Reader(), SERVER + b"\xff\xff\x09", isup.Malformed),
-            (bulletin.Reader(), FRAMES + b"\xff" * 13, bulletin.Malformed),
+            (discovery.Reader(), FRAMES + b"\xff" * 13, discovery.Malformed),
         ):
             with self.assertRaises(wrong) as raised:
                 reader.feed(data)
@@ -50,7 +50,7 @@
 
     def test_records_tell_id_address_and_weight(self):
         told = []
-        bulletin.each_record(RECORD, lambda *row: told.append(row))
+        discovery.each_record(RECORD, lambda *row: told.append(row))
         self.assertEqual(told, [("s-00c41f7a", ("10.1.0.9", 5080), 1, 0, 1, 2, 4.5, 77)])
 
 
@@ -65,7 +65,7 @@
         for reader, wrong in (
             (rtsp.Reader(), rtsp.Malformed),
             (isup.Reader(), isup.Malformed),
-            (bulletin.Reader(), bulletin.Malformed),
+            (discovery.Reader(), discovery.Malformed),
         ):
             try:
                 for message in fed(reader, pieces):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,13 +6,13 @@
 from types import SimpleNamespace
 
 from curlewshift.emulator.overloaded import Shedding
-from curlewshift.emulator.shed_wrongs import FAULTS
+from curlewshift.emulator.planted_shedding_faults import FAULTS
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
-from curlewshift.overload.again import LEAST, Advice, Again
 from curlewshift.overload.level import HIGH, Level, Round
 from curlewshift.overload.order import HOUR, STEPS, Order
 from curlewshift.overload.overload import Overload
+from curlewshift.overload.retry_budget import LEAST, Advice, Again
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.verdict.shed import judge_shed, storm_over
 from curlewshift.verdict.verdict import Figures
@@ -399,7 +399,7 @@
         traffic = []
         world = World(script, 1, traffic, shedding=Shedding(terms, together=how == "one", overload=overload) if how else None)
         world.run()
-        from curlewshift.rehearsal.rehearse import figures_of
+        from curlewshift.fault_injection.rehearse import figures_of
 
         worth = {pack.name: pack.value / pack.rates[pack.floor] for pack in script.site.packages}
         from curlewshift.verdict.verdict import judge
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -11,8 +11,8 @@
 from curlewshift.peaks.calendar import Calendar, Nonsense, Peak
 from curlewshift.peaks.forecast import Seen, began_early, expected
 from curlewshift.state.peaks import PeakStore
-from tests.desk_fake import PACKAGES, FakeOutside
 from tests.fake import SECOND, Story, package
+from tests.fake_driver import PACKAGES, FakeOutside
 from tests.sockets import SmallSite, story, until
 
 ROOT = Path(__file__).resolve().parents[1]
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -12,10 +12,10 @@
 
 import structlog
 
-from curlewshift.membership.manners import usual_manners
+from curlewshift.fault_injection.processes import free_ports
 from curlewshift.membership.member import Rank
+from curlewshift.membership.terms import usual_manners
 from curlewshift.peering.wire import PeerWire
-from curlewshift.rehearsal.processes import free_ports
 from curlewshift.schedule.clock import LedClock
 from curlewshift.site.site import Door, Peers
 from tests.fake import MS, SECOND
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,15 +11,15 @@
 
 from curlewshift.emulator.peer_histories import PERIOD, History, manners
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet
-from curlewshift.front.spoilt import DeafIncarnation
-from curlewshift.membership.manners import usual_manners
+from curlewshift.front.planted_faults import DeafIncarnation
 from curlewshift.membership.member import Claim, Rank
 from curlewshift.membership.membership import Probe
-from curlewshift.membership.news import News
+from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.updates import News
 from curlewshift.membership.views import Views
 from curlewshift.peering.frames import MOST_BYTES, Frame, Refused, Window, decode, encode
 from curlewshift.peering.rates import Allowance, Spent
-from curlewshift.schedule.steady import Steady
+from curlewshift.schedule.steady_clock import Steady
 from curlewshift.verdict.members import judge_members
 
 SECOND = NS
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -7,15 +7,15 @@
 import anyio
 import structlog
 
-from curlewshift.desk.course import Kind
-from curlewshift.desk.desk import Unknown
 from curlewshift.exchange.client import ask
 from curlewshift.front.front import Front
 from curlewshift.recovery.recovery import TRIED_FOR, Doubt, Found, Recovery
-from curlewshift.state.book import BEGAN, Book, Remembered
+from curlewshift.session_core.front_session import Kind
+from curlewshift.session_core.session_core import Unknown
 from curlewshift.state.journal import Journal, NotKept
-from tests.desk_fake import FakeOutside
+from curlewshift.state.session_registry import BEGAN, Book, Remembered
 from tests.fake import SECOND
+from tests.fake_driver import FakeOutside
 from tests.sockets import SmallSite, an_offer, story, until
 
 OWN, BEFORE = "f.2", "f.1"
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies as st
 
 from curlewshift.client.plan import Ask, Plan, Stop
-from curlewshift.desk.errands import Errands, Result
-from curlewshift.desk.timers import Timers
 from curlewshift.model import Link, Rack, Server
-from curlewshift.retries.endings import FIRST_PAUSE, TRIED_FOR, Endings
 from curlewshift.retries.keys import KeyTable
+from curlewshift.retries.session_ends import FIRST_PAUSE, TRIED_FOR, Endings
 from curlewshift.schedule.wheel import Wheel
+from curlewshift.session_core.server_commands import Errands, Result
+from curlewshift.session_core.timers import Timers
 
 SECOND = 1_000_000_000
 STEADY = settings(derandomize=True, deadline=None, max_examples=300)
--- a/tests/test_desk.py
+++ b/tests/test_session_core.py
@@ -1,12 +1,12 @@
 import unittest
 
-from curlewshift.desk.course import Kind
-from curlewshift.desk.desk import KeyReused, Misuse, Unknown
-from curlewshift.desk.timers import Timers
 from curlewshift.model import Outcome
+from curlewshift.session_core.front_session import Kind
+from curlewshift.session_core.session_core import KeyReused, Misuse, Unknown
+from curlewshift.session_core.timers import Timers
 from curlewshift.state.intents import KEPT_ON
-from tests.desk_fake import FakeOutside
 from tests.fake import SECOND
+from tests.fake_driver import FakeOutside
 
 
 class Once(unittest.TestCase):
@@ -301,7 +301,7 @@
     """A request's cost hangs on its holders and not on the fleet: counted in looks at servers, not in seconds."""
 
     def looks(self, fleet):
-        from curlewshift.desk.roster import Roster
+        from curlewshift.session_core.server_list import Roster
 
         outside = FakeOutside(servers=0)
         titles = {"t": tuple(f"s{n}" for n in range(5))}
--- a/tests/test_desk_histories.py
+++ b/tests/test_session_core_histories.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
 
-from curlewshift.desk.desk import KeyReused
-from curlewshift.desk.errands import Result
 from curlewshift.model import Outcome
-from tests.desk_fake import FakeOutside
+from curlewshift.session_core.server_commands import Result
+from curlewshift.session_core.session_core import KeyReused
 from tests.fake import MS, SECOND
+from tests.fake_driver import FakeOutside
 
 FAILED = [Outcome.ERROR, Outcome.FULL, Outcome.SILENT, Outcome.UNREACHED, Outcome.BROKEN, Outcome.UNSENT]
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -14,7 +14,8 @@
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
 from curlewshift.experiments.one_run import measured
-from curlewshift.membership.manners import usual_manners
+from curlewshift.membership.terms import usual_manners
+from curlewshift.model_checker.budget_checker import FAULTS, walk_budgets
 from curlewshift.peering.shared import KIND, SharedWire
 from curlewshift.sharing.clock_watch import APART, ClockWatch
 from curlewshift.sharing.counts import Counts, picked
@@ -23,9 +24,8 @@
 from curlewshift.sharing.terms import SharingTerms, Together
 from curlewshift.standins.script import Trouble
 from curlewshift.verdict.bounds import judge_bounds
-from curlewshift.walk.budgets import FAULTS, walk_budgets
-from tests.desk_fake import FakeOutside
 from tests.fake import Story
+from tests.fake_driver import FakeOutside
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -563,7 +563,7 @@
         self.assertEqual(round(deaf["short-part"], 1), round(alone["short-part"], 1))
 
     def test_half_the_servers_lost_and_back_cold_under_sharing_fronts_breaks_no_bound(self):
-        from curlewshift.rehearsal.rehearse import figures_of
+        from curlewshift.fault_injection.rehearse import figures_of
         from curlewshift.verdict.verdict import judge
 
         troubles = [Trouble("crash", 8, 3, 0.5, 1.0), Trouble("front-crash", 12, 1, 0.3, 1.0)]
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -16,8 +16,8 @@
 from click.testing import CliRunner
 
 from curlewshift.commands.main import main
+from curlewshift.fault_injection.processes import ROOT
 from curlewshift.node import rtsp
-from curlewshift.rehearsal.processes import ROOT
 from curlewshift.scale import fits, slopes, slopes_control, slopes_idle
 from curlewshift.scale.fits import TooFew, fit
 from curlewshift.scale.slopes_asked import Pace, p99
@@ -293,7 +293,7 @@
             memory = kept["memory-by-connection"]["fit"]
             # a node is tens of megabytes, and a connection some kilobytes of it
             self.assertTrue(10e6 < memory["intercept"] < 100e6 and 1e3 < memory["slope"] < 3e4, memory)
-            self.assertTrue(any("node/door.py" in note for note in kept["idle-time-by-connection"]["notes"]))
+            self.assertTrue(any("node/client_listener.py" in note for note in kept["idle-time-by-connection"]["notes"]))
 
     def test_broken_off_it_ends_its_node(self):
         with tempfile.TemporaryDirectory() as out:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -202,7 +202,7 @@
     def _write_site(self, folder, site):
         import random
 
-        from curlewshift.rehearsal.processes import free_ports
+        from curlewshift.fault_injection.processes import free_ports
 
         self.port = free_ports(1, random.Random())[0]
         (folder / "site.xml").write_text(f"""<site name="kill">
@@ -218,7 +218,7 @@
 </site>""")
 
     async def _start(self, folder):
-        from curlewshift.rehearsal.processes import listens
+        from curlewshift.fault_injection.processes import listens
 
         front = subprocess.Popen(
             [sys.executable, "-m", "curlewshift", "front", str(folder / "site.xml"), "--state", str(folder / "state")],
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -4,17 +4,17 @@
 import unittest
 from types import SimpleNamespace
 
-from curlewshift.desk.desk import Misuse
 from curlewshift.emulator.loan_histories import overdrawn
 from curlewshift.emulator.seat_histories import FAULTS, SeatHistory, UntoldHistory
+from curlewshift.session_core.session_core import Misuse
 from curlewshift.sharing.budgets import FURTHER, SEAT
 from curlewshift.sharing.sharing import Sharing
 from curlewshift.sharing.standing import StandingLoans
 from curlewshift.sharing.terms import SharingTerms, Together
 from curlewshift.verdict.bounds import judge_bounds
 from curlewshift.verdict.verdict import Figures
-from tests.desk_fake import FakeOutside
 from tests.fake import Story
+from tests.fake_driver import FakeOutside
 
 MS = 1_000_000
 SECOND = 1000 * MS
