--- a/curlewshift/capacity/at_control.py
+++ b/curlewshift/capacity/at_control.py
@@ -7,7 +7,7 @@
 from curlewshift.capacity import in_force
 from curlewshift.capacity.figures import Figure, assumed, supposed, worked_out
 from curlewshift.capacity.given import GIVER, LEASES, OVERLOAD, REPORTS, SHARING, STORE, WRITER
-from curlewshift.capacity.measured import Measured
+from curlewshift.capacity.measured import Measurements
 from curlewshift.capacity.rows import AGGREGATOR, CONTROL, FOLLOWER, LED, MEMORY, MESSAGES, PROCESSOR, STATE, Mechanism, Row
 from curlewshift.capacity.size import DAY, Size
 
@@ -23,7 +23,7 @@
 REPORT_EACH = 30
 
 
-def rows(size: Size, measured: Measured) -> list[Row]:
+def rows(size: Size, measured: Measurements) -> list[Row]:
     return [
         *in_force.rows(size, measured),
         *control_machine(size, measured),
@@ -33,7 +33,7 @@
     ]
 
 
-def control_machine(size: Size, measured: Measured) -> list[Row]:
+def control_machine(size: Size, measured: Measurements) -> list[Row]:
     whole = size.guess("configuration-kB")
     return [
         Row(
@@ -67,7 +67,7 @@
     ]
 
 
-def of_a_run(size: Size, measured: Measured) -> list[Row]:
+def of_a_run(size: Size, measured: Measurements) -> list[Row]:
     """What a scale run counted for a control machine, all its parts together: at rest, and over a stretch of changes."""
     found = []
     for words, way in (("at rest", ()), ("over a stretch of changes and restarts", ("stretch",))):
@@ -114,7 +114,7 @@
     return found
 
 
-def aggregator(size: Size, measured: Measured) -> list[Row]:
+def aggregator(size: Size, measured: Measurements) -> list[Row]:
     keys = size.guess("servers") / size.nodes
     users = size.nodes * size.guess("servers-played-on") / size.guess("servers")
     return [
@@ -186,7 +186,7 @@
     ]
 
 
-def follower(size: Size, measured: Measured) -> list[Row]:
+def follower(size: Size, measured: Measurements) -> list[Row]:
     servers = size.guess("servers")
     idle, taken = of_servers(measured, LIST_IDLE, servers, "s"), of_servers(measured, LIST_START, servers, "ms")
     return [
@@ -230,19 +230,19 @@
     ]
 
 
-def of_servers(measured: Measured, name: str, servers: float, unit: str) -> Figure | None:
+def of_servers(measured: Measurements, name: str, servers: float, unit: str) -> Figure | None:
     """What so many servers add to a node that has none."""
     slope = measured.slopes.get(name)
     return slope and slope.added(servers, unit)
 
 
-def leases_a_shard(size: Size, measured: Measured) -> Figure | None:
+def leases_a_shard(size: Size, measured: Measurements) -> Figure | None:
     """What each node would send for leases, were each shard of topics to have one and all nodes to be keepers by turns."""
     words = measured.figure("leases.json", "sizes", 4, "words_a_second_a_lease", unit="words/s")
     return words and words.times(size.shards / size.nodes * size.guess("lease-word-bytes"), "bytes/s")
 
 
-def led(size: Size, measured: Measured) -> list[Row]:
+def led(size: Size, measured: Measurements) -> list[Row]:
     leases = LED_SHARDS * LED_TASKS
     words = measured.figure("leases.json", "sizes", 4, "words_a_second_a_lease", unit="words/s")
     at_keeper = words and words.times(leases / KEEPERS * size.guess("lease-word-bytes"), "bytes/s")
--- a/curlewshift/capacity/at_node.py
+++ b/curlewshift/capacity/at_node.py
@@ -7,7 +7,7 @@
 
 from curlewshift.capacity import given
 from curlewshift.capacity.figures import Figure, wanted
-from curlewshift.capacity.measured import Measured, a_second, carried
+from curlewshift.capacity.measured import Measurements, a_second, carried
 from curlewshift.capacity.rows import FRONT, MEMORY, MESSAGES, PROCESSOR, STATE, WORKER, Mechanism, Row
 from curlewshift.capacity.size import Size
 
@@ -17,12 +17,12 @@
 BY_REQUEST, BY_NOTICE, BY_RUNG = "processor-time-by-request", "processor-time-by-notice", "processor-time-by-change-of-rung"
 P99_BY_REQUEST, P99_BY_NOTICE = "p99-by-request", "p99-by-notice"
 
-WIRE = Mechanism("curlewshift/node/buffered_connection.py", "class Wire")
-DESK = Mechanism("curlewshift/session_core/session_core.py", "class Desk")
+WIRE = Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection")
+DESK = Mechanism("curlewshift/session_core/session_core.py", "class SessionCore")
 DOOR = Mechanism("curlewshift/node/client_listener.py", "def sweep")
 
 
-def open_and_playing(size: Size, measured: Measured, both: str, resting: str, unit: str) -> Figure | None:
+def open_and_playing(size: Size, measured: Measurements, both: str, resting: str, unit: str) -> Figure | None:
     """Connections with a viewing each by the one slope, those without by the other."""
     whole = carried(measured, both, size.viewings_a_node, unit)
     rest = size.connections_a_node - size.viewings_a_node
@@ -32,7 +32,7 @@
     return alone and whole.plus(alone.each(unit, rest).times(rest, unit))
 
 
-def each_delivery(size: Size, measured: Measured) -> list[tuple[str, Figure | None]]:
+def each_delivery(size: Size, measured: Measurements) -> list[tuple[str, Figure | None]]:
     """Cores for all deliveries of a node, were all of one kind."""
     return [
         (kind, a_second(measured, name, size.deliveries_a_node))
@@ -44,19 +44,19 @@
     ]
 
 
-def told_at_once(size: Size, measured: Measured) -> Figure | None:
+def told_at_once(size: Size, measured: Measurements) -> Figure | None:
     """How long one process is busy with telling a node's part of the largest topic (ms)."""
     slope, listeners = measured.slopes.get(BY_NOTICE), size.largest / size.nodes
     return slope and slope.each("ms", listeners).times(listeners, "ms")
 
 
-def processes(size: Size, measured: Measured) -> Figure | None:
+def processes(size: Size, measured: Measurements) -> Figure | None:
     """Cores, and so processes, that the dearest kind of delivery takes, of those that could be carried."""
     found = [one for _, one in each_delivery(size, measured) if one is not None and not one.at_least]
     return max(found, key=lambda one: one.value, default=None)
 
 
-def rows(size: Size, measured: Measured) -> list[Row]:
+def rows(size: Size, measured: Measurements) -> list[Row]:
     idle = open_and_playing(size, measured, IDLE_BY, IDLE_RESTING, "s")
     found = [
         Row(
@@ -146,7 +146,7 @@
     return found + given.rows(size, measured) + worker_rows(size, measured)
 
 
-def run_to(measured: Measured, name: str, value: float, unit: str) -> Figure:
+def run_to(measured: Measurements, name: str, value: float, unit: str) -> Figure:
     """How many are wanted, and with how many one process was run."""
     slope, figure = measured.slopes.get(name), wanted(value, unit)
     if slope is None:
@@ -156,7 +156,7 @@
     )
 
 
-def worker_rows(size: Size, measured: Measured) -> list[Row]:
+def worker_rows(size: Size, measured: Measurements) -> list[Row]:
     """No split of a node exists: how many processes it would take, and what each would hold."""
     cores = processes(size, measured)
     wanted_ = cores and replace(cores, value=float(ceil(cores.value)), unit="processes")
@@ -202,6 +202,6 @@
     ]
 
 
-def _again(size: Size, measured: Measured, what: str, workers: Figure | None) -> Figure | None:
+def _again(size: Size, measured: Measurements, what: str, workers: Figure | None) -> Figure | None:
     whole = given.whole(size, measured, what)
     return whole and workers and whole.times(workers.value, whole.unit)
--- a/curlewshift/capacity/failures.py
+++ b/curlewshift/capacity/failures.py
@@ -7,7 +7,7 @@
 from curlewshift.capacity.at_node import BY_REQUEST, told_at_once
 from curlewshift.capacity.figures import NOT_MEASURED, Figure, short, supposed, worked_out
 from curlewshift.capacity.in_force import longest
-from curlewshift.capacity.measured import Measured, a_second, carried
+from curlewshift.capacity.measured import Measurements, a_second, carried
 from curlewshift.capacity.size import DAY, Size
 
 RESTART, STORM, STORM_LASTS = "restart-by-servers", "storm-time", "storm-until-all-play"
@@ -46,7 +46,7 @@
 
 
 class Failures:
-    def __init__(self, size: Size, measured: Measured):
+    def __init__(self, size: Size, measured: Measurements):
         self.size, self.measured = size, measured
         last = len(measured.get("peers.json", "emulated", "sizes") or ()) - 1
         self.detected = measured.figure(
--- a/curlewshift/capacity/given.py
+++ b/curlewshift/capacity/given.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from curlewshift.capacity.figures import Figure, supposed, together
-from curlewshift.capacity.measured import Measured, a_second, carried
+from curlewshift.capacity.measured import Measurements, a_second, carried
 from curlewshift.capacity.rows import FRONT, MEMORY, MESSAGES, PROCESSOR, Mechanism, Row
 from curlewshift.capacity.size import Size
 
@@ -81,7 +81,9 @@
 )
 
 
-def subsystem(size: Size, measured: Measured, name: str, what: str, *way: str | int, file: str | None = None) -> Figure | None:
+def subsystem(
+    size: Size, measured: Measurements, name: str, what: str, *way: str | int, file: str | None = None
+) -> Figure | None:
     """Of one part of a node, at the end of a way in the run's file (`a_node` if none is said). Sharing counts only where all
     nodes of the run shared: a mean over nodes of which some did says nothing of one that does."""
     kind, unit, by, _ = KINDS[what]
@@ -95,7 +97,7 @@
     return measured.at_size(size.nodes, *way, unit=unit, by=by, file=file)
 
 
-def whole(size: Size, measured: Measured, what: str) -> Figure | None:
+def whole(size: Size, measured: Measurements, what: str) -> Figure | None:
     """All four parts together, sharing by its slope where no run has it; None where one of them is not measured."""
     parts = {name: subsystem(size, measured, name, what) for name, _, _ in SUBSYSTEMS}
     if parts["sharing"] is None and what != MEMORY:
@@ -103,14 +105,14 @@
     return together(list(parts.values()))
 
 
-def by_links(size: Size, measured: Measured, what: str) -> Figure | None:
+def by_links(size: Size, measured: Measurements, what: str) -> Figure | None:
     links = size.guess("servers-played-on")
     if what == MESSAGES:
         return carried(measured, BYTES_BY_LINKS, links, "bytes/s")
     return a_second(measured, CORE_BY_LINKS, links)
 
 
-def rows(size: Size, measured: Measured) -> list[Row]:
+def rows(size: Size, measured: Measurements) -> list[Row]:
     found = []
     for what, (_, _, _, bound) in KINDS.items():
         out = " out" if what == MESSAGES else ""
@@ -151,7 +153,7 @@
     return found + of_runs(size, measured) + simulated(size, measured) + sharing(size, measured)
 
 
-def of_runs(size: Size, measured: Measured) -> list[Row]:
+def of_runs(size: Size, measured: Measurements) -> list[Row]:
     """What all parts that ran took together: at rest, over a stretch with changes and restarts, and in each fault. Membership is
     most of it in a fault, and tells of it; distribution is what a stretch of changes is for."""
     file = measured.scale(size.nodes)
@@ -213,7 +215,7 @@
     return found
 
 
-def simulated(size: Size, measured: Measured) -> list[Row]:
+def simulated(size: Size, measured: Measurements) -> list[Row]:
     return [
         Row(
             "membership",
@@ -242,7 +244,7 @@
     ]
 
 
-def sharing(size: Size, measured: Measured) -> list[Row]:
+def sharing(size: Size, measured: Measurements) -> list[Row]:
     """By the links that a node plays on, which is what sharing grows with."""
     found, sizes = [], measured.get("shared.json", "sizes") or []
     if sizes:
--- a/curlewshift/capacity/in_force.py
+++ b/curlewshift/capacity/in_force.py
@@ -4,7 +4,7 @@
 
 from curlewshift.capacity.figures import MEASURED, SIMULATED, Figure
 from curlewshift.capacity.given import DISTRIBUTION
-from curlewshift.capacity.measured import Measured
+from curlewshift.capacity.measured import Measurements
 from curlewshift.capacity.rows import CONTROL, MESSAGES, Row
 from curlewshift.capacity.size import Size
 
@@ -14,7 +14,7 @@
 REHEARSED = 8
 
 
-def longest(measured: Measured, file: str, told: list | dict | None) -> Figure | None:
+def longest(measured: Measurements, file: str, told: list | dict | None) -> Figure | None:
     """Seconds of the slowest of some changes. A change that was not made, or not everywhere, counts as what was waited."""
     changes = [one for one in (told if isinstance(told, list) else [told]) if isinstance(one, dict)]
     if not changes:
@@ -24,7 +24,7 @@
     return Figure(value, "s", MEASURED, files=(file,), command=measured.command(file), at_least=None in waits)
 
 
-def rows(size: Size, measured: Measured) -> list[Row]:
+def rows(size: Size, measured: Measurements) -> list[Row]:
     """The slowest change of each kind that the run made; with no run, the simulated one alone."""
     file, found = measured.scale(size.nodes, "versions"), []
 
@@ -66,7 +66,7 @@
     return found
 
 
-def of_days(size: Size, measured: Measured) -> Figure | None:
+def of_days(size: Size, measured: Measurements) -> Figure | None:
     """The slowest of the days that no sabotage spoilt, with that day's command."""
     file = "configuration-day.json"
     days = [one for one in measured.get(file, "days") or [] if not one.get("sabotage")]
@@ -88,7 +88,7 @@
     )
 
 
-def simulated(size: Size, measured: Measured) -> list[tuple[str, Figure | None]]:
+def simulated(size: Size, measured: Measurements) -> list[tuple[str, Figure | None]]:
     """In virtual time, of as many nodes as the file says."""
     file, found = "versions.json", []
     for key, words in (("no_loss", "nothing lost"), ("loss_of_5_percent", "5% of datagrams lost")):
--- a/curlewshift/capacity/measured.py
+++ b/curlewshift/capacity/measured.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from curlewshift.capacity.figures import MEASURED, SIMULATED, Figure
-from curlewshift.capacity.slopes import Slope, Spoilt, slope_of
+from curlewshift.capacity.slopes import InvalidMeasurements, Slope, slope_of
 
 # The commands of files that do not say theirs.
 COMMANDS = {
@@ -32,8 +32,9 @@
 NOT_GOOD = "a run whose own verdict is not good"
 
 
-class Measured:
-    """`folder` is docs/measured. Slopes of all its files `slope-*.json` by name; raises `Spoilt` for one that is spoilt."""
+class Measurements:
+    """`folder` is docs/measured. Slopes of all its files `slope-*.json` by name; raises `InvalidMeasurements` for one that is
+    spoilt."""
 
     def __init__(self, folder: Path):
         self.folder = folder
@@ -42,7 +43,7 @@
             try:
                 self.files[path.name] = json.loads(path.read_text())
             except ValueError as wrong:
-                raise Spoilt(f"{path.name}: this is not JSON: {wrong}") from None
+                raise InvalidMeasurements(f"{path.name}: this is not JSON: {wrong}") from None
         self.slopes: dict[str, Slope] = {}
         for name, held in self.files.items():
             if name.startswith("slope-"):
@@ -120,13 +121,13 @@
         return list(found.values())
 
 
-def carried(measured: Measured, name: str, x: float, unit: str, beyond: bool = True) -> Figure | None:
+def carried(measured: Measurements, name: str, x: float, unit: str, beyond: bool = True) -> Figure | None:
     """A slope's figure at x; None where there is no such slope. `beyond`: whether it may be carried beyond its run."""
     slope = measured.slopes.get(name)
     return slope and slope.at(x, unit, beyond)
 
 
-def a_second(measured: Measured, name: str, x: float) -> Figure | None:
+def a_second(measured: Measurements, name: str, x: float) -> Figure | None:
     """Cores, by a slope of processor time within a second."""
     found = carried(measured, name, x, "s")
     return found and replace(found, unit="cores")
--- a/curlewshift/capacity/questions.py
+++ b/curlewshift/capacity/questions.py
@@ -5,11 +5,11 @@
 from curlewshift.capacity.at_control import leases_a_shard
 from curlewshift.capacity.at_node import each_delivery, processes
 from curlewshift.capacity.figures import NOT_MEASURED
-from curlewshift.capacity.measured import Measured
+from curlewshift.capacity.measured import Measurements
 from curlewshift.capacity.size import Size
 
 
-def questions(size: Size, measured: Measured) -> list[tuple[str, str, str, str]]:
+def questions(size: Size, measured: Measurements) -> list[tuple[str, str, str, str]]:
     """(word, as read, the other way, what changes then)."""
     by_kind = dict(each_delivery(size, measured))
     dear, cheap = processes(size, measured), by_kind["notices"]
--- a/curlewshift/capacity/slopes.py
+++ b/curlewshift/capacity/slopes.py
@@ -36,17 +36,17 @@
 }
 
 
-class Spoilt(Exception):
+class InvalidMeasurements(Exception):
     """A file of measurements that cannot be used: which, and what is wrong with it."""
 
 
 def in_unit(value: float, came: str, wanted: str) -> float:
-    """Raises `Spoilt` where the two are not of one kind."""
+    """Raises `InvalidMeasurements` where the two are not of one kind."""
     if came == wanted:
         return value
     kinds = UNITS.get(came), UNITS.get(wanted)
     if None in kinds or kinds[0][0] != kinds[1][0]:
-        raise Spoilt(f"the unit should be {wanted} or one that becomes it, but is {came!r}")
+        raise InvalidMeasurements(f"the unit should be {wanted} or one that becomes it, but is {came!r}")
     return value * kinds[0][1] / kinds[1][1]
 
 
@@ -186,11 +186,11 @@
 
 
 def slope_of(told: dict, file: str) -> Slope:
-    """From one entry of a file. Raises `Spoilt` with the file's name and what is wrong."""
+    """From one entry of a file. Raises `InvalidMeasurements` with the file's name and what is wrong."""
     name = told.get("name", "?")
 
-    def no(words: str) -> Spoilt:
-        return Spoilt(f"{file}: slope {name}: {words}")
+    def no(words: str) -> InvalidMeasurements:
+        return InvalidMeasurements(f"{file}: slope {name}: {words}")
 
     for key in ("name", "x", "y", "points", "fit", "command"):
         if not told.get(key):
--- a/curlewshift/capacity/tables.py
+++ b/curlewshift/capacity/tables.py
@@ -9,18 +9,18 @@
 from curlewshift.capacity.failures import Failures
 from curlewshift.capacity.figures import NOT_MEASURED, Figure, short
 from curlewshift.capacity.given import DISTRIBUTED
-from curlewshift.capacity.measured import Measured
+from curlewshift.capacity.measured import Measurements
 from curlewshift.capacity.options import not_measured, shortfalls
 from curlewshift.capacity.questions import questions
 from curlewshift.capacity.rows import NOTHING, ROLES, Row
 from curlewshift.capacity.size import Size
 
 
-def all_rows(size: Size, measured: Measured) -> list[Row]:
+def all_rows(size: Size, measured: Measurements) -> list[Row]:
     return at_control.rows(size, measured) + at_node.rows(size, measured)
 
 
-def tables(size: Size, measured: Measured, root: Path) -> dict[str, str]:
+def tables(size: Size, measured: Measurements, root: Path) -> dict[str, str]:
     """Name to markdown, in the order of the page. `root` is the tree's: a mechanism that is not there carries nothing."""
     rows = all_rows(size, measured)
     made = {
@@ -106,7 +106,7 @@
     )
 
 
-def failures_table(size: Size, measured: Measured) -> str:
+def failures_table(size: Size, measured: Measurements) -> str:
     return table(
         ("what fails", "how often", "who notices, how soon", "what moves", "what it costs the others", "what waits", "commands"),
         [
@@ -143,7 +143,7 @@
     return [replace(row, by=None) if row.by in DISTRIBUTED else row for row in rows]
 
 
-def slopes_table(measured: Measured) -> str:
+def slopes_table(measured: Measurements) -> str:
     rows = [
         (
             one.name,
--- a/curlewshift/capture/records.py
+++ b/curlewshift/capture/records.py
@@ -21,7 +21,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class NotALog(Exception):
+class InvalidCapture(Exception):
     """The file does not begin as a capture does."""
 
 
@@ -37,7 +37,7 @@
 
     def __init__(self, raw: bytes, name: str = "capture"):
         if not raw.startswith(MAGIC):
-            raise NotALog(f"{name}: this is no capture, or one of another version")
+            raise InvalidCapture(f"{name}: this is no capture, or one of another version")
         self.raw, self.name, self.damage, self.whole = raw, name, "", len(MAGIC)
 
     def __iter__(self) -> Iterator[list[Any]]:
--- a/curlewshift/capture/replay.py
+++ b/curlewshift/capture/replay.py
@@ -12,11 +12,11 @@
 
 from curlewshift.capture.tap import BEGAN, DID, TOLD, tapped
 from curlewshift.model import Outcome, Package, Server, Terms
-from curlewshift.peaks.calendar import Calendar, Nonsense, Peak
+from curlewshift.peaks.calendar import Calendar, InvalidPeak, Peak
 from curlewshift.rules import Rules
 from curlewshift.session_core.server_commands import Result
-from curlewshift.session_core.server_list import Roster, Row
-from curlewshift.session_core.session_core import Desk, Misuse
+from curlewshift.session_core.server_list import ServerEntry, ServerList
+from curlewshift.session_core.session_core import InvalidRequest, SessionCore
 
 SECOND = 1_000_000_000
 
@@ -97,8 +97,8 @@
         for peak in peaks:
             calendar.peaks[peak["name"]] = Peak(**peak)
         self.position = 1
-        self.desk = tapped(Desk, self._note)(
-            self.outside, terms, Roster(uplinks, titles), calendar=calendar, rules=self._rules(), **limits
+        self.desk = tapped(SessionCore, self._note)(
+            self.outside, terms, ServerList(uplinks, titles), calendar=calendar, rules=self._rules(), **limits
         )
         while self.position < len(self.records) and self.done.difference is None:
             record = self.records[self.position]
@@ -119,7 +119,7 @@
         before = self.position
         try:
             getattr(self.desk, name)(*[self._thing(one) for one in args], **{key: self._thing(one) for key, one in how.items()})
-        except (Misuse, Nonsense):
+        except (InvalidRequest, InvalidPeak):
             # the log has the same: it was told, and did nothing
             pass
         self.done.told += 1
@@ -165,7 +165,7 @@
         if kind in ("outcome", "result"):
             return (Outcome if kind == "outcome" else Result)(rest[0])
         if kind == "row":
-            return Row(*rest)
+            return ServerEntry(*rest)
         if kind == "peak":
             return Peak(**rest[0])
         if kind == "list":
--- a/curlewshift/capture/store.py
+++ b/curlewshift/capture/store.py
@@ -18,9 +18,9 @@
 import zstandard
 
 from curlewshift.capture.index import Index, Indexer
-from curlewshift.capture.records import MAGIC, NotALog, Reading, frame
+from curlewshift.capture.records import MAGIC, InvalidCapture, Reading, frame
 from curlewshift.capture.retention import Kept, to_let_go
-from curlewshift.state.background_writer import Behind
+from curlewshift.state.background_writer import BackgroundWriter
 
 SEGMENT = 4 * 1024 * 1024
 BUDGET = 256 * 1024 * 1024
@@ -45,7 +45,7 @@
         self.held = self.written = self.number = 0
         self.over = ""
         self.file = None
-        self.behind = Behind(self._write, together)
+        self.behind = BackgroundWriter(self._write, together)
 
     def note(self, record: list) -> None:
         """Never blocks on the disk."""
@@ -161,18 +161,18 @@
 
 
 def read_segment(segment: Path) -> Reading:
-    """Raises `OSError`, `NotALog`."""
+    """Raises `OSError`, `InvalidCapture`."""
     raw = segment.read_bytes()
     if segment.suffix == PACKED:
         try:
             raw = zstandard.ZstdDecompressor().decompressobj().decompress(raw)
         except zstandard.ZstdError as wrong:
-            raise NotALog(f"{segment.name} cannot be unpacked: {wrong}") from None
+            raise InvalidCapture(f"{segment.name} cannot be unpacked: {wrong}") from None
     return Reading(raw, segment.name)
 
 
 def read_capture(folder: Path) -> tuple[list[list], str]:
-    """All records in order, and what ended them early, empty if nothing did. Raises `OSError`, `NotALog`."""
+    """All records in order, and what ended them early, empty if nothing did. Raises `OSError`, `InvalidCapture`."""
     folder = life_in(folder)
     records: list[list] = []
     for segment in segments_of(folder) if folder.is_dir() else [folder]:
@@ -184,7 +184,7 @@
 
 
 def index_of(segment: Path, indexer: Indexer) -> Index:
-    """As it was kept, or made now. Raises `OSError`, `NotALog`."""
+    """As it was kept, or made now. Raises `OSError`, `InvalidCapture`."""
     kept = segment.with_suffix(".index")
     if kept.exists():
         try:
--- a/curlewshift/capture/tap.py
+++ b/curlewshift/capture/tap.py
@@ -1,6 +1,6 @@
 """A desk that notes what it is told and what it does, in the order in which it happens.
 
-`tapped(Desk)` makes the class. Each thing that the desk is told is one record, `[TOLD, at, wall, what, arguments]`; each
+`tapped(SessionCore)` makes the class. Each thing that the desk is told is one record, `[TOLD, at, wall, what, arguments]`; each
 thing that it does in answer is one record after it, `[DID, what, arguments, result]`. While one is worked on, the clocks
 stand still at what they were when it came, so that the same records give the same decisions again: chance comes from
 the seed in the first record, and nothing else comes in from outside. Things told in one instant keep their order.
@@ -17,11 +17,11 @@
 
 from curlewshift.model import Outcome, Server, Terms
 from curlewshift.peaks.calendar import Calendar, Peak
-from curlewshift.retries.session_ends import Ending
-from curlewshift.session_core.front_session import Course, Request, TuneIn
-from curlewshift.session_core.server_commands import Errand, Result
-from curlewshift.session_core.server_list import Roster, Row
-from curlewshift.session_core.session_core import Desk
+from curlewshift.retries.session_ends import SessionEnd
+from curlewshift.session_core.front_session import FrontSession, Request, TuneIn
+from curlewshift.session_core.server_commands import Result, ServerCommand
+from curlewshift.session_core.server_list import ServerEntry, ServerList
+from curlewshift.session_core.session_core import SessionCore
 
 BEGAN, TOLD, DID = 0, 1, 2
 
@@ -69,6 +69,8 @@
     "again_stopped",
     "share_rights",
 )
+# What objects that go in by number are called in a capture.
+KINDS = {FrontSession: "course", Request: "request", TuneIn: "tunein", ServerCommand: "errand", SessionEnd: "ending"}
 # Everything that it does.
 ACTS = ("tune_in", "withdraw", "tell", "end_session", "probe", "answer", "whole_list")
 
@@ -99,7 +101,7 @@
         return ["server", thing.name]
     if isinstance(thing, (Outcome, Result)):
         return ["outcome" if isinstance(thing, Outcome) else "result", thing.value]
-    if isinstance(thing, Row):
+    if isinstance(thing, ServerEntry):
         return ["row", thing.server, thing.state, thing.started, thing.zone, thing.rack, thing.link, thing.streams, thing.shelf]
     if isinstance(thing, Peak):
         return ["peak", asdict(thing)]
@@ -107,8 +109,8 @@
         return ["list", [plain(ids, one) for one in thing]]
     if isinstance(thing, dict):
         return ["dict", {name: plain(ids, one) for name, one in thing.items()}]
-    if isinstance(thing, (Course, Request, TuneIn, Errand, Ending)):
-        return [type(thing).__name__.lower(), ids.of(thing)]
+    if type(thing) in KINDS:
+        return [KINDS[type(thing)], ids.of(thing)]
     if callable(thing):
         return ["call"]
     return ["opaque", ids.of(thing)]
@@ -119,9 +121,9 @@
     if isinstance(thing, TuneIn):
         vw = thing.course.vw
         return [ids.of(thing), vw.name, thing.server.name, thing.number, thing.rung, thing.until]
-    if isinstance(thing, Errand):
+    if isinstance(thing, ServerCommand):
         return [ids.of(thing), thing.course.vw.name, -1 if thing.rung is None else thing.rung]
-    if isinstance(thing, Ending):
+    if isinstance(thing, SessionEnd):
         return [ids.of(thing), thing.server.name, thing.tries]
     if isinstance(thing, Server):
         return [thing.name]
@@ -162,11 +164,11 @@
         self.at, self.walls = max(self.at, self.outside.now()), self.outside.wall()
 
 
-def tapped(base: type[Desk], note: Callable[[list], None]) -> type[Desk]:
+def tapped(base: type[SessionCore], note: Callable[[list], None]) -> type[SessionCore]:
     """A class like `base` that notes each record by `note`, which must not block."""
 
     class Tapped(base):
-        def __init__(self, outside, terms: Terms, roster: Roster, *args, calendar: Calendar | None = None, **how):
+        def __init__(self, outside, terms: Terms, roster: ServerList, *args, calendar: Calendar | None = None, **how):
             self.tap_ids, self.tap_depth = Ids(), 0
             self.tap_outside = Frozen(outside, note, self.tap_ids)
             limits = {name: how[name] for name in ("most_waiting", "most_keys") if name in how}
@@ -218,7 +220,7 @@
             if isinstance(result, Request) and result.course is not None:
                 ids.of(result)
                 ids.of(result.course)
-            elif isinstance(result, (Request, Course)):
+            elif isinstance(result, (Request, FrontSession)):
                 ids.of(result)
             return result
 
--- a/curlewshift/client/caller.py
+++ b/curlewshift/client/caller.py
@@ -12,8 +12,8 @@
 import anyio
 
 from curlewshift.client.plan import Ask, Plan, Stop
-from curlewshift.exchange.client import Answered, Broken, NeverSent, ask
-from curlewshift.signalling.bodies import BadBody, LayerChoice, Problem, decode, encode
+from curlewshift.exchange.client import ConnectionBroken, HttpResponse, RequestNotSent, ask
+from curlewshift.signalling.bodies import InvalidBody, LayerChoice, Problem, decode, encode
 from curlewshift.signalling.fragments import CONTENT_TYPE as FRAGMENT
 from curlewshift.signalling.sdp import PLAYS, PUBLISHES
 
@@ -76,10 +76,10 @@
         except Ended:
             pass
 
-    async def _ask(self, method: str, path: str, headers=(), body: bytes = b"") -> Answered:
+    async def _ask(self, method: str, path: str, headers=(), body: bytes = b"") -> HttpResponse:
         try:
             answered = await self.caller._send(self.front, method, path, headers, body, WITHIN)
-        except (NeverSent, Broken, TimeoutError) as wrong:
+        except (RequestNotSent, ConnectionBroken, TimeoutError) as wrong:
             raise Failed(str(wrong) or "no answer in time") from None
         if answered.status >= 400:
             raise (Wrong if answered.status < 500 else Failed)(_words(answered))
@@ -152,9 +152,9 @@
                 offer.encode(),
                 max(0.001, left),
             )
-        except NeverSent as wrong:
+        except RequestNotSent as wrong:
             return plan.unreached(str(wrong), time.monotonic_ns())
-        except Broken as wrong:
+        except ConnectionBroken as wrong:
             return plan.broke(str(wrong), time.monotonic_ns())
         except TimeoutError:
             return plan.failed("no answer in the viewer's time")
@@ -174,7 +174,7 @@
             return plan.refused(_words(answered), _retry_after(answered), now)
         return (plan.failed if answered.status >= 500 else plan.wrong)(_words(answered))
 
-    async def _send(self, front: str, method: str, path: str, headers, body: bytes, within: float) -> Answered:
+    async def _send(self, front: str, method: str, path: str, headers, body: bytes, within: float) -> HttpResponse:
         parts = urlsplit(front)
         secure = parts.scheme == "https"
         tls = (self.tls or ssl.create_default_context()) if secure else None
@@ -204,20 +204,20 @@
     return front if location.startswith("/") else None
 
 
-def _retry_after(answered: Answered) -> int:
+def _retry_after(answered: HttpResponse) -> int:
     """The finer advice of the body, or that of the header, in ns."""
     try:
         problem = decode(answered.body, Problem)
         if problem.retry_after_ms:
             return problem.retry_after_ms * 1_000_000
-    except BadBody:
+    except InvalidBody:
         pass
     value = answered.headers.get("retry-after", "")
     return int(value) * NS if value.isascii() and value.isdigit() else 0
 
 
-def _words(answered: Answered) -> str:
+def _words(answered: HttpResponse) -> str:
     try:
         return decode(answered.body, Problem).detail or f"answered {answered.status}"
-    except BadBody:
+    except InvalidBody:
         return f"answered {answered.status}"
--- a/curlewshift/commands/authority.py
+++ b/curlewshift/commands/authority.py
@@ -19,11 +19,11 @@
 @click.option("--name", default="curlewshift", help="What it is called in its certificate.")
 def authority_make(folder, name):
     """Make an authority in FOLDER."""
-    from curlewshift.site.authority import NoAuthority, make_authority
+    from curlewshift.site.authority import AuthorityError, make_authority
 
     try:
         click.echo(make_authority(folder, name))
-    except (NoAuthority, OSError) as wrong:
+    except (AuthorityError, OSError) as wrong:
         click.echo(f"curlewshift: {wrong}", err=True)
         sys.exit(2)
 
@@ -35,10 +35,10 @@
 @click.option("--days", default=90.0)
 def authority_issue(folder, hosts, out, days):
     """Sign a certificate for HOSTS (names or addresses) with the authority in FOLDER."""
-    from curlewshift.site.authority import NoAuthority, issue
+    from curlewshift.site.authority import AuthorityError, issue
 
     try:
         click.echo("\n".join(str(path) for path in issue(folder, list(hosts), out, days)))
-    except (NoAuthority, OSError) as wrong:
+    except (AuthorityError, OSError) as wrong:
         click.echo(f"curlewshift: {wrong}", err=True)
         sys.exit(2)
--- a/curlewshift/commands/capacity.py
+++ b/curlewshift/commands/capacity.py
@@ -22,8 +22,8 @@
 @click.option("--measured", type=PATH, default=MEASURED, help="The folder of measurements; docs/measured if not said.")
 def capacity(size, check, write, name, page, measured):
     """Work out what each role needs at SIZE from docs/measured, and whether that holds."""
-    from curlewshift.capacity.page import NoPlace, differences, written
-    from curlewshift.capacity.slopes import Spoilt
+    from curlewshift.capacity.page import PageTableMismatch, differences, written
+    from curlewshift.capacity.slopes import InvalidMeasurements
     from curlewshift.capacity.tables import tables
 
     try:
@@ -46,25 +46,25 @@
         else:
             for title, table in made.items():
                 click.echo(f"## {title}\n\n{table}\n")
-    except (Spoilt, NoPlace, OSError) as wrong:
+    except (InvalidMeasurements, PageTableMismatch, OSError) as wrong:
         click.echo(f"curlewshift: {wrong}", err=True)
         sys.exit(2)
 
 
 def measured_in(folder: Path):
     """The figures kept in this folder."""
-    from curlewshift.capacity.measured import Measured
+    from curlewshift.capacity.measured import Measurements
 
-    return Measured(folder)
+    return Measurements(folder)
 
 
 def read_size(path: Path):
-    """The size of a file. Raises `Mistakes` with all that is wrong, by line."""
+    """The size of a file. Raises `SiteErrors` with all that is wrong, by line."""
     from curlewshift.capacity.size import SCHEMA, size_of
-    from curlewshift.site.reading import Mistakes, read_xml
+    from curlewshift.site.reading import SiteErrors, read_xml
 
     wrong: list[tuple[int, str]] = []
     size = size_of(read_xml(path, SCHEMA), wrong)
     if wrong:
-        raise Mistakes(path, wrong)
+        raise SiteErrors(path, wrong)
     return size
--- a/curlewshift/commands/capture.py
+++ b/curlewshift/commands/capture.py
@@ -38,7 +38,7 @@
     from rich.table import Table
 
     from curlewshift.capture.index import Indexer
-    from curlewshift.capture.records import NotALog
+    from curlewshift.capture.records import InvalidCapture
     from curlewshift.capture.store import index_of
 
     table, indexer, began = Table(), Indexer(), None
@@ -47,7 +47,7 @@
     for segment in segments_or_exit(log):
         try:
             index = index_of(segment, indexer)
-        except (OSError, NotALog) as wrong:
+        except (OSError, InvalidCapture) as wrong:
             click.echo(f"curlewshift: {wrong}", err=True)
             sys.exit(2)
         began = index.first if began is None else began
@@ -70,7 +70,7 @@
 def capture_show(log, viewing, since, until):
     """Records of LOG in words."""
     from curlewshift.capture.index import Indexer, in_words
-    from curlewshift.capture.records import NotALog
+    from curlewshift.capture.records import InvalidCapture
     from curlewshift.capture.store import index_of, read_segment
     from curlewshift.capture.tap import BEGAN, TOLD
 
@@ -92,6 +92,6 @@
                     click.echo(in_words(record, began))
             if reading.damage:
                 click.echo(f"the capture ends early: {reading.damage}", err=True)
-    except (OSError, NotALog) as wrong:
+    except (OSError, InvalidCapture) as wrong:
         click.echo(f"curlewshift: {wrong}", err=True)
         sys.exit(2)
--- a/curlewshift/commands/common.py
+++ b/curlewshift/commands/common.py
@@ -15,11 +15,11 @@
 
 def read_or_exit(reader, path):
     """What the reader makes of the file; or all its mistakes on standard error, and exit 2."""
-    from curlewshift.site.reading import Mistakes
+    from curlewshift.site.reading import SiteErrors
 
     try:
         return reader(path)
-    except Mistakes as mistakes:
+    except SiteErrors as mistakes:
         click.echo(str(mistakes), err=True)
         sys.exit(2)
 
--- a/curlewshift/commands/control.py
+++ b/curlewshift/commands/control.py
@@ -21,7 +21,7 @@
 
     from curlewshift.control.machine import Machine
     from curlewshift.logs import make_log
-    from curlewshift.state.journal import Taken
+    from curlewshift.state.journal import FolderInUse
 
     held = site_of(site)
     names = [machine.name for machine in held.control.machines] if held.control is not None else []
@@ -39,7 +39,7 @@
         kind = MACHINES[sabotage]
     try:
         made = kind(site, held, name, state, secrets.randbits(32) if seed is None else seed, make_log(machine=name))
-    except (Taken, OSError) as wrong:
+    except (FolderInUse, OSError) as wrong:
         click.echo(f"{site}: {wrong}", err=True)
         sys.exit(2)
     run(made.run)
--- a/curlewshift/commands/front.py
+++ b/curlewshift/commands/front.py
@@ -24,12 +24,12 @@
     """Run a front of SITE until SIGTERM."""
     import secrets
 
-    from curlewshift.exchange.tls import BadCertificate
+    from curlewshift.exchange.tls import InvalidCertificate
     from curlewshift.front.begun import begin
     from curlewshift.front.front import Front
-    from curlewshift.limits.permits import BadKeys
+    from curlewshift.limits.permits import InvalidKeySet
     from curlewshift.logs import make_log
-    from curlewshift.state.journal import Taken
+    from curlewshift.state.journal import FolderInUse
 
     held, how = site_of(site), {}
     check_sabotage(sabotage)
@@ -64,7 +64,7 @@
             made = spoilt(sabotage, *arguments, led=led, **how)
         else:
             made = Front(*arguments, capture=capture, led=led, **how)
-    except (BadKeys, BadCertificate, Taken, OSError) as wrong:
+    except (InvalidKeySet, InvalidCertificate, FolderInUse, OSError) as wrong:
         click.echo(f"{site}: {wrong}", err=True)
         sys.exit(2)
     if reserve is not None:
--- a/curlewshift/commands/rehearse.py
+++ b/curlewshift/commands/rehearse.py
@@ -32,7 +32,7 @@
     from rich.progress import BarColumn, Progress, TextColumn
 
     from curlewshift.fault_injection.chart import draw_day
-    from curlewshift.fault_injection.rehearse import Rehearsal, StartFailed
+    from curlewshift.fault_injection.rehearse import FaultInjectionRun, StartFailed
     from curlewshift.fault_injection.table import verdict_tables
     from curlewshift.standins.script import read_script
     from curlewshift.standins.traffic import read_traffic
@@ -62,7 +62,9 @@
 
         try:
             verdict = run(
-                Rehearsal(held, script, out, held.seed if seed is None else seed, sabotage, told, hold, capture, forget).run
+                FaultInjectionRun(
+                    held, script, out, held.seed if seed is None else seed, sabotage, told, hold, capture, forget
+                ).run
             )
         except* StartFailed as failed:
             click.echo(f"curlewshift: {failed.exceptions[0]}", err=True)
--- a/curlewshift/commands/replay.py
+++ b/curlewshift/commands/replay.py
@@ -17,7 +17,7 @@
 def replay(log, until, viewing, against):
     """Tell a desk again what the front of LOG (a capture's folder, or a segment) was told, and compare what it does."""
     from curlewshift.capture.against import Compared, NoSuchPolicy, asked_of, policy
-    from curlewshift.capture.records import NotALog
+    from curlewshift.capture.records import InvalidCapture
     from curlewshift.capture.replay import Replay
     from curlewshift.capture.store import read_capture
 
@@ -32,7 +32,7 @@
             raise
         click.echo(f"curlewshift: {against} knows other facts than the rules do now, and cannot be asked: {wrong}", err=True)
         sys.exit(2)
-    except (OSError, NotALog, NoSuchPolicy, ValueError, LookupError) as wrong:
+    except (OSError, InvalidCapture, NoSuchPolicy, ValueError, LookupError) as wrong:
         click.echo(f"curlewshift: {wrong}", err=True)
         sys.exit(2)
     for line in done.explained:
--- a/curlewshift/commands/scale.py
+++ b/curlewshift/commands/scale.py
@@ -69,7 +69,7 @@
     from rich.console import Console
 
     from curlewshift.scale.fleet import RunFailed
-    from curlewshift.scale.plan import Load, Plan, Unfit
+    from curlewshift.scale.plan import InsufficientResources, Load, Plan
     from curlewshift.scale.report import draw, tables
     from curlewshift.scale.run import ScaleRun, write_figures
 
@@ -98,7 +98,7 @@
     )
     try:
         plan.check()
-    except Unfit as why:
+    except InsufficientResources as why:
         click.echo(f"curlewshift: does not begin: {why}", err=True)
         sys.exit(2)
     out.mkdir(parents=True, exist_ok=True)
--- a/curlewshift/commands/slopes.py
+++ b/curlewshift/commands/slopes.py
@@ -27,8 +27,8 @@
 def slopes(name, out, sizes, seed, rounds, seconds):
     """Measures NAME at one front node in a process of its own, by size: idle, crowded, requests, notices, rungs, restart, list,
     storm, sharing, membership, or all of them, which takes most of an hour."""
-    from curlewshift.scale.fits import TooFew
-    from curlewshift.scale.slopes import KINDS, NoRoom, Run, check_room, kept, measured
+    from curlewshift.scale.fits import TooFewPoints
+    from curlewshift.scale.slopes import KINDS, MeasurementRefused, Run, check_room, kept, measured
 
     if name != "all" and name not in KINDS:
         click.echo(f"curlewshift: there is no slope {name!r}, but all, " + ", ".join(KINDS), err=True)
@@ -60,7 +60,7 @@
                     f"{slope['y']['unit']} for each {slope['x']['name']}, worst {line['worst_residual']:.2g}, "
                     f"{'straight' if line['straight'] else 'NOT straight'}"
                 )
-    except (NoRoom, TooFew) as wrong:
+    except (MeasurementRefused, TooFewPoints) as wrong:
         click.echo(f"curlewshift: {wrong}", err=True)
         sys.exit(2)
     except (TimeoutError, OSError) as wrong:
--- a/curlewshift/control/machine.py
+++ b/curlewshift/control/machine.py
@@ -20,9 +20,9 @@
 from curlewshift.peering.wire import PeerWire
 from curlewshift.schedule.clock import Clock
 from curlewshift.sharing.counts import picked
-from curlewshift.site.changes import NeedsRestart
+from curlewshift.site.changes import RestartRequired
 from curlewshift.site.places import distribution_of, places_of
-from curlewshift.site.reading import Mistakes
+from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import Site, read_site
 from curlewshift.state.configured import Record
 from curlewshift.state.journal import Lock
@@ -88,7 +88,7 @@
 
 
 class Machine:
-    """Raises `Taken` where another process has the folder, `OSError` where the socket cannot be had."""
+    """Raises `FolderInUse` where another process has the folder, `OSError` where the socket cannot be had."""
 
     leases_class, distribution_class = MachineLeases, DistributionWire
 
@@ -149,8 +149,8 @@
         try:
             running = self.site if held is None else read_site(self.path, held)
             checked(self.path, running, content)
-        except Mistakes as wrong:
-            return told(Path(called or self.path.name), wrong), isinstance(wrong, NeedsRestart)
+        except SiteErrors as wrong:
+            return told(Path(called or self.path.name), wrong), isinstance(wrong, RestartRequired)
         return "", False
 
     # ---- the wire's host. A machine applies nothing: what it stores is for the fronts
@@ -158,7 +158,7 @@
     def check_configuration(self, content: bytes) -> str | None:
         try:
             read_site(self.path, content)
-        except Mistakes as wrong:
+        except SiteErrors as wrong:
             return told(self.path, wrong)
         return None
 
--- a/curlewshift/distribution/copy.py
+++ b/curlewshift/distribution/copy.py
@@ -21,7 +21,7 @@
 NEVER = -1
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def check_configuration(self, content: bytes) -> str | None: ...
     def take_configuration(self, version: str, content: bytes) -> str | None: ...
@@ -44,7 +44,7 @@
 
 
 class Copy:
-    def __init__(self, outside: Outside):
+    def __init__(self, outside: Driver):
         self.outside = outside
         # newest that was heard of; newest whose content is here, good or not; the one in force
         self.newest, self.held, self.version = NONE, NONE, NONE
--- a/curlewshift/distribution/fetching.py
+++ b/curlewshift/distribution/fetching.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from curlewshift.distribution.library import Library
-from curlewshift.distribution.pieces import MOST_PIECES, Parts, Spoilt, unpacked
+from curlewshift.distribution.pieces import MOST_PIECES, CorruptContent, Parts, unpacked
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import NONE, Version, digest_of
 
@@ -22,7 +22,7 @@
 MOST_WANTED = 6
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def near(self, names: list[str]) -> list[str]: ...
     def ask(self, giver: str, version: Version, base: bytes, packing: bytes, missing: list[int]) -> None: ...
@@ -44,7 +44,7 @@
 
 
 class Fetch:
-    def __init__(self, outside: Outside, library: Library, terms: DistributionTerms, chance: Random):
+    def __init__(self, outside: Driver, library: Library, terms: DistributionTerms, chance: Random):
         self.outside, self.library, self.terms, self.chance = outside, library, terms, chance
         self.wanted: dict[bytes, Wanted] = {}
         # who is left alone, until when
@@ -141,11 +141,11 @@
         try:
             base = self.library.get(parts.base) if parts.base else b""
             if base is None:
-                raise Spoilt("the base is not held any more")
+                raise CorruptContent("the base is not held any more")
             content = unpacked(parts.packed(), base)
             if not self._fits(content, wanted.version):
-                raise Spoilt("its digest is another than the version names")
-        except Spoilt as why:
+                raise CorruptContent("its digest is another than the version names")
+        except CorruptContent as why:
             wanted.whole_only = True
             wanted.parts.clear()
             wanted.asked = ""
--- a/curlewshift/distribution/giving.py
+++ b/curlewshift/distribution/giving.py
@@ -17,7 +17,7 @@
 FRAME = 180
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def give(self, to: str, version: Version, base: bytes, packing: bytes, total: int, index: int, data: bytes) -> bool: ...
     def busy(self, to: str, version: Version, after: int) -> None: ...
@@ -25,7 +25,7 @@
 
 
 class Giver:
-    def __init__(self, outside: Outside, library: Library, terms: DistributionTerms, is_store: bool = False):
+    def __init__(self, outside: Driver, library: Library, terms: DistributionTerms, is_store: bool = False):
         self.outside, self.library, self.terms = outside, library, terms
         self.rate = terms.store_give_bytes if is_store else terms.give_bytes
         self.burst = max(self.rate, terms.give_burst)
--- a/curlewshift/distribution/pieces.py
+++ b/curlewshift/distribution/pieces.py
@@ -20,7 +20,7 @@
 MOST_PIECES = MOST_PACKED // PIECE
 
 
-class Spoilt(Exception):
+class CorruptContent(Exception):
     """What came does not unpack."""
 
 
@@ -49,14 +49,14 @@
 
 
 def unpacked(packed: bytes, base: bytes) -> bytes:
-    """`base` is empty for a whole one. Raises `Spoilt`."""
+    """`base` is empty for a whole one. Raises `CorruptContent`."""
     try:
         if zstandard.frame_content_size(packed) > MOST_CONTENT:
-            raise Spoilt("larger than any content")
+            raise CorruptContent("larger than any content")
         opener = zstandard.ZstdDecompressor(dict_data=_dictionary(base)) if base else zstandard.ZstdDecompressor()
         return opener.decompress(packed, max_output_size=MOST_CONTENT)
     except zstandard.ZstdError as wrong:
-        raise Spoilt(str(wrong)) from None
+        raise CorruptContent(str(wrong)) from None
 
 
 def piece(packed: bytes, index: int) -> bytes:
--- a/curlewshift/distribution/reports.py
+++ b/curlewshift/distribution/reports.py
@@ -36,7 +36,7 @@
     whys: list[tuple[str, str]]
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def zone_members(self) -> list[str]: ...
     def report_to(self, aggregator: str, report: Report) -> None: ...
@@ -51,7 +51,7 @@
 class Reporter:
     """Of one node; any node may find itself adding up for its zone."""
 
-    def __init__(self, outside: Outside, me: str, zone: str, terms: DistributionTerms):
+    def __init__(self, outside: Driver, me: str, zone: str, terms: DistributionTerms):
         self.outside, self.me, self.zone, self.terms = outside, me, zone, terms
         self.told: Report | None = None
         self.told_to, self.again_at = "", 0
@@ -120,7 +120,7 @@
 class Fleet:
     """At a control machine: the latest sum of each zone, by whoever adds it up."""
 
-    def __init__(self, outside: Outside):
+    def __init__(self, outside: Driver):
         self.outside = outside
         self.zones: dict[str, Heard] = {}
 
--- a/curlewshift/distribution/store.py
+++ b/curlewshift/distribution/store.py
@@ -35,7 +35,7 @@
     noted: dict[str, Noted]
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def keep_vote(self, data: bytes) -> None: ...
     def content_of(self, version: Version) -> bytes | None: ...
     def fetch_for_store(self, version: Version, writer: str) -> None: ...
@@ -74,7 +74,7 @@
 
 
 class Store:
-    def __init__(self, outside: Outside, kept: bytes | None, chance: Random):
+    def __init__(self, outside: Driver, kept: bytes | None, chance: Random):
         self.outside = outside
         self.number, self.blank = chance.getrandbits(60), True
         self.promised, self.taken_at = NO_BALLOT, NO_BALLOT
--- a/curlewshift/distribution/writer.py
+++ b/curlewshift/distribution/writer.py
@@ -17,7 +17,7 @@
 from curlewshift.distribution.versions import NONE, Ballot, Version, digest_of
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def fence(self) -> int: ...
     def prepare(self, store: str, ballot: Ballot) -> None: ...
@@ -64,7 +64,7 @@
 class Writer:
     """`stores` by name; this machine's own is one of them. `life` is never that of another process of this name."""
 
-    def __init__(self, outside: Outside, me: str, life: int, terms: DistributionTerms):
+    def __init__(self, outside: Driver, me: str, life: int, terms: DistributionTerms):
         self.outside, self.me, self.life, self.terms = outside, me, life, terms
         self.tenure: Tenure | None = None
         self.wanted: Put | None = None
--- a/curlewshift/emulator/front.py
+++ b/curlewshift/emulator/front.py
@@ -12,16 +12,16 @@
 from curlewshift.emulator.shared import EmulatedSharing
 from curlewshift.model import Outcome, Server
 from curlewshift.peaks.calendar import Calendar
-from curlewshift.recovery.recovery import Doubt, Found, recovery_of
+from curlewshift.recovery.recovery import InterruptedSetup, ListedSession, recovery_of
 from curlewshift.rules import Rules
 from curlewshift.session_core.front_session import Answer, Kind, Request, TuneIn
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.server_commands import Result
-from curlewshift.session_core.server_list import Roster
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.server_list import ServerList
+from curlewshift.session_core.session_core import SessionCore
 from curlewshift.standins.server import front_of
 from curlewshift.state.intents import Intent, Intents, intent_of
-from curlewshift.state.session_registry import Book, Remembered, remembered
+from curlewshift.state.session_registry import SessionRegistry, StoredSession, remembered
 from curlewshift.state.setting_up import SEND, setting_up
 
 NS = 1_000_000_000
@@ -69,16 +69,21 @@
         self.boots: dict[str, str] = {}
         self.tokens: dict[object, str] = {}
         self.answered = 0
-        self.book, self.intents = Book(), Intents()
+        self.book, self.intents = SessionRegistry(), Intents()
         site, terms = world.site, world.site.terms(self.now(), seed, number)
-        desk = Desk
+        desk = SessionCore
         if wrong:
             from curlewshift.emulator.planted_faults import wronged
 
             desk, rules, terms = wronged(wrong, terms, rules)
         self.calendar = Calendar(terms.packages)
         self.desk = desk(
-            self, terms, Roster(site.uplinks, site.titles), rules=rules, most_waiting=site.most_waiting, calendar=self.calendar
+            self,
+            terms,
+            ServerList(site.uplinks, site.titles),
+            rules=rules,
+            most_waiting=site.most_waiting,
+            calendar=self.calendar,
         )
         self.shared = EmulatedSharing(self, seed) if world.shared is not None else None
         self.sheds = EmulatedOverload(self, seed) if world.shedding is not None else None
@@ -346,7 +351,7 @@
             lambda machine: (
                 machine.boot,
                 [
-                    Found(one.path, one.life, one.rung, one.mark)
+                    ListedSession(one.path, one.life, one.rung, one.mark)
                     for one in machine.sessions.values()
                     if front_of(one.life) == self.door
                 ],
@@ -361,14 +366,14 @@
             lambda taken: self.recovery.unanswered(server) if taken is None else self.recovery.adopted(server, taken),
         )
 
-    def taken_up(self, one: Remembered, server: Server):
+    def taken_up(self, one: StoredSession, server: Server):
         course = self.desk.handed_over(one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer))
         self.tokens[course] = one.token
         self.world.viewers.taken_up(self, course, one.path)
         return course
 
-    def session_of(self, found: Found, doubt: Doubt | None) -> str:
+    def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> str:
         return found.path
 
-    def forgotten(self, one: Remembered) -> None:
+    def forgotten(self, one: StoredSession) -> None:
         self._note(self.book.ended(one.token))
--- a/curlewshift/emulator/lease_histories.py
+++ b/curlewshift/emulator/lease_histories.py
@@ -10,8 +10,8 @@
 from itertools import count
 from random import Random
 
-from curlewshift.leases.acceptor import Keeper
-from curlewshift.leases.proposer import Asker
+from curlewshift.leases.acceptor import LeaseAcceptor
+from curlewshift.leases.proposer import LeaseProposer
 from curlewshift.leases.terms import LeaseTerms
 
 MS = 1_000_000
@@ -29,8 +29,8 @@
         chance = history.chance
         self.rate, self.offset = 1 + chance.choice((-1, 1, chance.uniform(-1, 1))) * history.terms.drift, chance.randrange(10**12)
         self.paused_until, self.life, self.alive = 0, 0, False
-        self.asker: Asker | None = None
-        self.keeper: Keeper | None = None
+        self.asker: LeaseProposer | None = None
+        self.keeper: LeaseAcceptor | None = None
 
     def start(self) -> None:
         history = self.history
@@ -92,8 +92,8 @@
         fronts: int = 0,
         keepers: int = 0,
         leases: int = 0,
-        asker: type[Asker] = Asker,
-        keeper: type[Keeper] = Keeper,
+        asker: type[LeaseProposer] = LeaseProposer,
+        keeper: type[LeaseAcceptor] = LeaseAcceptor,
         troubled: bool = True,
     ):
         self.seed, self.chance, self.now = seed, Random(f"leases {seed}"), 0
@@ -213,13 +213,13 @@
 # ---- planted faults
 
 
-class NoSilenceAfterStart(Keeper):
+class NoSilenceAfterStart(LeaseAcceptor):
     def __init__(self, outside, terms):
         super().__init__(outside, terms)
         self.silent_until = 0
 
 
-class DriftIgnored(Keeper):
+class DriftIgnored(LeaseAcceptor):
     """Lets go when the bare term is over by its own clock."""
 
     def propose(self, asker, lease, ballot, fence):
@@ -229,7 +229,7 @@
             kept.until = self.steady.last + self.terms.term
 
 
-class MajorityOfTwo(Asker):
+class MajorityOfTwo(LeaseProposer):
     """Takes two for a majority, however many keepers there are."""
 
     def __init__(self, *arguments):
@@ -237,7 +237,7 @@
         self.majority = min(2, len(self.keepers))
 
 
-class RenewAfterEnd(Asker):
+class RenewAfterEnd(LeaseProposer):
     """Goes on holding while it tries to renew, though its term is over."""
 
     def may_act(self, lease):
@@ -252,7 +252,7 @@
         super().time()
 
 
-class FenceNotRaised(Asker):
+class FenceNotRaised(LeaseProposer):
     def _propose(self, lease, held, now):
         held.proposing, held.proposed_at, held.renews = True, now, held.until > now
         held.fence = max(1, held.highest_fence)
@@ -260,7 +260,7 @@
             self.outside.propose(keeper, lease, held.ballot, held.fence)
 
 
-class ActWithoutLook(Asker):
+class ActWithoutLook(LeaseProposer):
     """Believes at an act what it knew at its last round."""
 
     def may_act(self, lease):
--- a/curlewshift/emulator/peer_histories.py
+++ b/curlewshift/emulator/peer_histories.py
@@ -9,7 +9,7 @@
 
 from curlewshift.emulator.peers import BORN, MS, NS, PeerFleet
 from curlewshift.membership.membership import Membership
-from curlewshift.membership.terms import Manners, usual_manners
+from curlewshift.membership.terms import MembershipTerms, usual_manners
 
 PERIOD = NS // 2
 # Periods of trouble, and of quiet after it: the last one of many waits nine for an answer and then 18 for a suspect.
@@ -34,7 +34,7 @@
 )
 
 
-def manners(**more) -> Manners:
+def manners(**more) -> MembershipTerms:
     return usual_manners(PERIOD, **more)
 
 
--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -11,7 +11,7 @@
 from curlewshift.emulator.queue import Buckets
 from curlewshift.membership.member import Member, Rank
 from curlewshift.membership.membership import Membership
-from curlewshift.membership.terms import Manners
+from curlewshift.membership.terms import MembershipTerms
 from curlewshift.peering.channel import Channel
 
 NS = 1_000_000_000
@@ -112,7 +112,7 @@
         self,
         size: int,
         seed: int,
-        manners: Manners,
+        manners: MembershipTerms,
         seeds: int = 3,
         most_bytes: int = 128 * 1024,
         links: Links | None = None,
--- a/curlewshift/emulator/planted_faults.py
+++ b/curlewshift/emulator/planted_faults.py
@@ -4,10 +4,10 @@
 
 from dataclasses import replace
 
-from curlewshift.front.planted_faults import IgnoreDrain, LostTeardown, PushCold, ResendPaid, StubbornDesk
+from curlewshift.front.planted_faults import IgnoreDrain, LostTeardown, PushCold, ResendPaid, SessionCoreIgnoringLeavers
 from curlewshift.model import Terms
 from curlewshift.rules import Rules
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.session_core import SessionCore
 
 NAMES = (
     "lose-answer",
@@ -24,9 +24,9 @@
 )
 
 
-def wronged(wrong: str, terms: Terms, rules: type[Rules]) -> tuple[type[Desk], type[Rules], Terms]:
+def wronged(wrong: str, terms: Terms, rules: type[Rules]) -> tuple[type[SessionCore], type[Rules], Terms]:
     """Desk, rules and terms of a front that has this fault."""
-    desk = {"ignore-drain": StubbornDesk, "lost-teardown": LostTeardown}.get(wrong, Desk)
+    desk = {"ignore-drain": SessionCoreIgnoringLeavers, "lost-teardown": LostTeardown}.get(wrong, SessionCore)
     rules = {"resend-paid": ResendPaid, "ignore-drain": IgnoreDrain, "push-cold": PushCold}.get(wrong, rules)
     changed = {"under-floor": {"floor": 0}, "over-seats": {"seats": 0}}.get(wrong)
     if changed:
--- a/curlewshift/emulator/planted_shedding_faults.py
+++ b/curlewshift/emulator/planted_shedding_faults.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from curlewshift.overload.order import Order
+from curlewshift.overload.order import SheddingOrder
 from curlewshift.overload.overload import Overload
-from curlewshift.overload.retry_budget import Advice
+from curlewshift.overload.retry_budget import RetryAdvice
 
 
 class ShedAtRandom(Overload):
@@ -30,7 +30,7 @@
             self.outside.members = members
 
 
-class OneReturn(Advice):
+class OneReturn(RetryAdvice):
     def wait(self, who, now, behind=0.0, lasts=0):
         super().wait(who, now, behind, lasts)
         # all who are refused within a while are told one and the same time
@@ -44,13 +44,13 @@
         self.advice.__class__ = OneReturn
 
 
-class NoFloorOrder(Order):
+class NoFloorSheddingOrder(SheddingOrder):
     def floored(self, rank):
         return False
 
 
 class NoFloor(Overload):
-    order_class = NoFloorOrder
+    order_class = NoFloorSheddingOrder
 
 
 FAULTS = {
--- a/curlewshift/emulator/queue.py
+++ b/curlewshift/emulator/queue.py
@@ -13,7 +13,7 @@
 BUCKET = 1_000_000
 
 
-class Runaway(Exception):
+class EventLimitExceeded(Exception):
     """More events came than a run may have: it would not have ended."""
 
 
@@ -44,7 +44,7 @@
             heapq.heappush(self.keys, key)
 
     def run(self, until: int, most: int = 10**9) -> int:
-        """All that happens up to `until`; returns how many events those were. Raises `Runaway` beyond `most`."""
+        """All that happens up to `until`; returns how many events those were. Raises `EventLimitExceeded` beyond `most`."""
         done = 0
         while True:
             if not self.current:
@@ -61,7 +61,7 @@
             call(*args)
             done += 1
             if done >= most:
-                raise Runaway(f"{most} events came before {until / 1e9:.1f} s were over")
+                raise EventLimitExceeded(f"{most} events came before {until / 1e9:.1f} s were over")
         self.now = max(self.now, until)
         return done
 
@@ -86,6 +86,6 @@
             call(*args)
             done += 1
             if done >= most:
-                raise Runaway(f"{most} events came before {until / 1e9:.1f} s were over")
+                raise EventLimitExceeded(f"{most} events came before {until / 1e9:.1f} s were over")
         self.now = max(self.now, until)
         return done
--- a/curlewshift/emulator/seat_histories.py
+++ b/curlewshift/emulator/seat_histories.py
@@ -14,12 +14,12 @@
 from curlewshift.sharing.budgets import SEAT, Pool, Seats
 from curlewshift.sharing.loans import Loans
 from curlewshift.sharing.standing import StandingLoans
-from curlewshift.sharing.terms import SharingTerms, Together
+from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 
 # Standing after its front could act for the last time (ns): a stop of the process, and what servers keep after its death. A
 # set-up that is out when its loan ends is ended once it plays.
 LONGEST_STOP, KEPT_BY_SERVERS, LONGEST_SETUP = 5000 * MS, 3000 * MS, 2000 * MS
-TOGETHER = Together(seat_term=3000 * MS, lingers=LONGEST_STOP + KEPT_BY_SERVERS + 1000 * MS, longest_setup=LONGEST_SETUP)
+TOGETHER = SharedBudgets(seat_term=3000 * MS, lingers=LONGEST_STOP + KEPT_BY_SERVERS + 1000 * MS, longest_setup=LONGEST_SETUP)
 SHARING = SharingTerms(term=1500 * MS, drift=0.01, window=1000 * MS, every=250 * MS)
 TERMS = TOGETHER.seat_terms(SHARING)
 # From a front's word to its server (ns), at the most; an ending may be late.
--- a/curlewshift/emulator/sizes.py
+++ b/curlewshift/emulator/sizes.py
@@ -6,8 +6,8 @@
 from random import Random
 
 from curlewshift.model import Package
-from curlewshift.site.site import Door, Duties, Machine, Site
-from curlewshift.standins.script import Script, Trouble, Wish
+from curlewshift.site.site import ListenAddress, Machine, Obligations, Site
+from curlewshift.standins.script import PlannedViewing, Script, Trouble
 
 NS = 1_000_000_000
 MS = 1_000_000
@@ -53,7 +53,7 @@
         Package("review", 2.0, NS, 5 * NS, True, LADDER, 0, 3, 0),
         Package("lesson", 1.0, 3 * NS // 2, 4 * NS, False, LADDER, 0, 3, 0),
     ]
-    duties = Duties(
+    duties = Obligations(
         way_back=150 * MS,
         longest_wait=2 * NS,
         most_tune_ins=3,
@@ -72,7 +72,7 @@
     )
     site = Site(
         "made up",
-        [Door(f"f{n}", "127.0.0.1", 1 + n) for n in range(fronts)],
+        [ListenAddress(f"f{n}", "127.0.0.1", 1 + n) for n in range(fronts)],
         ("127.0.0.1", 1),
         packages,
         {rack: 0.9 * link * per_rack[rack] for rack in sorted(racks)},
@@ -82,5 +82,9 @@
         2000,
         64,
     )
-    wishes = [Wish("receipt", 0.3, watches), Wish("review", 0.2, watches), Wish("lesson", 0.5, watches)]
+    wishes = [
+        PlannedViewing("receipt", 0.3, watches),
+        PlannedViewing("review", 0.2, watches),
+        PlannedViewing("lesson", 0.5, watches),
+    ]
     return Script(Path("made-up.xml"), site, lasts, seed, each_second, come_again, 0.0, 0.0, wishes, list(troubles), [])
--- a/curlewshift/emulator/version_figures.py
+++ b/curlewshift/emulator/version_figures.py
@@ -11,7 +11,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from curlewshift.distribution.pieces import packed_difference, packed_whole
-from curlewshift.emulator.version_histories import FAULTS, VersionHistory, Wrong, histories, planted
+from curlewshift.emulator.version_histories import FAULTS, InvariantViolated, VersionHistory, histories, planted
 from curlewshift.emulator.versions import NS, VersionFleet, site_file
 
 NODES, ZONES = 630, 9
@@ -166,7 +166,7 @@
         history = VersionHistory(seed)
         try:
             ended.append((seed, history.run(), ""))
-        except Wrong as wrong:
+        except InvariantViolated as wrong:
             ended.append((seed, None, str(wrong)))
         told["changes"] += len(history.chosen)
         told["takes"] += history.takes
--- a/curlewshift/emulator/version_histories.py
+++ b/curlewshift/emulator/version_histories.py
@@ -46,7 +46,7 @@
 )
 
 
-class Wrong(Exception):
+class InvariantViolated(Exception):
     """What must never be has come about."""
 
 
@@ -207,12 +207,12 @@
             self.now, _, call, arguments = heapq.heappop(self.queue)
             call(*arguments)
             if self.log.faults:
-                raise Wrong(self.log.faults[0])
+                raise InvariantViolated(self.log.faults[0])
         self.now = max(self.now, until)
 
     def run(self) -> float | None:
         """Seconds from the last trouble until all had the newest in force, and then one more put; None: not within `QUIET`.
-        Raises `Wrong`."""
+        Raises `InvariantViolated`."""
         self.troubled_until = self.now + TROUBLED
         self.run_to(self.troubled_until)
         began = self.now
@@ -477,7 +477,7 @@
     for seed in seeds:
         try:
             ended.append((seed, VersionHistory(seed, **how).run(), ""))
-        except Wrong as wrong:
+        except InvariantViolated as wrong:
             ended.append((seed, None, str(wrong)))
     return ended
 
--- a/curlewshift/emulator/world.py
+++ b/curlewshift/emulator/world.py
@@ -18,7 +18,7 @@
 from curlewshift.emulator.shared import Shares
 from curlewshift.emulator.viewers import Viewers
 from curlewshift.rules import Rules
-from curlewshift.session_core.server_list import Row
+from curlewshift.session_core.server_list import ServerEntry
 from curlewshift.standins.fleet import DRAIN_FOR, LINK_OFF, LONG_AGO, PREEMPT_FOR, RIVAL_PACE
 from curlewshift.standins.listing import LATE
 from curlewshift.standins.physics import LinkModel, Uplink
@@ -52,14 +52,14 @@
 
     def __init__(self, world, chance: Random):
         self.world, self.chance = world, chance
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, ServerEntry] = {}
         self.generation, self.stuck = 0, False
-        self.pending: deque[tuple[int, Row]] = deque()
+        self.pending: deque[tuple[int, ServerEntry]] = deque()
 
-    def begin(self, rows: list[Row]) -> None:
+    def begin(self, rows: list[ServerEntry]) -> None:
         self.rows = {row.server: row for row in rows}
 
-    def knows(self, row: Row) -> None:
+    def knows(self, row: ServerEntry) -> None:
         due = self.world.queue.now + int(self.chance.uniform(*LATE) * NS)
         if self.pending:
             due = max(due, self.pending[-1][0])
@@ -83,7 +83,7 @@
                     front.list_at = max(front.list_at, self.world.queue.now + self.world.way())
                     self.world.queue.at(front.list_at, self._tell, front, self.generation, due)
 
-    def _tell(self, front, generation: int, rows: list[Row]) -> None:
+    def _tell(self, front, generation: int, rows: list[ServerEntry]) -> None:
         if not front.alive or front.generation < 0:
             return
         for row in rows:
@@ -194,7 +194,7 @@
     # ---- a day
 
     def run(self) -> None:
-        """Raises `Runaway` if it would not end."""
+        """Raises `EventLimitExceeded` if it would not end."""
         for number in range(len(self.site.doors)):
             self.queue.at(BORN, self.start_front, number)
         self.queue.at(BORN, self._measure)
@@ -337,9 +337,11 @@
         if known is not None and known != server.boot and held is not None:
             front.desk.restarted(held)
 
-    def _row(self, server: Machine, state: str) -> Row:
+    def _row(self, server: Machine, state: str) -> ServerEntry:
         machine = server.machine
-        return Row(server.name, state, server.born, machine.zone, machine.rack, machine.link, machine.streams, machine.shelf)
+        return ServerEntry(
+            server.name, state, server.born, machine.zone, machine.rack, machine.link, machine.streams, machine.shelf
+        )
 
     def die(self, server: Machine) -> None:
         if server.dead:
--- a/curlewshift/exchange/accepting.py
+++ b/curlewshift/exchange/accepting.py
@@ -14,7 +14,7 @@
 class Patient:
     """A listener that accepts while there is room, and for which no descriptor left is a pause and not the end.
 
-    `gate` is a curlewshift.limits.descriptors.Gate, or None: what is not accepted waits in the kernel's queue.
+    `gate` is a curlewshift.limits.descriptors.DescriptorGate, or None: what is not accepted waits in the kernel's queue.
     """
 
     def __init__(self, listener, gate=None):
--- a/curlewshift/exchange/client.py
+++ b/curlewshift/exchange/client.py
@@ -18,22 +18,22 @@
 MOST_HEAD = 64 * 1024
 
 
-class NeverSent(Exception):
+class RequestNotSent(Exception):
     """No byte of the request has gone out: the peer cannot have acted on it."""
 
 
-class Broken(Exception):
+class ConnectionBroken(Exception):
     """The connection ended or spoke no HTTP after the request went out: the peer may have acted on it."""
 
 
 @dataclass(slots=True)
-class Answered:
+class HttpResponse:
     status: int
     headers: dict[str, str]
     body: bytes = b""
 
 
-class Call:
+class HttpClientConnection:
     """One connection to a peer, for one request after the other."""
 
     def __init__(self, stream: SocketStream, host: str):
@@ -44,16 +44,16 @@
         # what was read along with the last answer has been handed on
         self.trailed = False
 
-    async def ask(self, method: str, target: str, headers: list[tuple[str, str]] = (), body: bytes = b"") -> Answered:
-        """The whole answer. Raises `NeverSent`, `Broken`."""
+    async def ask(self, method: str, target: str, headers: list[tuple[str, str]] = (), body: bytes = b"") -> HttpResponse:
+        """The whole answer. Raises `RequestNotSent`, `ConnectionBroken`."""
         answered = await self.begin(method, target, headers, body)
         async for piece in self.pieces():
             answered.body += piece
             if len(answered.body) > MOST_BODY:
-                raise Broken(f"an answer of over {MOST_BODY} bytes")
+                raise ConnectionBroken(f"an answer of over {MOST_BODY} bytes")
         return answered
 
-    async def begin(self, method: str, target: str, headers=(), body: bytes = b"") -> Answered:
+    async def begin(self, method: str, target: str, headers=(), body: bytes = b"") -> HttpResponse:
         """The head of the answer; `pieces` has the rest."""
         try:
             data = self.http.send(
@@ -67,21 +67,21 @@
                 data += self.http.send(h11.Data(data=body))
             data += self.http.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError as wrong:
-            raise NeverSent(f"no request that can be written: {wrong}") from None
+            raise RequestNotSent(f"no request that can be written: {wrong}") from None
         self.written = True
         try:
             await self.stream.send(data)
             while True:
                 event = await self._event()
                 if isinstance(event, h11.Response):
-                    return Answered(event.status_code, _headers(event))
+                    return HttpResponse(event.status_code, _headers(event))
                 if not isinstance(event, h11.InformationalResponse):
-                    raise Broken("the connection ended before an answer")
+                    raise ConnectionBroken("the connection ended before an answer")
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as wrong:
-            raise Broken(f"the connection broke: {wrong or type(wrong).__name__}") from None
+            raise ConnectionBroken(f"the connection broke: {wrong or type(wrong).__name__}") from None
 
     async def pieces(self) -> AsyncIterator[bytes]:
-        """The body as it comes, to its end. Raises `Broken`."""
+        """The body as it comes, to its end. Raises `ConnectionBroken`."""
         try:
             while True:
                 event = await self._event()
@@ -90,9 +90,9 @@
                 elif isinstance(event, h11.EndOfMessage):
                     return
                 else:
-                    raise Broken("the connection ended inside an answer")
+                    raise ConnectionBroken("the connection ended inside an answer")
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as wrong:
-            raise Broken(f"the connection broke: {wrong or type(wrong).__name__}") from None
+            raise ConnectionBroken(f"the connection broke: {wrong or type(wrong).__name__}") from None
 
     async def _event(self):
         try:
@@ -104,7 +104,7 @@
                 self.http.receive_data(data)
             return event
         except h11.RemoteProtocolError as wrong:
-            raise Broken(f"no HTTP/1.1 answer: {wrong}") from None
+            raise ConnectionBroken(f"no HTTP/1.1 answer: {wrong}") from None
 
     def again(self) -> bool:
         """True if another request may go out on this connection."""
@@ -164,8 +164,8 @@
     return headers
 
 
-async def connect(host: str, port: int, within: float, tls=None) -> Call:
-    """Raises `NeverSent`. `within` is seconds, `tls` an ssl context that checks the host's name."""
+async def connect(host: str, port: int, within: float, tls=None) -> HttpClientConnection:
+    """Raises `RequestNotSent`. `within` is seconds, `tls` an ssl context that checks the host's name."""
     try:
         with anyio.fail_after(within):
             if tls is None:
@@ -173,16 +173,16 @@
             else:
                 stream = await anyio.connect_tcp(host, port, ssl_context=tls, tls_hostname=host, tls_standard_compatible=False)
     except TimeoutError:
-        raise NeverSent(f"no connection to {host}:{port} within {within:.3g} s") from None
+        raise RequestNotSent(f"no connection to {host}:{port} within {within:.3g} s") from None
     except (OSError, anyio.BrokenResourceError, anyio.EndOfStream) as wrong:
-        raise NeverSent(f"no connection to {host}:{port}: {wrong or type(wrong).__name__}") from None
-    return Call(stream, f"{host}:{port}")
+        raise RequestNotSent(f"no connection to {host}:{port}: {wrong or type(wrong).__name__}") from None
+    return HttpClientConnection(stream, f"{host}:{port}")
 
 
 async def ask(
     host: str, port: int, method: str, target: str, headers=(), body: bytes = b"", within: float = 5.0, tls=None
-) -> Answered:
-    """One request on a connection of its own. Raises `NeverSent`, `Broken`, `TimeoutError`."""
+) -> HttpResponse:
+    """One request on a connection of its own. Raises `RequestNotSent`, `ConnectionBroken`, `TimeoutError`."""
     with anyio.fail_after(within):
         call = await connect(host, port, within, tls)
         try:
--- a/curlewshift/exchange/server.py
+++ b/curlewshift/exchange/server.py
@@ -55,7 +55,7 @@
 }
 
 
-class PeerGone(Exception):
+class PeerDisconnected(Exception):
     """The peer has closed or broken the connection."""
 
 
@@ -72,7 +72,7 @@
 
     __slots__ = ("always", "answered", "body", "headers", "line", "method", "path", "query", "target")
 
-    def __init__(self, line: Line, method: str, target: str, headers: dict[str, str], body: bytes):
+    def __init__(self, line: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes):
         self.line, self.method, self.target, self.headers, self.body = line, method, target, headers, body
         path, _, query = target.partition("?")
         self.path = path
@@ -82,7 +82,7 @@
         self.always: list[tuple[str, str]] = []
 
     async def answer(self, status: int, headers: list[tuple[str, str]] = (), body: bytes = b"") -> None:
-        """Raises `PeerGone`."""
+        """Raises `PeerDisconnected`."""
         self.answered = True
         await self.line.send_whole(status, [*self.always, *headers], body)
 
@@ -116,7 +116,7 @@
 Handler = Callable[[Exchange], Awaitable[None]]
 
 
-class Line:
+class HttpConnection:
     """One connection. `name` is the peer's address."""
 
     def __init__(self, stream: SocketStream, handler: Handler):
@@ -137,7 +137,7 @@
                 try:
                     while await self._serve_one():
                         pass
-                except (PeerGone, TimeoutError):
+                except (PeerDisconnected, TimeoutError):
                     pass
                 finally:
                     tasks.cancel_scope.cancel()
@@ -190,7 +190,7 @@
         while (event := self._event_here()) is h11.NEED_DATA:
             while not self.ahead:
                 if self.gone:
-                    raise PeerGone
+                    raise PeerDisconnected
                 self.more = anyio.Event()
                 await self.more.wait()
         return event
@@ -296,7 +296,7 @@
                 await self.stream.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError, TimeoutError):
             self._is_gone()
-            raise PeerGone from None
+            raise PeerDisconnected from None
 
     def drop(self) -> None:
         """Closed from this side, as nothing is asked on it."""
@@ -334,7 +334,7 @@
         listener = QuietListener(listener, tls, standard_compatible=False, handshake_timeout=HANDSHAKE_WITHIN)
 
     async def one(stream: SocketStream) -> None:
-        line = Line(stream, handler)
+        line = HttpConnection(stream, handler)
         if gate is not None:
             gate.opened(line)
         try:
--- a/curlewshift/exchange/tls.py
+++ b/curlewshift/exchange/tls.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 
-class BadCertificate(Exception):
+class InvalidCertificate(Exception):
     """A certificate, key or authority that cannot be used; the text names the file."""
 
 
@@ -20,13 +20,13 @@
         self.load()
 
     def load(self) -> None:
-        """Raises `BadCertificate`, and keeps what was in force. Connections that are up stay as they are."""
+        """Raises `InvalidCertificate`, and keeps what was in force. Connections that are up stay as they are."""
         try:
             # tried on another context first: a half-written pair must not end up in the one that serves
             ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER).load_cert_chain(self.certificate, self.key)
             self.context.load_cert_chain(self.certificate, self.key)
         except (OSError, ssl.SSLError) as wrong:
-            raise BadCertificate(f"{self.certificate} and {self.key}: {wrong}") from None
+            raise InvalidCertificate(f"{self.certificate} and {self.key}: {wrong}") from None
         self.stamp = self._now()
 
     def changed(self) -> bool:
@@ -40,11 +40,11 @@
 
 def client_context(authority: Path) -> ssl.SSLContext:
     """For the asking side: only what this authority has signed, for the very name that is asked. Raises
-    `BadCertificate`."""
+    `InvalidCertificate`."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
         context.load_verify_locations(authority)
     except (OSError, ssl.SSLError) as wrong:
-        raise BadCertificate(f"{authority}: {wrong}") from None
+        raise InvalidCertificate(f"{authority}: {wrong}") from None
     return context
--- a/curlewshift/experiments/experiment.py
+++ b/curlewshift/experiments/experiment.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from curlewshift.baselines.baselines import BASELINES
-from curlewshift.site.reading import Mistakes, read_xml
+from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.standins.script import EMULATED, Trouble, usual
 
 SCHEMA = Path(__file__).with_name("experiment.xsd")
@@ -52,7 +52,7 @@
 
 
 def read_experiment(path: Path | str) -> Experiment:
-    """Raises `Mistakes` with all that is wrong."""
+    """Raises `SiteErrors` with all that is wrong."""
     root = read_xml(path, SCHEMA)
     wrong: list[tuple[int, str]] = []
     factors: dict[str, list[str]] = {}
@@ -98,7 +98,7 @@
     if count > MOST_RUNS:
         wrong.append((root.sourceline, f"experiment: {count} runs are more than the {MOST_RUNS} that one may have"))
     if wrong:
-        raise Mistakes(path, wrong)
+        raise SiteErrors(path, wrong)
     return held
 
 
--- a/curlewshift/experiments/one_run.py
+++ b/curlewshift/experiments/one_run.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from curlewshift.baselines.baselines import BASELINES
-from curlewshift.emulator.queue import Runaway
+from curlewshift.emulator.queue import EventLimitExceeded
 from curlewshift.emulator.shared import Shares, usual_terms
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
@@ -62,7 +62,7 @@
     began = time.process_time()
     try:
         world.run()
-    except Runaway as runaway:
+    except EventLimitExceeded as runaway:
         return {"wrong": str(runaway)}
     cpu = time.process_time() - began
     figures = measured(world, cpu)
--- a/curlewshift/fault_injection/configuring.py
+++ b/curlewshift/fault_injection/configuring.py
@@ -15,7 +15,7 @@
 from lxml import etree
 
 from curlewshift.fault_injection.members import MemberProcess
-from curlewshift.fault_injection.processes import Child
+from curlewshift.fault_injection.processes import ChildProcess
 
 # Control machines get so long to come up (s), and a majority to take a version.
 START_WITHIN, PUT_WITHIN = 30.0, 8.0
@@ -62,7 +62,7 @@
         ]
         if self.day.sabotage in OF_MACHINES:
             arguments += ["--sabotage", self.day.sabotage]
-        self.child = Child(arguments, self.day.out / f"{self.name}.log")
+        self.child = ChildProcess(arguments, self.day.out / f"{self.name}.log")
         with anyio.move_on_after(START_WITHIN):
             while await self.ask({"do": "leases"}) is None:
                 await anyio.sleep(0.05)
--- a/curlewshift/fault_injection/fleet_cost.py
+++ b/curlewshift/fault_injection/fleet_cost.py
@@ -5,8 +5,8 @@
 import time
 
 from curlewshift.model import Package, Terms
-from curlewshift.session_core.server_list import Roster, Row
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.server_list import ServerEntry, ServerList
+from curlewshift.session_core.session_core import SessionCore
 
 SECOND = 1_000_000_000
 HOLDERS = 5
@@ -40,8 +40,8 @@
         outside.clock, 1, 0, 1, [package], True, SECOND // 2, 3, False, 2 * SECOND, 10 * SECOND, 0.5, 2.0, SECOND, None, 0.0, 0
     )
     titles = {f"t{n}": tuple(f"s{(n * 7 + k * 13) % fleet}" for k in range(HOLDERS)) for n in range(50)}
-    desk = Desk(outside, terms, Roster({"r": 1e9}, titles))
-    rows = [Row(f"m{n}", "on", SECOND, "z", f"r{n // 20}", 1e6, 1000, f"s{n}") for n in range(fleet)]
+    desk = SessionCore(outside, terms, ServerList({"r": 1e9}, titles))
+    rows = [ServerEntry(f"m{n}", "on", SECOND, "z", f"r{n // 20}", 1e6, 1000, f"s{n}") for n in range(fleet)]
     began = time.perf_counter_ns()
     desk.list_full("e", 1, rows)
     listed = time.perf_counter_ns() - began
--- a/curlewshift/fault_injection/flood.py
+++ b/curlewshift/fault_injection/flood.py
@@ -19,9 +19,9 @@
 
 import anyio
 
-from curlewshift.exchange.client import Broken, Call, NeverSent
+from curlewshift.exchange.client import ConnectionBroken, HttpClientConnection, RequestNotSent
 from curlewshift.fault_injection.joins import FINGERPRINT, SDP, all_listen, site_file
-from curlewshift.fault_injection.processes import Child, free_ports
+from curlewshift.fault_injection.processes import ChildProcess, free_ports
 from curlewshift.signalling.sdp import offer_text
 
 SERVERS = 4
@@ -40,7 +40,7 @@
     try:
         with anyio.fail_after(WITHIN):
             stream = await anyio.connect_tcp("127.0.0.1", port, local_host=address)
-            call = Call(stream, f"127.0.0.1:{port}")
+            call = HttpClientConnection(stream, f"127.0.0.1:{port}")
             offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
             answered = await call.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
             took = time.monotonic() - began
@@ -49,14 +49,14 @@
                 with anyio.move_on_after(0.02):
                     extra = await call.more()
                 await call.close()
-                call = Call(await anyio.connect_tcp("127.0.0.1", port, local_host=address), f"127.0.0.1:{port}")
+                call = HttpClientConnection(await anyio.connect_tcp("127.0.0.1", port, local_host=address), f"127.0.0.1:{port}")
                 await call.ask("DELETE", answered.headers["location"])
             return ("twice" if extra.startswith(b"HTTP/") else str(answered.status)), took
     except TimeoutError:
         return "no answer", time.monotonic() - began
-    except NeverSent:
+    except RequestNotSent:
         return "not taken", time.monotonic() - began
-    except (Broken, OSError, anyio.BrokenResourceError, anyio.EndOfStream):
+    except (ConnectionBroken, OSError, anyio.BrokenResourceError, anyio.EndOfStream):
         return "broke", time.monotonic() - began
     finally:
         if call is not None:
@@ -109,8 +109,8 @@
         ports = free_ports(SERVERS + 2, Random(os.getpid() + len(limits) + flood))
         site = site_file(folder / "site.xml", ports[0], ports[1], ports[2:], limits)
         log = folder / "log"
-        standin = Child(["standin", "server", str(site), "--setup-work", SETUP_MS], log)
-        front = Child(["front", str(site), "--seed", "1"], log, descriptors=DESCRIPTORS)
+        standin = ChildProcess(["standin", "server", str(site), "--setup-work", SETUP_MS], log)
+        front = ChildProcess(["front", str(site), "--seed", "1"], log, descriptors=DESCRIPTORS)
         sides = []
         try:
             await all_listen((ports[0], ports[2]), log)
--- a/curlewshift/fault_injection/joins.py
+++ b/curlewshift/fault_injection/joins.py
@@ -19,7 +19,7 @@
 
 from curlewshift.exchange.client import connect
 from curlewshift.exchange.tls import client_context
-from curlewshift.fault_injection.processes import Child, free_ports, listens
+from curlewshift.fault_injection.processes import ChildProcess, free_ports, listens
 from curlewshift.signalling.sdp import offer_text
 from curlewshift.site.authority import issue, make_authority
 
@@ -168,9 +168,9 @@
             )
         }
         log = folder / "log"
-        standin = Child(["standin", "server", str(sites["plain"]), "--setup-work", "0"], log)
+        standin = ChildProcess(["standin", "server", str(sites["plain"]), "--setup-work", "0"], log)
         plain, secure, busy, noted = (
-            Child(["front", str(sites[kind]), "--seed", "1", *more], log)
+            ChildProcess(["front", str(sites[kind]), "--seed", "1", *more], log)
             for kind, *more in (
                 ("plain",),
                 ("tls",),
--- a/curlewshift/fault_injection/limits_cost.py
+++ b/curlewshift/fault_injection/limits_cost.py
@@ -12,9 +12,9 @@
 
 from curlewshift.exchange.client import connect
 from curlewshift.fault_injection.joins import FINGERPRINT, SDP, SERVERS, all_listen, cpu_of, memory_of, site_file
-from curlewshift.fault_injection.processes import Child, free_ports
+from curlewshift.fault_injection.processes import ChildProcess, free_ports
 from curlewshift.limits.buckets import Buckets
-from curlewshift.limits.heavy import PLACES, Heavy
+from curlewshift.limits.heavy import PLACES, HeavyHitters
 from curlewshift.limits.prefixes import Prefixes
 from curlewshift.signalling.sdp import offer_text
 
@@ -54,10 +54,10 @@
         fronts, log = {}, folder / "log"
         for number, (way, limits) in enumerate(ways.items()):
             site_file(folder / f"{way}.xml", ports[number], ports[3], ports[4:], limits)
-        standin = Child(["standin", "server", str(folder / "join_bare.xml"), "--setup-work", "0"], log)
+        standin = ChildProcess(["standin", "server", str(folder / "join_bare.xml"), "--setup-work", "0"], log)
         try:
             for way in ways:
-                fronts[way] = Child(["front", str(folder / f"{way}.xml"), "--seed", "1"], log)
+                fronts[way] = ChildProcess(["front", str(folder / f"{way}.xml"), "--seed", "1"], log)
             await all_listen([*ports[:3], ports[4]], log)
             costs = {}
             for number, way in enumerate(ways):
@@ -103,7 +103,7 @@
         held[key] = held.get(key, 0) + 1
 
     return {
-        "sketch": _memory(lambda: Heavy(0), lambda held, number: held.add(_address(number), number)),
+        "sketch": _memory(lambda: HeavyHitters(0), lambda held, number: held.add(_address(number), number)),
         "buckets": _memory(lambda: Buckets(1.0, 2.0, 0), lambda held, number: held.take(_address(number), number)),
         "trie": _memory(lambda: Prefixes(1.0, 0), lambda held, number: held.source(_address(number), number)),
         "dictionary": _memory(dict, count),
@@ -112,7 +112,7 @@
 
 def sketch_error() -> dict:
     """A tenth of a million requests: twenty heavy sources by a skewed law, the rest seen once."""
-    chance, heavy, exact = Random(1), Heavy(0), Counter()
+    chance, heavy, exact = Random(1), HeavyHitters(0), Counter()
     weights = [1 / rank for rank in range(1, 21)]
     for number in range(100_000):
         key = f"heavy {chance.choices(range(20), weights)[0]}" if chance.random() < 0.5 else f"one-off {number}"
--- a/curlewshift/fault_injection/members.py
+++ b/curlewshift/fault_injection/members.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from curlewshift.fault_injection.processes import Child
+from curlewshift.fault_injection.processes import ChildProcess
 from curlewshift.front.control import tell
 
 
@@ -15,7 +15,7 @@
 
     def __init__(self, day, number: int, name: str):
         self.day, self.number, self.name, self.lives = day, number, name, 0
-        self.child: Child | None = None
+        self.child: ChildProcess | None = None
         self.state = day.out / name
         self.state.mkdir(exist_ok=True)
 
--- a/curlewshift/fault_injection/node_planted_faults.py
+++ b/curlewshift/fault_injection/node_planted_faults.py
@@ -7,10 +7,10 @@
 
 from curlewshift.node import __main__ as start
 from curlewshift.node import node
-from curlewshift.node.client_listener import Door, rtsp
+from curlewshift.node.client_listener import ClientListener, rtsp
 
 
-class DeafToEnds(Door):
+class DeafToEnds(ClientListener):
     """Takes the end of a connection for nothing that its requests have to do with."""
 
     def _left(self, line):
@@ -22,7 +22,7 @@
         return asked is not None and not asked.line.wire.gone and super().read_first(name, then)
 
 
-class DeafToCancels(Door):
+class DeafToCancels(ClientListener):
     """Takes a cancel, and forgets it."""
 
     def _torn_down(self, line, name, number, message):
@@ -41,8 +41,8 @@
 
 
 FAULTS = {
-    "deaf-to-ends": lambda: setattr(node, "Door", DeafToEnds),
-    "deaf-to-cancels": lambda: setattr(node, "Door", DeafToCancels),
+    "deaf-to-ends": lambda: setattr(node, "ClientListener", DeafToEnds),
+    "deaf-to-cancels": lambda: setattr(node, "ClientListener", DeafToCancels),
     "deaf-to-leaving": lambda: setattr(node, "Node", DeafNode),
 }
 
--- a/curlewshift/fault_injection/peers_cost.py
+++ b/curlewshift/fault_injection/peers_cost.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from curlewshift.fault_injection.joins import SITE, all_listen, memory_of, one_way
-from curlewshift.fault_injection.processes import Child, free_ports
+from curlewshift.fault_injection.processes import ChildProcess, free_ports
 
 FRONTS, SERVERS, TURNS = 8, 4, 6
 
@@ -44,9 +44,9 @@
             for way, (fronts, peers) in ways.items():
                 site = _site(folder / f"{way}.xml", fronts, peers, list_port, servers)
                 if not children:
-                    children.append(Child(["standin", "server", str(site), "--setup-work", "0"], log))
+                    children.append(ChildProcess(["standin", "server", str(site), "--setup-work", "0"], log))
                     await all_listen([list_port], log)
-                children += [Child(["front", str(site), "--name", f"f{n}", "--seed", "1"], log) for n in range(FRONTS)]
+                children += [ChildProcess(["front", str(site), "--name", f"f{n}", "--seed", "1"], log) for n in range(FRONTS)]
                 await all_listen(fronts, log)
             first = {"alone": children[1], "peers": children[1 + FRONTS]}
             turns: dict[str, list[dict]] = {way: [] for way in ways}
--- a/curlewshift/fault_injection/processes.py
+++ b/curlewshift/fault_injection/processes.py
@@ -40,7 +40,7 @@
     raise OSError("no loopback port is free")
 
 
-class Child:
+class ChildProcess:
     """One process of this program. `log` takes its standard error."""
 
     def __init__(self, arguments: list[str], log: Path, talks: bool = False, descriptors: int = 0):
--- a/curlewshift/fault_injection/recovery_cost.py
+++ b/curlewshift/fault_injection/recovery_cost.py
@@ -29,7 +29,7 @@
 from curlewshift.standins.server import MediaServer, Session
 from curlewshift.standins.traffic import Traffic
 from curlewshift.state.journal import Journal
-from curlewshift.state.session_registry import Book, Remembered
+from curlewshift.state.session_registry import SessionRegistry, StoredSession
 
 SERVERS = 8
 SIZES = (100, 1000, 3000, 10_000)
@@ -47,7 +47,7 @@
 async def _measured(site, state: Path, sessions: int) -> dict:
     state.mkdir()
     chance, traffic, uplink = Random(1), Traffic(None), Uplink(9e6)
-    book, journal = Book(), Journal(state / "sessions.log")
+    book, journal = SessionRegistry(), Journal(state / "sessions.log")
     async with anyio.create_task_group() as tasks:
         for number, machine in enumerate(site.machines):
             link = LinkModel(machine.link, uplink)
@@ -69,7 +69,7 @@
                 # on the highest rung that its viewer allows: what may climb does so at the first tick, all together
                 journal.add(
                     book.began(
-                        Remembered(
+                        StoredSession(
                             f"token-{index}",
                             None,
                             f"key-{index}",
--- a/curlewshift/fault_injection/rehearse.py
+++ b/curlewshift/fault_injection/rehearse.py
@@ -17,7 +17,7 @@
 from curlewshift.capture.store import read_capture
 from curlewshift.fault_injection.configuring import OF_MACHINES, Configuring
 from curlewshift.fault_injection.members import MemberProcess
-from curlewshift.fault_injection.processes import Child, free_ports, listens
+from curlewshift.fault_injection.processes import ChildProcess, free_ports, listens
 from curlewshift.front.control import tell
 from curlewshift.site.site import Site
 from curlewshift.standins.script import OF_FRONTS, Announced, Script, Trouble
@@ -90,7 +90,7 @@
 class FrontProcess(MemberProcess):
     """One front over its lives."""
 
-    def __init__(self, day: Rehearsal, number: int, port: int):
+    def __init__(self, day: FaultInjectionRun, number: int, port: int):
         super().__init__(day, number, day.script.site.doors[number].name)
         self.port = port
 
@@ -117,12 +117,12 @@
             arguments += ["--led"]
         if self.day.sabotage and self.day.sabotage not in OF_MACHINES:
             arguments += ["--sabotage", self.day.sabotage]
-        self.child = Child(arguments, self.day.out / f"{self.name}.log")
+        self.child = ChildProcess(arguments, self.day.out / f"{self.name}.log")
         if not await listens(self.port, START_WITHIN):
             raise StartFailed(f"front {self.name} does not listen; see {self.day.out / (self.name + '.log')}")
 
 
-class Rehearsal:
+class FaultInjectionRun:
     """`progress(done, of)` is told seconds of the day."""
 
     def __init__(
@@ -147,8 +147,8 @@
         self.traffic = Traffic(out / "viewers.jsonl")
         self.fronts: list[FrontProcess] = []
         self.configuring = Configuring(self) if script.site.configuration is not None else None
-        self.fleet: Child | None = None
-        self.relay: Child | None = None
+        self.fleet: ChildProcess | None = None
+        self.relay: ChildProcess | None = None
 
     async def run(self) -> dict:
         """The verdict, which is written to the folder too. Raises `StartFailed`."""
@@ -223,14 +223,14 @@
                 await child.ended()
 
     async def _start_fleet(self) -> int:
-        self.fleet = Child(
+        self.fleet = ChildProcess(
             ["standin", "fleet", str(self.script_path), "--traffic", str(self.out / "servers.jsonl"), "--seed", str(self.seed)],
             self.out / "fleet.log",
             talks=True,
         )
         return int((await self._first_line(self.fleet, "the stand-in servers", "fleet.log"))["list"])
 
-    async def _first_line(self, child: Child, what: str, log: str) -> dict:
+    async def _first_line(self, child: ChildProcess, what: str, log: str) -> dict:
         with anyio.move_on_after(START_WITHIN):
             line = await anyio.to_thread.run_sync(child.process.stdout.readline, abandon_on_cancel=True)
             if line.strip():
@@ -244,7 +244,7 @@
         doors = [*site.doors, *(site.control.machines if site.control is not None else [])]
         ports = free_ports(len(doors), Random(os.getpid() + 1), socket.SOCK_DGRAM)
         named = [f"--front={door.name}={port}" for door, port in zip(doors, ports)]
-        self.relay = Child(
+        self.relay = ChildProcess(
             [
                 "standin",
                 "relay",
--- a/curlewshift/front/begun.py
+++ b/curlewshift/front/begun.py
@@ -10,8 +10,8 @@
 
 from curlewshift.distribution.copy import Copy
 from curlewshift.distribution.versions import NONE, Version
-from curlewshift.site.changes import NeedsRestart, refusals, unalike
-from curlewshift.site.reading import Mistakes, read_xml
+from curlewshift.site.changes import RestartRequired, refusals, unalike
+from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.site.site import SCHEMA, Site, read_site, site_of
 from curlewshift.state.configured import Record
 
@@ -49,7 +49,7 @@
     def check_configuration(self, content: bytes) -> str | None:
         try:
             self.site = read_site(self.path, content)
-        except Mistakes as wrong:
+        except SiteErrors as wrong:
             return told(self.path, wrong)
         return None
 
@@ -90,7 +90,7 @@
     return Begun(path, reading.site, "disk", "", copy.version, raw)
 
 
-def told(path: Path, mistakes: Mistakes) -> str:
+def told(path: Path, mistakes: SiteErrors) -> str:
     """The mistakes of a site file in one line, the first few of them."""
     lines = [f"{path.name}:{line}: {wrong}" for line, wrong in mistakes.found]
     more = [f"and {len(lines) - MOST_TOLD} more"] if len(lines) > MOST_TOLD else []
@@ -98,10 +98,10 @@
 
 
 def checked(path: Path, running: Site, content: bytes) -> Site:
-    """The site of this content, fit to take the place of the running one. Raises `Mistakes`."""
+    """The site of this content, fit to take the place of the running one. Raises `SiteErrors`."""
     root = read_xml(path, SCHEMA, content)
     site = site_of(path, root)
     wrong = refusals(running, site, root)
     if wrong:
-        raise (Mistakes if unalike(running, site, root) else NeedsRestart)(path, wrong)
+        raise (SiteErrors if unalike(running, site, root) else RestartRequired)(path, wrong)
     return site
--- a/curlewshift/front/configured.py
+++ b/curlewshift/front/configured.py
@@ -15,8 +15,8 @@
 from curlewshift.distribution.versions import NONE
 from curlewshift.front.begun import NEXT, NOW, Begun, checked, told
 from curlewshift.front.in_service import Swap, in_service
-from curlewshift.site.changes import OF_PACKAGES, NeedsRestart
-from curlewshift.site.reading import Mistakes
+from curlewshift.site.changes import OF_PACKAGES, RestartRequired
+from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import Site
 from curlewshift.state.configured import Record
 
@@ -67,10 +67,10 @@
     def check_configuration(self, content: bytes) -> str | None:
         try:
             self.last_checked = content, self.checked(self.begun.path, self.front.site, content)
-        except NeedsRestart as wrong:
+        except RestartRequired as wrong:
             self._keep_for_next_start(content)
             return told(self.begun.path, wrong)
-        except Mistakes as wrong:
+        except SiteErrors as wrong:
             return told(self.begun.path, wrong)
         return None
 
--- a/curlewshift/front/control.py
+++ b/curlewshift/front/control.py
@@ -18,8 +18,8 @@
 from anyio import TASK_STATUS_IGNORED
 from anyio.abc import SocketAttribute
 
-from curlewshift.peaks.calendar import Nonsense, Peak
-from curlewshift.schedule.clock import LedClock
+from curlewshift.peaks.calendar import InvalidPeak, Peak
+from curlewshift.schedule.clock import SkewedClock
 
 MOST_BYTES = 64 * 1024
 WITHIN = 5.0
@@ -111,17 +111,17 @@
             if command.do == "stop-in-act":
                 return self._stop_in_act()
             if not command.why.strip():
-                raise Nonsense("say why: it goes into the log with your name")
+                raise InvalidPeak("say why: it goes into the log with your name")
             if command.do == "release":
                 return self._release(command, who)
             if command.do == "announce":
                 return await self._announce(command, who)
             if command.do == "cancel":
                 return await self._cancel(command, who)
-            raise Nonsense(f"there is no command {command.do!r}")
+            raise InvalidPeak(f"there is no command {command.do!r}")
         except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
             return {"ok": False, "wrong": f"this is no command: {wrong}"}
-        except (Nonsense, sqlite3.Error) as wrong:
+        except (InvalidPeak, sqlite3.Error) as wrong:
             self.front.log.info("control-refused", who=who, cause=str(wrong))
             return {"ok": False, "wrong": str(wrong)}
 
@@ -129,7 +129,7 @@
         try:
             peak = msgspec.convert({**command.peak, "who": who, "why": command.why}, Peak)
         except msgspec.ValidationError as wrong:
-            raise Nonsense(f"this is no peak: {wrong}") from None
+            raise InvalidPeak(f"this is no peak: {wrong}") from None
         self.front.desk.announce(peak)
         try:
             await anyio.to_thread.run_sync(self.store.announced, peak, self.front.wall())
@@ -142,7 +142,7 @@
 
     async def _cancel(self, command: Command, who: str) -> dict:
         if command.name not in self.front.calendar.peaks:
-            raise Nonsense(f"there is no peak {command.name!r}")
+            raise InvalidPeak(f"there is no peak {command.name!r}")
         await anyio.to_thread.run_sync(self.store.cancelled, command.name, self.front.wall(), who, command.why)
         if command.name in self.front.calendar.peaks:
             self.front.desk.cancel(command.name)
@@ -150,15 +150,15 @@
         return {"ok": True}
 
     def _lead(self, command: Command) -> dict:
-        if not isinstance(self.front.clock, LedClock):
-            raise Nonsense("this front's clock is not to be led")
+        if not isinstance(self.front.clock, SkewedClock):
+            raise InvalidPeak("this front's clock is not to be led")
         self.front.clock.lead(command.rate, command.step)
         self.front.log.info("clock-led", rate=command.rate, step_s=command.step / 1e9)
         return {"ok": True}
 
     def _lose_path(self, command: Command) -> dict:
         if not hasattr(self.front.reach, "lost"):
-            raise Nonsense("this front's path is not to be led")
+            raise InvalidPeak("this front's path is not to be led")
         self.front.reach.lost = command.lost
         self.front.log.info("path-led", lost=command.lost)
         return {"ok": True}
@@ -166,14 +166,14 @@
     def _stop_in_act(self) -> dict:
         """The process stops itself between its next look at a lease and the act that follows; who asked has to let it go on."""
         if not hasattr(self.front.reach, "stops_in_act"):
-            raise Nonsense("this front is not to be stopped in an act")
+            raise InvalidPeak("this front is not to be stopped in an act")
         self.front.reach.stops_in_act = True
         return {"ok": True}
 
     def _release(self, command: Command, who: str) -> dict:
         leased = self.front.leased
         if leased is None or command.name not in {row["lease"] for row in leased.show()["leases"]}:
-            raise Nonsense(f"there is no lease {command.name!r} here")
+            raise InvalidPeak(f"there is no lease {command.name!r} here")
         leased.tasks.release(command.name)
         self.front.log.info("lease-released", lease=command.name, who=who, cause=command.why)
         return {"ok": True}
--- a/curlewshift/front/followers.py
+++ b/curlewshift/front/followers.py
@@ -6,12 +6,12 @@
 
 import anyio
 
-from curlewshift.exchange.client import Broken, Call, NeverSent, connect
+from curlewshift.exchange.client import ConnectionBroken, HttpClientConnection, RequestNotSent, connect
 from curlewshift.front.kept import KeptList
 from curlewshift.model import Server
-from curlewshift.session_core.server_list import Row
-from curlewshift.session_core.session_core import Desk
-from curlewshift.signalling.bodies import BadBody, ListNews, ListRow, Note, decode
+from curlewshift.session_core.server_list import ServerEntry
+from curlewshift.session_core.session_core import SessionCore
+from curlewshift.signalling.bodies import InvalidBody, ListNews, ListRow, Note, decode
 from curlewshift.signalling.events import Event, Reader, TooLong
 from curlewshift.site.site import host_port
 
@@ -24,9 +24,9 @@
 QUIET_FOR = 10.0
 
 
-def row_of(row: ListRow) -> Row:
+def row_of(row: ListRow) -> ServerEntry:
     """A row of the list as the roster wants it."""
-    return Row(row.server, row.state, row.started_ms * MS, row.zone, row.rack, row.link, row.streams, row.shelf)
+    return ServerEntry(row.server, row.state, row.started_ms * MS, row.zone, row.rack, row.link, row.streams, row.shelf)
 
 
 class Stream:
@@ -36,7 +36,7 @@
         self.host, self.port, self.target, self.chance, self.tls = host, port, target, chance, tls
         self.last_id: str | None = None
         self.refused = False
-        self.call: Call | None = None
+        self.call: HttpClientConnection | None = None
 
     async def events(self):
         """Yields `Event`, and None each time the stream has broken or could not be had; `refused` tells which."""
@@ -51,9 +51,9 @@
                         yield event
                 finally:
                     await self.call.close()
-            except NeverSent:
+            except RequestNotSent:
                 self.refused = True
-            except (Broken, TooLong, TimeoutError):
+            except (ConnectionBroken, TooLong, TimeoutError):
                 self.refused = False
             if opened or self.refused:
                 yield None
@@ -66,14 +66,14 @@
         if self.call is not None:
             self.call.cut()
 
-    async def _read(self, call: Call):
+    async def _read(self, call: HttpClientConnection):
         headers = [("accept", "text/event-stream")]
         if self.last_id is not None:
             headers.append(("last-event-id", self.last_id))
         with anyio.fail_after(QUIET_FOR):
             answered = await call.begin("GET", self.target, headers)
         if answered.status != 200:
-            raise Broken(f"answered {answered.status}")
+            raise ConnectionBroken(f"answered {answered.status}")
         reader, pieces = Reader(), call.pieces()
         while True:
             with anyio.fail_after(QUIET_FOR):
@@ -89,7 +89,7 @@
 class ListFollower:
     """`on_news(epoch, generation, news)`, if set, hears of what was read here."""
 
-    def __init__(self, desk: Desk, host: str, port: int, name: str, kept: KeptList | None, chance: Random, log, on_list):
+    def __init__(self, desk: SessionCore, host: str, port: int, name: str, kept: KeptList | None, chance: Random, log, on_list):
         self.desk, self.kept, self.log, self.on_list = desk, kept, log, on_list
         self.stream = Stream(host, port, f"/list?front={name}", chance)
         self.on_news = None
@@ -118,7 +118,7 @@
     def _take(self, event: Event) -> None:
         try:
             news = decode(event.data, ListNews)
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             self.log.warning("list-unreadable", cause=str(wrong))
             self.stream.afresh()
             return
@@ -143,7 +143,7 @@
 class NotesFollower:
     """The notes of one server. Which of its lives speaks, it says first; another one means that nothing plays."""
 
-    def __init__(self, desk: Desk, server: Server, front: str, chance: Random, log, course_of, tls=None, on_boot=None):
+    def __init__(self, desk: SessionCore, server: Server, front: str, chance: Random, log, course_of, tls=None, on_boot=None):
         self.on_boot = on_boot
         self.desk, self.server, self.log, self.course_of = desk, server, log, course_of
         self.stream = Stream(*host_port(server.name), f"/notes?front={front}", chance, tls)
@@ -170,7 +170,7 @@
     def _take(self, event: Event) -> None:
         try:
             note = decode(event.data, Note)
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             self.log.warning("note-unreadable", server=self.server.name, cause=str(wrong))
             return
         if event.kind == "hello":
--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -13,41 +13,41 @@
 from curlewshift.capture.store import CaptureWriter
 from curlewshift.capture.tap import tapped
 from curlewshift.exchange.server import serve
-from curlewshift.exchange.tls import BadCertificate, ServerTls, client_context
+from curlewshift.exchange.tls import InvalidCertificate, ServerTls, client_context
 from curlewshift.front.begun import Begun
 from curlewshift.front.configured import Configured
 from curlewshift.front.control import Control
 from curlewshift.front.followers import ListFollower, NotesFollower, row_of
-from curlewshift.front.http_listener import Door
+from curlewshift.front.http_listener import HttpListener
 from curlewshift.front.kept import KeptList, KeptShared
-from curlewshift.front.server_pool import Reach, Session, doubt_mark
-from curlewshift.front.session_writer import Keeper
+from curlewshift.front.server_pool import ServerPool, Session, doubt_mark
+from curlewshift.front.session_writer import SessionWriter
 from curlewshift.limits.admission import Admission
-from curlewshift.limits.descriptors import Gate
-from curlewshift.limits.permits import BadKeys, Permits, read_keys
+from curlewshift.limits.descriptors import DescriptorGate
+from curlewshift.limits.permits import InvalidKeySet, Permits, read_keys
 from curlewshift.model import Server
-from curlewshift.peaks.calendar import Calendar, Nonsense
+from curlewshift.peaks.calendar import Calendar, InvalidPeak
 from curlewshift.peering.distributed import DistributionWire
 from curlewshift.peering.leased import LeaseWire
 from curlewshift.peering.overloaded import OverloadWire
 from curlewshift.peering.shared import SharedWire
 from curlewshift.peering.wire import PeerWire
-from curlewshift.recovery.recovery import Doubt, Found, Recovery, recovery_of
-from curlewshift.retries.session_ends import Ending
+from curlewshift.recovery.recovery import InterruptedSetup, ListedSession, Recovery, recovery_of
+from curlewshift.retries.session_ends import SessionEnd
 from curlewshift.schedule.background import Background, Job
-from curlewshift.schedule.clock import Clock, LedClock
-from curlewshift.schedule.waking import Waking
-from curlewshift.session_core.front_session import Answer, Course, Kind, Request, TuneIn
+from curlewshift.schedule.clock import Clock, SkewedClock
+from curlewshift.schedule.waking import WakeupTimer
+from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
 from curlewshift.session_core.offer import Offer
-from curlewshift.session_core.server_commands import Errand
-from curlewshift.session_core.server_list import Roster
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.server_commands import ServerCommand
+from curlewshift.session_core.server_list import ServerList
+from curlewshift.session_core.session_core import SessionCore
 from curlewshift.site.places import distribution_of, places_of
 from curlewshift.site.site import Site
 from curlewshift.state.intents import Intents
 from curlewshift.state.journal import Journal, Lock
 from curlewshift.state.peaks import PeakStore
-from curlewshift.state.session_registry import Book, Remembered
+from curlewshift.state.session_registry import SessionRegistry, StoredSession
 
 NS = 1_000_000_000
 # A front that shares hears from its peers for so long at the most before its door opens (s).
@@ -69,7 +69,7 @@
 class Front:
     """Made for the number-th front of the site. `name` tells servers and list which life of which front speaks."""
 
-    reach_class = Reach
+    reach_class = ServerPool
     peers_class = PeerWire
     shared_class = SharedWire
     leased_class = LeaseWire
@@ -85,7 +85,7 @@
         state: Path | None,
         log,
         life: str = "",
-        desk: type[Desk] = Desk,
+        desk: type[SessionCore] = SessionCore,
         capture: Path | None = None,
         led: bool = False,
         begun: Begun | None = None,
@@ -93,11 +93,11 @@
     ):
         self.site, self.log = site, log
         self.door_at = site.doors[number]
-        self.clock = LedClock() if led else Clock()
-        if led and self.reach_class is Reach:
-            from curlewshift.front.led import LedReach
+        self.clock = SkewedClock() if led else Clock()
+        if led and self.reach_class is ServerPool:
+            from curlewshift.front.led import LedServerPool
 
-            self.reach_class = LedReach
+            self.reach_class = LedServerPool
         self.name = life or f"{self.door_at.name}.{self.clock.now() // 1_000_000 % 10**9}"
         self.chance = Random(seed)
         self.kept = KeptList(state / "list.json", log) if state else None
@@ -105,19 +105,19 @@
         self.permits = Permits(read_keys(site.token_keys.read_bytes())) if site.token_keys else None
         self.tls = ServerTls(*site.tls) if site.tls else None
         self.servers_tls = client_context(site.authority) if site.authority else None
-        self.door = Door(site, log, self.permits)
+        self.door = HttpListener(site, log, self.permits)
         self.door.now = self.clock.now
         self.keys_read = b""
-        self.gate = Gate(resource.getrlimit(resource.RLIMIT_NOFILE)[0], time.monotonic)
+        self.gate = DescriptorGate(resource.getrlimit(resource.RLIMIT_NOFILE)[0], time.monotonic)
         if site.limits is not None:
             self.door.admission = Admission(site.limits, self.chance.getrandbits(32), self.clock.now(), self.door.ticket_told)
-        self.waking = Waking(self.clock, lambda: self.desk.time())
+        self.waking = WakeupTimer(self.clock, lambda: self.desk.time())
         self.followed: dict[Server, anyio.CancelScope] = {}
         self.terms = site.terms(self.clock.now(), seed, number)
         self.calendar = Calendar(site.packages)
         self.control = None
         self.intents, self.journal = Intents(), None
-        self.keeper: Keeper | None = None
+        self.keeper: SessionWriter | None = None
         self.recovery: Recovery | None = None
         if state is not None:
             # one front a folder: two would each think the other's set-ups never happened
@@ -137,7 +137,7 @@
             desk = tapped(desk, self.capture.note)
         # the desk's first wake comes while it is made
         self.desk = desk(
-            self, self.terms, Roster(site.uplinks, site.titles), most_waiting=site.most_waiting, calendar=self.calendar, **how
+            self, self.terms, ServerList(site.uplinks, site.titles), most_waiting=site.most_waiting, calendar=self.calendar, **how
         )
         self.door.desk = self.desk
         self.peers: PeerWire | None = None
@@ -215,10 +215,10 @@
     def _open_book(self, journal: Journal) -> None:
         if journal.damage:
             self.log.error("sessions-damaged", cause=journal.damage)
-        book = Book()
+        book = SessionRegistry()
         book.restore(journal.records)
         journal.records = []
-        self.keeper = self.door.sessions.keeper = Keeper(book, journal, self.log)
+        self.keeper = self.door.sessions.keeper = SessionWriter(book, journal, self.log)
 
     def _recover(self) -> None:
         """What earlier lives left, before the door opens. Sessions first: a key whose session plays is in no doubt."""
@@ -257,7 +257,7 @@
     def adopt(self, server: Server, paths: list[str]) -> None:
         self.reach.adopt(server, paths, self.recovery)
 
-    def taken_up(self, one: Remembered, server: Server) -> Course:
+    def taken_up(self, one: StoredSession, server: Server) -> FrontSession:
         session = Session(one.path, one.answer, one.etag, one.ufrag)
         course = self.desk.handed_over(
             one.package,
@@ -272,10 +272,10 @@
         self.door.sessions.take_up(course, one.token, one.holder)
         return course
 
-    def session_of(self, found: Found, doubt: Doubt | None) -> Session:
+    def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> Session:
         return Session(found.path, found.answer, found.etag)
 
-    def forgotten(self, one: Remembered) -> None:
+    def forgotten(self, one: StoredSession) -> None:
         self.keeper.ended(one.token)
 
     def _take_calendar(self, store: PeakStore) -> None:
@@ -285,7 +285,7 @@
         for peak in store.read():
             try:
                 self.calendar.announce(peak, self.wall())
-            except Nonsense as wrong:
+            except InvalidPeak as wrong:
                 self.log.warning("peak-left-out", peak=peak.name, cause=str(wrong))
 
     async def run(self, ready=None) -> None:
@@ -432,7 +432,7 @@
             try:
                 self.tls.load()
                 self.log.info("renewed", what="certificate")
-            except BadCertificate as wrong:
+            except InvalidCertificate as wrong:
                 self.log.warning("not-renewed", what="certificate", cause=str(wrong))
         if self.permits is not None:
             try:
@@ -441,7 +441,7 @@
                     came, went = self.permits.replace(read_keys(raw))
                     self.keys_read = raw
                     self.log.info("renewed", what="keys", came=sorted(came), went=sorted(went))
-            except (OSError, BadKeys) as wrong:
+            except (OSError, InvalidKeySet) as wrong:
                 self.log.warning("not-renewed", what="keys", cause=str(wrong))
 
     # ---- servers of the list are listened to
@@ -478,7 +478,7 @@
                     self.log.error("fault", server=server.name, cause=repr(fault), exc_info=fault)
                     await anyio.sleep(SWEEP)
 
-    def _course_of(self, server: Server, path: str) -> Course | None:
+    def _course_of(self, server: Server, path: str) -> FrontSession | None:
         for vw in server.link.playing:
             course = self.desk.courses[vw]
             if course.session.path == path:
@@ -516,7 +516,7 @@
         self.log.info("withdrawn", viewing=tune_in.course.vw.name, server=tune_in.server.name, cause="its time is over")
         return self.reach.withdraw(tune_in)
 
-    def tell(self, errand: Errand) -> None:
+    def tell(self, errand: ServerCommand) -> None:
         vw = errand.course.vw
         if errand.rung is not None:
             self.log.info("rung", viewing=vw.name, server=vw.server.name, rung=errand.rung)
@@ -525,7 +525,7 @@
             self.log.info("patch", viewing=vw.name, server=vw.server.name)
         self.reach.tell(errand)
 
-    def end_session(self, ending: Ending) -> None:
+    def end_session(self, ending: SessionEnd) -> None:
         self.log.info("tear-down", server=ending.server.name, session=ending.session.path, number=ending.tries)
         self.reach.end_session(ending)
 
--- a/curlewshift/front/http_listener.py
+++ b/curlewshift/front/http_listener.py
@@ -9,16 +9,16 @@
 
 import anyio
 
-from curlewshift.exchange.server import Exchange, PeerGone
+from curlewshift.exchange.server import Exchange, PeerDisconnected
 from curlewshift.front.server_pool import SDP
-from curlewshift.front.sessions import EVENTS, LAYERS, PATCHES, PREFLIGHT, Sessions, Wrong
+from curlewshift.front.sessions import EVENTS, LAYERS, PATCHES, PREFLIGHT, RequestError, Sessions
 from curlewshift.limits.admission import Admission
-from curlewshift.limits.permits import NoPermit, Permit, Permits, allow
+from curlewshift.limits.permits import Permit, PermitDenied, Permits, allow
 from curlewshift.limits.queue import Ticket
-from curlewshift.session_core.front_session import Answer, Course, Kind, Request
+from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request
 from curlewshift.session_core.offer import Offer
-from curlewshift.session_core.session_core import Desk, Misuse, Unknown
-from curlewshift.signalling.sdp import PLAYS, PUBLISHES, BadDescription, checked_offer, identity
+from curlewshift.session_core.session_core import InvalidRequest, SessionCore, UnknownResource
+from curlewshift.signalling.sdp import PLAYS, PUBLISHES, InvalidDescription, checked_offer, identity
 from curlewshift.site.site import Site
 
 MS = 1_000_000
@@ -32,13 +32,13 @@
 ]
 
 
-class Door:
+class HttpListener:
     """`permits` is None where anyone may ask."""
 
     def __init__(self, site: Site, log, permits: Permits | None = None):
         self.way_back, self.log, self.permits = site.duties.way_back, log, permits
         self.published, self.ice_servers = site.published, site.ice_servers
-        self.desk: Desk | None = None
+        self.desk: SessionCore | None = None
         self.now = None
         self.waiters: dict[Request, anyio.Event] = {}
         self.sessions = Sessions(self, log)
@@ -57,7 +57,7 @@
         if waiter is not None:
             waiter.set()
 
-    def rung_changed(self, course: Course, rung: int) -> None:
+    def rung_changed(self, course: FrontSession, rung: int) -> None:
         self.sessions.rung_changed(course, rung)
 
     def sweep(self) -> None:
@@ -70,12 +70,12 @@
         exchange.always = CORS
         try:
             await self._serve(exchange)
-        except Wrong as wrong:
+        except RequestError as wrong:
             await exchange.problem(wrong.status, str(wrong), headers=wrong.headers, retry_after_ms=wrong.retry_after_ms)
-        except NoPermit as wrong:
+        except PermitDenied as wrong:
             await exchange.problem(wrong.status, str(wrong), headers=[("www-authenticate", wrong.challenge)])
-        except Misuse as wrong:
-            await exchange.problem(404 if isinstance(wrong, Unknown) else 422, str(wrong))
+        except InvalidRequest as wrong:
+            await exchange.problem(404 if isinstance(wrong, UnknownResource) else 422, str(wrong))
         finally:
             self.busy -= 1
 
@@ -86,14 +86,14 @@
         elif parts[0] == "session" and 2 <= len(parts) <= 4:
             await self.sessions.serve(exchange, parts[1], parts[2:])
         else:
-            raise Wrong(
+            raise RequestError(
                 404,
                 "there is nothing at this path; viewings are asked for at /whep/PACKAGE/TITLE and "
                 "published at /whip/PACKAGE/TITLE",
             )
 
     def permit(self, exchange: Exchange) -> Permit | None:
-        """Who asks, where tokens are asked for. Raises `NoPermit`."""
+        """Who asks, where tokens are asked for. Raises `PermitDenied`."""
         if self.permits is None:
             return None
         return self.permits.read(exchange.headers.get("authorization"), self.now())
@@ -104,7 +104,7 @@
             await exchange.answer(204, [("accept-post", SDP), ("allow", "OPTIONS, POST"), *PREFLIGHT, *self._ice()])
             return
         if exchange.method != "POST":
-            raise Wrong(405, "sessions are asked for by POST", [("allow", "OPTIONS, POST")])
+            raise RequestError(405, "sessions are asked for by POST", [("allow", "OPTIONS, POST")])
         permit = self.permit(exchange)
         if permit is not None:
             allow(permit, package, title, way == PUBLISHES, exchange.line.peer)
@@ -120,7 +120,7 @@
             self.admission.answered(ticket, self.now(), played)
 
     async def _admit(self, exchange: Exchange, permit: Permit | None, package: str) -> Ticket:
-        """A place for this request, perhaps after a wait. Raises `Wrong` with advice if there is none."""
+        """A place for this request, perhaps after a wait. Raises `RequestError` with advice if there is none."""
         ticket = self.admission.asked(
             exchange.line.peer,
             permit.holder if permit else None,
@@ -138,12 +138,12 @@
                 if ticket.state == "waiting" or exchange.line.gone:
                     self.admission.gave_up(ticket, self.now())
             if exchange.line.gone:
-                raise PeerGone
+                raise PeerDisconnected
         if ticket.state == "no":
             # RFC 6585, 4 for who asks too much; whoever only came at a full time is refused as ever
             status = 429 if ticket.limit else 503
             wait = str(-(-ticket.wait // NS))
-            raise Wrong(status, ticket.cause, [("retry-after", wait)], ticket.wait // MS)
+            raise RequestError(status, ticket.cause, [("retry-after", wait)], ticket.wait // MS)
         return ticket
 
     def ticket_told(self, ticket: Ticket) -> None:
@@ -154,15 +154,15 @@
     async def _taken(self, exchange: Exchange, way: str, package: str, title: str, permit: Permit | None) -> bool:
         """Whether it plays."""
         if exchange.headers.get("content-type", "").partition(";")[0].strip().lower() != SDP:
-            raise Wrong(415, f"sessions are asked for with an offer of type {SDP}", [("accept-post", SDP)])
+            raise RequestError(415, f"sessions are asked for with an offer of type {SDP}", [("accept-post", SDP)])
         if package in self.desk.packages and (package in self.published) != (way == PUBLISHES):
             other = PUBLISHES if way == PLAYS else PLAYS
-            raise Wrong(404, f"package {package!r} is asked for at /{other}/")
+            raise RequestError(404, f"package {package!r} is asked for at /{other}/")
         offer = self._offer(exchange, way)
         name, key = exchange.headers.get("x-request-id"), exchange.headers.get("idempotency-key")
         for what, value in (("X-Request-Id", name), ("Idempotency-Key", key)):
             if value is not None and not (0 < len(value) <= MOST_NAME and value.isprintable()):
-                raise Wrong(400, f"{what} has to be 1 to {MOST_NAME} printable characters")
+                raise RequestError(400, f"{what} has to be 1 to {MOST_NAME} printable characters")
         # Without a key the offer is one: its credentials are made anew for each session (RFC 8839, 5.4). A holder's
         # keys are its own, so that nobody gets at another's session by guessing one.
         mine = f"{permit.holder if permit else ''}\n{f'key {key}' if key else f'offer {way} {offer.identity}'}"
@@ -178,7 +178,7 @@
 
     def _shed(self, exchange: Exchange, package: str, title: str, permit: Permit | None, key: str) -> str:
         """By what name the viewing is known at every front, where fronts shed: what its client calls it, or who holds the permit.
-        Raises `Wrong` with advice if it is not let in. What is known by its key is in already, and goes round no more."""
+        Raises `RequestError` with advice if it is not let in. What is known by its key is in already, and goes round no more."""
         if self.sheds is None:
             return ""
         called = exchange.headers.get("x-viewing", "")[:MOST_NAME]
@@ -186,7 +186,9 @@
         if not self.desk.draining and not self.desk.knows(key):
             wait = self.sheds.asked(package, title, who)
             if wait:
-                raise Wrong(503, "more is asked for than there is room", [("retry-after", str(-(-wait // NS)))], wait // MS)
+                raise RequestError(
+                    503, "more is asked for than there is room", [("retry-after", str(-(-wait // NS)))], wait // MS
+                )
         return who
 
     def _offer(self, exchange: Exchange, way: str) -> Offer:
@@ -194,9 +196,9 @@
             text = exchange.body.decode("utf-8")
             checked = checked_offer(text, way)
         except UnicodeDecodeError:
-            raise Wrong(400, "the offer is not UTF-8 text") from None
-        except BadDescription as wrong:
-            raise Wrong(400, f"the offer: {wrong}") from None
+            raise RequestError(400, "the offer is not UTF-8 text") from None
+        except InvalidDescription as wrong:
+            raise RequestError(400, f"the offer: {wrong}") from None
         return Offer(identity(checked), text, way, checked.first("ice-ufrag", checked.media[0]))
 
     def _ceiling(self, exchange: Exchange) -> int | None:
@@ -204,7 +206,7 @@
         if top is None:
             return None
         if not top.isascii() or not top.isdigit() or len(top) > 3:
-            raise Wrong(400, f"top has to be the number of a rung, got {top[:20]!r}")
+            raise RequestError(400, f"top has to be the number of a rung, got {top[:20]!r}")
         return int(top)
 
     def _patience(self, exchange: Exchange, package: str) -> int:
@@ -232,7 +234,7 @@
                 self.desk.hung_up(request)
                 self.waiters.pop(request, None)
         if request.answer is None:
-            raise PeerGone
+            raise PeerDisconnected
         await self.write(exchange, request.answer, permit)
 
     async def write(self, exchange: Exchange, answer: Answer, permit: Permit | None = None) -> None:
@@ -245,7 +247,7 @@
         else:
             await exchange.problem(502, answer.cause)
 
-    async def _write_plays(self, exchange: Exchange, course: Course, permit: Permit | None) -> None:
+    async def _write_plays(self, exchange: Exchange, course: FrontSession, permit: Permit | None) -> None:
         path = self.sessions.path_of(course, permit)
         etag = [("etag", course.session.etag)] if course.session.etag else []
         links = [("link", f'<{path}/layer>; rel="{LAYERS}"'), ("link", f'<{path}/events>; rel="{EVENTS}"')]
--- a/curlewshift/front/in_service.py
+++ b/curlewshift/front/in_service.py
@@ -10,7 +10,7 @@
 
 from curlewshift.limits.buckets import Buckets
 from curlewshift.rules import COME_BACK
-from curlewshift.session_core.server_list import Roster, Title
+from curlewshift.session_core.server_list import ServerList, Title
 from curlewshift.site.changes import OF_PACKAGES
 from curlewshift.site.site import Site
 
@@ -102,7 +102,7 @@
     swap.set(admission.concurrency, "limit", min(admission.concurrency.limit, most))
 
 
-def _catalogue(roster: Roster, titles: dict[str, tuple[str, ...]], waited_for: set[str], swap: Swap) -> None:
+def _catalogue(roster: ServerList, titles: dict[str, tuple[str, ...]], waited_for: set[str], swap: Swap) -> None:
     """A title that is gone is not found by new requests; those that wait for it go on with its holders, as they are told of
     by the list. One that plays plays on."""
     on_shelf: dict[str, list[Title]] = {}
--- a/curlewshift/front/kept.py
+++ b/curlewshift/front/kept.py
@@ -8,7 +8,7 @@
 import anyio
 import msgspec
 
-from curlewshift.signalling.bodies import BadBody, ListNews, ListRow, decode, encode
+from curlewshift.signalling.bodies import InvalidBody, ListNews, ListRow, decode, encode
 
 # Between writings of what peers have told (s).
 SHARED_EVERY = 2.0
@@ -28,7 +28,7 @@
         """Empty if there is none, or none that can be read: a front can start without."""
         try:
             news = decode(self.path.read_bytes(), ListNews)
-        except (OSError, BadBody):
+        except (OSError, InvalidBody):
             return []
         self.rows = {row.server: row for row in news.servers}
         return news.servers
--- a/curlewshift/front/led.py
+++ b/curlewshift/front/led.py
@@ -9,17 +9,17 @@
 import os
 import signal
 
-from curlewshift.exchange.client import NeverSent
-from curlewshift.front.server_pool import Reach
+from curlewshift.exchange.client import RequestNotSent
+from curlewshift.front.server_pool import ServerPool
 from curlewshift.model import Outcome
 
 
-class LedReach(Reach):
+class LedServerPool(ServerPool):
     lost = stops_in_act = False
 
     async def _connection(self, server, within, fresh=False):
         if self.lost:
-            raise NeverSent("the path is led to be lost")
+            raise RequestNotSent("the path is led to be lost")
         return await super()._connection(server, within, fresh)
 
     async def _probe(self, server, fence, found=None):
--- a/curlewshift/front/planted_faults.py
+++ b/curlewshift/front/planted_faults.py
@@ -11,12 +11,12 @@
 from curlewshift.emulator.planted_shedding_faults import FAULTS as SHED_FAULTS
 from curlewshift.emulator.seat_histories import FAULTS as SEAT_FAULTS
 from curlewshift.front.front import Front
-from curlewshift.front.http_listener import Door
+from curlewshift.front.http_listener import HttpListener
 from curlewshift.front.planted_configuration_faults import FRONTS as CONFIGURATION_FAULTS
 from curlewshift.front.planted_configuration_faults import MACHINES as MACHINE_FAULTS
-from curlewshift.front.server_pool import Reach
-from curlewshift.leases.acceptor import Keeper
-from curlewshift.leases.proposer import Asker
+from curlewshift.front.server_pool import ServerPool
+from curlewshift.leases.acceptor import LeaseAcceptor
+from curlewshift.leases.proposer import LeaseProposer
 from curlewshift.membership.membership import Membership
 from curlewshift.model import Outcome
 from curlewshift.model_checker.budget_checker import FAULTS
@@ -26,7 +26,7 @@
 from curlewshift.peering.shared import SharedWire
 from curlewshift.peering.wire import PeerWire
 from curlewshift.rules import NEVER_RAN, Rules
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.session_core import SessionCore
 from curlewshift.sharing.evidence import Evidence
 from curlewshift.sharing.loans import Loans
 from curlewshift.sharing.sharing import Sharing
@@ -46,7 +46,7 @@
             super().answer(request, answer)
 
 
-class TwiceDoor(Door):
+class TwiceHttpListener(HttpListener):
     """Writes some answers a second time on the same connection."""
 
     count = 0
@@ -61,7 +61,7 @@
 class AnswerTwice(Front):
     def __init__(self, *args, **how):
         super().__init__(*args, **how)
-        self.door.__class__ = TwiceDoor
+        self.door.__class__ = TwiceHttpListener
 
 
 class ResendPaid(Rules):
@@ -85,12 +85,12 @@
         return True
 
 
-class StubbornDesk(Desk):
+class SessionCoreIgnoringLeavers(SessionCore):
     def stands(self, tune_in):
         return tune_in.outcome is None
 
 
-class DeafDesk(Desk):
+class DeafSessionCore(SessionCore):
     """Does not hear that a viewer has left."""
 
     def hung_up(self, request):
@@ -138,14 +138,14 @@
 
     @property
     def reach_class(self):
-        return WastefulReach
+        return WastefulServerPool
 
     def __init__(self, site, *args, **how):
         site.duties = replace(site.duties, free_further=None, most_tune_ins=50)
         super().__init__(site, *args, **how)
 
 
-class WastefulReach(Reach):
+class WastefulServerPool(ServerPool):
     """Takes one answer in two for none."""
 
     count = 0
@@ -158,7 +158,7 @@
             super()._judge(tune_in, answered)
 
 
-class DoubleReach(Reach):
+class DoubleServerPool(ServerPool):
     """Asks a second server along with the first, as one who wants to be quick might."""
 
     count = 0
@@ -180,10 +180,10 @@
 
 
 class DoubleTuneIn(Front):
-    reach_class = DoubleReach
+    reach_class = DoubleServerPool
 
 
-class LostTeardown(Desk):
+class LostTeardown(SessionCore):
     """Forgets the sessions that nobody was told of."""
 
     def __init__(self, *args, **how):
@@ -230,7 +230,7 @@
     return Spoilt
 
 
-def leasing(asker: type[Asker] = Asker, keeper: type[Keeper] = Keeper) -> type[Front]:
+def leasing(asker: type[LeaseProposer] = LeaseProposer, keeper: type[LeaseAcceptor] = LeaseAcceptor) -> type[Front]:
     """A front with this asker and this keeper of leases."""
 
     class Wire(LeaseWire):
@@ -289,8 +289,8 @@
         "lose-answer": lambda: LoseAnswer(*args, **how),
         "answer-twice": lambda: AnswerTwice(*args, **how),
         "resend-paid": lambda: Front(*args, **how, rules=ResendPaid),
-        "ignore-drain": lambda: Front(*args, **how, desk=StubbornDesk, rules=IgnoreDrain),
-        "deaf-to-leaving": lambda: Front(*args, **how, desk=DeafDesk),
+        "ignore-drain": lambda: Front(*args, **how, desk=SessionCoreIgnoringLeavers, rules=IgnoreDrain),
+        "deaf-to-leaving": lambda: Front(*args, **how, desk=DeafSessionCore),
         "push-cold": lambda: Front(*args, **how, rules=PushCold),
         "under-floor": lambda: UnderFloor(*args, **how),
         "over-seats": lambda: OverSeats(*args, **how),
--- a/curlewshift/front/server_pool.py
+++ b/curlewshift/front/server_pool.py
@@ -12,17 +12,17 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from curlewshift.exchange.client import Answered, Broken, Call, NeverSent, ask, connect
+from curlewshift.exchange.client import ConnectionBroken, HttpClientConnection, HttpResponse, RequestNotSent, ask, connect
 from curlewshift.model import Outcome, Server
-from curlewshift.recovery.recovery import Found, Recovery
-from curlewshift.retries.session_ends import Ending
+from curlewshift.recovery.recovery import ListedSession, Recovery
+from curlewshift.retries.session_ends import SessionEnd
 from curlewshift.session_core.front_session import TuneIn
-from curlewshift.session_core.server_commands import Errand, Result
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.server_commands import Result, ServerCommand
+from curlewshift.session_core.session_core import SessionCore
 from curlewshift.signalling.bodies import (
     PROBLEM_TYPE,
     TURNED_AWAY,
-    BadBody,
+    InvalidBody,
     LayerChoice,
     Problem,
     SessionList,
@@ -36,7 +36,7 @@
 from curlewshift.signalling.loads import HEADER, decode_load
 from curlewshift.site.site import host_port
 from curlewshift.state.intents import Intents, intent_of
-from curlewshift.state.journal import Journal, NotKept
+from curlewshift.state.journal import Journal, WriteFailed
 from curlewshift.state.setting_up import SEND, setting_up
 
 NS = 1_000_000_000
@@ -84,7 +84,7 @@
     """A tune-in under way."""
 
     scope: anyio.CancelScope
-    call: Call | None = None
+    call: HttpClientConnection | None = None
     # its connection has ended, or its answer has been read
     over: anyio.Event = field(default_factory=anyio.Event)
 
@@ -94,12 +94,12 @@
     return hashlib.sha256(key.encode()).hexdigest()[:32]
 
 
-class Reach:
+class ServerPool:
     steps = staticmethod(setting_up)
 
     def __init__(
         self,
-        desk: Desk,
+        desk: SessionCore,
         tasks: TaskGroup,
         name: str,
         most_connections: int,
@@ -116,7 +116,7 @@
         self.disk = anyio.CapacityLimiter(1)
         self.out: dict[TuneIn, Out] = {}
         self.connections: dict[Server, int] = {}
-        self.idle: dict[Server, list[Call]] = {}
+        self.idle: dict[Server, list[HttpClientConnection]] = {}
 
     # ---- tune-ins
 
@@ -157,10 +157,10 @@
                     answered = await self._ask(tune_in, call, request)
                     kept = self._keep(server, call)
                     self._judge(tune_in, answered)
-                except NeverSent as wrong:
+                except RequestNotSent as wrong:
                     self.log.info("not-reached", server=server.name, viewing=request, cause=str(wrong))
                     self._end(tune_in, Outcome.UNREACHED)
-                except Broken as wrong:
+                except ConnectionBroken as wrong:
                     self.log.info("broke", server=server.name, viewing=request, cause=str(wrong))
                     self.desk.failed(tune_in, Outcome.BROKEN)
                 except Exception as fault:
@@ -182,8 +182,8 @@
             if other is not tune_in and other.course is tune_in.course and other.server is tune_in.server:
                 await out.over.wait()
 
-    async def _connection(self, server: Server, within: float, fresh: bool = False) -> Call:
-        """One that is idle, or a new one within so many seconds. Raises `NeverSent`."""
+    async def _connection(self, server: Server, within: float, fresh: bool = False) -> HttpClientConnection:
+        """One that is idle, or a new one within so many seconds. Raises `RequestNotSent`."""
         idle = self.idle.get(server)
         while idle and not fresh:
             call = idle.pop()
@@ -191,7 +191,7 @@
                 return call
             await self._drop(server, call)
         if self.connections.get(server, 0) >= self.most_connections:
-            raise NeverSent(f"{self.most_connections} connections to this server are in use")
+            raise RequestNotSent(f"{self.most_connections} connections to this server are in use")
         self.connections[server] = self.connections.get(server, 0) + 1
         try:
             return await connect(*host_port(server.name), max(0.001, within), self.tls)
@@ -199,7 +199,7 @@
             self._count_down(server)
             raise
 
-    async def _ask(self, tune_in: TuneIn, call: Call, request: str) -> Answered:
+    async def _ask(self, tune_in: TuneIn, call: HttpClientConnection, request: str) -> HttpResponse:
         vw = tune_in.course.vw
         offer = tune_in.course.offer
         held = tune_in.course.held
@@ -212,7 +212,7 @@
             offer.text.encode() if offer else b"",
         )
 
-    def _judge(self, tune_in: TuneIn, answered: Answered) -> None:
+    def _judge(self, tune_in: TuneIn, answered: HttpResponse) -> None:
         report = decode_load(answered.headers.get(HEADER, ""))
         if answered.status == 201 and answered.headers.get("location", "").startswith("/"):
             session = Session(
@@ -240,7 +240,7 @@
                 kept = True
                 try:
                     await anyio.to_thread.run_sync(self.journal.add, record, True, limiter=self.disk)
-                except NotKept as wrong:
+                except WriteFailed as wrong:
                     self.log.error("intent-not-kept", server=tune_in.server.name, cause=str(wrong))
                     kept = False
                 what, record = steps.send(kept)
@@ -267,19 +267,19 @@
                     # what is open is asked for with the disk in hand: an intent that waits for it is in there
                     self.intents.forget(self.wall())
                     await anyio.to_thread.run_sync(self.journal.begin_anew, self.intents.anew())
-        except NotKept as wrong:
+        except WriteFailed as wrong:
             self.log.warning("end-not-kept", cause=str(wrong))
 
     # ---- connections
 
-    def _keep(self, server: Server, call: Call) -> bool:
+    def _keep(self, server: Server, call: HttpClientConnection) -> bool:
         idle = self.idle.setdefault(server, [])
         if len(idle) >= MOST_IDLE or call.http.our_state is not call.http.their_state:
             return False
         idle.append(call)
         return True
 
-    async def _drop(self, server: Server, call: Call) -> None:
+    async def _drop(self, server: Server, call: HttpClientConnection) -> None:
         self._count_down(server)
         await call.close()
 
@@ -301,11 +301,11 @@
 
     # ---- what no viewer waits for
 
-    def tell(self, errand: Errand) -> None:
+    def tell(self, errand: ServerCommand) -> None:
         vw = errand.course.vw
         self.tasks.start_soon(self._tell, errand, vw.server, errand.course.session)
 
-    async def _tell(self, errand: Errand, server: Server, session: Session) -> None:
+    async def _tell(self, errand: ServerCommand, server: Server, session: Session) -> None:
         if errand.rung is not None:
             answered = await self._call(server, "POST", session.path + "/layer", JSON, encode(LayerChoice(str(errand.rung))))
         else:
@@ -328,10 +328,10 @@
         done = Result.DONE if answered.status < 300 else Result.REFUSED
         self.desk.told_server(errand, done, Reply(answered.status, kept, answered.body))
 
-    def end_session(self, ending: Ending) -> None:
+    def end_session(self, ending: SessionEnd) -> None:
         self.tasks.start_soon(self._end_session, ending)
 
-    async def _end_session(self, ending: Ending) -> None:
+    async def _end_session(self, ending: SessionEnd) -> None:
         answered = await self._call(ending.server, "DELETE", ending.session.path)
         self.desk.session_ended(ending, answered is not None and answered.status < 500)
 
@@ -344,9 +344,9 @@
         headers = [("x-front", self.name), *([("x-fence", fence)] if fence else [])]
         try:
             answered = await ask(*host_port(server.name), "GET", "/load", headers, within=PATIENT, tls=self.tls)
-        except NeverSent:
+        except RequestNotSent:
             self.desk.probed(server, Outcome.UNREACHED)
-        except Broken:
+        except ConnectionBroken:
             self.desk.probed(server, Outcome.BROKEN)
         except TimeoutError:
             self.desk.probed(server, Outcome.SILENT)
@@ -369,7 +369,7 @@
             if answered is None or answered.status != 200:
                 return
             rows = decode(answered.body, SessionList).sessions
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             self.log.info("orphans-not-told", server=server.name, cause=str(wrong))
             return
         for row in rows:
@@ -387,16 +387,16 @@
         answered = await self._call(server, "GET", f"/sessions?front={self.name}")
         try:
             if answered is None or answered.status != 200:
-                raise BadBody("no list of sessions")
+                raise InvalidBody("no list of sessions")
             told = decode(answered.body, SessionList)
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             self.log.info("sessions-not-told", server=server.name, cause=str(wrong))
             recovery.unanswered(server)
             return
         recovery.listed(
             server,
             told.boot,
-            [Found(row.session, row.front, row.rung, row.viewing, row.etag, row.answer) for row in told.sessions],
+            [ListedSession(row.session, row.front, row.rung, row.viewing, row.etag, row.answer) for row in told.sessions],
         )
 
     def adopt(self, server: Server, paths: list[str], recovery: Recovery) -> None:
@@ -406,15 +406,15 @@
         answered = await self._call(server, "POST", "/sessions/adopt", JSON, encode(SessionNames(paths)))
         try:
             if answered is None or answered.status != 200:
-                raise BadBody("not adopted")
+                raise InvalidBody("not adopted")
             recovery.adopted(server, decode(answered.body, SessionNames).sessions)
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             self.log.info("not-adopted", server=server.name, cause=str(wrong))
             recovery.unanswered(server)
 
     async def _call(
         self, server: Server, method: str, path: str, headers: list[tuple[str, str]] = (), body: bytes = b""
-    ) -> Answered | None:
+    ) -> HttpResponse | None:
         call, kept = None, False
         try:
             with anyio.fail_after(PATIENT):
@@ -422,7 +422,7 @@
                 answered = await call.ask(method, path, [("x-front", self.name), *headers], body)
             kept = self._keep(server, call)
             return answered
-        except (NeverSent, Broken, TimeoutError) as wrong:
+        except (RequestNotSent, ConnectionBroken, TimeoutError) as wrong:
             self.log.info("not-told", server=server.name, what=f"{method} {path}", cause=str(wrong) or "no answer")
             return None
         finally:
@@ -442,8 +442,8 @@
     return Reply(status, [("content-type", PROBLEM_TYPE), *([("etag", session.etag)] if session.etag else [])], body)
 
 
-def _problem(answered: Answered) -> Problem:
+def _problem(answered: HttpResponse) -> Problem:
     try:
         return decode(answered.body, Problem)
-    except BadBody:
+    except InvalidBody:
         return Problem(title="", status=answered.status)
--- a/curlewshift/front/session_writer.py
+++ b/curlewshift/front/session_writer.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from curlewshift.session_core.front_session import Course
-from curlewshift.state.background_writer import Behind
-from curlewshift.state.journal import Journal, NotKept
-from curlewshift.state.session_registry import Book, remembered
+from curlewshift.session_core.front_session import FrontSession
+from curlewshift.state.background_writer import BackgroundWriter
+from curlewshift.state.journal import Journal, WriteFailed
+from curlewshift.state.session_registry import SessionRegistry, remembered
 
 # Records that may wait for a disk that stalls.
 MOST_WAITING = 100_000
@@ -17,15 +17,15 @@
 TOGETHER = 0.005
 
 
-class Keeper:
-    def __init__(self, book: Book, journal: Journal, log):
+class SessionWriter:
+    def __init__(self, book: SessionRegistry, journal: Journal, log):
         self.book, self.journal, self.log = book, journal, log
         self.over = False
-        self.behind = Behind(self._write, TOGETHER)
+        self.behind = BackgroundWriter(self._write, TOGETHER)
 
     # ---- what happens
 
-    def began(self, token: str, holder: str | None, course: Course) -> None:
+    def began(self, token: str, holder: str | None, course: FrontSession) -> None:
         session = course.session
         self._note(self.book.began(remembered(course, token, holder, session.path, session.etag, session.ufrag, session.answer)))
 
@@ -67,7 +67,7 @@
                     self.journal.begin_anew(records)
                 elif not self.over:
                     self.journal.add(records, False)
-        except NotKept as wrong:
+        except WriteFailed as wrong:
             self._end(str(wrong))
 
     def _end(self, why: str) -> None:
--- a/curlewshift/front/sessions.py
+++ b/curlewshift/front/sessions.py
@@ -8,16 +8,16 @@
 import anyio
 import msgspec
 
-from curlewshift.exchange.server import Exchange, PeerGone
+from curlewshift.exchange.server import Exchange, PeerDisconnected
 from curlewshift.front.server_pool import Patch
-from curlewshift.limits.permits import NoPermit, Permit
-from curlewshift.session_core.front_session import Course
-from curlewshift.session_core.server_commands import Errand, Result
-from curlewshift.signalling.bodies import BadBody, LayerChoice, decode
+from curlewshift.limits.permits import Permit, PermitDenied
+from curlewshift.session_core.front_session import FrontSession
+from curlewshift.session_core.server_commands import Result, ServerCommand
+from curlewshift.signalling.bodies import InvalidBody, LayerChoice, decode
 from curlewshift.signalling.events import CONTENT_TYPE, KEEP_ALIVE, Event, encode_event
 from curlewshift.signalling.fragments import CONTENT_TYPE as PATCHES
 from curlewshift.signalling.fragments import parse_fragment
-from curlewshift.signalling.sdp import BadDescription
+from curlewshift.signalling.sdp import InvalidDescription
 
 LAYERS = "urn:ietf:params:whep:ext:core:layer"
 EVENTS = "urn:ietf:params:whep:ext:core:server-sent-events"
@@ -38,7 +38,7 @@
 PATCH_WITHIN = 5.0
 
 
-class Wrong(Exception):
+class RequestError(Exception):
     """What a request did wrong, and the status that says so."""
 
     def __init__(self, status: int, detail: str, headers: list[tuple[str, str]] = (), retry_after_ms: int | None = None):
@@ -50,7 +50,7 @@
 class Held:
     """One session at the door. `streams` are its event streams by name: the kinds wanted and what has changed."""
 
-    course: Course
+    course: FrontSession
     token: str
     holder: str | None
     streams: dict[str, frozenset[str]] = field(default_factory=dict)
@@ -61,11 +61,11 @@
     def __init__(self, door, log):
         self.door, self.log = door, log
         self.by_token: dict[str, Held] = {}
-        self.by_course: dict[Course, Held] = {}
+        self.by_course: dict[FrontSession, Held] = {}
         # writes down what has to be known after a kill; None where nothing is kept
         self.keeper = None
 
-    def path_of(self, course: Course, permit: Permit | None) -> str:
+    def path_of(self, course: FrontSession, permit: Permit | None) -> str:
         held = self.by_course.get(course)
         if held is None:
             held = Held(course, secrets.token_urlsafe(16), permit.holder if permit else None)
@@ -74,11 +74,11 @@
                 self.keeper.began(held.token, held.holder, course)
         return f"/session/{held.token}"
 
-    def take_up(self, course: Course, token: str, holder: str | None) -> None:
+    def take_up(self, course: FrontSession, token: str, holder: str | None) -> None:
         """A session of an earlier life goes on at the address that its client has."""
         self.by_course[course] = self.by_token[token] = Held(course, token, holder)
 
-    def rung_changed(self, course: Course, rung: int) -> None:
+    def rung_changed(self, course: FrontSession, rung: int) -> None:
         held = self.by_course.get(course)
         if held is not None:
             if self.keeper is not None:
@@ -104,9 +104,9 @@
         permit = self.door.permit(exchange)
         held = self.by_token.get(token)
         if held is None or not held.course.vw.playing:
-            raise Wrong(404, "there is no such session here")
+            raise RequestError(404, "there is no such session here")
         if permit is not None and permit.holder != held.holder:
-            raise NoPermit(403, "insufficient_scope", "the session is another's")
+            raise PermitDenied(403, "insufficient_scope", "the session is another's")
         if not rest and exchange.method == "DELETE":
             self.log.info("closed", viewing=held.course.vw.name, cause="the viewer ended it")
             self.door.desk.closed(held.course)
@@ -121,23 +121,23 @@
             await self._stream(exchange, held, rest[1])
         else:
             # GET, HEAD and PUT of a session are for other versions of the papers (RFC 9725, 4.2)
-            raise Wrong(
+            raise RequestError(
                 405, "a session takes PATCH and DELETE, its layer and its events POST", [("allow", "OPTIONS, PATCH, DELETE")]
             )
 
     async def _patch(self, exchange: Exchange, held: Held) -> None:
         if exchange.headers.get("content-type", "").partition(";")[0].strip().lower() != PATCHES:
-            raise Wrong(415, f"a session is patched with {PATCHES}", [("accept-patch", PATCHES)])
+            raise RequestError(415, f"a session is patched with {PATCHES}", [("accept-patch", PATCHES)])
         try:
             fragment = parse_fragment(exchange.body.decode("utf-8"))
         except UnicodeDecodeError:
-            raise Wrong(400, "the fragment is not UTF-8 text") from None
-        except BadDescription as wrong:
-            raise Wrong(400, f"the fragment: {wrong}") from None
+            raise RequestError(400, "the fragment is not UTF-8 text") from None
+        except InvalidDescription as wrong:
+            raise RequestError(400, f"the fragment: {wrong}") from None
         ended = anyio.Event()
-        errands: list[Errand] = []
+        errands: list[ServerCommand] = []
 
-        def told(errand: Errand) -> None:
+        def told(errand: ServerCommand) -> None:
             errands.append(errand)
             if self.keeper is not None:
                 self.keeper.changed(held.token, etag=held.course.session.etag, ufrag=held.course.session.ufrag)
@@ -148,26 +148,26 @@
         with anyio.move_on_after(PATCH_WITHIN):
             await ended.wait()
         if exchange.line.gone:
-            raise PeerGone
+            raise PeerDisconnected
         await self._patched(exchange, errands[0] if errands else None)
 
-    async def _patched(self, exchange: Exchange, errand: Errand | None) -> None:
+    async def _patched(self, exchange: Exchange, errand: ServerCommand | None) -> None:
         if errand is not None and errand.reply is not None:
             await exchange.answer(errand.reply.status, errand.reply.headers, errand.reply.body)
         elif errand is not None and errand.result is Result.OVER:
-            raise Wrong(404, "the session has ended")
+            raise RequestError(404, "the session has ended")
         elif errand is not None and errand.result is Result.CROWDED:
-            raise Wrong(503, "too many changes of this session wait", [("retry-after", "1")])
+            raise RequestError(503, "too many changes of this session wait", [("retry-after", "1")])
         else:
-            raise Wrong(504, "the server of this session did not answer; the change may have been taken all the same")
+            raise RequestError(504, "the server of this session did not answer; the change may have been taken all the same")
 
     async def _layer(self, exchange: Exchange, held: Held) -> None:
         try:
             rung = decode(exchange.body, LayerChoice).encoding_id
-        except BadBody as wrong:
-            raise Wrong(400, str(wrong)) from None
+        except InvalidBody as wrong:
+            raise RequestError(400, str(wrong)) from None
         if not rung.isascii() or not rung.isdigit() or len(rung) > 3:
-            raise Wrong(400, f"encodingId has to be the number of a rung, got {rung[:20]!r}")
+            raise RequestError(400, f"encodingId has to be the number of a rung, got {rung[:20]!r}")
         self.door.desk.ceiling_told(held.course, int(rung))
         if self.keeper is not None:
             self.keeper.changed(held.token, ceiling=held.course.vw.ceiling)
@@ -178,10 +178,10 @@
     async def _subscribe(self, exchange: Exchange, held: Held) -> None:
         try:
             kinds = frozenset(decode(exchange.body or b"[]", list[str]))
-        except BadBody as wrong:
-            raise Wrong(400, str(wrong)) from None
+        except InvalidBody as wrong:
+            raise RequestError(400, str(wrong)) from None
         if len(held.streams) >= MOST_STREAMS:
-            raise Wrong(409, f"this session has {MOST_STREAMS} event streams")
+            raise RequestError(409, f"this session has {MOST_STREAMS} event streams")
         name = secrets.token_urlsafe(6)
         held.streams[name] = (kinds or frozenset(KNOWN_EVENTS)) & frozenset(KNOWN_EVENTS)
         await exchange.answer(201, [("location", f"/session/{held.token}/events/{name}")])
@@ -189,7 +189,7 @@
     async def _stream(self, exchange: Exchange, held: Held, name: str) -> None:
         kinds = held.streams.get(name)
         if kinds is None:
-            raise Wrong(404, "there is no such event stream")
+            raise RequestError(404, "there is no such event stream")
         piece = await exchange.start(200, [("content-type", CONTENT_TYPE)])
         try:
             if "active" in kinds:
--- a/curlewshift/leases/acceptor.py
+++ b/curlewshift/leases/acceptor.py
@@ -11,13 +11,13 @@
 
 from curlewshift.leases.ballots import NONE, Ballot
 from curlewshift.leases.terms import LeaseTerms
-from curlewshift.schedule.steady_clock import Steady
+from curlewshift.schedule.steady_clock import SteadyClock
 
 # Leases that one keeper knows; who asks for more is not answered.
 MOST = 8192
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def promise(self, asker: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None: ...
     def accept(self, asker: int, lease: str, ballot: Ballot) -> None: ...
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class AcceptedLease:
     """`fence` is the highest number that a tenure accepted here had; it outlasts the tenure."""
 
     promised: Ballot = NONE
@@ -35,13 +35,13 @@
     fence: int = 0
 
 
-class Keeper:
-    def __init__(self, outside: Outside, terms: LeaseTerms):
+class LeaseAcceptor:
+    def __init__(self, outside: Driver, terms: LeaseTerms):
         self.outside, self.terms = outside, terms
-        self.steady = Steady(outside.now(), terms.every)
+        self.steady = SteadyClock(outside.now(), terms.every)
         self.steady.due = self.steady.last + terms.every
         self.silent_until = self.steady.last + terms.kept
-        self.leases: dict[str, Kept] = {}
+        self.leases: dict[str, AcceptedLease] = {}
 
     def time(self) -> None:
         """Each `every`: between two of them nothing else tells a stall from time."""
@@ -75,20 +75,20 @@
         if kept is not None and kept.accepted == ballot and kept.holder == asker:
             kept.accepted, kept.holder, kept.until = NONE, -1, 0
 
-    def _heard(self, asker: int, lease: str, ballot: Ballot, now: int) -> Kept | None:
+    def _heard(self, asker: int, lease: str, ballot: Ballot, now: int) -> AcceptedLease | None:
         """What is kept of the lease; None if this word is not to be answered, or has been: a higher ballot came before it."""
         if now < self.silent_until:
             return None
         kept = self.leases.get(lease)
         if kept is None and len(self.leases) < MOST:
-            kept = self.leases[lease] = Kept()
+            kept = self.leases[lease] = AcceptedLease()
         if kept is not None and ballot < kept.promised:
             self.outside.outbid(asker, lease, ballot, kept.promised)
             return None
         return kept
 
     @staticmethod
-    def _let_go(kept: Kept, now: int) -> None:
+    def _let_go(kept: AcceptedLease, now: int) -> None:
         if kept.holder >= 0 and now >= kept.until:
             kept.accepted, kept.holder, kept.until = NONE, -1, 0
 
--- a/curlewshift/leases/proposer.py
+++ b/curlewshift/leases/proposer.py
@@ -14,7 +14,7 @@
 from curlewshift.leases.terms import LeaseTerms
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def wall(self) -> int: ...
     def prepare(self, keeper: int, lease: str, ballot: Ballot) -> None: ...
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class LeaseView:
     """What is known of one lease. `until` is 0 while it is not held; `asked_at` is when the try under way began."""
 
     wanted: bool = True
@@ -44,14 +44,14 @@
     next_at: int = 0
 
 
-class Asker:
+class LeaseProposer:
     """`me` is this front's number, `life` its life; `keepers` are numbers of fronts."""
 
-    def __init__(self, outside: Outside, me: int, life: int, keepers: list[int], terms: LeaseTerms, chance: Random):
+    def __init__(self, outside: Driver, me: int, life: int, keepers: list[int], terms: LeaseTerms, chance: Random):
         self.outside, self.me, self.life, self.keepers, self.terms = outside, me, life, keepers, terms
         self.chance = chance
         self.majority = len(keepers) // 2 + 1
-        self.tries: dict[str, Try] = {}
+        self.tries: dict[str, LeaseView] = {}
         self.count = 0
         self.latest = outside.now()
 
@@ -59,7 +59,7 @@
 
     def want(self, lease: str) -> None:
         if lease not in self.tries:
-            self.tries[lease] = Try(next_at=self._now())
+            self.tries[lease] = LeaseView(next_at=self._now())
         self.tries[lease].wanted = True
 
     def leave(self, lease: str) -> None:
@@ -150,7 +150,7 @@
 
     # ---- the course of a try
 
-    def _ask(self, lease: str, held: Try, now: int) -> None:
+    def _ask(self, lease: str, held: LeaseView, now: int) -> None:
         self.count += 1
         held.ballot = Ballot(self.count, self.me, self.life)
         held.asked_at, held.proposing = now, False
@@ -160,7 +160,7 @@
         for keeper in self.keepers:
             self.outside.prepare(keeper, lease, held.ballot)
 
-    def _propose(self, lease: str, held: Try, now: int) -> None:
+    def _propose(self, lease: str, held: LeaseView, now: int) -> None:
         held.proposing, held.proposed_at, held.renews = True, now, held.until > now
         if not held.renews:
             # over restarts of all keepers nothing is remembered but the time of day
@@ -168,7 +168,7 @@
         for keeper in self.keepers:
             self.outside.propose(keeper, lease, held.ballot, held.fence)
 
-    def _stop(self, lease: str, held: Try, why: str) -> None:
+    def _stop(self, lease: str, held: LeaseView, why: str) -> None:
         held.until = 0
         self.outside.stops(lease, why)
 
--- a/curlewshift/limits/admission.py
+++ b/curlewshift/limits/admission.py
@@ -17,7 +17,7 @@
 
 from curlewshift.limits.buckets import Buckets
 from curlewshift.limits.concurrency import Concurrency
-from curlewshift.limits.heavy import Heavy
+from curlewshift.limits.heavy import HeavyHitters
 from curlewshift.limits.prefixes import Prefixes
 from curlewshift.limits.queue import Lines, Ticket
 
@@ -65,7 +65,7 @@
             if rate > 0
         }
         self.prefixes = Prefixes(bounds.source or 10.0, now)
-        self.heavy = Heavy(now)
+        self.heavy = HeavyHitters(now)
         self.concurrency = Concurrency(now, min(64.0, float(bounds.most)), min(8.0, float(bounds.most)), float(bounds.most))
         self.lines = Lines(bounds.in_line)
         self.in_work = self.known_in_work = 0
--- a/curlewshift/limits/descriptors.py
+++ b/curlewshift/limits/descriptors.py
@@ -20,7 +20,7 @@
 FEWER = 4
 
 
-class Gate:
+class DescriptorGate:
     """`limit` is the process's soft limit of descriptors; `clock()` is in seconds. Connections have `at_work`,
     `rested_at` (s) and `drop()`."""
 
--- a/curlewshift/limits/heavy.py
+++ b/curlewshift/limits/heavy.py
@@ -14,7 +14,7 @@
 HALVES = 10 * SECOND
 
 
-class Heavy:
+class HeavyHitters:
     def __init__(self, now: int, places: int = PLACES, halves: int = HALVES):
         self.places, self.halves = places, halves
         # key: [count, error]; the heap has (count as it was, key), and entries that are out of date are put right when
--- a/curlewshift/limits/permits.py
+++ b/curlewshift/limits/permits.py
@@ -22,7 +22,7 @@
 LEAST_SECRET = 32
 
 
-class NoPermit(Exception):
+class PermitDenied(Exception):
     """Why a request may not pass: status, error code of RFC 6750 (empty if nothing was shown), and words."""
 
     def __init__(self, status: int, error: str, words: str):
@@ -35,7 +35,7 @@
         return f'Bearer error="{self.error}", error_description="{self}"' if self.error else "Bearer"
 
 
-class BadKeys(Exception):
+class InvalidKeySet(Exception):
     """What is wrong with a set of keys; the set held before stays in force."""
 
 
@@ -51,23 +51,23 @@
 
 
 def read_keys(raw: bytes) -> dict[str, jwt.PyJWK]:
-    """By `kid`. Raises `BadKeys`."""
+    """By `kid`. Raises `InvalidKeySet`."""
     try:
         rows = json.loads(raw)["keys"]
         keys = {}
         for number, row in enumerate(rows, 1):
             kind, name = row.get("kty"), row.get("kid")
             if kind not in ALGORITHMS:
-                raise BadKeys(f"key {number}: kty is {kind!r}, expected one of {', '.join(ALGORITHMS)}")
+                raise InvalidKeySet(f"key {number}: kty is {kind!r}, expected one of {', '.join(ALGORITHMS)}")
             if not name or name in keys:
-                raise BadKeys(f"key {number}: kid is {'missing' if not name else 'there twice'}")
+                raise InvalidKeySet(f"key {number}: kid is {'missing' if not name else 'there twice'}")
             keys[name] = jwt.PyJWK(row, ALGORITHMS[kind])
             if kind == "oct" and len(keys[name].key) < LEAST_SECRET:
-                raise BadKeys(f"key {name!r}: a secret of {len(keys[name].key)} bytes, {LEAST_SECRET} are the least")
+                raise InvalidKeySet(f"key {name!r}: a secret of {len(keys[name].key)} bytes, {LEAST_SECRET} are the least")
     except (ValueError, KeyError, TypeError, AttributeError, jwt.PyJWTError) as wrong:
-        raise BadKeys(f"this is no JSON Web Key Set: {wrong}") from None
+        raise InvalidKeySet(f"this is no JSON Web Key Set: {wrong}") from None
     if not keys:
-        raise BadKeys("there is no key in the set")
+        raise InvalidKeySet("there is no key in the set")
     return keys
 
 
@@ -83,21 +83,21 @@
         return keys.keys() - before.keys(), before.keys() - keys.keys()
 
     def read(self, authorization: str | None, now: int) -> Permit:
-        """The permit in an `Authorization` header. `now` is Unix time in ns. Raises `NoPermit`."""
+        """The permit in an `Authorization` header. `now` is Unix time in ns. Raises `PermitDenied`."""
         if not authorization:
-            raise NoPermit(401, "", "a bearer token is needed")
+            raise PermitDenied(401, "", "a bearer token is needed")
         scheme, _, token = authorization.partition(" ")
         if scheme.lower() != "bearer" or not token.strip():
-            raise NoPermit(401, "", "a bearer token is needed")
+            raise PermitDenied(401, "", "a bearer token is needed")
         if len(token) > MOST_BYTES:
-            raise NoPermit(401, "invalid_token", "the token is too long")
+            raise PermitDenied(401, "invalid_token", "the token is too long")
         return self._permit(self._claims(token.strip()), now // 1_000_000_000)
 
     def _claims(self, token: str) -> dict:
         try:
             key = self.keys.get(jwt.get_unverified_header(token).get("kid"))
             if key is None:
-                raise NoPermit(401, "invalid_token", "the token is signed with no key that is in force")
+                raise PermitDenied(401, "invalid_token", "the token is signed with no key that is in force")
             # times are checked below, by the caller's clock; the signature is compared in constant time
             return jwt.decode(
                 token,
@@ -114,18 +114,18 @@
                 },
             )
         except (jwt.PyJWTError, ValueError, TypeError, AttributeError):
-            raise NoPermit(401, "invalid_token", "the token cannot be read, or its signature is wrong") from None
+            raise PermitDenied(401, "invalid_token", "the token cannot be read, or its signature is wrong") from None
 
     def _permit(self, claims: dict, now: int) -> Permit:
         ends, begins, holder = claims.get("exp"), claims.get("nbf", 0), claims.get("sub")
         if not isinstance(ends, (int, float)) or not isinstance(begins, (int, float)):
-            raise NoPermit(401, "invalid_token", "the token has no time at which it ends (exp)")
+            raise PermitDenied(401, "invalid_token", "the token has no time at which it ends (exp)")
         if now > ends + CLOCKS_DIFFER:
-            raise NoPermit(401, "invalid_token", "the token has expired")
+            raise PermitDenied(401, "invalid_token", "the token has expired")
         if now < begins - CLOCKS_DIFFER:
-            raise NoPermit(401, "invalid_token", "the token is not valid yet")
+            raise PermitDenied(401, "invalid_token", "the token is not valid yet")
         if not isinstance(holder, str) or not holder:
-            raise NoPermit(401, "invalid_token", "the token says nobody it was made for (sub)")
+            raise PermitDenied(401, "invalid_token", "the token says nobody it was made for (sub)")
         try:
             networks = tuple(ipaddress.ip_network(network) for network in claims.get("addresses", ()))
             named = {
@@ -133,18 +133,18 @@
                 for name in ("packages", "titles", "may")
             }
         except (ValueError, TypeError):
-            raise NoPermit(401, "invalid_token", "a claim of the token is not of its form") from None
+            raise PermitDenied(401, "invalid_token", "a claim of the token is not of its form") from None
         return Permit(holder, named["packages"], named["titles"], networks, named["may"] or frozenset({"play"}))
 
 
 def allow(permit: Permit, package: str, title: str, publishes: bool, address: str) -> None:
-    """Raises `NoPermit` if the permit is for something else, or for another place."""
+    """Raises `PermitDenied` if the permit is for something else, or for another place."""
     wanted = "publish" if publishes else "play"
     if wanted not in permit.may:
-        raise NoPermit(403, "insufficient_scope", f"the token is not for one who may {wanted}")
+        raise PermitDenied(403, "insufficient_scope", f"the token is not for one who may {wanted}")
     if permit.packages is not None and package not in permit.packages:
-        raise NoPermit(403, "insufficient_scope", "the token is for other packages")
+        raise PermitDenied(403, "insufficient_scope", "the token is for other packages")
     if permit.titles is not None and title not in permit.titles:
-        raise NoPermit(403, "insufficient_scope", "the token is for other titles")
+        raise PermitDenied(403, "insufficient_scope", "the token is for other titles")
     if permit.networks and not any(ipaddress.ip_address(address) in network for network in permit.networks):
-        raise NoPermit(403, "insufficient_scope", "the token is for desks at other addresses")
+        raise PermitDenied(403, "insufficient_scope", "the token is for desks at other addresses")
--- a/curlewshift/membership/membership.py
+++ b/curlewshift/membership/membership.py
@@ -13,13 +13,13 @@
 from typing import Protocol
 
 from curlewshift.membership.member import Claim, Member, Rank
-from curlewshift.membership.terms import Manners
+from curlewshift.membership.terms import MembershipTerms
 from curlewshift.membership.updates import News, spread
 from curlewshift.membership.views import BUCKETS, Views, bucket_of
-from curlewshift.schedule.steady_clock import Steady
+from curlewshift.schedule.steady_clock import SteadyClock
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def wake(self, at: int) -> None: ...
     def ping(self, to: Member, number: int) -> None: ...
@@ -51,16 +51,16 @@
 
     def __init__(
         self,
-        outside: Outside,
+        outside: Driver,
         name: str,
         address: tuple[str, int],
         life: int,
         seeds: list[tuple[str, int]],
-        manners: Manners,
+        manners: MembershipTerms,
         chance: Random,
     ):
         self.outside, self.manners, self.chance, self.seeds = outside, manners, chance, seeds
-        self.steady = Steady(outside.now(), manners.period // 2)
+        self.steady = SteadyClock(outside.now(), manners.period // 2)
         self.now = self.steady.last
         self.me = Member(name, *address, life, 0, Rank.ALIVE, self.now, name)
         self.members: dict[str, Member] = {}
--- a/curlewshift/membership/terms.py
+++ b/curlewshift/membership/terms.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Manners:
+class MembershipTerms:
     """Times in ns. The names in brackets are the papers': SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips,
     Currey 2018)."""
 
@@ -54,6 +54,8 @@
         return max(1, ceil(self.repeats * log10(size + 1)))
 
 
-def usual_manners(period: int, **more) -> Manners:
+def usual_manners(period: int, **more) -> MembershipTerms:
     """What is not said follows from the period."""
-    return Manners(period, **{"answer_within": 3 * period // 10, "news_every": period // 5, "forget_after": 60 * period, **more})
+    return MembershipTerms(
+        period, **{"answer_within": 3 * period // 10, "news_every": period // 5, "forget_after": 60 * period, **more}
+    )
--- a/curlewshift/model_checker/budget_checker.py
+++ b/curlewshift/model_checker/budget_checker.py
@@ -9,7 +9,7 @@
 
 from copy import copy
 
-from curlewshift.model_checker.explore import Broken, Walked, explore
+from curlewshift.model_checker.explore import InvariantViolated, Walked, explore
 from curlewshift.sharing.loans import Loans
 from curlewshift.sharing.terms import SharingTerms
 
@@ -150,7 +150,7 @@
         return found + [("arrive", message) for message in self.network]
 
     def take(self, step: tuple) -> None:
-        """Raises `Broken`."""
+        """Raises `InvariantViolated`."""
         kind = step[0]
         if kind in ("tick", "long"):
             for _ in range(LONG if kind == "long" else 1):
@@ -197,7 +197,7 @@
             self.uses.append((self.tick, number, self.clocks[number]))
         together = sum((self.tick - tick) * UNITS < TRUE_WINDOW for tick, _, _ in self.uses)
         if together > RIGHTS:
-            raise Broken(f"{together} uses within one window of a budget of {RIGHTS}")
+            raise InvariantViolated(f"{together} uses within one window of a budget of {RIGHTS}")
 
 
 def walk_budgets(
--- a/curlewshift/model_checker/explore.py
+++ b/curlewshift/model_checker/explore.py
@@ -7,12 +7,12 @@
 from typing import Protocol
 
 
-class Broken(Exception):
+class InvariantViolated(Exception):
     """What must never be has come about."""
 
 
 class SmallWorld(Protocol):
-    """`state` is all that can still matter, relative to the present; `take` raises `Broken`."""
+    """`state` is all that can still matter, relative to the present; `take` raises `InvariantViolated`."""
 
     def copied(self) -> SmallWorld: ...
     def state(self) -> tuple: ...
@@ -43,7 +43,7 @@
                 other = world.copied()
                 try:
                     other.take(step)
-                except Broken as broken:
+                except InvariantViolated as broken:
                     return Walked(len(seen), steps, level, str(broken), (*course, step))
                 state = other.state()
                 if state not in seen:
--- a/curlewshift/model_checker/lease_checker.py
+++ b/curlewshift/model_checker/lease_checker.py
@@ -11,11 +11,11 @@
 from copy import copy
 from random import Random
 
-from curlewshift.leases.acceptor import Keeper
+from curlewshift.leases.acceptor import LeaseAcceptor
 from curlewshift.leases.ballots import NONE
-from curlewshift.leases.proposer import Asker, Try
+from curlewshift.leases.proposer import LeaseProposer, LeaseView
 from curlewshift.leases.terms import LeaseTerms
-from curlewshift.model_checker.explore import Broken, Walked, explore
+from curlewshift.model_checker.explore import InvariantViolated, Walked, explore
 
 # A tick is four units of a true clock; one at the bound shows three or five.
 UNITS, DRIFT = 4, 0.25
@@ -27,7 +27,7 @@
 MOST_BACK, MOST_RESTARTS = 1, 1
 
 
-class AskerEnd:
+class ProposerEnd:
     def __init__(self, world: LeaseWorld, number: int):
         self.world, self.number = world, number
 
@@ -55,7 +55,7 @@
         pass
 
 
-class KeeperEnd:
+class AcceptorEnd:
     def __init__(self, world: LeaseWorld, number: int):
         self.world, self.number = world, number
 
@@ -76,7 +76,11 @@
     """`rates`: units of the askers' clocks a tick, then of the keepers', which run alike."""
 
     def __init__(
-        self, rates: tuple[int, int, int], asker: type[Asker] = Asker, keeper: type[Keeper] = Keeper, keepers: int = KEEPERS
+        self,
+        rates: tuple[int, int, int],
+        asker: type[LeaseProposer] = LeaseProposer,
+        keeper: type[LeaseAcceptor] = LeaseAcceptor,
+        keepers: int = KEEPERS,
     ):
         self.rates = (*rates[:2], *[rates[2]] * keepers)
         self.kinds, self.size = (asker, keeper), keepers
@@ -91,14 +95,14 @@
         self.askers = [self._asker(number) for number in range(ASKERS)]
         self.keepers = []
         for number in range(keepers):
-            made = keeper(KeeperEnd(self, number), TERMS)
+            made = keeper(AcceptorEnd(self, number), TERMS)
             # as if it had run for long
             made.silent_until = 0
             self.keepers.append(made)
 
-    def _asker(self, number: int) -> Asker:
-        made = self.kinds[0](AskerEnd(self, number), number, self.lives[number], list(range(self.size)), TERMS, Random(1))
-        made.tries[LEASE] = Try()
+    def _asker(self, number: int) -> LeaseProposer:
+        made = self.kinds[0](ProposerEnd(self, number), number, self.lives[number], list(range(self.size)), TERMS, Random(1))
+        made.tries[LEASE] = LeaseView()
         return made
 
     def copied(self) -> LeaseWorld:
@@ -113,7 +117,7 @@
         other.askers, other.keepers = [], []
         for number, asker in enumerate(self.askers):
             twin = copy(asker)
-            twin.outside = AskerEnd(other, number)
+            twin.outside = ProposerEnd(other, number)
             # not into the dict that both still share: each state then went on with what its last neighbour had done
             held = copy(asker.tries[LEASE])
             held.promised, held.accepted = dict(held.promised), set(held.accepted)
@@ -121,7 +125,7 @@
             other.askers.append(twin)
         for number, keeper in enumerate(self.keepers):
             twin = copy(keeper)
-            twin.outside, twin.steady = KeeperEnd(other, number), copy(keeper.steady)
+            twin.outside, twin.steady = AcceptorEnd(other, number), copy(keeper.steady)
             twin.leases = {lease: copy(kept) for lease, kept in keeper.leases.items()}
             other.keepers.append(twin)
         return other
@@ -236,7 +240,7 @@
             self._to_asker(self.back.pop(step[1]))
         elif kind == "keeper":
             self.restarts += 1
-            self.keepers[step[1]] = self.kinds[1](KeeperEnd(self, step[1]), TERMS)
+            self.keepers[step[1]] = self.kinds[1](AcceptorEnd(self, step[1]), TERMS)
         else:
             self.restarts += 1
             number = step[1]
@@ -269,10 +273,10 @@
 
     def _look(self) -> None:
         if self.fence_fell:
-            raise Broken("a later tenure's number is not higher")
+            raise InvariantViolated("a later tenure's number is not higher")
         holders = [number for number, asker in enumerate(self.askers) if asker.may_act(LEASE)]
         if len(holders) > 1:
-            raise Broken("two hold the lease at once")
+            raise InvariantViolated("two hold the lease at once")
 
 
 class LeaseRounds(LeaseWorld):
@@ -316,8 +320,8 @@
 def walk_leases(
     depth: int,
     rates: tuple[int, int, int] = (3, 4, 5),
-    asker: type[Asker] = Asker,
-    keeper: type[Keeper] = Keeper,
+    asker: type[LeaseProposer] = LeaseProposer,
+    keeper: type[LeaseAcceptor] = LeaseAcceptor,
     most: int = 10**9,
 ) -> Walked:
     return explore(LeaseWorld(rates, asker, keeper), depth, most)
@@ -326,8 +330,8 @@
 def walk_rounds(
     depth: int,
     rates: tuple[int, int, int] = (3, 4, 5),
-    asker: type[Asker] = Asker,
-    keeper: type[Keeper] = Keeper,
+    asker: type[LeaseProposer] = LeaseProposer,
+    keeper: type[LeaseAcceptor] = LeaseAcceptor,
     most: int = 10**9,
     keepers: int = KEEPERS,
 ) -> Walked:
--- a/curlewshift/model_checker/version_checker.py
+++ b/curlewshift/model_checker/version_checker.py
@@ -17,7 +17,7 @@
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import Version, digest_of
 from curlewshift.distribution.writer import Writer
-from curlewshift.model_checker.explore import Broken, Walked, explore
+from curlewshift.model_checker.explore import InvariantViolated, Walked, explore
 
 STORES, WRITERS, NODES = ("a", "b", "c"), 2, 2
 # Due at once, whenever the walk has it so: time is a choice here.
@@ -315,7 +315,7 @@
         else:
             self._restart(kind, step[1])
         if self.wrong:
-            raise Broken(self.wrong)
+            raise InvariantViolated(self.wrong)
 
     def _hand_on(self, key: tuple, words: tuple, kept_back: bool) -> None:
         number, store, kind = key
@@ -438,7 +438,7 @@
                 break
             self._hand_on(key, self.words.pop(key), kept_back=False)
             if self.wrong:
-                raise Broken(self.wrong)
+                raise InvariantViolated(self.wrong)
         self.words.clear()
 
 
@@ -477,6 +477,6 @@
             steps += 1
             try:
                 world.take(step)
-            except Broken as broken:
+            except InvariantViolated as broken:
                 return Walked(number + 1, steps, len(course), str(broken), tuple(course))
     return Walked(count, steps, length)
--- a/curlewshift/model_checker/world.py
+++ b/curlewshift/model_checker/world.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass, field
 
 from curlewshift.model import Outcome, Package, Terms
-from curlewshift.recovery.recovery import Doubt, Found, recovery_of
+from curlewshift.recovery.recovery import InterruptedSetup, ListedSession, recovery_of
 from curlewshift.session_core.front_session import Answer, Kind, Request, TuneIn
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.server_commands import Result
-from curlewshift.session_core.server_list import Roster, Row
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.server_list import ServerEntry, ServerList
+from curlewshift.session_core.session_core import SessionCore
 from curlewshift.state.intents import Intents, intent_of
-from curlewshift.state.session_registry import Book, Remembered, remembered
+from curlewshift.state.session_registry import SessionRegistry, StoredSession, remembered
 from curlewshift.state.setting_up import SEND, setting_up
 
 SECOND = 1_000_000_000
@@ -109,7 +109,7 @@
     def __init__(self, world: World, number: int):
         self.world, self.name = world, f"f.{number}"
         self.wake_at: int | None = None
-        self.book, self.intents = Book(), Intents()
+        self.book, self.intents = SessionRegistry(), Intents()
         self.tokens: dict[object, str] = {}
         package = world.package
         terms = Terms(
@@ -131,9 +131,9 @@
             further_share=0.0,
             look_back=0,
         )
-        self.desk = world.desk_class(self, terms, Roster({"r": 1e9}, {"t": SERVERS}))
+        self.desk = world.desk_class(self, terms, ServerList({"r": 1e9}, {"t": SERVERS}))
         rows = [
-            Row(place.name, "drain" if place.told_off else "on", SECOND, "z", "r", 1e6, 50, place.name)
+            ServerEntry(place.name, "drain" if place.told_off else "on", SECOND, "z", "r", 1e6, 50, place.name)
             for place in world.places.values()
         ]
         self.desk.list_full("e", 0, rows, stale=number > 1)
@@ -187,15 +187,15 @@
     def adopt(self, server, paths: list[str]) -> None:
         self.world.questions.append((self.name, "adopt", server, tuple(paths)))
 
-    def taken_up(self, one: Remembered, server):
+    def taken_up(self, one: StoredSession, server):
         course = self.desk.handed_over(one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer))
         self.tokens[course] = one.token
         return course
 
-    def session_of(self, found: Found, doubt: Doubt | None) -> str:
+    def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> str:
         return found.path
 
-    def forgotten(self, one: Remembered) -> None:
+    def forgotten(self, one: StoredSession) -> None:
         self.world.note("book", self.book.ended(one.token))
 
 
@@ -203,7 +203,9 @@
     """`desk_class`, `steps` and `recovery_off` are for planting faults. `paid` clients' package is paid at set-up; with
     `seats` there is one place for all clients."""
 
-    def __init__(self, budgets: Budgets, paid: bool = True, seats: int = 0, clients: int = 1, desk_class=Desk, steps=setting_up):
+    def __init__(
+        self, budgets: Budgets, paid: bool = True, seats: int = 0, clients: int = 1, desk_class=SessionCore, steps=setting_up
+    ):
         self.budgets, self.desk_class, self.steps = budgets, desk_class, steps
         self.package = Package("p", 1.0, 4 * SECOND, 6 * SECOND, paid, (100.0, 200.0), 0, 1, seats)
         self.clock = BORN
@@ -509,7 +511,9 @@
         place = self.places[server.name]
         if what == "list":
             self.front.recovery.listed(
-                server, str(place.boot), [Found(one.path, one.life, one.rung, one.mark) for one in place.sessions.values()]
+                server,
+                str(place.boot),
+                [ListedSession(one.path, one.life, one.rung, one.mark) for one in place.sessions.values()],
             )
         else:
             self.front.recovery.adopted(server, self._adopt(place, paths))
@@ -559,7 +563,9 @@
         place.told_off = True
         front = self.front
         front.generation += 1
-        front.desk.list_change("e", front.generation - 1, front.generation, [Row("s1", "drain", SECOND, "z", "r", 1e6, 50, "s1")])
+        front.desk.list_change(
+            "e", front.generation - 1, front.generation, [ServerEntry("s1", "drain", SECOND, "z", "r", 1e6, 50, "s1")]
+        )
 
     def _a_server_dies(self, name: str) -> None:
         self.budgets.deaths -= 1
--- a/curlewshift/node/buffered_connection.py
+++ b/curlewshift/node/buffered_connection.py
@@ -131,7 +131,7 @@
     OVER = "over"
 
 
-class Errand:
+class PendingWrite:
     """What some bytes on a wire are for. `handed` is set once the kernel has a byte of them."""
 
     __slots__ = ()
@@ -144,7 +144,7 @@
         """The kernel has the last byte."""
 
 
-class Wire:
+class BufferedConnection:
     """`tasks` is the group in which it writes. Its owner reads from it until it has ended, and then closes it."""
 
     def __init__(self, sock: socket.socket, tasks):
@@ -173,7 +173,7 @@
 
     # ---- what goes out
 
-    def send(self, data: bytes, errand: Errand | None = None) -> bool:
+    def send(self, data: bytes, errand: PendingWrite | None = None) -> bool:
         """False if it cannot go out here."""
         if not self.open:
             return False
@@ -188,7 +188,7 @@
             self.tasks.start_soon(self._write)
         return True
 
-    def withdraw(self, errand: Errand) -> None:
+    def withdraw(self, errand: PendingWrite) -> None:
         """What was to be sent for this, if nothing of it has left."""
         self.waiting = deque(entry for entry in self.waiting if entry[1] is not errand or entry[2])
         self.size = sum(len(data) for data, _, _ in self.waiting)
