--- a/curlewshift/node/client_listener.py
+++ b/curlewshift/node/client_listener.py
@@ -15,10 +15,10 @@
 
 from curlewshift.exchange.accepting import Patient
 from curlewshift.node import rtsp
-from curlewshift.node.buffered_connection import Errand, Intake, Listener, Wire
+from curlewshift.node.buffered_connection import BufferedConnection, Intake, Listener, PendingWrite
 from curlewshift.node.trace import trail_of
-from curlewshift.session_core.front_session import Answer, Course, Kind, Request
-from curlewshift.session_core.session_core import Misuse
+from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request
+from curlewshift.session_core.session_core import InvalidRequest
 
 MS = 1_000_000
 NS = 1_000_000_000
@@ -54,7 +54,7 @@
 NO_ROOM, LEAVING, FAILED, BAD = 453, 503, 500, 400
 
 
-class Wrong(Exception):
+class RequestError(Exception):
     """Why a request cannot be taken as it stands."""
 
     def __init__(self, why: str, status: int = BAD, named: bool = True):
@@ -67,18 +67,18 @@
     """One session by its viewer's id: asked for, or standing."""
 
     name: str
-    line: Line | None
+    line: ClientConnection | None
     request: Request | None = None
-    course: Course | None = None
+    course: FrontSession | None = None
 
 
 @dataclass(eq=False, slots=True)
-class Owed(Errand):
+class Owed(PendingWrite):
     """A release that its viewer has yet to be told; `handed` once its first byte has left."""
 
     name: str
     cause: int
-    line: Line | None = None
+    line: ClientConnection | None = None
     handed: bool = False
 
     def leaves(self) -> bool:
@@ -89,10 +89,10 @@
         return True
 
 
-class Line:
+class ClientConnection:
     """One connection from viewers."""
 
-    def __init__(self, wire: Wire, now: int, number: int):
+    def __init__(self, wire: BufferedConnection, now: int, number: int):
         """`number` is its name in the log."""
         self.number = number
         self.wire, self.intake = wire, Intake(rtsp.Reader(), rtsp.Malformed, now)
@@ -143,7 +143,7 @@
             self.wire.end()
 
 
-class Door:
+class ClientListener:
     """`node` is told what viewers ask for; see curlewshift/node/node.py. `cells` is how many the list has."""
 
     def __init__(self, node, gate, log, cells: int, tops: int):
@@ -152,11 +152,11 @@
         self.cells, self.tops = cells, tops
         self.opened = 0
         self.asked: dict[str, Asked] = {}
-        self.lines: dict[Line, bool] = {}
+        self.lines: dict[ClientConnection, bool] = {}
         # releases of which nothing has left yet
         self.pending_releases: dict[str, Owed] = {}
         self.torn_down: OrderedDict[str, int] = OrderedDict()
-        self.last_good: Line | None = None
+        self.last_good: ClientConnection | None = None
 
     # ---- connections
 
@@ -168,9 +168,9 @@
             listener.close()
 
     async def _run(self, sock) -> None:
-        wire = Wire(sock, self.tasks)
+        wire = BufferedConnection(sock, self.tasks)
         self.opened += 1
-        line = Line(wire, self.node.now(), self.opened)
+        line = ClientConnection(wire, self.node.now(), self.opened)
         self.lines[line] = True
         self.gate.opened(line)
         try:
@@ -187,7 +187,7 @@
             await wire.close()
             self.gate.closed(line)
 
-    def _left(self, line: Line) -> None:
+    def _left(self, line: ClientConnection) -> None:
         self.lines.pop(line, None)
         if self.last_good is line:
             self.last_good = None
@@ -207,7 +207,7 @@
             if owed.line is line:
                 owed.line = None
 
-    async def _end_unread(self, line: Line) -> None:
+    async def _end_unread(self, line: ClientConnection) -> None:
         """Its client has closed it: what it has not read is told elsewhere, and sessions whose answers it has not read are
         over."""
         since = self.node.now() - RESET_WITHIN
@@ -227,7 +227,7 @@
                 self.node.released(asked.course, 0)
                 self._owe(asked.name, UNREAD_CAUSE, None)
 
-    def _read(self, line: Line, data: bytes) -> None:
+    def _read(self, line: ClientConnection, data: bytes) -> None:
         if not line.spoilt:
             now = self.node.now()
             messages, wrong = line.intake.feed(data, now)
@@ -301,29 +301,29 @@
 
     # ---- messages
 
-    def _take(self, line: Line, message: rtsp.Message, now: int) -> None:
+    def _take(self, line: ClientConnection, message: rtsp.Message, now: int) -> None:
         number = message.fields.get("cseq", "1")[:16]
         name = message.fields.get("session", "")
         if message.status:
             return
         try:
             if message.doubled:
-                raise Wrong("a field comes twice")
+                raise RequestError("a field comes twice")
             if not number.isdigit():
                 number = "1"
-                raise Wrong("no number")
+                raise RequestError("no number")
             if message.method == "OPTIONS":
                 line.wire.send(rtsp.answer(200 if self.node.ready else 503, number, name if SESSION.fullmatch(name) else ""))
                 return
             if not SESSION.fullmatch(name):
-                raise Wrong("no session's id")
+                raise RequestError("no session's id")
             if message.method == "SETUP":
                 self._set_up(line, name, message, now)
             elif message.method == "TEARDOWN":
                 self._torn_down(line, name, number, message)
             elif message.method not in ("ANNOUNCE", "REDIRECT", "SET_PARAMETER"):
-                raise Wrong(f"nothing is known of {message.method}", 501)
-        except (Wrong, Misuse) as wrong:
+                raise RequestError(f"nothing is known of {message.method}", 501)
+        except (RequestError, InvalidRequest) as wrong:
             self.log.info("wrong", what=message.method, session=name[:16], cause=str(wrong))
             # under an id that is open, or cannot be told, its error could be read as the answer to another
             named = SESSION.fullmatch(name) and not message.doubled and getattr(wrong, "named", True)
@@ -334,11 +334,11 @@
             if message.method == "SETUP" and SESSION.fullmatch(name):
                 line.wire.send(rtsp.answer(FAILED, number, name))
 
-    def _set_up(self, line: Line, name: str, message: rtsp.Message, now: int) -> None:
+    def _set_up(self, line: ClientConnection, name: str, message: rtsp.Message, now: int) -> None:
         fields = message.fields
         title = TITLE.fullmatch(message.address)
         if not title:
-            raise Wrong("the address names no title", 404)
+            raise RequestError("the address names no title", 404)
         legs = _legs(fields.get("x-legs", ""))
         base = _whole(legs, "home", self.cells - 1)
         span = _whole(legs, "copies", self.cells)
@@ -346,13 +346,13 @@
         viewer = legs.get("viewer", "")
         wait, hint = fields.get("x-timer-ms", ""), fields.get("x-length")
         if span < 1 or not SESSION.fullmatch(viewer):
-            raise Wrong("no figures of a viewer")
+            raise RequestError("no figures of a viewer")
         if not WAIT.fullmatch(wait) or int(wait) == 0:
-            raise Wrong("no time to wait")
+            raise RequestError("no time to wait")
         if hint is not None and not NUMBER.fullmatch(hint):
-            raise Wrong("a length that is no number")
+            raise RequestError("a length that is no number")
         if not 0 < len(message.body) <= MOST_DESCRIPTION:
-            raise Wrong("no description")
+            raise RequestError("no description")
         expected = round(float(hint) * MS) if hint is not None else 0
         package, viewer = fields.get("x-cos", ""), int(viewer, 16)
         if "at" in legs:
@@ -367,9 +367,9 @@
                 self._owe(name, over, line)
             return
         if name in self.asked:
-            raise Wrong("this session is open already", 455, named=False)
+            raise RequestError("this session is open already", 455, named=False)
         if self.torn_down.pop(name, None) is not None:
-            raise Wrong("its end came first, on another connection", 454)
+            raise RequestError("its end came first, on another connection", 454)
         asked = self.asked[name] = Asked(name, line)
         line.waiting[name] = asked
         self.trail.taken(name, line)
@@ -392,7 +392,7 @@
             self._forget(asked)
             raise
 
-    def _torn_down(self, line: Line, name: str, number: str, message: rtsp.Message) -> None:
+    def _torn_down(self, line: ClientConnection, name: str, number: str, message: rtsp.Message) -> None:
         asked = self.asked.get(name)
         found = CAUSE.fullmatch(message.fields.get("reason", ""))
         cause = min(int(found[1]), 127) if found else 0
@@ -404,7 +404,7 @@
                 self.torn_down[name] = cause
                 if len(self.torn_down) > MOST_TORN_DOWN:
                     self.torn_down.popitem(last=False)
-            raise Wrong("no such session is open", 454)
+            raise RequestError("no such session is open", 454)
         line.wire.send(rtsp.answer(200, number, name))
         if asked.course is None:
             self._give_up(asked)
@@ -473,13 +473,13 @@
             if cause is not None:
                 self._owe(asked.name, cause, asked.line)
 
-    def _owe(self, name: str, cause: int, own: Line | None) -> None:
+    def _owe(self, name: str, cause: int, own: ClientConnection | None) -> None:
         self.pending_releases[name] = Owed(name, cause)
         if len(self.pending_releases) > MOST_PENDING:
             del self.pending_releases[next(iter(self.pending_releases))]
         self._say(own)
 
-    def _say(self, own: Line | None = None) -> None:
+    def _say(self, own: ClientConnection | None = None) -> None:
         """Releases that are owed go out: on the connection of the set-up, or else on any that has served viewers. They are
         owed until they have left: what waits on a connection that ends goes out on another."""
         for owed in [owed for owed in self.pending_releases.values() if owed.handed]:
@@ -493,7 +493,7 @@
                 self._note(line.told, owed)
                 line.wire.send(rtsp.release(owed.name, owed.cause), owed)
 
-    def _good(self) -> Line | None:
+    def _good(self) -> ClientConnection | None:
         if self.last_good is None or not self.last_good.wire.open:
             self.last_good = next((line for line in reversed(self.lines) if line.good and line.wire.open), None)
         return self.last_good
@@ -504,7 +504,7 @@
     for part in text.split(";"):
         name, colon, value = part.strip().partition(":")
         if not colon or name in legs:
-            raise Wrong("figures that cannot be read")
+            raise RequestError("figures that cannot be read")
         legs[name] = value
     return legs
 
@@ -512,5 +512,5 @@
 def _whole(legs: dict[str, str], name: str, most: int) -> int:
     value = legs.get(name, "")
     if not value.isdigit() or len(value) > 6 or int(value) > most:
-        raise Wrong(f"{name} is no number from 0 to {most}")
+        raise RequestError(f"{name} is no number from 0 to {most}")
     return int(value)
--- a/curlewshift/node/connections.py
+++ b/curlewshift/node/connections.py
@@ -11,11 +11,11 @@
 
 from curlewshift.model import Server
 from curlewshift.node import isup
-from curlewshift.node.buffered_connection import Errand, Intake, Wire
-from curlewshift.session_core.front_session import Course, TuneIn
+from curlewshift.node.buffered_connection import BufferedConnection, Intake, PendingWrite
+from curlewshift.session_core.front_session import FrontSession, TuneIn
 
 if TYPE_CHECKING:
-    from curlewshift.node.server_pool import Reach
+    from curlewshift.node.server_pool import ServerPool
 
 
 @dataclass(eq=False, slots=True)
@@ -28,21 +28,21 @@
     cause: int = isup.OVER
     since: int = 0
     # its new rungs go out on one connection while that is sound, as two would not keep their order
-    line: Line | None = None
+    line: ServerConnection | None = None
     # its server tells its end here, while this connection is open
-    set_up_on: Line | None = None
+    set_up_on: ServerConnection | None = None
     # that connection was closed from here and its server may not know: its word may go there for good
     unheard: bool = False
 
 
 @dataclass(eq=False, slots=True)
-class Attempt(Errand):
+class Attempt(PendingWrite):
     """One set-up on its way. `queued` while a connection has it to write, `handed` once the kernel has a byte of it."""
 
     tune_in: TuneIn
     id: bytes
-    reach: Reach
-    line: Line | None = None
+    reach: ServerPool
+    line: ServerConnection | None = None
     queued: bool = False
     handed: bool = False
     moves: int = 0
@@ -56,15 +56,15 @@
         return self.queued
 
 
-class Line:
+class ServerConnection:
     """One connection to a media server, from the first try to its end."""
 
     def __init__(self, endpoint: Endpoint, number: int):
         """`number` is its name in the log."""
         self.endpoint, self.number = endpoint, number
-        self.wire: Wire | None = None
+        self.wire: BufferedConnection | None = None
         self.attempts: dict[bytes, Attempt] = {}
-        self.unsent: list[tuple[bytes, Errand | None]] = []
+        self.unsent: list[tuple[bytes, PendingWrite | None]] = []
         # messages written so far, and the place among them of each test that is not answered yet
         self.sent = 0
         self.probes: dict[bytes, int] = {}
@@ -87,7 +87,7 @@
         """It is up, or may come up yet."""
         return self.wire is None or not self.wire.gone
 
-    def send(self, data: bytes, errand: Errand | None = None) -> int:
+    def send(self, data: bytes, errand: PendingWrite | None = None) -> int:
         """The message's place on this connection."""
         self.used_at = self.endpoint.reach.now()
         self.sent += 1
@@ -111,10 +111,10 @@
 class Endpoint:
     """One media server as this node reaches it."""
 
-    def __init__(self, reach: Reach, server: Server, address: tuple[str, int]):
+    def __init__(self, reach: ServerPool, server: Server, address: tuple[str, int]):
         self.reach, self.server, self.address = reach, server, address
-        self.lines: list[Line] = []
-        self.standing: dict[bytes, Course] = {}
+        self.lines: list[ServerConnection] = []
+        self.standing: dict[bytes, FrontSession] = {}
         self.heard_at = reach.now()
         # the server that stands at its address now
         self.successor: Endpoint | None = None
--- a/curlewshift/node/follower.py
+++ b/curlewshift/node/follower.py
@@ -7,7 +7,7 @@
 import anyio
 
 from curlewshift.node import discovery
-from curlewshift.node.buffered_connection import ENDED, Wire, dial
+from curlewshift.node.buffered_connection import ENDED, BufferedConnection, dial
 
 # An empty frame comes each second: without any for so long, whatever is open there is dead (s).
 SILENT_FOR = 2.2
@@ -68,7 +68,7 @@
             sock = await dial(self.address, CONNECT_WITHIN, spare if spare is not None else _socket())
             if sock is None:
                 raise TimeoutError("no connection in time")
-            wire, reader = Wire(sock, self.tasks), discovery.Reader()
+            wire, reader = BufferedConnection(sock, self.tasks), discovery.Reader()
             try:
                 wire.send(discovery.ask(self.last))
                 while True:
@@ -95,7 +95,7 @@
                 except OSError as wrong:
                     self.log.warning("no-spare-descriptor", cause=repr(wrong))
 
-    async def _receive(self, wire: Wire, heard: list) -> bytes:
+    async def _receive(self, wire: BufferedConnection, heard: list) -> bytes:
         first_within = FIRST_WITHIN if self.silent < PATIENT_AFTER else PATIENT_FIRST_WITHIN
         try:
             with anyio.fail_after(SILENT_FOR if heard else first_within):
--- a/curlewshift/node/node.py
+++ b/curlewshift/node/node.py
@@ -14,20 +14,20 @@
 import anyio
 
 from curlewshift.deployment import Fleet, terms_of
-from curlewshift.limits.descriptors import Gate
+from curlewshift.limits.descriptors import DescriptorGate
 from curlewshift.model import Listed, Outcome, Server
 from curlewshift.node import configuration, discovery, isup
 from curlewshift.node.buffered_connection import Listener
-from curlewshift.node.client_listener import SWEEP, Door
+from curlewshift.node.client_listener import SWEEP, ClientListener
 from curlewshift.node.connections import Session
 from curlewshift.node.follower import Follower
-from curlewshift.node.server_pool import Reach
-from curlewshift.retries.session_ends import Ending
+from curlewshift.node.server_pool import ServerPool
+from curlewshift.retries.session_ends import SessionEnd
 from curlewshift.schedule.clock import Clock
-from curlewshift.schedule.waking import Waking
-from curlewshift.session_core.front_session import Answer, Course, Kind, Request, TuneIn
-from curlewshift.session_core.server_commands import Errand, Result
-from curlewshift.session_core.session_core import Desk
+from curlewshift.schedule.waking import WakeupTimer
+from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
+from curlewshift.session_core.server_commands import Result, ServerCommand
+from curlewshift.session_core.session_core import SessionCore
 
 MS = 1_000_000
 NS = 1_000_000_000
@@ -67,14 +67,14 @@
         self.ready = self.draining = False
         # what has happened since it was logged last
         self.counts: Counter[str] = Counter()
-        self.waking = Waking(self.clock, self._time)
-        self.desk = Desk(self, terms_of(settings, self.clock.now(), posting.seed), self.fleet)
+        self.waking = WakeupTimer(self.clock, self._time)
+        self.desk = SessionCore(self, terms_of(settings, self.clock.now(), posting.seed), self.fleet)
         extra = settings.get("extra") or {}
         for_servers = int(posting.descriptors * SERVERS_PART)
-        gate = Gate(
+        gate = DescriptorGate(
             posting.descriptors, lambda: self.now() / NS, for_servers + OTHERS, IDLE_FOR, AT_ONCE, lambda line: line.spared
         )
-        self.door = Door(self, gate, log, len(self.fleet.cells), len(extra.get("rung_kb") or [0]) - 1)
+        self.door = ClientListener(self, gate, log, len(self.fleet.cells), len(extra.get("rung_kb") or [0]) - 1)
         self.for_servers = for_servers
 
     async def run(self) -> None:
@@ -85,7 +85,7 @@
                 def ns(owner, name, default):
                     return round((owner.get(name) or default) * MS)
 
-                self.reach = Reach(
+                self.reach = ServerPool(
                     self.desk,
                     self.clock.now,
                     self.tasks,
@@ -253,7 +253,7 @@
 
     def plays_at(
         self, name: str, package: str, title: str, base: int, span: int, top: int, mark: int, expected: int, at: str
-    ) -> Course:
+    ) -> FrontSession:
         server = self.fleet.servers[at]
         course = self.desk.plays_at(
             package, title, top, server, Session(bytes.fromhex(name), server), self.fleet.holders(base, span), mark, expected
@@ -281,7 +281,7 @@
     def gave_up(self, request: Request) -> None:
         self.desk.gave_up(request)
 
-    def released(self, course: Course, cause: int) -> None:
+    def released(self, course: FrontSession, cause: int) -> None:
         """Its viewer has ended it; 0 for no cause said."""
         if cause:
             course.session.cause = cause
@@ -294,7 +294,7 @@
         """Whether its viewer may have gone, and nobody has read that yet; if he has not, `then` is called."""
         return self.door.read_first(tune_in.course.offer.name, then)
 
-    def ended(self, course: Course, outcome: Outcome, cause: int | None) -> None:
+    def ended(self, course: FrontSession, outcome: Outcome, cause: int | None) -> None:
         """It has ended at its server."""
         self.desk.lost(course, outcome)
         asked = self.door.asked.get(course.session.id.hex())
@@ -328,12 +328,12 @@
     def withdraw(self, tune_in: TuneIn) -> bool:
         return self.reach.withdraw(tune_in)
 
-    def tell(self, errand: Errand) -> None:
+    def tell(self, errand: ServerCommand) -> None:
         self.reach.rung(errand.course, errand.rung)
         # it wants no answer, and the desk is not told from within its call
         self.desk.timers.at(self.now(), lambda: self.desk.told_server(errand, Result.DONE))
 
-    def end_session(self, ending: Ending) -> None:
+    def end_session(self, ending: SessionEnd) -> None:
         self.reach.end_session(ending)
 
     def probe(self, server: Server) -> None:
--- a/curlewshift/node/server_pool.py
+++ b/curlewshift/node/server_pool.py
@@ -14,11 +14,11 @@
 from curlewshift.deployment import use_of
 from curlewshift.model import Outcome, Server
 from curlewshift.node import isup
-from curlewshift.node.buffered_connection import Wire, dial
-from curlewshift.node.connections import Attempt, Endpoint, Line, Session
+from curlewshift.node.buffered_connection import BufferedConnection, dial
+from curlewshift.node.connections import Attempt, Endpoint, ServerConnection, Session
 from curlewshift.node.teardowns import Teardowns
-from curlewshift.retries.session_ends import Ending
-from curlewshift.session_core.front_session import Course, TuneIn
+from curlewshift.retries.session_ends import SessionEnd
+from curlewshift.session_core.front_session import FrontSession, TuneIn
 from curlewshift.teardown.pending import Copy
 
 MS = 1_000_000
@@ -53,7 +53,7 @@
 AFTER = {isup.OVER: Outcome.PLAYED, isup.CANCELLED: Outcome.CANCELLED}
 
 
-class Reach:
+class ServerPool:
     """`ended(course, outcome, cause)` is told of sessions that have ended at their server, and `read_first(tune_in, then)`
     asked before a set-up leaves; see the node. Times are ns."""
 
@@ -116,7 +116,7 @@
                 del endpoint.standing[id]
                 self.ended(course, Outcome.BROKEN, isup.RESET)
 
-    def plays_at(self, course: Course) -> None:
+    def plays_at(self, course: FrontSession) -> None:
         endpoint = self.endpoints[course.session.server]
         endpoint.standing[course.session.id] = course
         self._keep_open(endpoint)
@@ -142,7 +142,7 @@
         line.attempts[attempt.id] = attempt
         self._write(line, attempt)
 
-    def _write(self, line: Line, attempt: Attempt) -> None:
+    def _write(self, line: ServerConnection, attempt: Attempt) -> None:
         attempt.queued = True
         if line.wire is None:
             # how long its viewer still waits is written when it goes out
@@ -231,14 +231,14 @@
             self.given_up.popitem(last=False)
         return True
 
-    def rung(self, course: Course, rung: int) -> None:
+    def rung(self, course: FrontSession, rung: int) -> None:
         session = course.session
         line = session.line
         if line is None or line not in line.endpoint.lines or line.doubtful or not line.up:
             line = session.line = self._some_line(self.endpoints[session.server])
         line.send(isup.rung(session.id, rung))
 
-    def end_session(self, ending: Ending) -> None:
+    def end_session(self, ending: SessionEnd) -> None:
         """From now on it is seen to here: the desk need not try again."""
         endpoint = self.endpoints.get(ending.server)
         if endpoint is not None:
@@ -250,7 +250,7 @@
         if endpoint is not None:
             self._probe(endpoint, self._some_line(endpoint))
 
-    def _probe(self, endpoint: Endpoint, line: Line) -> None:
+    def _probe(self, endpoint: Endpoint, line: ServerConnection) -> None:
         self.counts["probe-sent"] += 1
         line.probe()
         self.pending.tested(line)
@@ -261,7 +261,7 @@
 
     # ---- connections
 
-    def _line(self, endpoint: Endpoint, id: bytes) -> Line:
+    def _line(self, endpoint: Endpoint, id: bytes) -> ServerConnection:
         """One that is idle, else a new one while there may be more, else that with least out on it."""
         sound = [
             line
@@ -278,7 +278,7 @@
     def _share(self) -> int:
         return max(2, self.most_lines // max(1, len(self.endpoints)))
 
-    def _some_line(self, endpoint: Endpoint) -> Line:
+    def _some_line(self, endpoint: Endpoint) -> ServerConnection:
         lines = [line for line in endpoint.lines if line.usable]
         if not lines:
             return self.open_connection(endpoint)
@@ -288,15 +288,15 @@
         if not endpoint.lines:
             self.open_connection(endpoint)
 
-    def open_connection(self, endpoint: Endpoint) -> Line:
+    def open_connection(self, endpoint: Endpoint) -> ServerConnection:
         self.opened += 1
-        line = Line(endpoint, self.opened)
+        line = ServerConnection(endpoint, self.opened)
         endpoint.lines.append(line)
         self.count += 1
         self.tasks.start_soon(self._run, line)
         return line
 
-    async def _run(self, line: Line) -> None:
+    async def _run(self, line: ServerConnection) -> None:
         endpoint = line.endpoint
         try:
             if endpoint.address is None:
@@ -314,7 +314,7 @@
                 sock.close()
                 return
             endpoint.never_up, endpoint.was_reset = 0, False
-            line.wire = Wire(sock, self.tasks)
+            line.wire = BufferedConnection(sock, self.tasks)
             self.teardowns.connection_up(line)
             self._take_off(line)
             while data := await line.wire.receive():
@@ -328,7 +328,7 @@
             if line.wire is not None:
                 await line.wire.close()
 
-    def _take_off(self, line: Line) -> None:
+    def _take_off(self, line: ServerConnection) -> None:
         """What waited for the connection goes out on it."""
         unsent, line.unsent = line.unsent, []
         for data, errand in unsent:
@@ -337,7 +337,7 @@
             else:
                 line.send(data, errand)
 
-    def _not_up(self, line: Line, wrong: OSError | None) -> None:
+    def _not_up(self, line: ServerConnection, wrong: OSError | None) -> None:
         """It did not come up; of one that nobody wants any more nothing is learnt."""
         endpoint = line.endpoint
         if line.over:
@@ -372,20 +372,20 @@
         """Whether discovery says that it is there, ready or draining."""
         return self.desk.roster.lists(endpoint.server)
 
-    def _gone(self, line: Line) -> None:
+    def _gone(self, line: ServerConnection) -> None:
         if not line.over:
             line.over = True
             if line in line.endpoint.lines:
                 line.endpoint.lines.remove(line)
             self.count -= 1
 
-    def _retire(self, line: Line) -> None:
+    def _retire(self, line: ServerConnection) -> None:
         """Closed in peace: nothing more goes out on it, and what its server has said meanwhile is still read."""
         line.endpoint.lines.remove(line)
         line.retired = True
         line.wire.end()
 
-    def _break(self, line: Line, why: str) -> None:
+    def _break(self, line: ServerConnection, why: str) -> None:
         """The connection is of no more use: what was out on it may have run, what had not left is sent on another."""
         if line.over:
             return
@@ -415,7 +415,7 @@
             # something may stand before its address that takes connections and resets them; should it live, it is told
             self._lost(endpoint, "gone by the list, and reset", cut_off=True)
 
-    def _note_unheard(self, line: Line) -> None:
+    def _note_unheard(self, line: ServerConnection) -> None:
         """Its server may not know that it is closed, and say the ends of sessions there, unheard."""
         endpoint = line.endpoint
         for course in endpoint.standing.values():
@@ -444,7 +444,7 @@
             after_ms=(self.now() - attempt.sent_at) // MS if attempt.sent_at else 0,
         )
 
-    def _log_close(self, line: Line, cause: str) -> None:
+    def _log_close(self, line: ServerConnection, cause: str) -> None:
         self.counts["connection-closed"] += 1
         self.log.info(
             "connection-closed",
@@ -457,7 +457,7 @@
 
     # ---- what comes in
 
-    def _read(self, line: Line, data: bytes) -> None:
+    def _read(self, line: ServerConnection, data: bytes) -> None:
         now = self.now()
         line.heard_at = line.endpoint.heard_at = now
         line.endpoint.never_up = 0
@@ -473,7 +473,7 @@
             self.log.info("malformed", what="media server", server=line.endpoint.server.name, cause=str(wrong))
             self._break(line, str(wrong))
 
-    def _take(self, line: Line, kind: int, id: bytes, parameters: dict[int, bytes]) -> None:
+    def _take(self, line: ServerConnection, kind: int, id: bytes, parameters: dict[int, bytes]) -> None:
         endpoint = line.endpoint
         if kind == isup.ANSWER:
             self._answered(line, id, parameters)
@@ -499,7 +499,7 @@
         link, uplink = use_of(isup.report_of(parameters))
         return {name: use for name, use in (("link", link), ("uplink", uplink)) if use is not None}
 
-    def _answered(self, line: Line, id: bytes, parameters: dict[int, bytes]) -> None:
+    def _answered(self, line: ServerConnection, id: bytes, parameters: dict[int, bytes]) -> None:
         endpoint = line.endpoint
         description = parameters.get(isup.DESCRIPTION)
         if description is None:
@@ -524,7 +524,7 @@
             session.line = session.set_up_on = line
             endpoint.standing[id] = course
 
-    def _released(self, line: Line, id: bytes, cause: int, report: dict[str, float]) -> None:
+    def _released(self, line: ServerConnection, id: bytes, cause: int, report: dict[str, float]) -> None:
         endpoint = line.endpoint
         attempt = line.attempts.get(id)
         if attempt is not None:
@@ -562,7 +562,7 @@
 
     # ---- endings that this side has made
 
-    def closed(self, course: Course) -> None:
+    def closed(self, course: FrontSession) -> None:
         """Ended by its viewer: the server is told by the desk's endings."""
         self.endpoints[course.session.server].standing.pop(course.session.id, None)
 
@@ -611,7 +611,7 @@
     def _is_forgotten(self, endpoint: Endpoint) -> bool:
         return self.desk.roster.servers.get(endpoint.server.name) is not endpoint.server
 
-    def _look_after(self, line: Line, now: int) -> None:
+    def _look_after(self, line: ServerConnection, now: int) -> None:
         if line.intake.stuck(now, WHOLE_WITHIN, WHOLE_WITHIN):
             self._break(line, "half a message and no more")
             return
@@ -659,7 +659,7 @@
         if len(idle) > 1:
             self._retire(min(idle, key=lambda line: line.heard_at))
 
-    def _ask_line_for_sign(self, line: Line, now: int) -> None:
+    def _ask_line_for_sign(self, line: ServerConnection, now: int) -> None:
         """A connection may lose its server's words while others to the same server go on. The server says them again on the next
         one that is opened."""
         endpoint = line.endpoint
@@ -677,7 +677,7 @@
             if not any(other.opened_at >= line.asked_at for other in endpoint.lines):
                 self._probe(endpoint, self.open_connection(endpoint))
 
-    def _may_carry_an_end(self, line: Line) -> bool:
+    def _may_carry_an_end(self, line: ServerConnection) -> bool:
         """A server tells the end of a session on the connection of its set-up, or, if that is closed, on any."""
         used = {course.session.set_up_on for course in line.endpoint.standing.values()}
         return line in used or any(one not in line.endpoint.lines for one in used)
--- a/curlewshift/node/teardowns.py
+++ b/curlewshift/node/teardowns.py
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING
 
 from curlewshift.node import isup
-from curlewshift.node.connections import Attempt, Endpoint, Line, Session
+from curlewshift.node.connections import Attempt, Endpoint, ServerConnection, Session
 from curlewshift.teardown.pending import PendingRelease, PendingReleases, State
 
 if TYPE_CHECKING:
-    from curlewshift.node.server_pool import Reach
+    from curlewshift.node.server_pool import ServerPool
 
 MS = 1_000_000
 NS = 1_000_000_000
@@ -27,19 +27,19 @@
 class Teardowns:
     """One node's; `reach` makes and breaks the connections."""
 
-    def __init__(self, reach: Reach, clock, log, counts):
+    def __init__(self, reach: ServerPool, clock, log, counts):
         self.reach, self.now, self.log, self.counts = reach, clock, log, counts
         self.pending = PendingReleases(clock, counts)
 
     # ---- what is over
 
-    def attempt_given_up(self, line: Line, attempt: Attempt) -> None:
+    def attempt_given_up(self, line: ServerConnection, attempt: Attempt) -> None:
         """Its time is over, or its client has left: its server hears of it behind the set-up, on the same connection."""
         record = self.pending.open(attempt.tune_in.server, attempt.id, isup.OVER)
         self._write(line, record)
         attempt.tune_in.course.vw.unconfirmed = self.pending.servers_of(attempt.id)
 
-    def attempt_broken(self, line: Line, attempt: Attempt, by_peer: bool) -> None:
+    def attempt_broken(self, line: ServerConnection, attempt: Attempt, by_peer: bool) -> None:
         """Its connection has ended under it. What was answered before that may stand, whether the answer came through or not."""
         record = self.pending.open(attempt.tune_in.server, attempt.id, isup.OVER, closed_by_server=by_peer)
         if not by_peer:
@@ -61,7 +61,7 @@
         else:
             self._open_one(endpoint)
 
-    def set_up_again(self, line: Line, attempt: Attempt) -> None:
+    def set_up_again(self, line: ServerConnection, attempt: Attempt) -> None:
         """A set-up leaves whose id may still stand there: its release goes out just before it, on the same connection."""
         record = self.pending.find(attempt.tune_in.server, attempt.id)
         if record is not None:
@@ -70,7 +70,7 @@
 
     # ---- how it is told
 
-    def connection_up(self, line: Line) -> None:
+    def connection_up(self, line: ServerConnection) -> None:
         """All that waits for its server goes out on it first, in one write; what a set-up is to follow goes just before that."""
         records = [record for record in self.pending.unsaid_on(line.endpoint.server, line) if not self._goes_ahead(record, line)]
         if records:
@@ -105,17 +105,17 @@
             if server in self.reach.endpoints:
                 self.look_after(self.reach.endpoints[server])
 
-    def unconfirmed_on(self, line: Line) -> bool:
+    def unconfirmed_on(self, line: ServerConnection) -> bool:
         """Whether something said on this connection has not been confirmed."""
         return line in self.pending.by_connection
 
     # ---- inside
 
     @staticmethod
-    def _goes_ahead(record: PendingRelease, line: Line) -> bool:
+    def _goes_ahead(record: PendingRelease, line: ServerConnection) -> bool:
         return record.closed_by_server and not record.copies and record.id in line.attempts
 
-    def _write(self, line: Line, record: PendingRelease) -> None:
+    def _write(self, line: ServerConnection, record: PendingRelease) -> None:
         self.counts["release-sent"] += 1
         if record.times_said:
             self.counts["release-sent-again"] += 1
@@ -131,7 +131,7 @@
         copy = self.pending.said(record, line, line.sent + 1)
         line.send(isup.release(record.id, record.cause), copy)
 
-    def _say(self, line: Line, records: list[PendingRelease]) -> None:
+    def _say(self, line: ServerConnection, records: list[PendingRelease]) -> None:
         """With a test behind them."""
         again = [record for record in records if record.times_said]
         for record in records:
@@ -153,7 +153,7 @@
         else:
             self._open_one(endpoint)
 
-    def _sound_line(self, endpoint: Endpoint, used: Iterable[Line] = ()) -> Line | None:
+    def _sound_line(self, endpoint: Endpoint, used: Iterable[ServerConnection] = ()) -> ServerConnection | None:
         """The connection that was heard last, if there is one to trust."""
         now = self.now()
         lines = [line for line in endpoint.lines if line.up and not line.doubtful and line not in used]
--- a/curlewshift/node/trace.py
+++ b/curlewshift/node/trace.py
@@ -9,7 +9,7 @@
 import os
 from collections import OrderedDict
 
-from curlewshift.node.buffered_connection import Errand
+from curlewshift.node.buffered_connection import PendingWrite
 
 MS = 1_000_000
 MOST = 2000
@@ -24,14 +24,14 @@
     def note(self, name: str, step: str) -> None:
         pass
 
-    def answered(self, name: str, late: bool) -> Errand | None:
+    def answered(self, name: str, late: bool) -> PendingWrite | None:
         """What goes with the answer on its wire."""
 
     def ended(self, line: object) -> None:
         pass
 
 
-class Queued(Errand):
+class Queued(PendingWrite):
     """An answer on a wire."""
 
     __slots__ = ("handed", "name", "trail")
@@ -59,7 +59,7 @@
         if name in self.trodden:
             self.trodden[name][1].append(f"{self.now() // MS} {step}")
 
-    def answered(self, name: str, late: bool) -> Errand | None:
+    def answered(self, name: str, late: bool) -> PendingWrite | None:
         if name not in self.trodden:
             return None
         self.note(name, "answer queued")
--- a/curlewshift/overload/order.py
+++ b/curlewshift/overload/order.py
@@ -22,7 +22,7 @@
 HOUR = 3600 * 1_000_000_000
 
 
-class Order:
+class SheddingOrder:
     def __init__(self, packages: Iterable[Package], floor: float):
         self.under_floor = int(STEPS * (1 - floor))
         # of two of the same worth the name decides, alike everywhere
--- a/curlewshift/overload/overload.py
+++ b/curlewshift/overload/overload.py
@@ -16,8 +16,8 @@
 
 from curlewshift.model import Package, Server
 from curlewshift.overload.level import Level, Round
-from curlewshift.overload.order import Order
-from curlewshift.overload.retry_budget import Advice, Again
+from curlewshift.overload.order import SheddingOrder
+from curlewshift.overload.retry_budget import RetryAdvice, RetryBudget
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.sharing.counts import picked
 
@@ -29,7 +29,7 @@
 MOST_RANKS = 96
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def wall(self) -> int: ...
     def servers(self) -> Iterable[Server]: ...
@@ -48,14 +48,14 @@
 class Overload:
     """`me` is this front's name."""
 
-    order_class, level_class = Order, Level
+    order_class, level_class = SheddingOrder, Level
 
-    def __init__(self, outside: Outside, me: str, packages: Iterable[Package], terms: OverloadTerms, chance: Random):
+    def __init__(self, outside: Driver, me: str, packages: Iterable[Package], terms: OverloadTerms, chance: Random):
         self.outside, self.me, self.terms = outside, me, terms
         self.order = self.order_class(packages, terms.floor)
         now = outside.now()
-        self.advice = Advice(terms, now, chance)
-        self.again = Again(terms, now)
+        self.advice = RetryAdvice(terms, now, chance)
+        self.again = RetryBudget(terms, now)
         self.levels: dict[str, Level] = {}
         self.since: dict[str, int] = {}
         self.rounds: dict[str, Round] = {}
--- a/curlewshift/overload/retry_budget.py
+++ b/curlewshift/overload/retry_budget.py
@@ -26,7 +26,7 @@
 STRIKES, MOST_KNOWN = 4, 20_000
 
 
-class Again:
+class RetryBudget:
     """One front's part of the budget: its share of the free ones, and a share of its own successes."""
 
     def __init__(self, terms: OverloadTerms, now: int):
@@ -62,7 +62,7 @@
         self.at = max(now, self.at)
 
 
-class Advice:
+class RetryAdvice:
     """How long who is refused is to stay away."""
 
     def __init__(self, terms: OverloadTerms, now: int, chance: Random):
--- a/curlewshift/peaks/calendar.py
+++ b/curlewshift/peaks/calendar.py
@@ -18,7 +18,7 @@
 MOST_ENTRIES = 1000
 
 
-class Nonsense(Exception):
+class InvalidPeak(Exception):
     """Why an announcement is not taken, in words for who made it."""
 
 
@@ -48,41 +48,41 @@
         self.peaks: dict[str, Peak] = {}
 
     def announce(self, peak: Peak, now: int) -> None:
-        """Raises `Nonsense`. A name that is there already is refused: cancel it first, so that nothing is lost by a
+        """Raises `InvalidPeak`. A name that is there already is refused: cancel it first, so that nothing is lost by a
         slip."""
         if not peak.name or len(peak.name) > 64 or not peak.name.isprintable():
-            raise Nonsense("a peak needs a name of 1 to 64 printable characters")
+            raise InvalidPeak("a peak needs a name of 1 to 64 printable characters")
         if peak.name in self.peaks:
-            raise Nonsense(f"there is a peak {peak.name!r} already; cancel it first")
+            raise InvalidPeak(f"there is a peak {peak.name!r} already; cancel it first")
         if peak.package not in self.packages:
-            raise Nonsense(f"there is no package {peak.package!r}, but {', '.join(self.packages)}")
+            raise InvalidPeak(f"there is no package {peak.package!r}, but {', '.join(self.packages)}")
         if peak.ends <= peak.starts:
-            raise Nonsense("the peak ends before it starts")
+            raise InvalidPeak("the peak ends before it starts")
         if peak.ends <= now:
-            raise Nonsense("the peak is over already")
+            raise InvalidPeak("the peak is over already")
         if peak.length > LONGEST:
-            raise Nonsense(f"a peak lasts {LONGEST // SECOND // 3600} hours at most")
+            raise InvalidPeak(f"a peak lasts {LONGEST // SECOND // 3600} hours at most")
         if not 0 < peak.rate < 1e6:
-            raise Nonsense("the viewings a second have to be a number above 0")
+            raise InvalidPeak("the viewings a second have to be a number above 0")
         if not 0 < peak.most <= MOST_TOGETHER:
-            raise Nonsense(
+            raise InvalidPeak(
                 f"a peak may hold a part of the links from 0 to {MOST_TOGETHER:g}, not {peak.most:g}: the rest is for the others"
             )
         if peak.lasts < 0:
-            raise Nonsense("viewings cannot last less than nothing")
+            raise InvalidPeak("viewings cannot last less than nothing")
         if len(self.peaks) >= MOST_ENTRIES:
-            raise Nonsense(f"there are {MOST_ENTRIES} peaks on the calendar")
+            raise InvalidPeak(f"there are {MOST_ENTRIES} peaks on the calendar")
         together = self._together(peak)
         if together > MOST_TOGETHER + 1e-9:
-            raise Nonsense(
+            raise InvalidPeak(
                 f"with those that overlap it, {together:.0%} of the links would be held, {MOST_TOGETHER:.0%} are the most"
             )
         self.peaks[peak.name] = peak
 
     def cancel(self, name: str) -> Peak:
-        """Raises `Nonsense`."""
+        """Raises `InvalidPeak`."""
         if name not in self.peaks:
-            raise Nonsense(f"there is no peak {name!r}")
+            raise InvalidPeak(f"there is no peak {name!r}")
         return self.peaks.pop(name)
 
     def over(self, now: int, after: int) -> list[Peak]:
--- a/curlewshift/peaks/forecast.py
+++ b/curlewshift/peaks/forecast.py
@@ -19,7 +19,7 @@
 WAITED_FOR = 1 / 4
 
 
-class Seen:
+class ArrivalStatistics:
     """Arrivals and lengths of one package at this front."""
 
     def __init__(self, now: int):
@@ -46,7 +46,7 @@
             self.at = now
 
 
-def began_early(own_rate: float, seen: Seen, now: int, starts_in: int, length: int) -> bool:
+def began_early(own_rate: float, seen: ArrivalStatistics, now: int, starts_in: int, length: int) -> bool:
     """Whether a peak that should start in so long (ns) is on already: only within a third of its length before."""
     rate = seen.rate(now)
     return 0 < starts_in <= length // 3 and rate >= SHOWS_BY * own_rate and seen.arrivals >= SHOWS_LEAST
--- a/curlewshift/peaks/peaks.py
+++ b/curlewshift/peaks/peaks.py
@@ -17,7 +17,7 @@
 
 from curlewshift.model import Link, Package, Server, Viewing
 from curlewshift.peaks.calendar import Calendar, Peak
-from curlewshift.peaks.forecast import Seen, began_early, expected
+from curlewshift.peaks.forecast import ArrivalStatistics, began_early, expected
 
 SECOND = 1_000_000_000
 # How long a viewing lasts before any was seen to end.
@@ -50,7 +50,7 @@
 
     def __init__(self, calendar: Calendar, fronts: int, now: int):
         self.calendar, self.fronts = calendar, max(1, fronts)
-        self.seen = {package: Seen(now) for package in calendar.packages.values()}
+        self.seen = {package: ArrivalStatistics(now) for package in calendar.packages.values()}
         self.began: dict[Viewing, int] = {}
         self.holding: dict[str, Holding] = {}
         self.held: set[Link] = set()
@@ -191,7 +191,7 @@
         """What may be sent to; what drains or is gone has no room to hold."""
         return [server for server in servers if server.open and server.link.size < inf]
 
-    def _lasts(self, peak: Peak, seen: Seen) -> float:
+    def _lasts(self, peak: Peak, seen: ArrivalStatistics) -> float:
         return peak.lasts or (seen.length if seen.lengths else LASTS)
 
     def _lead(self, servers: list[Server], package: Package) -> int:
--- a/curlewshift/peering/channel.py
+++ b/curlewshift/peering/channel.py
@@ -13,7 +13,7 @@
 
 from curlewshift.membership.member import Claim, Member, Rank
 from curlewshift.membership.membership import Membership
-from curlewshift.membership.terms import Manners
+from curlewshift.membership.terms import MembershipTerms
 from curlewshift.peering.frames import (
     ACK,
     ASK,
@@ -58,7 +58,7 @@
         address: tuple[str, int],
         life: int,
         seeds: list[tuple[str, int]],
-        manners: Manners,
+        manners: MembershipTerms,
         most_bytes: int,
         chance: Random,
         membership: type[Membership] = Membership,
--- a/curlewshift/peering/distributed.py
+++ b/curlewshift/peering/distributed.py
@@ -27,7 +27,7 @@
 from curlewshift.distribution.writer import Writer, refused
 from curlewshift.membership.member import Member
 from curlewshift.membership.updates import spread
-from curlewshift.schedule.steady_clock import Steady
+from curlewshift.schedule.steady_clock import SteadyClock
 
 KIND = 20
 NS = 1_000_000_000
@@ -182,7 +182,7 @@
         self.neighbours = [
             name for name, (_, zone) in places.items() if zone == self.zone and name != me and name not in terms.stores
         ]
-        self.steady = Steady(clock.now(), NS)
+        self.steady = SteadyClock(clock.now(), NS)
         self.malformed = self.spoilt_contents = 0
         self.own: list[tuple[str, object]] = []
         self.taking = False
--- a/curlewshift/peering/leasing.py
+++ b/curlewshift/peering/leasing.py
@@ -11,9 +11,9 @@
 import msgspec
 from msgspec import Meta
 
-from curlewshift.leases.acceptor import Keeper
+from curlewshift.leases.acceptor import LeaseAcceptor
 from curlewshift.leases.ballots import NONE, Ballot
-from curlewshift.leases.proposer import Asker
+from curlewshift.leases.proposer import LeaseProposer
 from curlewshift.leases.terms import LeaseTerms
 from curlewshift.membership.member import Member
 from curlewshift.peering.channel import Channel
@@ -42,7 +42,7 @@
     """Outside of the asker and the keeper. `order` are the names of all who ask or keep, as in the settings, and `keepers` those
     that keep."""
 
-    asker_class, keeper_class = Asker, Keeper
+    asker_class, keeper_class = LeaseProposer, LeaseAcceptor
 
     def __init__(
         self, channel: Channel, clock, order: list[str], me: int, keepers: list[str], terms: LeaseTerms, log, chance: Random
--- a/curlewshift/peering/shared.py
+++ b/curlewshift/peering/shared.py
@@ -15,9 +15,9 @@
 from curlewshift.membership.member import Member
 from curlewshift.model import Server
 from curlewshift.peering.channel import Channel
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.session_core import SessionCore
 from curlewshift.sharing.sharing import Sharing
-from curlewshift.sharing.terms import SharingTerms, Together
+from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 
 KIND = 16
 NS = 1_000_000_000
@@ -56,11 +56,11 @@
     def __init__(
         self,
         channel: Channel,
-        desk: Desk,
+        desk: SessionCore,
         order: list[str],
         me: int,
         terms: SharingTerms,
-        together: Together,
+        together: SharedBudgets,
         warm_within: int,
         now,
         log,
--- a/curlewshift/peering/wire.py
+++ b/curlewshift/peering/wire.py
@@ -17,7 +17,7 @@
 from curlewshift.peering.channel import Channel
 from curlewshift.peering.frames import MOST_BYTES
 from curlewshift.schedule.clock import Clock
-from curlewshift.site.site import Door, Peers
+from curlewshift.site.site import ListenAddress, Peers
 
 NS = 1_000_000_000
 # Datagrams read in one go, and the pause after a full portion (s): a flood gets this much of the front and no more.
@@ -33,7 +33,7 @@
 
     membership_class = Membership
 
-    def __init__(self, site: str, door: Door, peers: Peers, clock: Clock, log, chance: Random):
+    def __init__(self, site: str, door: ListenAddress, peers: Peers, clock: Clock, log, chance: Random):
         self.clock, self.log = clock, log
         family = socket.AF_INET6 if ":" in door.peers_listen[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_DGRAM)
--- a/curlewshift/recovery/recovery.py
+++ b/curlewshift/recovery/recovery.py
@@ -22,11 +22,11 @@
 from typing import Protocol
 
 from curlewshift.model import Outcome, Server
-from curlewshift.session_core.front_session import Course
+from curlewshift.session_core.front_session import FrontSession
 from curlewshift.session_core.offer import Offer
-from curlewshift.session_core.session_core import Desk, Misuse
+from curlewshift.session_core.session_core import InvalidRequest, SessionCore
 from curlewshift.state.intents import KEPT_ON, Intent
-from curlewshift.state.session_registry import Book, Remembered
+from curlewshift.state.session_registry import SessionRegistry, StoredSession
 
 SECOND = 1_000_000_000
 # Servers asked at once: the door is open meanwhile, and joins come first.
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class ListedSession:
     """One session as its server lists it. `life` is which life of this front set it up, `doubt` the mark of the paid
     request that it was set up for, empty for others."""
 
@@ -51,7 +51,7 @@
     answer: str = ""
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     """What recovery asks of its front; answers come back later, never from within the call."""
 
     def ask_sessions(self, server: Server) -> None:
@@ -60,18 +60,18 @@
     def adopt(self, server: Server, paths: list[str]) -> None:
         """These are this life's from now on. `Recovery.adopted` hears which of them are, or `Recovery.unanswered`."""
 
-    def taken_up(self, remembered: Remembered, server: Server) -> Course:
-        """Hands a remembered session over to the desk, and its address to the door. Raises `Misuse`."""
+    def taken_up(self, remembered: StoredSession, server: Server) -> FrontSession:
+        """Hands a remembered session over to the desk, and its address to the door. Raises `InvalidRequest`."""
 
-    def session_of(self, found: Found, doubt: Doubt) -> object:
+    def session_of(self, found: ListedSession, doubt: InterruptedSetup) -> object:
         """The outside's session for one that was found at a server."""
 
-    def forgotten(self, remembered: Remembered) -> None:
+    def forgotten(self, remembered: StoredSession) -> None:
         """It has ended before it was taken up."""
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
+class InterruptedSetup:
     """An interrupted paid set-up: its key, and the mark under which its server knows it."""
 
     key: str
@@ -81,12 +81,14 @@
 
 
 def recovery_of(
-    outside: Outside, desk: Desk, life: str, book: Book, intents: list[Intent], mark: Callable[[str], str]
+    outside: Driver, desk: SessionCore, life: str, book: SessionRegistry, intents: list[Intent], mark: Callable[[str], str]
 ) -> Recovery:
     """What a front that starts makes of what its disk has, not begun yet. `mark(key)` is how servers know a paid
     request; its client waits from now on for what becomes of the doubt."""
     clocks = desk.outside
-    doubts = [Doubt(intent.key, mark(intent.key), intent.server, Offer(intent.offer, way=intent.way)) for intent in intents]
+    doubts = [
+        InterruptedSetup(intent.key, mark(intent.key), intent.server, Offer(intent.offer, way=intent.way)) for intent in intents
+    ]
     recovery = Recovery(outside, desk, life, list(book.open.values()), dict(book.boots), doubts)
     for intent, doubt in zip(intents, doubts):
         desk.interrupted(
@@ -105,8 +107,8 @@
     """What is to be found out at one server."""
 
     server: Server
-    courses: dict[str, Course] = field(default_factory=dict)
-    adopting: dict[str, Found] | None = None
+    courses: dict[str, FrontSession] = field(default_factory=dict)
+    adopting: dict[str, ListedSession] | None = None
     out: bool = False
     done: bool = False
     tries: int = 0
@@ -117,11 +119,17 @@
     """`life` is this front's own; `boots` which life of each server was spoken to last."""
 
     def __init__(
-        self, outside: Outside, desk: Desk, life: str, remembered: list[Remembered], boots: dict[str, str], doubts: list[Doubt]
+        self,
+        outside: Driver,
+        desk: SessionCore,
+        life: str,
+        remembered: list[StoredSession],
+        boots: dict[str, str],
+        doubts: list[InterruptedSetup],
     ):
         self.outside, self.desk, self.life, self.boots = outside, desk, life, boots
         self.began = desk.outside.now()
-        self.pending: dict[str, list[Remembered]] = {}
+        self.pending: dict[str, list[StoredSession]] = {}
         for one in remembered:
             self.pending.setdefault(one.server, []).append(one)
         self.doubts = {doubt.mark: doubt for doubt in doubts}
@@ -154,7 +162,7 @@
             self.waiting.append(at)
         self._go_on()
 
-    def listed(self, server: Server, boot: str, rows: list[Found]) -> None:
+    def listed(self, server: Server, boot: str, rows: list[ListedSession]) -> None:
         """What the server plays for this front, of whichever life."""
         at = self._back(server)
         if at is None:
@@ -223,10 +231,10 @@
 
     # ---- inside
 
-    def _take_up(self, one: Remembered, at: AtServer) -> None:
+    def _take_up(self, one: StoredSession, at: AtServer) -> None:
         try:
             at.courses[one.path] = self.outside.taken_up(one, at.server)
-        except Misuse:
+        except InvalidRequest:
             # the settings have its title or package no more, or its seat is taken: its server is asked to end it, as an
             # orphan
             self.outside.forgotten(one)
@@ -262,16 +270,16 @@
         self.out -= 1
         return None if at.done else at
 
-    def _gone(self, at: AtServer, path: str, course: Course) -> None:
+    def _gone(self, at: AtServer, path: str, course: FrontSession) -> None:
         del at.courses[path]
         self.ended += 1
         self.desk.lost(course, Outcome.PLAYED)
 
-    def _orphan(self, server: Server, row: Found) -> None:
+    def _orphan(self, server: Server, row: ListedSession) -> None:
         self.orphans += 1
         self.desk.orphaned(server, self.outside.session_of(row, None))
 
-    def _find(self, server: Server, row: Found) -> None:
+    def _find(self, server: Server, row: ListedSession) -> None:
         doubt = self.doubts.pop(row.doubt, None)
         session = self.outside.session_of(row, doubt)
         if doubt is not None and self.desk.found(doubt.key, server, session, row.rung) is not None:
--- a/curlewshift/retries/session_ends.py
+++ b/curlewshift/retries/session_ends.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Ending:
+class SessionEnd:
     """One session to be ended; `session` is the outside's."""
 
     server: Server
@@ -49,10 +49,10 @@
     looks: bool = False
 
 
-class Endings:
+class SessionEnds:
     """`send(ending)` begins one try; `at(time, call)` calls later. `done` counts what servers have confirmed."""
 
-    def __init__(self, now: Callable[[], int], send: Callable[[Ending], None], at: Callable[[int, Callable], None]):
+    def __init__(self, now: Callable[[], int], send: Callable[[SessionEnd], None], at: Callable[[int, Callable], None]):
         self.now, self.send, self.at = now, send, at
         self.servers: dict[Server, AtServer] = {}
         self.done = self.given_up = 0
@@ -62,13 +62,13 @@
 
     def end(self, server: Server, session: object) -> None:
         here = self.servers.setdefault(server, AtServer())
-        here.waiting.append(Ending(server, session, self.now()))
+        here.waiting.append(SessionEnd(server, session, self.now()))
         if len(here.waiting) > MOST_WAITING:
             here.waiting.popleft()
             self.given_up += 1
         self._go_on(server, here)
 
-    def answered(self, ending: Ending) -> None:
+    def answered(self, ending: SessionEnd) -> None:
         """The server says that it is over, or that it knows nothing of it."""
         here = self._back(ending)
         if here is not None:
@@ -76,7 +76,7 @@
             self.done += 1
             self._go_on(ending.server, here)
 
-    def unanswered(self, ending: Ending) -> None:
+    def unanswered(self, ending: SessionEnd) -> None:
         """Nobody answered, or with an error of the server's own."""
         here = self._back(ending)
         if here is None:
@@ -97,7 +97,7 @@
         if here is not None:
             self.done += len(here.waiting) + here.out
 
-    def _back(self, ending: Ending) -> AtServer | None:
+    def _back(self, ending: SessionEnd) -> AtServer | None:
         here = self.servers.get(ending.server)
         if here is not None and here.out:
             here.out -= 1
--- a/curlewshift/scale/fits.py
+++ b/curlewshift/scale/fits.py
@@ -18,7 +18,7 @@
 SIZES_LEAST = 4
 
 
-class TooFew(ValueError):
+class TooFewPoints(ValueError):
     """Points of which nothing can be said."""
 
 
@@ -46,10 +46,10 @@
 
 
 def fit(points: list[tuple[float, float]]) -> Fit:
-    """Raises `TooFew` under four different x."""
+    """Raises `TooFewPoints` under four different x."""
     xs, ys, count = [float(x) for x, _ in points], [float(y) for _, y in points], len(points)
     if len(set(xs)) < SIZES_LEAST:
-        raise TooFew(f"{len(set(xs))} different sizes, from {SIZES_LEAST} on a slope can be told from a bend")
+        raise TooFewPoints(f"{len(set(xs))} different sizes, from {SIZES_LEAST} on a slope can be told from a bend")
     middle, mean = sum(xs) / count, sum(ys) / count
     # x in parts of its own span: squares of 68,000 beside 1 would cost the digits
     span = max(xs) - min(xs)
--- a/curlewshift/scale/fleet.py
+++ b/curlewshift/scale/fleet.py
@@ -11,7 +11,7 @@
 import anyio
 
 from curlewshift.fault_injection.joins import BEHIND, cpu_of, memory_of
-from curlewshift.fault_injection.processes import Child, free_ports, listens
+from curlewshift.fault_injection.processes import ChildProcess, free_ports, listens
 from curlewshift.front.control import tell
 from curlewshift.scale.plan import CONTROL, KEEPERS, Place, Plan, write_plan
 from curlewshift.scale.talk import Spoken
@@ -39,7 +39,7 @@
     def __init__(self, fleet: Fleet, site: str, name: str, port: int):
         self.fleet, self.site, self.name, self.port = fleet, site, name, port
         self.state = fleet.out / site / name
-        self.child: Child | None = None
+        self.child: ChildProcess | None = None
         self.core_before, self.open = 0.0, False
 
     async def start(self) -> None:
@@ -83,7 +83,7 @@
             left_over.unlink()
         for name in ("site", "apart"):
             shutil.rmtree(out / name, ignore_errors=True)
-        self.children: dict[Child, str] = {}
+        self.children: dict[ChildProcess, str] = {}
         self.relays: list[Spoken] = []
         self.hollow: dict[int, Spoken] = {}
         self.real: dict[str, RealFront] = {}
@@ -91,12 +91,12 @@
 
     # ---- processes
 
-    def child(self, arguments: list[str], log: str, talks: bool = False) -> Child:
-        child = Child(arguments, self.out / f"{log}.log", talks)
+    def child(self, arguments: list[str], log: str, talks: bool = False) -> ChildProcess:
+        child = ChildProcess(arguments, self.out / f"{log}.log", talks)
         self.children[child] = log
         return child
 
-    def ends(self, child: Child) -> None:
+    def ends(self, child: ChildProcess) -> None:
         self.children.pop(child, None)
         child.kill()
 
--- a/curlewshift/scale/node.py
+++ b/curlewshift/scale/node.py
@@ -23,7 +23,7 @@
 from curlewshift.scale.meter import Meter
 from curlewshift.scale.plan import Load, Place, Plan
 from curlewshift.schedule.clock import Clock
-from curlewshift.site.site import Door, Site
+from curlewshift.site.site import ListenAddress, Site
 
 NS = 1_000_000_000
 # How much what a node uses of a link goes up and down from round to round.
@@ -72,7 +72,7 @@
         super().sent(size // 2)
 
 
-class HollowDesk:
+class HollowSessionCore:
     """What sharing and leases read of a desk, and write to it. Servers lie in racks; a node plays on some of their links."""
 
     def __init__(self, load: Load, chance: Random, now):
@@ -130,7 +130,7 @@
         self.door = (
             site.doors[site.door(place.name)]
             if machine is None
-            else Door(machine.name, "", 0, machine.peers_listen, machine.peers_reach)
+            else ListenAddress(machine.name, "", 0, machine.peers_listen, machine.peers_reach)
         )
         self.stores = list(machines)
         self.places = {one.name: (one.region, one.zone) for one in plan.places}
@@ -150,7 +150,7 @@
         channel, metered = self.wire.channel, self.meter.metered
         self.wire.meter = self.meter
         self.parts: dict[str, object] = {"membership": channel}
-        self.desk = HollowDesk(
+        self.desk = HollowSessionCore(
             self.plan.load if self.place.shares else Load(0, 0, 0), Random(self.chance.random()), self.clock.now
         )
         self.shared = self.leased = self.distributed = None
--- a/curlewshift/scale/plan.py
+++ b/curlewshift/scale/plan.py
@@ -27,7 +27,7 @@
 MORE_DESCRIPTORS = 64
 
 
-class Unfit(Exception):
+class InsufficientResources(Exception):
     """Why the run does not fit this machine, in one line."""
 
 
@@ -85,36 +85,44 @@
     spoil: str = ""
 
     def check(self) -> None:
-        """Raises `Unfit`."""
+        """Raises `InsufficientResources`."""
         if not 1 <= self.regions <= self.zones <= self.nodes:
-            raise Unfit(
+            raise InsufficientResources(
                 f"{self.nodes} nodes in {self.zones} zones of {self.regions} regions: each region has a zone, and each "
                 "zone a node"
             )
         if self.real > self.nodes - self.processes:
-            raise Unfit(
+            raise InsufficientResources(
                 f"{self.nodes} nodes, {self.real} of them real, leave less than one hollow node for each of "
                 f"{self.processes} processes"
             )
         if 0 < self.load.leasing <= KEEPERS:
-            raise Unfit(f"{self.load.leasing} nodes with leases are too few for {KEEPERS} keepers and one that asks alone")
+            raise InsufficientResources(
+                f"{self.load.leasing} nodes with leases are too few for {KEEPERS} keepers and one that asks alone"
+            )
         if self.load.links > self.load.servers:
-            raise Unfit(f"links played on are {self.load.links} of {self.load.servers}")
+            raise InsufficientResources(f"links played on are {self.load.links} of {self.load.servers}")
         # hollow ones, one of them alone, relays, fronts of the fleet and apart from it, servers with their list
         processes = self.processes + 1 + self.relays + 2 * self.real + 1 + 1
         if processes > MOST_PROCESSES:
-            raise Unfit(f"{processes} processes are needed, and {MOST_PROCESSES} are the most")
+            raise InsufficientResources(f"{processes} processes are needed, and {MOST_PROCESSES} are the most")
         most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         a_process = -(-(self.nodes + CONTROL) // min(self.processes, self.relays)) + MORE_DESCRIPTORS
         if a_process > most:
-            raise Unfit(f"{a_process} descriptors are needed in a process, and {most} are allowed: more processes would do")
+            raise InsufficientResources(
+                f"{a_process} descriptors are needed in a process, and {most} are allowed: more processes would do"
+            )
         if 2 * (self.nodes + CONTROL) > len(UDP_PORTS):
-            raise Unfit(f"{self.nodes} nodes need more ports than there are from {UDP_PORTS.start} to {UDP_PORTS.stop}")
+            raise InsufficientResources(
+                f"{self.nodes} nodes need more ports than there are from {UDP_PORTS.start} to {UDP_PORTS.stop}"
+            )
         need, half, free = self.memory(), *machine_memory()
         if need > half:
-            raise Unfit(f"some {need / 2**20:.1f} GiB are needed, and half of this machine's memory is {half / 2**20:.1f} GiB")
+            raise InsufficientResources(
+                f"some {need / 2**20:.1f} GiB are needed, and half of this machine's memory is {half / 2**20:.1f} GiB"
+            )
         if need > free:
-            raise Unfit(f"some {need / 2**20:.1f} GiB are needed, and {free / 2**20:.1f} GiB are free now")
+            raise InsufficientResources(f"some {need / 2**20:.1f} GiB are needed, and {free / 2**20:.1f} GiB are free now")
 
     def memory(self) -> float:
         """kB that the run is expected to take."""
--- a/curlewshift/scale/slopes.py
+++ b/curlewshift/scale/slopes.py
@@ -29,7 +29,7 @@
 YARD = 100_000
 
 
-class NoRoom(Exception):
+class MeasurementRefused(Exception):
     """Why a run does not begin, in one line."""
 
 
@@ -45,7 +45,7 @@
     of: str = "front node"
 
     def told(self, command: str, machine: dict) -> dict:
-        """As docs/measured/ keeps it. Raises `fits.TooFew`."""
+        """As docs/measured/ keeps it. Raises `fits.TooFewPoints`."""
         x, y = ({"name": name, "unit": unit} for name, unit in (self.x, self.y))
         points = [[size, rounded(figure, 6)] for size, figure in self.points]
         return {
@@ -102,19 +102,19 @@
 
 
 def check_room(kind: Kind, sizes: tuple[int, ...], descriptors: int | None = None, memory: int | None = None) -> None:
-    """Raises `NoRoom`. The limits are the machine's, unless said."""
+    """Raises `MeasurementRefused`. The limits are the machine's, unless said."""
     descriptors = soft_limit() if descriptors is None else descriptors
     memory = machine_memory() if memory is None else memory
     most = max(kind.connections(size) for size in sizes)
     if len(set(sizes)) < 4:
-        raise NoRoom(f"{kind.name}: {len(set(sizes))} sizes, four at the least tell a slope from a bend")
+        raise MeasurementRefused(f"{kind.name}: {len(set(sizes))} sizes, four at the least tell a slope from a bend")
     if most + OTHERS > descriptors:
-        raise NoRoom(
+        raise MeasurementRefused(
             f"{kind.name}: {most} connections and {OTHERS} others want more descriptors than the {descriptors} there are"
         )
     wanted = EMPTY + most * A_CONNECTION
     if wanted > memory * MEMORY_PART:
-        raise NoRoom(
+        raise MeasurementRefused(
             f"{kind.name}: some {wanted / GIB:.1f} GiB are wanted, half of the machine's memory is "
             f"{memory * MEMORY_PART / GIB:.1f}"
         )
@@ -131,7 +131,7 @@
 
 
 def measured(kind: Kind, run: Run, command: str) -> dict:
-    """Raises `NoRoom` before anything is started."""
+    """Raises `MeasurementRefused` before anything is started."""
     from importlib import import_module
 
     check_room(kind, run.sizes)
--- a/curlewshift/scale/talk.py
+++ b/curlewshift/scale/talk.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from curlewshift.fault_injection.processes import Child
+from curlewshift.fault_injection.processes import ChildProcess
 
 
 async def obey(carry_out: Callable[[dict], Awaitable[dict | None]]) -> None:
@@ -27,7 +27,7 @@
 class Spoken:
     """A child that obeys. What it says unasked bears `tick` and goes to `heard`; the rest are answers in order."""
 
-    def __init__(self, child: Child, heard: Callable[[dict], None] = lambda told: None):
+    def __init__(self, child: ChildProcess, heard: Callable[[dict], None] = lambda told: None):
         self.child, self.heard = child, heard
         self.answers, self.answered = anyio.create_memory_object_stream(100)
 
--- a/curlewshift/scale/viewers.py
+++ b/curlewshift/scale/viewers.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from curlewshift.exchange.client import Broken, NeverSent, connect
+from curlewshift.exchange.client import ConnectionBroken, RequestNotSent, connect
 from curlewshift.fault_injection.joins import FINGERPRINT, SDP, one_way
 from curlewshift.scale.fleet import Fleet, RealFront
 from curlewshift.signalling.sdp import offer_text
@@ -55,7 +55,7 @@
                     return answered.status
                 finally:
                     await call.close()
-        except (OSError, TimeoutError, NeverSent, Broken, anyio.EndOfStream, anyio.BrokenResourceError):
+        except (OSError, TimeoutError, RequestNotSent, ConnectionBroken, anyio.EndOfStream, anyio.BrokenResourceError):
             return 0
 
     def told(self) -> dict:
--- a/curlewshift/schedule/clock.py
+++ b/curlewshift/schedule/clock.py
@@ -25,7 +25,7 @@
         return self.now()
 
 
-class LedClock(Clock):
+class SkewedClock(Clock):
     """A clock that is led astray on purpose, as rehearsals do: it runs at another rate, and `wall` and `hard` are set."""
 
     def __init__(self):
--- a/curlewshift/schedule/steady_clock.py
+++ b/curlewshift/schedule/steady_clock.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 
-class Steady:
+class SteadyClock:
     """`slack` (ns) is how late a wake may come and still count as time. `stalls` counts what was left out, `stalled` (ns)
     how much of it there was."""
 
--- a/curlewshift/schedule/waking.py
+++ b/curlewshift/schedule/waking.py
@@ -11,7 +11,7 @@
 NS = 1_000_000_000
 
 
-class Waking:
+class WakeupTimer:
     """`call()` comes once the clock has reached a time given to `at`; times that were reached together, once."""
 
     def __init__(self, clock: Clock, call: Callable[[], None]):
--- a/curlewshift/search/search.py
+++ b/curlewshift/search/search.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from curlewshift.emulator.oracle import Oracle
-from curlewshift.emulator.queue import Runaway
+from curlewshift.emulator.queue import EventLimitExceeded
 from curlewshift.emulator.world import World
 from curlewshift.fault_injection.rehearse import figures_of
 from curlewshift.rules import Rules
@@ -52,7 +52,7 @@
         World(script, script.seed, traffic, rules, wrong).run()
         best: list[dict] = []
         World(script, script.seed, best, Oracle).run()
-    except Runaway as runaway:
+    except EventLimitExceeded as runaway:
         return Found(script, 0.0, 0.0, (), str(runaway))
     figures = figures_of(script.site)
     verdict, oracle = judge(traffic, figures), judge(best, figures)
--- a/curlewshift/session_core/driver.py
+++ b/curlewshift/session_core/driver.py
@@ -9,12 +9,12 @@
 from typing import Protocol
 
 from curlewshift.model import Server
-from curlewshift.retries.session_ends import Ending
+from curlewshift.retries.session_ends import SessionEnd
 from curlewshift.session_core.front_session import Answer, Request, TuneIn
-from curlewshift.session_core.server_commands import Errand
+from curlewshift.session_core.server_commands import ServerCommand
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int:
         """The clock; it never goes back, and the clocks of all fronts agree to well within a second."""
 
@@ -22,23 +22,23 @@
         """Unix time (ns) as the machine has it now; unlike `now` it may be set back or forward."""
 
     def wake(self, at: int) -> None:
-        """Call `Desk.time` once the clock has reached `at`; only the earliest of these need be kept."""
+        """Call `SessionCore.time` once the clock has reached `at`; only the earliest of these need be kept."""
 
     def tune_in(self, tune_in: TuneIn) -> None:
-        """Ask the server for the session, unless `Desk.stands` says no just before the first byte goes out."""
+        """Ask the server for the session, unless `SessionCore.stands` says no just before the first byte goes out."""
 
     def withdraw(self, tune_in: TuneIn) -> bool:
         """Its time is over: let go of it; what it set up all the same must end. True if the server may have heard."""
 
-    def tell(self, errand: Errand) -> None:
-        """Tell the server that plays this viewing its new rung, or pass its client's patch on; `Desk.told_server`
+    def tell(self, errand: ServerCommand) -> None:
+        """Tell the server that plays this viewing its new rung, or pass its client's patch on; `SessionCore.told_server`
         hears what came of it."""
 
-    def end_session(self, ending: Ending) -> None:
-        """Ask the server to end this session; `Desk.session_ended` hears whether it answered."""
+    def end_session(self, ending: SessionEnd) -> None:
+        """Ask the server to end this session; `SessionCore.session_ended` hears whether it answered."""
 
     def probe(self, server: Server) -> None:
-        """Ask the server how full it is; `Desk.probed` tells the answer, once."""
+        """Ask the server how full it is; `SessionCore.probed` tells the answer, once."""
 
     def answer(self, request: Request, answer: Answer) -> None:
         """The one answer of this request."""
--- a/curlewshift/session_core/front_session.py
+++ b/curlewshift/session_core/front_session.py
@@ -7,7 +7,7 @@
 
 from curlewshift.model import Outcome, Server, Viewing
 from curlewshift.retries.keys import Held
-from curlewshift.session_core.server_commands import Errands
+from curlewshift.session_core.server_commands import CommandQueue
 
 
 class Kind(Enum):
@@ -23,7 +23,7 @@
     kind: Kind
     cause: str
     wait: int = 0
-    course: Course | None = None
+    course: FrontSession | None = None
 
 
 @dataclass(eq=False, slots=True)
@@ -33,7 +33,7 @@
     name: str
     arrived: int
     expires: int
-    course: Course | None = None
+    course: FrontSession | None = None
     answer: Answer | None = None
     # the viewer hung up: nobody is there to be answered
     gone: bool = False
@@ -43,7 +43,7 @@
 class TuneIn:
     """One attempt at one server. `outcome` is set once, by whichever comes first: its answer or its time."""
 
-    course: Course
+    course: FrontSession
     server: Server
     number: int
     rung: int
@@ -52,14 +52,14 @@
 
 
 @dataclass(eq=False, slots=True)
-class Course:
+class FrontSession:
     """One viewing from its request to its end at this front."""
 
     vw: Viewing
     offer: object
     # its key, while the table has it
     held: Held | None = None
-    errands: Errands | None = None
+    errands: CommandQueue | None = None
     requests: list[Request] = field(default_factory=list)
     tune_in: TuneIn | None = None
     # whatever the outside needs to reach the session at its server
--- a/curlewshift/session_core/server_commands.py
+++ b/curlewshift/session_core/server_commands.py
@@ -2,7 +2,7 @@
 
 Called by the desk. A session has one ETag, and each ICE restart makes a new one, so what is told out of order would be
 refused or, worse, taken. A newer rung overtakes one that still waits, and nothing else overtakes anything. Once the
-viewing is over, what waits is told so and nothing more goes out: the end of the session is `Endings`' to tell.
+viewing is over, what waits is told so and nothing more goes out: the end of the session is `SessionEnds`' to tell.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 
 
 @dataclass(eq=False, slots=True)
-class Errand:
+class ServerCommand:
     """`rung` or `patch` is set. `told(errand)` is called once it has come to its end, with `result` and `reply` set."""
 
     course: object
     rung: int | None = None
     patch: object = None
-    told: Callable[[Errand], None] | None = None
+    told: Callable[[ServerCommand], None] | None = None
     result: Result | None = None
     reply: object = None
     tries: int = 0
@@ -50,12 +50,12 @@
             self.told(self)
 
 
-class Errands:
+class CommandQueue:
     """Those of one course. `send(errand)` begins one; its outcome comes back through `answered`."""
 
     __slots__ = ("out", "over", "send", "waiting")
 
-    def __init__(self, send: Callable[[Errand], None]):
+    def __init__(self, send: Callable[[ServerCommand], None]):
         self.send, self.waiting, self.out, self.over = send, deque(), None, False
 
     def rung(self, course: object, rung: int) -> None:
@@ -65,11 +65,11 @@
             if errand.rung is not None:
                 errand.rung = rung
                 return
-        self.waiting.append(Errand(course, rung=rung))
+        self.waiting.append(ServerCommand(course, rung=rung))
         self._next()
 
-    def patch(self, course: object, patch: object, told: Callable[[Errand], None]) -> Errand:
-        errand = Errand(course, patch=patch, told=told)
+    def patch(self, course: object, patch: object, told: Callable[[ServerCommand], None]) -> ServerCommand:
+        errand = ServerCommand(course, patch=patch, told=told)
         if self.over:
             errand.end(Result.OVER)
         elif len(self.waiting) >= MOST_WAITING:
@@ -79,7 +79,7 @@
             self._next()
         return errand
 
-    def answered(self, errand: Errand, result: Result, reply: object = None) -> None:
+    def answered(self, errand: ServerCommand, result: Result, reply: object = None) -> None:
         if errand is not self.out:
             return
         self.out = None
--- a/curlewshift/session_core/server_list.py
+++ b/curlewshift/session_core/server_list.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Row:
+class ServerEntry:
     """One line of the list. `started` is on the outside's clock (ns), 0 for long ago; `link` is kB a second."""
 
     server: str
@@ -38,7 +38,7 @@
     holders: list[Server] = field(default_factory=list)
 
 
-class Roster:
+class ServerList:
     """`uplinks` is kB a second by rack, `titles` the shelves (one a server or several) that hold each title."""
 
     def __init__(self, uplinks: dict[str, float], titles: dict[str, tuple[str, ...]]):
@@ -55,7 +55,7 @@
 
     # ---- what the list says; each returns the lines for the rules, or None if the news is to be dropped
 
-    def full(self, epoch: str, generation: int, rows: list[Row]) -> list[Listed] | None:
+    def full(self, epoch: str, generation: int, rows: list[ServerEntry]) -> list[Listed] | None:
         """All there is: who is missing has gone. An older list of the same life of the service says nothing."""
         if epoch == self.epoch and generation < self.generation:
             return None
@@ -68,7 +68,7 @@
                 lines.append(Listed(server, False, server.started))
         return lines
 
-    def change(self, epoch: str, since: int, generation: int, rows: list[Row]) -> list[Listed] | None:
+    def change(self, epoch: str, since: int, generation: int, rows: list[ServerEntry]) -> list[Listed] | None:
         """News since the list held. Raises `Gap` if it does not follow on that list."""
         if epoch == self.epoch and generation <= self.generation:
             return None
@@ -88,7 +88,7 @@
 
     # ---- names to objects
 
-    def _line(self, row: Row) -> Listed:
+    def _line(self, row: ServerEntry) -> Listed:
         server = self.servers.get(row.server)
         rack = self._rack(row.rack)
         if server is None:
--- a/curlewshift/session_core/session_core.py
+++ b/curlewshift/session_core/session_core.py
@@ -1,7 +1,7 @@
 """A front's session core: from requests at the door to calls of the rules, and back to one answer each.
 
 Made by whoever hosts a front (curlewshift/front on sockets, tests with a fake), which tells it what happens by
-one method for each thing and acts for it through `Outside`. It decides nothing about where a viewing goes; it
+one method for each thing and acts for it through `Driver`. It decides nothing about where a viewing goes; it
 owns ids, the joining of retries under one key, deadlines, and that every request is answered exactly once.
 
 What comes late is dropped here and nowhere else: a tune-in ends by its first outcome, be that its answer or its
@@ -17,12 +17,12 @@
 from curlewshift.peaks.calendar import Calendar, Peak
 from curlewshift.peaks.peaks import Peaks
 from curlewshift.retries.keys import MOST_ENDED, KeyTable
-from curlewshift.retries.session_ends import Ending, Endings
+from curlewshift.retries.session_ends import SessionEnd, SessionEnds
 from curlewshift.rules import Rules
-from curlewshift.session_core.driver import Outside
-from curlewshift.session_core.front_session import Answer, Course, Kind, Request, TuneIn
-from curlewshift.session_core.server_commands import Errand, Errands, Result
-from curlewshift.session_core.server_list import Gap, Roster, Row
+from curlewshift.session_core.driver import Driver
+from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
+from curlewshift.session_core.server_commands import CommandQueue, Result, ServerCommand
+from curlewshift.session_core.server_list import Gap, ServerEntry, ServerList
 from curlewshift.session_core.timers import Timers
 from curlewshift.state.intents import KEPT_ON
 
@@ -34,24 +34,24 @@
 FORGET_AFTER = 60 * SECOND
 
 
-class Misuse(Exception):
+class InvalidRequest(Exception):
     """A request that cannot be taken as it stands; its text says why. It has cost no tune-in."""
 
 
-class Unknown(Misuse):
+class UnknownResource(InvalidRequest):
     """No such title or package."""
 
 
-class KeyReused(Misuse):
+class KeyReused(InvalidRequest):
     """A key that was used before for something else."""
 
 
-class Desk:
+class SessionCore:
     def __init__(
         self,
-        outside: Outside,
+        outside: Driver,
         terms: Terms,
-        roster: Roster | Fleet,
+        roster: ServerList | Fleet,
         rules: type[Rules] = Rules,
         most_waiting: int = MOST_WAITING,
         most_keys: int = MOST_ENDED,
@@ -59,16 +59,16 @@
     ):
         self.outside, self.roster = outside, roster
         self.packages = {package.name: package for package in terms.packages}
-        self.courses: dict[Viewing, Course] = {}
+        self.courses: dict[Viewing, FrontSession] = {}
         self.keys = KeyTable(terms.now, most_keys)
         # interrupted paid set-ups of which nothing is known yet, by key
-        self.doubts: dict[str, Course] = {}
+        self.doubts: dict[str, FrontSession] = {}
         self.waiting, self.most_waiting = 0, most_waiting
         self.draining = False
         self.names = 0
         self.longest_wait = terms.longest_wait
         self.timers = Timers(outside.wake)
-        self.endings = Endings(outside.now, outside.end_session, self.timers.at)
+        self.endings = SessionEnds(outside.now, outside.end_session, self.timers.at)
         self.peaks = Peaks(calendar or Calendar(terms.packages), terms.fronts, terms.now)
         self.rules = rules(self, terms)
 
@@ -89,16 +89,16 @@
         arrived: int | None = None,
         expected: int = 0,
     ) -> Request:
-        """A viewer wants to play a title; it is answered through `Outside.answer`, perhaps before this returns.
+        """A viewer wants to play a title; it is answered through `Driver.answer`, perhaps before this returns.
 
         `patience` (ns) is how long it will wait, if that is less than the package's, from when it `arrived`. Where the
         request itself says which servers hold its title, they come as `holders`, and its viewer's `mark` with them.
-        Raises `Misuse`.
+        Raises `InvalidRequest`.
         """
         now = self.outside.now() if arrived is None else arrived
         pack = self.packages.get(package)
         if pack is None:
-            raise Unknown(f"there is no package {package!r}")
+            raise UnknownResource(f"there is no package {package!r}")
         if holders is None:
             holders = self._holders(title)
         lasts = min((time for time in (patience, pack.patience) if time > 0), default=0)
@@ -115,7 +115,7 @@
             return request
         top = pack.top if ceiling is None else ceiling
         if top < pack.floor:
-            raise Misuse(f"package {package!r} is not played under rung {pack.floor}, the request allows {top} at most")
+            raise InvalidRequest(f"package {package!r} is not played under rung {pack.floor}, the request allows {top} at most")
         self.names += 1
         vw = Viewing(
             self.names,
@@ -130,7 +130,7 @@
             came_back=came_back,
         )
         self.peaks.came(pack, now, holders)
-        course = Course(vw, offer, requests=[request], errands=Errands(self.outside.tell))
+        course = FrontSession(vw, offer, requests=[request], errands=CommandQueue(self.outside.tell))
         if key is not None:
             course.held = self.keys.hold(key, (offer, pack, title), course)
         self._open(course, request)
@@ -164,24 +164,24 @@
             self.outside.withdraw(tune_in)
             self.failed(tune_in, Outcome.CANCELLED)
 
-    def closed(self, course: Course) -> None:
+    def closed(self, course: FrontSession) -> None:
         """The viewer ends a viewing that plays."""
         if self.courses.get(course.vw) is course and course.vw.playing:
             server, session = course.vw.server, course.session
             self._finish(course, Outcome.PLAYED)
             self.endings.end(server, session)
 
-    def ceiling_told(self, course: Course, rung: int) -> None:
-        """The viewer allows no rung above this from now on. Raises `Misuse` under the package's floor."""
+    def ceiling_told(self, course: FrontSession, rung: int) -> None:
+        """The viewer allows no rung above this from now on. Raises `InvalidRequest` under the package's floor."""
         vw = course.vw
         if rung < vw.package.floor:
-            raise Misuse(f"package {vw.package.name!r} is not played under rung {vw.package.floor}")
+            raise InvalidRequest(f"package {vw.package.name!r} is not played under rung {vw.package.floor}")
         vw.ceiling = min(rung, vw.package.top)
         if vw.playing and vw.rung > vw.ceiling:
             self.rules.rung_told(vw, vw.ceiling)
             course.errands.rung(course, vw.ceiling)
 
-    def patched(self, course: Course, patch: object, told) -> None:
+    def patched(self, course: FrontSession, patch: object, told) -> None:
         """The client changes its session; `told(errand)` is called once, with what came of it at its server."""
         course.errands.patch(course, patch, told)
 
@@ -249,7 +249,7 @@
         if left:
             self._after_leaving(course)
 
-    def lost(self, course: Course, outcome: Outcome = Outcome.BROKEN) -> None:
+    def lost(self, course: FrontSession, outcome: Outcome = Outcome.BROKEN) -> None:
         """A viewing that played has ended at its server, by itself (`PLAYED`) or broken."""
         if self.courses.get(course.vw) is course and course.vw.playing:
             self._finish(course, outcome)
@@ -283,12 +283,12 @@
         holders: Iterable,
         mark: int,
         expected: int = 0,
-    ) -> Course:
+    ) -> FrontSession:
         """A viewing that this front is told it has at a server, on a rung yet to be told. It counts whatever there is
-        room for, as it plays. Raises `Unknown`."""
+        room for, as it plays. Raises `UnknownResource`."""
         pack = self.packages.get(package)
         if pack is None:
-            raise Unknown(f"there is no package {package!r}")
+            raise UnknownResource(f"there is no package {package!r}")
         self.names += 1
         course = self._standing(pack, title, mark, ceiling, holders, session, expected)
         self.courses[course.vw] = course
@@ -305,15 +305,15 @@
         rung: int,
         key: str | None = None,
         offer: object = None,
-    ) -> Course:
-        """A viewing that plays already, from before this front started; `key` is its client's. Raises `Misuse`."""
+    ) -> FrontSession:
+        """A viewing that plays already, from before this front started; `key` is its client's. Raises `InvalidRequest`."""
         pack, held = self.packages.get(package), self.roster.titles.get(title)
         if pack is None or held is None:
-            raise Unknown(f"there is no package {package!r} or no title {title!r}")
+            raise UnknownResource(f"there is no package {package!r} or no title {title!r}")
         if not pack.floor <= rung <= pack.top:
-            raise Misuse(f"package {package!r} is not played on rung {rung}")
+            raise InvalidRequest(f"package {package!r} is not played on rung {rung}")
         if not self._seat_left(title, pack):
-            raise Misuse(f"all seats of {title!r} are taken in package {package!r}")
+            raise InvalidRequest(f"all seats of {title!r} are taken in package {package!r}")
         if key in self.doubts:
             course = self.found(key, server, session, rung)
             course.vw.ceiling = ceiling
@@ -328,14 +328,14 @@
 
     def _standing(
         self, pack: Package, title: str, mark: int, ceiling: int, holders: Iterable, session: object, expected: int = 0
-    ) -> Course:
+    ) -> FrontSession:
         now = self.outside.now()
         vw = Viewing(self.names, title, mark, pack, ceiling, now, now + pack.patience, holders, expected=expected)
-        course = Course(vw, None, session=session, errands=Errands(self.outside.tell))
+        course = FrontSession(vw, None, session=session, errands=CommandQueue(self.outside.tell))
         course.answer = Answer(Kind.PLAYS, "handed over", course=course)
         return course
 
-    def rung_found(self, course: Course, rung: int) -> None:
+    def rung_found(self, course: FrontSession, rung: int) -> None:
         """Its server says that a viewing plays on this rung, whatever it was told to."""
         vw = course.vw
         if vw.playing and vw.package.floor <= rung <= vw.package.top:
@@ -348,15 +348,15 @@
     def _seat_left(self, title: str, pack: Package) -> bool:
         return self.rules.seat_left(title, pack)
 
-    def _plays_already(self, course: Course, server: Server, rung: int) -> None:
+    def _plays_already(self, course: FrontSession, server: Server, rung: int) -> None:
         self.courses[course.vw] = course
         self.rules.handed_over(course.vw, server)
         self.rules.rung_told(course.vw, rung)
 
-    def told_server(self, errand: Errand, result: Result, reply: object = None) -> None:
+    def told_server(self, errand: ServerCommand, result: Result, reply: object = None) -> None:
         errand.course.errands.answered(errand, result, reply)
 
-    def session_ended(self, ending: Ending, answered: bool) -> None:
+    def session_ended(self, ending: SessionEnd, answered: bool) -> None:
         if answered:
             self.endings.answered(ending)
         else:
@@ -440,11 +440,11 @@
 
     # ---- the server list
 
-    def list_full(self, epoch: str, generation: int, rows: list[Row], stale: bool = False) -> None:
+    def list_full(self, epoch: str, generation: int, rows: list[ServerEntry], stale: bool = False) -> None:
         """All servers there are; `stale` for what this front kept from before it started."""
         self._listed(self.roster.full(epoch, generation, rows), stale)
 
-    def list_change(self, epoch: str, since: int, generation: int, rows: list[Row]) -> None:
+    def list_change(self, epoch: str, since: int, generation: int, rows: list[ServerEntry]) -> None:
         try:
             lines = self.roster.change(epoch, since, generation, rows)
         except Gap:
@@ -488,7 +488,7 @@
     def _holders(self, title: str) -> Iterable:
         held = self.roster.titles.get(title)
         if held is None:
-            raise Unknown(f"there is no title {title!r}")
+            raise UnknownResource(f"there is no title {title!r}")
         return held.holders
 
     # ---- paid set-ups of an earlier life
@@ -502,13 +502,13 @@
             return
         self.names += 1
         vw = Viewing(self.names, title, mark_of(key), pack, pack.top, self.outside.now(), until, (), over=True, may_have_run=True)
-        course = Course(vw, offer, errands=Errands(self.outside.tell))
+        course = FrontSession(vw, offer, errands=CommandQueue(self.outside.tell))
         course.held = self.keys.hold(key, (offer, pack, title), course)
         self.doubts[key] = course
         if not doubt:
             self.not_found(key)
 
-    def found(self, key: str, server: Server, session: object, rung: int) -> Course | None:
+    def found(self, key: str, server: Server, session: object, rung: int) -> FrontSession | None:
         """An interrupted paid set-up plays at this server. None if its client was told already that it failed, its seat
         is another's by now, or the settings have no such rung any more: then the session has to end."""
         course = self.doubts.get(key)
@@ -533,7 +533,7 @@
             self._answer_all(course, Answer(Kind.FAILED, "the front was restarted while it was set up; it may have run"))
             self.keys.ended(course.held, course.vw.expires)
 
-    def _doubt_lasts(self, course: Course) -> None:
+    def _doubt_lasts(self, course: FrontSession) -> None:
         """A client that came again has waited as long as it will, and nothing is known yet: what it is told now stays
         true, whatever is found later."""
         if course.waiting and course.answer is None and self.doubts.get(course.held.key) is course:
@@ -542,17 +542,17 @@
     # ---- announced peaks
 
     def announce(self, peak: Peak) -> None:
-        """Raises `Nonsense`."""
+        """Raises `InvalidPeak`."""
         self.peaks.calendar.announce(peak, self.outside.wall())
 
     def cancel(self, name: str) -> None:
-        """Raises `Nonsense`."""
+        """Raises `InvalidPeak`."""
         self.peaks.calendar.cancel(name)
 
     # ---- time
 
     def time(self) -> None:
-        """Call when the time asked for by `Outside.wake` has come; calling it early or twice does no harm."""
+        """Call when the time asked for by `Driver.wake` has come; calling it early or twice does no harm."""
         self.timers.run(self.outside.now())
 
     # ---- the rules' host, see curlewshift/host.py
@@ -590,7 +590,7 @@
 
     # ---- inside
 
-    def _open(self, course: Course, request: Request) -> None:
+    def _open(self, course: FrontSession, request: Request) -> None:
         request.course = course
         self.waiting += 1
         self.courses[course.vw] = course
@@ -598,7 +598,7 @@
         self.timers.at(vw.expires, lambda: self._overdue(course, vw))
         self.rules.wanted(vw)
 
-    def _join(self, course: Course, request: Request) -> None:
+    def _join(self, course: FrontSession, request: Request) -> None:
         request.course = course
         course.requests = [*course.waiting, request]
         self.waiting += 1
@@ -612,7 +612,7 @@
             heard = self.outside.withdraw(tune_in)
             self.failed(tune_in, Outcome.SILENT if heard else Outcome.UNREACHED)
 
-    def _overdue(self, course: Course, vw: Viewing) -> None:
+    def _overdue(self, course: FrontSession, vw: Viewing) -> None:
         """Nothing else may have answered, and patience ends now: no request is left without."""
         if course.vw is not vw or course.answer is not None or vw not in self.courses:
             return
@@ -623,7 +623,7 @@
             self._answer_all(course, Answer(Kind.FAILED, "nothing came of it in the viewer's time"))
             self._close(course)
 
-    def _after_leaving(self, course: Course) -> None:
+    def _after_leaving(self, course: FrontSession) -> None:
         """Its viewer had left while a tune-in was out. Whoever came again meanwhile starts where that ended."""
         old, waiting = course.vw, course.waiting
         if not waiting:
@@ -653,7 +653,7 @@
         self._answer_all(course, answer)
         self._close(course)
 
-    def _answer_all(self, course: Course, answer: Answer) -> None:
+    def _answer_all(self, course: FrontSession, answer: Answer) -> None:
         course.answer = answer
         for request in course.waiting:
             self._answer(request, answer)
@@ -666,13 +666,13 @@
             self.waiting -= 1
         self.outside.answer(request, answer)
 
-    def _finish(self, course: Course, outcome: Outcome) -> None:
+    def _finish(self, course: FrontSession, outcome: Outcome) -> None:
         self.rules.ended(course.vw, outcome, True)
         self.peaks.ended(course.vw, self.outside.now())
         course.answer = Answer(Kind.FAILED, "this viewing has ended")
         self._close(course)
 
-    def _close(self, course: Course) -> None:
+    def _close(self, course: FrontSession) -> None:
         self.courses.pop(course.vw, None)
         course.errands.finish()
         if course.held is None:
--- a/curlewshift/session_core/shedding.py
+++ b/curlewshift/session_core/shedding.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from curlewshift.model import Package, Server
-from curlewshift.session_core.front_session import Answer, Course, Kind, Request, TuneIn
+from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
 
 
 class Shedding:
@@ -19,7 +19,7 @@
         self.desk = desk
         self.floor_rate = min(package.rates[package.floor] for package in packages)
         # by what name each viewing in work is known at every front
-        self.who: dict[Course, str] = {}
+        self.who: dict[FrontSession, str] = {}
 
     # ---- what is told to the overload
 
--- a/curlewshift/sharing/counts.py
+++ b/curlewshift/sharing/counts.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Word:
+class CountReport:
     life: int
     number: int
     value: float
@@ -42,7 +42,7 @@
         self.mine: dict[str, float] = {}
         self.said: dict[str, tuple[float, int]] = {}
         self.round = 0
-        self.words: dict[str, dict[str, Word]] = {}
+        self.words: dict[str, dict[str, CountReport]] = {}
         self.others: dict[str, tuple[float, int]] = {}
         # as the one that adds up: how full a prober found it, and when; as one that uses: what of that is new
         self.reports: dict[str, tuple[float, int]] = {}
@@ -108,7 +108,7 @@
             if held is not None and (life, number) <= (held.life, held.number):
                 continue
             if held is not None or len(words) < MOST_WORDS:
-                words[front] = Word(life, number, value, now)
+                words[front] = CountReport(life, number, value, now)
 
     def reported(self, key: str, use: float, now: int) -> None:
         if key in self.reports or len(self.reports) < MOST_KEYS:
--- a/curlewshift/sharing/evidence.py
+++ b/curlewshift/sharing/evidence.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class ServerObservation:
     """One front's last word on one server: faded counts, and for how long (ns) it had answered without a break when said."""
 
     life: int
@@ -40,7 +40,7 @@
 
     def __init__(self, me: str, terms: SharingTerms):
         self.me, self.terms = me, terms
-        self.words: dict[str, dict[str, Seen]] = {}
+        self.words: dict[str, dict[str, ServerObservation]] = {}
         # servers that are doubted by others' word, kept so between two marks: one that flaps does not flap the fleet
         self.doubted: dict[str, bool] = {}
 
@@ -56,7 +56,7 @@
                 continue
             if held is None and len(words) >= MOST_WITNESSES:
                 continue
-            words[front] = Seen(
+            words[front] = ServerObservation(
                 life, number, max(0.0, min(good, MOST_OF_ONE)), max(0.0, min(bad, MOST_OF_ONE)), max(0, lasting), now
             )
 
--- a/curlewshift/sharing/loans.py
+++ b/curlewshift/sharing/loans.py
@@ -14,7 +14,7 @@
 from itertools import count
 from typing import Protocol
 
-from curlewshift.schedule.steady_clock import Steady
+from curlewshift.schedule.steady_clock import SteadyClock
 from curlewshift.sharing.terms import SharingTerms
 
 # Keys of one message, and asks that may be out.
@@ -22,7 +22,7 @@
 FOR_EVER = 2**63
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def ask(self, lender: int, number: int, keys: list[str]) -> None: ...
     def lend(self, borrower: int, number: int, rights: list[tuple[str, int]]) -> None: ...
@@ -40,11 +40,11 @@
     """`me` and all other fronts are numbers, the same at every front. Safety rests on what `may_use` tells at the moment of
     use, and on `back_after`; everything else only makes rights go where they are needed."""
 
-    def __init__(self, outside: Outside, me: int, terms: SharingTerms, first_number: int = 0):
+    def __init__(self, outside: Driver, me: int, terms: SharingTerms, first_number: int = 0):
         self.outside, self.me, self.terms = outside, me, terms
         now = outside.now()
         # a lender may take too much time for none, never none for some: steady time only runs short
-        self.steady = Steady(now, min(terms.window, 4 * terms.every))
+        self.steady = SteadyClock(now, min(terms.window, 4 * terms.every))
         self.steady.due = now + terms.every
         # a borrower may stop too soon, never too late: by the clock as it is, and a step back ends all loans
         self.latest = now
--- a/curlewshift/sharing/sharing.py
+++ b/curlewshift/sharing/sharing.py
@@ -11,14 +11,14 @@
 from typing import Protocol
 
 from curlewshift.model import Server
-from curlewshift.schedule.steady_clock import Steady
+from curlewshift.schedule.steady_clock import SteadyClock
 from curlewshift.sharing.budgets import FURTHER, SEAT, Further, Pool, Seats
 from curlewshift.sharing.clock_watch import ClockWatch
 from curlewshift.sharing.counts import AGAIN, Counts, picked
 from curlewshift.sharing.evidence import FADES, Evidence
 from curlewshift.sharing.loans import Loans, dealt
 from curlewshift.sharing.standing import StandingLoans
-from curlewshift.sharing.terms import SharingTerms, Together
+from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 
 # Rows of one message, of use a few less, as its answer has more to say of each; evidence is told to so many others a round, what
 # is worst or newest first.
@@ -31,7 +31,7 @@
 UPLINK = "uplink "
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def servers(self) -> Iterable[Server]: ...
     def rights_of(self, server: Server) -> int: ...
@@ -80,14 +80,14 @@
 
     def __init__(
         self,
-        outside: Outside,
+        outside: Driver,
         order: list[str],
         me: int,
         life: int,
         terms: SharingTerms,
         warm_within: int,
         chance: Random,
-        together: Together = Together(),
+        together: SharedBudgets = SharedBudgets(),
     ):
         self.outside, self.order, self.me, self.life, self.terms = outside, order, me, life, terms
         self.warm_within, self.chance = warm_within, chance
@@ -102,7 +102,7 @@
         self.counts = Counts(self.name, terms)
         self.evidence = self.evidence_class(self.name, terms)
         self.clocks = ClockWatch(terms.drift)
-        self.steady = Steady(outside.now(), terms.window)
+        self.steady = SteadyClock(outside.now(), terms.window)
         self.born = self.steady.last
         self.watches: dict[Server, Watch] = {}
         self.servers: dict[str, Server] = {}
--- a/curlewshift/sharing/standing.py
+++ b/curlewshift/sharing/standing.py
@@ -12,10 +12,10 @@
 from typing import Protocol
 
 from curlewshift.sharing.loans import FOR_EVER, MOST_KEYS, MOST_OUT, Loans
-from curlewshift.sharing.loans import Outside as LoansOutside
+from curlewshift.sharing.loans import Driver as LoansDriver
 
 
-class Outside(LoansOutside, Protocol):
+class Driver(LoansDriver, Protocol):
     def in_use(self, key: str) -> int: ...
     def ending(self, key: str) -> bool: ...
     def end_some(self, key: str, count: int) -> None: ...
--- a/curlewshift/sharing/terms.py
+++ b/curlewshift/sharing/terms.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Together:
+class SharedBudgets:
     """What all fronts have together. `free` further tune-ins within `look_back` (None: each front has its own), `seats` of each
     of the `titles` by package; a seat is lent for `seat_term` at a time, and servers keep for `lingers` at the most what a
     front that is gone or stopped left there (ns). `longest_setup` (ns) is the longest patience of those packages: a set-up
@@ -54,7 +54,7 @@
     lingers: int = 10 * SECOND
     longest_setup: int = 0
 
-    def patient(self, patience: Callable[[str], int]) -> Together:
+    def patient(self, patience: Callable[[str], int]) -> SharedBudgets:
         """With the longest set-up as the packages' patience (ns) has it."""
         return replace(self, longest_setup=max(map(patience, self.seats), default=0))
 
--- a/curlewshift/signalling/bodies.py
+++ b/curlewshift/signalling/bodies.py
@@ -14,7 +14,7 @@
 VERSION = 1
 
 
-class BadBody(Exception):
+class InvalidBody(Exception):
     """A body that is not what it should be; its text says where and what."""
 
 
@@ -106,8 +106,8 @@
 
 
 def decode(raw: bytes | str, shape: type):
-    """Raises `BadBody` in plain words."""
+    """Raises `InvalidBody` in plain words."""
     try:
         return msgspec.json.decode(raw, type=shape)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadBody(f"the body is not a {shape.__name__}: {error}") from None
+        raise InvalidBody(f"the body is not a {shape.__name__}: {error}") from None
--- a/curlewshift/signalling/fragments.py
+++ b/curlewshift/signalling/fragments.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass, field
 
-from curlewshift.signalling.sdp import ICE_CHARS, BadDescription
+from curlewshift.signalling.sdp import ICE_CHARS, InvalidDescription
 
 CONTENT_TYPE = "application/trickle-ice-sdpfrag"
 MOST_BYTES = 16 * 1024
@@ -37,9 +37,9 @@
 
 
 def parse_fragment(text: str) -> Fragment:
-    """Raises `BadDescription`. Unknown attributes are skipped, as RFC 8840 demands (4.4)."""
+    """Raises `InvalidDescription`. Unknown attributes are skipped, as RFC 8840 demands (4.4)."""
     if len(text) > MOST_BYTES:
-        raise BadDescription(0, f"the fragment is longer than {MOST_BYTES} characters")
+        raise InvalidDescription(0, f"the fragment is longer than {MOST_BYTES} characters")
     ufrag = pwd = ""
     parts: list[Part] = []
     inside, count = False, 0
@@ -49,7 +49,7 @@
             continue
         kind, equals, value = line[0], line[1:2], line[2:]
         if equals != "=" or not kind.islower():
-            raise BadDescription(number, f"expected letter=value, got {line[:40]!r}")
+            raise InvalidDescription(number, f"expected letter=value, got {line[:40]!r}")
         if kind == "m":
             # a pseudo line that is there for the attributes that follow it
             inside = True
@@ -68,28 +68,28 @@
             parts[-1].mid = rest
         elif name in ("candidate", "end-of-candidates"):
             if not parts:
-                raise BadDescription(number, f"a={name} before any media section (m= and a=mid)")
+                raise InvalidDescription(number, f"a={name} before any media section (m= and a=mid)")
             count += 1
             if count > MOST_CANDIDATES:
-                raise BadDescription(number, f"over {MOST_CANDIDATES} candidates")
+                raise InvalidDescription(number, f"over {MOST_CANDIDATES} candidates")
             if name == "end-of-candidates":
                 parts[-1].ended = True
             elif parts[-1].ended:
-                raise BadDescription(number, "a candidate after the end of candidates")
+                raise InvalidDescription(number, "a candidate after the end of candidates")
             elif not CANDIDATE.fullmatch(rest):
-                raise BadDescription(number, "a=candidate is not as RFC 8839, 5.1 has it")
+                raise InvalidDescription(number, "a=candidate is not as RFC 8839, 5.1 has it")
             else:
                 parts[-1].candidates.append(rest)
     if not ufrag or not pwd:
-        raise BadDescription(0, "the fragment has no a=ice-ufrag and a=ice-pwd (RFC 8840, 4.4)")
+        raise InvalidDescription(0, "the fragment has no a=ice-ufrag and a=ice-pwd (RFC 8840, 4.4)")
     if inside and any(not part.mid for part in parts):
-        raise BadDescription(0, "a media section of the fragment has no a=mid")
+        raise InvalidDescription(0, "a media section of the fragment has no a=mid")
     return Fragment(ufrag, pwd, parts)
 
 
 def _credential(number: int, name: str, value: str, least: int) -> str:
     if not least <= len(value) <= 256 or not ICE_CHARS.fullmatch(value):
-        raise BadDescription(number, f"{name} is not {least} to 256 ICE characters (RFC 8839, 5.4)")
+        raise InvalidDescription(number, f"{name} is not {least} to 256 ICE characters (RFC 8839, 5.4)")
     return value
 
 
--- a/curlewshift/signalling/sdp.py
+++ b/curlewshift/signalling/sdp.py
@@ -15,7 +15,7 @@
 ICE_CHARS = re.compile(r"[A-Za-z0-9+/]+")
 
 
-class BadDescription(Exception):
+class InvalidDescription(Exception):
     """What is wrong with a description, with the line it was seen on (0: the whole)."""
 
     def __init__(self, line: int, wrong: str):
@@ -42,9 +42,9 @@
 
 
 def parse(text: str) -> Description:
-    """The session and media level attributes, in order. Raises `BadDescription`."""
+    """The session and media level attributes, in order. Raises `InvalidDescription`."""
     if len(text) > MOST_BYTES:
-        raise BadDescription(0, f"the description is longer than {MOST_BYTES} characters")
+        raise InvalidDescription(0, f"the description is longer than {MOST_BYTES} characters")
     lines = text.split("\n")
     session: dict[str, list[str]] = {}
     media: list[Media] = []
@@ -53,13 +53,13 @@
         line = raw.rstrip("\r")
         if not line:
             if any(rest.strip() for rest in lines[number:]):
-                raise BadDescription(number, "an empty line inside the description")
+                raise InvalidDescription(number, "an empty line inside the description")
             break
         kind, equals, value = line[0], line[1:2], line[2:]
         if equals != "=" or not kind.islower():
-            raise BadDescription(number, f"expected letter=value, got {line[:40]!r}")
+            raise InvalidDescription(number, f"expected letter=value, got {line[:40]!r}")
         if number == 1 and line != "v=0":
-            raise BadDescription(1, f"expected 'v=0', got {line[:40]!r}")
+            raise InvalidDescription(1, f"expected 'v=0', got {line[:40]!r}")
         seen += kind if not media else ""
         if kind == "m":
             media.append(_media(number, value))
@@ -69,19 +69,19 @@
             owner.setdefault(name, []).append(rest)
     for kind, name in (("o", "origin"), ("s", "session name"), ("t", "time")):
         if kind not in seen:
-            raise BadDescription(0, f"the {name} line ({kind}=) is missing")
+            raise InvalidDescription(0, f"the {name} line ({kind}=) is missing")
     return Description(session, media)
 
 
 def _media(number: int, value: str) -> Media:
     parts = value.split()
     if len(parts) < 4:
-        raise BadDescription(number, "expected 'm=kind port protocol formats'")
+        raise InvalidDescription(number, "expected 'm=kind port protocol formats'")
     port = parts[1].partition("/")[0]
     if not port.isascii() or not port.isdigit() or int(port) > 65535:
-        raise BadDescription(number, f"{parts[1]!r} is no port")
+        raise InvalidDescription(number, f"{parts[1]!r} is no port")
     if parts[2] not in ("UDP/TLS/RTP/SAVPF", "UDP/TLS/RTP/SAVP"):
-        raise BadDescription(number, f"expected UDP/TLS/RTP/SAVPF, got {parts[2]!r}")
+        raise InvalidDescription(number, f"expected UDP/TLS/RTP/SAVPF, got {parts[2]!r}")
     return Media(parts[0], int(port), number)
 
 
@@ -92,16 +92,16 @@
 
 def checked_offer(text: str, way: str = PLAYS) -> Description:
     """An offer as WHEP demands it of a player, or WHIP of a publisher (RFC 9725, 4.2 and 4.4). Raises
-    `BadDescription`."""
+    `InvalidDescription`."""
     offer = parse(text)
     if not offer.media:
-        raise BadDescription(0, "the offer has no media section (m=)")
+        raise InvalidDescription(0, "the offer has no media section (m=)")
     for media in offer.media:
         _check_transport(offer, media)
         if "rtcp-mux" not in media.attributes:
-            raise BadDescription(media.line, "this media section has no a=rtcp-mux (RFC 9725, 4.4.1)")
+            raise InvalidDescription(media.line, "this media section has no a=rtcp-mux (RFC 9725, 4.4.1)")
         if not set(DIRECTIONS[way]) & media.attributes.keys():
-            raise BadDescription(media.line, f"the offer has to be {' or '.join(DIRECTIONS[way])} here")
+            raise InvalidDescription(media.line, f"the offer has to be {' or '.join(DIRECTIONS[way])} here")
     _check_bundle(offer)
     return offer
 
@@ -109,31 +109,31 @@
 def _check_transport(offer: Description, media: Media) -> None:
     for name in ("ice-ufrag", "ice-pwd", "fingerprint", "setup"):
         if offer.first(name, media) is None:
-            raise BadDescription(media.line, f"this media section has no a={name}")
+            raise InvalidDescription(media.line, f"this media section has no a={name}")
     ufrag, pwd = offer.first("ice-ufrag", media), offer.first("ice-pwd", media)
     if not 4 <= len(ufrag) <= 256 or not ICE_CHARS.fullmatch(ufrag):
-        raise BadDescription(media.line, "a=ice-ufrag is not 4 to 256 ICE characters (RFC 8839, 5.4)")
+        raise InvalidDescription(media.line, "a=ice-ufrag is not 4 to 256 ICE characters (RFC 8839, 5.4)")
     if not 22 <= len(pwd) <= 256 or not ICE_CHARS.fullmatch(pwd):
-        raise BadDescription(media.line, "a=ice-pwd is not 22 to 256 ICE characters (RFC 8839, 5.4)")
+        raise InvalidDescription(media.line, "a=ice-pwd is not 22 to 256 ICE characters (RFC 8839, 5.4)")
     if not FINGERPRINT.fullmatch(offer.first("fingerprint", media)):
-        raise BadDescription(media.line, "a=fingerprint is not 'hash XX:XX:...' (RFC 8122, 5)")
+        raise InvalidDescription(media.line, "a=fingerprint is not 'hash XX:XX:...' (RFC 8122, 5)")
     if offer.first("setup", media) not in ("actpass", "active"):
-        raise BadDescription(media.line, "a=setup of an offer has to be actpass, or active (RFC 9725, 4.4.5)")
+        raise InvalidDescription(media.line, "a=setup of an offer has to be actpass, or active (RFC 9725, 4.4.5)")
 
 
 def _check_bundle(offer: Description) -> None:
     """One bundle that has every section, by mids that differ (RFC 9143, 7.2; RFC 9725, 4.4.1)."""
     groups = [group.split()[1:] for group in offer.attributes.get("group", []) if group.split()[:1] == ["BUNDLE"]]
     if len(groups) != 1:
-        raise BadDescription(0, f"the offer has {len(groups)} bundles (a=group:BUNDLE), it needs one")
+        raise InvalidDescription(0, f"the offer has {len(groups)} bundles (a=group:BUNDLE), it needs one")
     mids = []
     for media in offer.media:
         mid = media.attributes.get("mid", [""])[0]
         if not mid or mid in mids:
-            raise BadDescription(media.line, f"a=mid of this media section is {'missing' if not mid else 'there twice'}")
+            raise InvalidDescription(media.line, f"a=mid of this media section is {'missing' if not mid else 'there twice'}")
         mids.append(mid)
         if mid not in groups[0]:
-            raise BadDescription(media.line, f"this media section ({mid}) is not in the bundle")
+            raise InvalidDescription(media.line, f"this media section ({mid}) is not in the bundle")
 
 
 def identity(offer: Description) -> str:
@@ -186,11 +186,11 @@
 
 
 def candidate_of(answer: Description) -> tuple[str, int]:
-    """Host and port of the first candidate. Raises `BadDescription`."""
+    """Host and port of the first candidate. Raises `InvalidDescription`."""
     value = answer.first("candidate", answer.media[0]) if answer.media else None
     parts = (value or "").split()
     if len(parts) < 6 or not parts[5].isdigit():
-        raise BadDescription(0, "the answer has no candidate")
+        raise InvalidDescription(0, "the answer has no candidate")
     return parts[4], int(parts[5])
 
 
--- a/curlewshift/site/authority.py
+++ b/curlewshift/site/authority.py
@@ -20,7 +20,7 @@
 DAYS = 90
 
 
-class NoAuthority(Exception):
+class AuthorityError(Exception):
     """There is no authority in the folder, or one already; the text says which."""
 
 
@@ -53,10 +53,10 @@
 
 
 def make_authority(folder: Path, name: str) -> Path:
-    """Writes `authority.pem` and its key; returns the former. Raises `NoAuthority` if there is one."""
+    """Writes `authority.pem` and its key; returns the former. Raises `AuthorityError` if there is one."""
     folder.mkdir(parents=True, exist_ok=True, mode=0o700)
     if (folder / "authority.key").exists():
-        raise NoAuthority(f"{folder} has an authority already")
+        raise AuthorityError(f"{folder} has an authority already")
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     certificate = (
         _builder(name, _name(name), key.public_key(), AUTHORITY_DAYS, now)
@@ -71,12 +71,12 @@
 
 
 def issue(folder: Path, names: list[str], out: Path, days: float = DAYS) -> tuple[Path, Path]:
-    """A certificate and key for these hosts (names or addresses), as `out`.pem and `out`.key. Raises `NoAuthority`."""
+    """A certificate and key for these hosts (names or addresses), as `out`.pem and `out`.key. Raises `AuthorityError`."""
     try:
         signer = serialization.load_pem_private_key((folder / "authority.key").read_bytes(), None)
         authority = x509.load_pem_x509_certificate((folder / "authority.pem").read_bytes())
     except (OSError, ValueError) as wrong:
-        raise NoAuthority(f"{folder} has no authority that can be read: {wrong}") from None
+        raise AuthorityError(f"{folder} has no authority that can be read: {wrong}") from None
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     certificate = (
         _builder(names[0], authority.subject, key.public_key(), days, now)
--- a/curlewshift/site/changes.py
+++ b/curlewshift/site/changes.py
@@ -11,10 +11,10 @@
 from dataclasses import fields
 
 from curlewshift.model import Package
-from curlewshift.site.reading import Mistakes
-from curlewshift.site.site import Duties, Site
+from curlewshift.site.reading import SiteErrors
+from curlewshift.site.site import Obligations, Site
 
-# Lines and words, as in reading.Mistakes.
+# Lines and words, as in reading.SiteErrors.
 Refusals = list[tuple[int, str]]
 # Fields of Site that a front takes, perhaps by conditions below. The machines are the list's to tell; a front does not use them.
 TAKEN = ("packages", "uplinks", "titles", "duties", "most_waiting", "ice_servers", "limits", "machines")
@@ -42,7 +42,7 @@
 }
 
 
-class NeedsRestart(Mistakes):
+class RestartRequired(SiteErrors):
     """There is nothing wrong with the file but that it cannot be in force before a restart."""
 
 
@@ -120,7 +120,7 @@
 
 def _duties(running: Site, new: Site, root) -> Iterator[tuple[int, str]]:
     shared = running.together.free is not None
-    for field in fields(Duties):
+    for field in fields(Obligations):
         name = field.name
         if getattr(running.duties, name) == getattr(new.duties, name):
             continue
--- a/curlewshift/site/reading.py
+++ b/curlewshift/site/reading.py
@@ -1,6 +1,6 @@
 """XML files against their schema, and the units in them. Every mistake is told at once, with file and line.
 
-Used for the site's settings and for rehearsal scripts. Raises `Mistakes`; nothing else comes of a bad file.
+Used for the site's settings and for rehearsal scripts. Raises `SiteErrors`; nothing else comes of a bad file.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 }
 
 
-class Mistakes(Exception):
+class SiteErrors(Exception):
     """All that is wrong with a file: (line, what) pairs, in the order of the file."""
 
     def __init__(self, path: Path | str, found: list[tuple[int, str]]):
@@ -52,22 +52,22 @@
 
 
 def read_xml(path: Path | str, schema: Path, raw: bytes | None = None) -> etree._Element:
-    """The root element of a file that fits the schema; of `raw` where its bytes are at hand. Raises `Mistakes`."""
+    """The root element of a file that fits the schema; of `raw` where its bytes are at hand. Raises `SiteErrors`."""
     try:
         raw = Path(path).read_bytes() if raw is None else raw
     except OSError as wrong:
-        raise Mistakes(path, [(0, f"the file cannot be read: {wrong.strerror}")]) from None
+        raise SiteErrors(path, [(0, f"the file cannot be read: {wrong.strerror}")]) from None
     # no entities and no network: a settings file is text and nothing else
     parser = etree.XMLParser(resolve_entities=False, no_network=True, load_dtd=False, huge_tree=False)
     try:
         root = etree.fromstring(raw, parser)
     except etree.XMLSyntaxError as wrong:
-        raise Mistakes(path, [(wrong.lineno or 0, f"this is not XML: {wrong.msg}")]) from None
+        raise SiteErrors(path, [(wrong.lineno or 0, f"this is not XML: {wrong.msg}")]) from None
     tree = etree.parse(str(schema))
     form = etree.XMLSchema(tree)
     if not form.validate(root):
         types = types_of(tree)
-        raise Mistakes(path, [(entry.line, plain(entry.message, types)) for entry in form.error_log])
+        raise SiteErrors(path, [(entry.line, plain(entry.message, types)) for entry in form.error_log])
     return root
 
 
--- a/curlewshift/site/site.py
+++ b/curlewshift/site/site.py
@@ -8,11 +8,11 @@
 
 from curlewshift.leases.terms import LeaseTerms
 from curlewshift.limits.admission import Bounds
-from curlewshift.membership.terms import Manners, usual_manners
+from curlewshift.membership.terms import MembershipTerms, usual_manners
 from curlewshift.model import Package, Terms
 from curlewshift.overload.terms import OverloadTerms
-from curlewshift.sharing.terms import SharingTerms, Together
-from curlewshift.site.reading import Mistakes, rate, read_xml, span
+from curlewshift.sharing.terms import SharedBudgets, SharingTerms
+from curlewshift.site.reading import SiteErrors, rate, read_xml, span
 
 SECOND = 1_000_000_000
 # Titles times packages whose seats fronts have together: each is a fact for every front, looked at each round.
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Door:
+class ListenAddress:
     name: str
     host: str
     port: int
@@ -65,7 +65,7 @@
     """How the fronts of the site know each other. `most_bytes` a second."""
 
     seeds: list[tuple[str, int]]
-    manners: Manners
+    manners: MembershipTerms
     most_bytes: int
 
 
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Duties:
+class Obligations:
     """The figures of the six rules and what else the deployment states (times in ns)."""
 
     way_back: int
@@ -107,13 +107,13 @@
 @dataclass(slots=True)
 class Site:
     name: str
-    doors: list[Door]
+    doors: list[ListenAddress]
     list_at: tuple[str, int]
     packages: list[Package]
     uplinks: dict[str, float]
     machines: list[Machine]
     titles: dict[str, tuple[str, ...]]
-    duties: Duties
+    duties: Obligations
     most_waiting: int
     most_connections: int
     # packages whose viewings publish (WHIP) instead of playing (WHEP)
@@ -131,7 +131,7 @@
     # None: fronts that know each other share nothing
     sharing: SharingTerms | None = None
     # budgets that all fronts have together, where they share
-    together: Together = Together()
+    together: SharedBudgets = SharedBudgets()
     # None: nothing is done once for the whole fleet
     leases: Leases | None = None
     # None: who comes first is let in
@@ -191,12 +191,12 @@
 
 
 def read_site(path: Path | str, raw: bytes | None = None) -> Site:
-    """From the file, or from `raw`, which stands in for its bytes. Raises `Mistakes` with all that is wrong."""
+    """From the file, or from `raw`, which stands in for its bytes. Raises `SiteErrors` with all that is wrong."""
     return site_of(path, read_xml(path, SCHEMA, raw))
 
 
 def site_of(path: Path | str, root) -> Site:
-    """From the root element of a file that fits the schema; what it names lies beside `path`. Raises `Mistakes`."""
+    """From the root element of a file that fits the schema; what it names lies beside `path`. Raises `SiteErrors`."""
     wrong: list[tuple[int, str]] = []
     ladder = [rate(rung.get("rate")) for rung in root.iterfind("ladder/rung")]
     for rung, lower, higher in zip(root.findall("ladder/rung")[1:], ladder, ladder[1:]):
@@ -230,7 +230,7 @@
     duties = _duties(root.find("obligations"), wrong)
     fronts = root.find("fronts")
     doors = [
-        Door(
+        ListenAddress(
             front.get("name"),
             *host_port(front.get("listen")),
             *_peer_places(front, wrong),
@@ -247,7 +247,7 @@
     overload = _overload(fronts, doors, duties, wrong)
     configuration = _configuration(fronts, control, wrong)
     if wrong:
-        raise Mistakes(path, wrong)
+        raise SiteErrors(path, wrong)
     return Site(
         name=root.get("name"),
         list_at=host_port(root.find("list").get("address")),
@@ -295,7 +295,7 @@
     return listen, reach or listen
 
 
-def _control(root, doors: list[Door], wrong: list[tuple[int, str]]) -> Control | None:
+def _control(root, doors: list[ListenAddress], wrong: list[tuple[int, str]]) -> Control | None:
     element = root.find("control")
     if element is None:
         return None
@@ -337,7 +337,7 @@
     return Distributed(give, within)
 
 
-def _peers(fronts, doors: list[Door], control: Control | None, wrong: list[tuple[int, str]]) -> Peers | None:
+def _peers(fronts, doors: list[ListenAddress], control: Control | None, wrong: list[tuple[int, str]]) -> Peers | None:
     element = fronts.find("peers")
     if element is None:
         return None
@@ -381,7 +381,7 @@
         wrong.append((line, f"{what}: drift is the part by which a clock may be off, 0.2 at most"))
 
 
-def _sharing(fronts, duties: Duties, wrong: list[tuple[int, str]]) -> SharingTerms | None:
+def _sharing(fronts, duties: Obligations, wrong: list[tuple[int, str]]) -> SharingTerms | None:
     element = fronts.find("sharing")
     if element is None:
         return None
@@ -398,12 +398,12 @@
 
 
 def _together(
-    fronts, sharing: SharingTerms | None, duties: Duties, packages: list[Package], titles: dict, wrong: list[tuple[int, str]]
-) -> Together:
+    fronts, sharing: SharingTerms | None, duties: Obligations, packages: list[Package], titles: dict, wrong: list[tuple[int, str]]
+) -> SharedBudgets:
     element = fronts.find("sharing")
     named = set(element.get("together", "").split()) if element is not None else set()
     if not named:
-        return Together()
+        return SharedBudgets()
     line, seats = element.sourceline, {package.name: package.seats for package in packages if package.seats}
     if "further-tune-ins" in named and duties.free_further is None:
         wrong.append((line, "sharing: there is no budget of further tune-ins to have together"))
@@ -414,7 +414,7 @@
     term, lingers = span(element.get("seat-term", "6s")), span(element.get("seats-linger", "10s"))
     if term < 8 * sharing.every:
         wrong.append((line, "sharing: a seat-term under eight rounds leaves no time to renew"))
-    return Together(
+    return SharedBudgets(
         duties.free_further if "further-tune-ins" in named else None,
         duties.look_back,
         seats if "seats" in named else {},
@@ -424,7 +424,7 @@
     )
 
 
-def _leases(fronts, doors: list[Door], wrong: list[tuple[int, str]]) -> Leases | None:
+def _leases(fronts, doors: list[ListenAddress], wrong: list[tuple[int, str]]) -> Leases | None:
     element = fronts.find("leases")
     if element is None:
         return None
@@ -456,7 +456,7 @@
     return LeaseTerms(term, drift, every)
 
 
-def _overload(fronts, doors: list[Door], duties: Duties, wrong: list[tuple[int, str]]) -> OverloadTerms | None:
+def _overload(fronts, doors: list[ListenAddress], duties: Obligations, wrong: list[tuple[int, str]]) -> OverloadTerms | None:
     element = fronts.find("overload")
     if element is None:
         return None
@@ -488,7 +488,7 @@
     }
 
 
-def _limits(fronts, packages: list[Package], duties: Duties, wrong: list[tuple[int, str]]) -> Bounds | None:
+def _limits(fronts, packages: list[Package], duties: Obligations, wrong: list[tuple[int, str]]) -> Bounds | None:
     element = fronts.find("limits")
     if element is None:
         return None
@@ -539,10 +539,10 @@
     )
 
 
-def _duties(element, wrong: list[tuple[int, str]]) -> Duties:
+def _duties(element, wrong: list[tuple[int, str]]) -> Obligations:
     answers, drains, cold, news = (element.find(name) for name in ("answers", "drains", "cold-servers", "news"))
     further = element.find("further-tune-ins")
-    duties = Duties(
+    duties = Obligations(
         way_back=span(answers.get("way-back")),
         longest_wait=span(answers.get("longest-wait")),
         most_tune_ins=int(answers.get("most-tune-ins")),
--- a/curlewshift/soak/plants.py
+++ b/curlewshift/soak/plants.py
@@ -10,7 +10,7 @@
 
 from curlewshift.node import __main__ as start
 from curlewshift.node import client_listener, isup, node, rtsp, server_pool, teardowns
-from curlewshift.node.client_listener import Door
+from curlewshift.node.client_listener import ClientListener
 from curlewshift.node.follower import Follower
 from curlewshift.rules import Rules
 from curlewshift.session_core import session_core
@@ -57,7 +57,7 @@
             self._say_again(endpoint, [head])
 
 
-class AnswersTwice(Door):
+class AnswersTwice(ClientListener):
     def answer(self, asked, answer, description=b""):
         line = asked.line
         known = self.asked.get(asked.name) is asked
@@ -66,7 +66,7 @@
             line.wire.send(rtsp.answer(500, "1", asked.name))
 
 
-class HalfAnswers(Door):
+class HalfAnswers(ClientListener):
     """Cuts some answers off in their bodies, and keeps the connection."""
 
     def answer(self, asked, answer, description=b""):
@@ -79,7 +79,7 @@
             client_listener.rtsp.answer = whole
 
 
-class AnswersOfAnother(Door):
+class AnswersOfAnother(ClientListener):
     """Passes some descriptions on to whoever asked next."""
 
     before = b""
@@ -150,7 +150,7 @@
 
 
 def _with_rules(rules: type[Rules]) -> None:
-    session_core.Desk.__init__.__defaults__ = (rules, *session_core.Desk.__init__.__defaults__[1:])
+    session_core.SessionCore.__init__.__defaults__ = (rules, *session_core.SessionCore.__init__.__defaults__[1:])
 
 
 PLANTS: dict[str, Callable[[], None]] = {
@@ -158,9 +158,9 @@
     "release-on-another-connection": lambda: setattr(server_pool, "Teardowns", ReleaseElsewhere),
     "end-once": lambda: setattr(server_pool, "Teardowns", SaysOnce),
     "end-queue-head": lambda: setattr(server_pool, "Teardowns", OneEndAtATime),
-    "answer-twice": lambda: setattr(node, "Door", AnswersTwice),
-    "half-answer": lambda: setattr(node, "Door", HalfAnswers),
-    "answer-of-another": lambda: setattr(node, "Door", AnswersOfAnother),
+    "answer-twice": lambda: setattr(node, "ClientListener", AnswersTwice),
+    "half-answer": lambda: setattr(node, "ClientListener", HalfAnswers),
+    "answer-of-another": lambda: setattr(node, "ClientListener", AnswersOfAnother),
     "drop-on-drain": lambda: setattr(node, "Node", DropsOnDrain),
     "stale-list-after-outage": lambda: setattr(node, "Follower", StaleList),
     "serve-after-leaving": lambda: setattr(node, "Node", StaysAfterLeaving),
--- a/curlewshift/standins/listing.py
+++ b/curlewshift/standins/listing.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from curlewshift.exchange.server import Exchange, PeerGone
+from curlewshift.exchange.server import Exchange, PeerDisconnected
 from curlewshift.signalling.bodies import ListNews, ListRow, encode
 from curlewshift.signalling.events import CONTENT_TYPE, KEEP_ALIVE, Event, encode_event
 from curlewshift.standins.traffic import Traffic
@@ -83,7 +83,7 @@
                 await news.wait()
             if news is self.news and not self.stuck:
                 await piece(KEEP_ALIVE)
-        raise PeerGone
+        raise PeerDisconnected
 
     def _resumed(self, last: str) -> int | None:
         """The generation that a front already has; None if it has to get all of it."""
--- a/curlewshift/standins/physics.py
+++ b/curlewshift/standins/physics.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from curlewshift.site.site import Duties
+from curlewshift.site.site import Obligations
 
 
 @dataclass(eq=False, slots=True)
@@ -55,7 +55,7 @@
     return held
 
 
-def falls_over(arrivals: deque[int], now: int, born: int, streams: int, duties: Duties) -> bool:
+def falls_over(arrivals: deque[int], now: int, born: int, streams: int, duties: Obligations) -> bool:
     """Counts one more arrival: a cold machine that is sent more than a multiple of its present pace within the window
     falls over."""
     arrivals.append(now)
--- a/curlewshift/standins/script.py
+++ b/curlewshift/standins/script.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from curlewshift.site.reading import Mistakes, read_xml, span
+from curlewshift.site.reading import SiteErrors, read_xml, span
 from curlewshift.site.site import Site, read_site
 
 SCHEMA = Path(__file__).with_name("script.xsd")
@@ -93,7 +93,7 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class PlannedViewing:
     package: str
     share: float
     watches: float
@@ -109,7 +109,7 @@
     come_again: float
     hang_up: float
     leave: float
-    wishes: list[Wish]
+    wishes: list[PlannedViewing]
     troubles: list[Trouble]
     announced: list[Announced]
     # whether servers end by themselves what nobody watches and what a front that is gone has left
@@ -147,7 +147,7 @@
 
 
 def read_script(path: Path | str) -> Script:
-    """Raises `Mistakes`, of this file or of the site that it names."""
+    """Raises `SiteErrors`, of this file or of the site that it names."""
     root = read_xml(path, SCHEMA)
     wrong: list[tuple[int, str]] = []
     site_path = Path(path).parent / root.get("site")
@@ -158,7 +158,7 @@
     for wish in viewers.iterfind("wants"):
         if wish.get("package") not in known:
             wrong.append((wish.sourceline, f"wants: {site_path.name} has no package {wish.get('package')!r}"))
-        wishes.append(Wish(wish.get("package"), float(wish.get("share")), span(wish.get("watches")) / NS))
+        wishes.append(PlannedViewing(wish.get("package"), float(wish.get("share")), span(wish.get("watches")) / NS))
     if sum(wish.share for wish in wishes) <= 0:
         wrong.append((viewers.sourceline, "viewers: the shares of what is wanted come to nothing"))
     lasts = span(root.get("lasts"))
@@ -206,7 +206,7 @@
             )
         )
     if wrong:
-        raise Mistakes(path, wrong)
+        raise SiteErrors(path, wrong)
     return Script(
         site_path,
         site,
--- a/curlewshift/standins/server.py
+++ b/curlewshift/standins/server.py
@@ -18,10 +18,10 @@
 import anyio
 from anyio.abc import SocketAttribute
 
-from curlewshift.exchange.server import Exchange, Line, PeerGone
+from curlewshift.exchange.server import Exchange, HttpConnection, PeerDisconnected
 from curlewshift.signalling.bodies import (
     TURNED_AWAY,
-    BadBody,
+    InvalidBody,
     LayerChoice,
     Note,
     SessionList,
@@ -35,8 +35,8 @@
 from curlewshift.signalling.fragments import CONTENT_TYPE as FRAGMENT
 from curlewshift.signalling.fragments import fragment_text, parse_fragment
 from curlewshift.signalling.loads import HEADER, encode_load
-from curlewshift.signalling.sdp import PLAYS, PUBLISHES, BadDescription, answer_text, checked_offer
-from curlewshift.site.site import Duties, Machine
+from curlewshift.signalling.sdp import PLAYS, PUBLISHES, InvalidDescription, answer_text, checked_offer
+from curlewshift.site.site import Machine, Obligations
 from curlewshift.standins.physics import LinkModel, as_of, falls_over, warmth
 from curlewshift.standins.traffic import Arrivals, Traffic
 
@@ -113,7 +113,7 @@
         name: str,
         link: LinkModel,
         ladder: dict[str, tuple[float, ...]],
-        duties: Duties,
+        duties: Obligations,
         born: int,
         chance: Random,
         traffic: Traffic,
@@ -128,7 +128,7 @@
         self.fences: dict[str, int] = {}
         self.media: dict[str, Session] = {}
         self.listeners: dict[str, Listener] = {}
-        self.lines: set[Line] = set()
+        self.lines: set[HttpConnection] = set()
         self.cores = anyio.CapacityLimiter(machine.cores)
         self.queued = 0
         self.arrivals: deque[int] = deque()
@@ -232,11 +232,11 @@
             tasks.start_soon(self._connection, stream)
 
     async def _connection(self, stream) -> None:
-        line = Line(Arrivals(stream), self._serve)
+        line = HttpConnection(Arrivals(stream), self._serve)
         self.lines.add(line)
         try:
             await line.run()
-        except (PeerGone, AssertionError):
+        except (PeerDisconnected, AssertionError):
             pass
         finally:
             self.lines.discard(line)
@@ -333,13 +333,13 @@
             self.fallen.set()
         await self.thaw.wait()
         if exchange.line.gone and not self.stubborn:
-            raise PeerGone
+            raise PeerDisconnected
         rates = self.ladder.get(package)
         try:
             offer = checked_offer(exchange.body.decode("utf-8", "replace"), way)
             if rates is None or not 0 <= layer < len(rates):
-                raise BadDescription(0, "no such package or layer")
-        except BadDescription as wrong:
+                raise InvalidDescription(0, "no such package or layer")
+        except InvalidDescription as wrong:
             over("bad")
             await exchange.problem(400, str(wrong))
             return
@@ -370,7 +370,7 @@
             return
         if exchange.line.gone and not self.stubborn:
             # whoever asked has gone: no media will ever flow
-            raise PeerGone
+            raise PeerDisconnected
         session = Session(
             secrets.token_hex(8),
             secrets.token_hex(4),
@@ -403,7 +403,7 @@
                 ],
                 answer.encode(),
             )
-        except PeerGone:
+        except PeerDisconnected:
             self._end(session, "its answer was not taken", tell=False)
             raise
 
@@ -411,11 +411,11 @@
         """The work is done and the answer gets lost: by a reset, or by silence until the other side has enough."""
         if self.loses_answers == "reset":
             exchange.abort()
-            raise PeerGone
+            raise PeerDisconnected
         gone = anyio.Event()
         exchange.on_hang_up(gone.set)
         await gone.wait()
-        raise PeerGone
+        raise PeerDisconnected
 
     def _warmth(self) -> float:
         return warmth(time.monotonic_ns() - self.born, self.duties.warm_within, self.duties.start_capacity)
@@ -424,7 +424,7 @@
         session = self.sessions.get(name)
         try:
             rung = int(decode(exchange.body, LayerChoice).encoding_id)
-        except (BadBody, ValueError) as wrong:
+        except (InvalidBody, ValueError) as wrong:
             await exchange.problem(400, str(wrong))
             return
         if session is None or not 0 <= rung < len(self.ladder[session.package]):
@@ -443,7 +443,7 @@
             return
         try:
             fragment = parse_fragment(exchange.body.decode("utf-8", "replace"))
-        except BadDescription as wrong:
+        except InvalidDescription as wrong:
             await exchange.problem(400, str(wrong))
             return
         restarts = fragment.restarts(session.theirs)
@@ -512,7 +512,7 @@
         life = exchange.headers.get("x-front", "")
         try:
             wanted = decode(exchange.body, SessionNames).sessions
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             await exchange.problem(400, str(wrong))
             return
         taken = []
@@ -559,7 +559,7 @@
                     await piece(b'{"rung":%d,"share":%.3f}\n' % (session.rung, self.link.share()))
                 await anyio.sleep(MEDIA_EVERY)
                 if exchange.line.gone:
-                    raise PeerGone
+                    raise PeerDisconnected
         finally:
             session.watchers -= 1
             session.unwatched_since = time.monotonic_ns()
@@ -584,7 +584,7 @@
         next_short, next_load = _next(SHORT_EVERY), _next(self.duties.told_every / NS)
         while True:
             if exchange.line.gone:
-                raise PeerGone
+                raise PeerDisconnected
             await self.thaw.wait()
             while listener.ended:
                 await piece(_event("ended", listener.ended.popleft()))
--- a/curlewshift/standins/viewers.py
+++ b/curlewshift/standins/viewers.py
@@ -14,11 +14,11 @@
 import msgspec
 from anyio.abc import SocketAttribute
 
-from curlewshift.exchange.client import Answered, Broken, Call, NeverSent, ask, connect
-from curlewshift.signalling.bodies import BadBody, Problem, decode
-from curlewshift.signalling.sdp import PLAYS, PUBLISHES, BadDescription, candidate_of, offer_text, parse
+from curlewshift.exchange.client import ConnectionBroken, HttpClientConnection, HttpResponse, RequestNotSent, ask, connect
+from curlewshift.signalling.bodies import InvalidBody, Problem, decode
+from curlewshift.signalling.sdp import PLAYS, PUBLISHES, InvalidDescription, candidate_of, offer_text, parse
 from curlewshift.site.site import Site
-from curlewshift.standins.script import Script, Wish, drawn_part, pressure
+from curlewshift.standins.script import PlannedViewing, Script, drawn_part, pressure
 from curlewshift.standins.traffic import Traffic, bytes_come
 
 NS = 1_000_000_000
@@ -95,7 +95,7 @@
             await anyio.sleep(pause)
 
     async def _visit(
-        self, request: str, viewing: str, wish: Wish, title: str, top: int, lasts: float, chance: Random
+        self, request: str, viewing: str, wish: PlannedViewing, title: str, top: int, lasts: float, chance: Random
     ) -> tuple[str, float]:
         """One request, and what comes of it: how it ended, and how long the viewer was told to stay away (s)."""
         door, package = chance.randrange(len(self.doors)), self.packages[wish.package]
@@ -125,11 +125,13 @@
         if answered.status == 503:
             try:
                 return "refused", (decode(answered.body, Problem).retry_after_ms or 0) / 1000
-            except BadBody:
+            except InvalidBody:
                 return "refused", 0.0
         return "failed", 0.0
 
-    async def _ask(self, request, viewing, door, package, title, top, key, offer, hangs_up=False, lingers=0.0) -> Answered | None:
+    async def _ask(
+        self, request, viewing, door, package, title, top, key, offer, hangs_up=False, lingers=0.0
+    ) -> HttpResponse | None:
         patience = self.packages[package].patience
         facts = dict(request=request, viewing=viewing, front=self.site.doors[door].name)
         way = PUBLISHES if package in self.site.published else PLAYS
@@ -150,9 +152,9 @@
             self.traffic.seen("answer", status=answered.status, **facts)
             await self._listen_on(call, facts)
             return answered
-        except NeverSent:
+        except RequestNotSent:
             self.traffic.seen("unreached", **facts)
-        except Broken as wrong:
+        except ConnectionBroken as wrong:
             self.traffic.seen("broke", cause=str(wrong), **facts)
         except anyio.get_cancelled_exc_class():
             if hangs_up and call is not None and call.written:
@@ -173,7 +175,7 @@
                 await call.close()
         return None
 
-    async def _listen_on(self, call: Call, facts: dict) -> None:
+    async def _listen_on(self, call: HttpClientConnection, facts: dict) -> None:
         with anyio.move_on_after(LISTENS_ON):
             for _ in range(MOST_HEARD):
                 data = await call.more()
@@ -182,7 +184,7 @@
                 if data.startswith(b"HTTP/1.1 "):
                     self.traffic.seen("answer", status=int(data[9:12]), again=True, **facts)
 
-    async def _watch(self, request: str, door: int, answered: Answered, lasts: float) -> str:
+    async def _watch(self, request: str, door: int, answered: HttpResponse, lasts: float) -> str:
         self.watching += 1
         try:
             with anyio.move_on_after(max(0.1, lasts)):
@@ -196,18 +198,18 @@
             if gone.status == 200:
                 # one that hung up and asked again holds what the first of the two requests set up
                 self.traffic.seen("closed", requests=[request, request + "h", request + "b"])
-        except (NeverSent, Broken, TimeoutError):
+        except (RequestNotSent, ConnectionBroken, TimeoutError):
             pass
         return "watched"
 
-    async def _media(self, answered: Answered) -> bool:
+    async def _media(self, answered: HttpResponse) -> bool:
         """Reads the media as they come; false if they break, true if the viewer has had enough of too little."""
         try:
             answer = parse(answered.body.decode())
             host, port = candidate_of(answer)
             ufrag = answer.first("ice-ufrag", answer.media[0])
             call = await connect(host, port, MEDIA_WITHIN)
-        except (BadDescription, NeverSent):
+        except (InvalidDescription, RequestNotSent):
             return False
         short, rest = 0, b""
         try:
@@ -227,7 +229,7 @@
                     short = short + 1 if share < TOO_LITTLE else 0
                 if short >= FOR_LINES:
                     return True
-        except (Broken, TimeoutError):
+        except (ConnectionBroken, TimeoutError):
             return False
         finally:
             await call.close()
--- a/curlewshift/state/background_writer.py
+++ b/curlewshift/state/background_writer.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 
-class Behind:
+class BackgroundWriter:
     """`write(items)` is called from the thread with all that came within `together` (s) of the first, and once more with
     what is left when it is closed. Hold `wake` to look at `waiting` and put into it what belongs to that look."""
 
--- a/curlewshift/state/journal.py
+++ b/curlewshift/state/journal.py
@@ -11,14 +11,14 @@
 import zlib
 from pathlib import Path
 
-from curlewshift.capture.records import HEAD, MAGIC, NotALog, Reading, frame
+from curlewshift.capture.records import HEAD, MAGIC, InvalidCapture, Reading, frame
 
 
-class Taken(Exception):
+class FolderInUse(Exception):
     """Another process has this folder."""
 
 
-class NotKept(Exception):
+class WriteFailed(Exception):
     """The record is not on the disk, and what it tells must not be done."""
 
 
@@ -32,7 +32,7 @@
             fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             self.file.close()
-            raise Taken(f"another front has {folder}") from None
+            raise FolderInUse(f"another front has {folder}") from None
 
     def release(self) -> None:
         self.file.close()
@@ -71,7 +71,7 @@
         raw = self.path.read_bytes()
         try:
             reading = Reading(raw, self.path.name)
-        except NotALog as wrong:
+        except InvalidCapture as wrong:
             self.damage = str(wrong)
             os.replace(self.path, self.path.with_name(self.path.name + ".damaged"))
             return None
@@ -84,9 +84,9 @@
         return reading.whole
 
     def add(self, record: list, flush: bool) -> None:
-        """Raises `NotKept`; the log is then as it was before."""
+        """Raises `WriteFailed`; the log is then as it was before."""
         if self.broken:
-            raise NotKept(self.broken)
+            raise WriteFailed(self.broken)
         raw = frame(record)
         try:
             done = os.write(self.file, raw)
@@ -100,7 +100,7 @@
             except OSError as wrong:
                 # after a failed flush nothing that was written before can be trusted to be on the disk either
                 self.broken = f"the disk did not take what was written: {wrong}"
-                raise NotKept(self.broken) from None
+                raise WriteFailed(self.broken) from None
         self.size += len(raw)
 
     def _back(self, wrong: OSError) -> None:
@@ -109,10 +109,10 @@
             os.lseek(self.file, 0, os.SEEK_END)
         except OSError:
             self.broken = "a torn record could not be taken back"
-        raise NotKept(f"it could not be written: {wrong}") from None
+        raise WriteFailed(f"it could not be written: {wrong}") from None
 
     def begin_anew(self, records: list[list]) -> None:
-        """A log with these alone, moved into the place of the old one. Raises `NotKept`; the old one then stays."""
+        """A log with these alone, moved into the place of the old one. Raises `WriteFailed`; the old one then stays."""
         beside = self.path.with_name(self.path.name + ".new")
         try:
             with open(beside, "wb") as file:
@@ -124,7 +124,7 @@
             os.fsync(folder)
             os.close(folder)
         except OSError as wrong:
-            raise NotKept(f"it could not be written anew: {wrong}") from None
+            raise WriteFailed(f"it could not be written anew: {wrong}") from None
         os.close(self.file)
         self.file = os.open(self.path, os.O_RDWR)
         self.size = os.lseek(self.file, 0, os.SEEK_END)
--- a/curlewshift/state/session_registry.py
+++ b/curlewshift/state/session_registry.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from curlewshift.session_core.front_session import Course
+    from curlewshift.session_core.front_session import FrontSession
 
 BEGAN, CHANGED, ENDED, BOOT = "session", "changed", "over", "boot"
 # The log is begun anew once it has so many records, and this many times as many as there are sessions in it.
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remembered:
+class StoredSession:
     """One session. `token` is its address at the door and `holder` who may use it; `key` is its client's, and `offer`
     the identity of what was offered under it. `path`, `etag` and `ufrag` are the server's words, `answer` its answer
     for the viewer."""
@@ -42,15 +42,15 @@
 
 
 MAY_CHANGE = ("ceiling", "rung", "etag", "ufrag")
-_LENGTH = len(fields(Remembered))
+_LENGTH = len(fields(StoredSession))
 
 
 def remembered(
-    course: Course, token: str, holder: str | None, path: str, etag: str = "", ufrag: str = "", answer: str = ""
-) -> Remembered:
+    course: FrontSession, token: str, holder: str | None, path: str, etag: str = "", ufrag: str = "", answer: str = ""
+) -> StoredSession:
     """A viewing that plays, as it has to be known after a kill."""
     vw, offer = course.vw, course.offer
-    return Remembered(
+    return StoredSession(
         token,
         holder,
         course.held.key if course.held is not None else None,
@@ -68,14 +68,14 @@
     )
 
 
-class Book:
+class SessionRegistry:
     def __init__(self):
-        self.open: dict[str, Remembered] = {}
+        self.open: dict[str, StoredSession] = {}
         # which life of each server was spoken to last: another one has nothing of what played there
         self.boots: dict[str, str] = {}
         self.records = 0
 
-    def began(self, session: Remembered) -> list[Any]:
+    def began(self, session: StoredSession) -> list[Any]:
         self.open[session.token] = session
         return self._record([BEGAN, *astuple(session)])
 
@@ -102,7 +102,7 @@
             self.records += 1
             match record:
                 case [str(kind), *facts] if kind == BEGAN and len(facts) == _LENGTH:
-                    self.open[facts[0]] = Remembered(*facts)
+                    self.open[facts[0]] = StoredSession(*facts)
                 case [str(kind), str(token), str(what), value] if kind == CHANGED and what in MAY_CHANGE:
                     if token in self.open:
                         self.open[token] = replace(self.open[token], **{what: value})
--- a/curlewshift/tasks/listing.py
+++ b/curlewshift/tasks/listing.py
@@ -17,7 +17,7 @@
 LEASE = "list/0"
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def list_held(self) -> tuple[str, int]:
         """Epoch and generation of the list as this front has it."""
@@ -33,7 +33,7 @@
 class ListReading:
     name, shards = "list", 1
 
-    def __init__(self, outside: Outside):
+    def __init__(self, outside: Driver):
         self.outside, self.fences = outside, Fences()
         self.number = self.due = 0
         self.heard_at = -1
--- a/curlewshift/tasks/planning.py
+++ b/curlewshift/tasks/planning.py
@@ -19,7 +19,7 @@
 PRIOR = 0.25
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def front_names(self) -> list[str]: ...
     def asked_for(self) -> dict[str, float]:
@@ -33,7 +33,7 @@
 class Planning:
     name, shards = "peaks", 1
 
-    def __init__(self, outside: Outside, me: str):
+    def __init__(self, outside: Driver, me: str):
         self.outside, self.me, self.fences = outside, me, Fences()
         self.heard: dict[str, tuple[int, dict[str, float]]] = {}
         self.due = 0
--- a/curlewshift/tasks/servers.py
+++ b/curlewshift/tasks/servers.py
@@ -13,7 +13,7 @@
 from curlewshift.model import Server
 
 
-class Outside(Protocol):
+class Driver(Protocol):
     def now(self) -> int: ...
     def servers(self) -> Iterable[Server]: ...
     def probe_for_all(self, server: Server, lease: str, number: int) -> None: ...
@@ -30,7 +30,7 @@
 
     name = ""
 
-    def __init__(self, outside: Outside, shards: int, each: int):
+    def __init__(self, outside: Driver, shards: int, each: int):
         self.outside, self.shards, self.each = outside, shards, each
         self.due: dict[int, int] = {}
 
@@ -68,7 +68,7 @@
 
     name = "orphans"
 
-    def __init__(self, outside: Outside, shards: int, each: int, away: int):
+    def __init__(self, outside: Driver, shards: int, each: int, away: int):
         super().__init__(outside, shards, each)
         self.away = away
 
--- a/curlewshift/tasks/tasks.py
+++ b/curlewshift/tasks/tasks.py
@@ -9,7 +9,7 @@
 
 from typing import Protocol
 
-from curlewshift.leases.proposer import Asker
+from curlewshift.leases.proposer import LeaseProposer
 from curlewshift.sharing.counts import picked
 
 
@@ -27,7 +27,7 @@
 class Tasks:
     """`me` is this front's name. `members()` are the names of those that are in, without it."""
 
-    def __init__(self, me: str, asker: Asker, tasks: list[Task], members):
+    def __init__(self, me: str, asker: LeaseProposer, tasks: list[Task], members):
         self.me, self.asker, self.members = me, asker, members
         self.tasks = {task.name: task for task in tasks}
         # leases that an operator had given up here are left alone for a while: until when (ns of the asker's clock)
--- a/tests/fake_driver.py
+++ b/tests/fake_driver.py
@@ -3,8 +3,8 @@
 from curlewshift.model import Outcome, Terms
 from curlewshift.rules import NEVER_RAN
 from curlewshift.session_core.front_session import Kind
-from curlewshift.session_core.server_list import Roster, Row
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.server_list import ServerEntry, ServerList
+from curlewshift.session_core.session_core import SessionCore
 from tests.fake import MS, SECOND, package
 
 PACKAGES = [
@@ -15,7 +15,7 @@
 FREE, SHARE, SPAN = 2, 0.2, 10 * SECOND
 
 
-class FakeOutside:
+class FakeDriver:
     """Plays sockets and clock. `out` are the tune-ins nobody has answered yet, `done` those that ended."""
 
     def __init__(self, servers=4, **changed):
@@ -47,7 +47,7 @@
         )
         how = {key: changed.pop(key) for key in ("most_waiting", "most_keys", "calendar") if key in changed}
         titles = {"t1": ("a", "b"), "t2": ("b", "c", "d"), "t3": ("a", "b", "c", "d")}
-        self.desk = Desk(self, Terms(**{**facts, **changed}), Roster({"r": 1e6}, titles), **how)
+        self.desk = SessionCore(self, Terms(**{**facts, **changed}), ServerList({"r": 1e6}, titles), **how)
         self.generation, self.rows = 0, {}
         for number in range(servers):
             row = self.row(f"s{number}", shelf="abcd"[number])
@@ -56,7 +56,7 @@
 
     @staticmethod
     def row(server, state="on", shelf="a", started=SECOND, link=4000.0):
-        return Row(server, state, started, "z", "r", link, 20, shelf)
+        return ServerEntry(server, state, started, "z", "r", link, 20, shelf)
 
     def server(self, name):
         return self.desk.roster.servers[name]
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -8,12 +8,12 @@
 import anyio
 import structlog
 
-from curlewshift.exchange.client import Call, connect
+from curlewshift.exchange.client import HttpClientConnection, connect
 from curlewshift.fault_injection.processes import free_ports
 from curlewshift.front.front import Front
 from curlewshift.signalling.bodies import ListRow
 from curlewshift.signalling.sdp import offer_text
-from curlewshift.site.site import Door, Duties, Machine, Site
+from curlewshift.site.site import ListenAddress, Machine, Obligations, Site
 from curlewshift.standins.listing import ServerList
 from curlewshift.standins.physics import LinkModel, Uplink
 from curlewshift.standins.server import MediaServer
@@ -72,7 +72,7 @@
             probes=False,
             uplinks=True,
         )
-        self.duties = Duties(**{**facts, **duties})
+        self.duties = Obligations(**{**facts, **duties})
         self.packages = [
             package(name="clip", join_target=SECOND, patience=patience, floor=1),
             package(name="paid", join_target=SECOND, patience=patience, paid_at_setup=True),
@@ -81,7 +81,7 @@
         machines = [Machine(f"s{n}", "127.0.0.1", port, "r", "z", 10_000.0, 50, 4) for n, port in enumerate(ports[2:])]
         self.site = Site(
             "test",
-            [Door("f", "127.0.0.1", ports[0])],
+            [ListenAddress("f", "127.0.0.1", ports[0])],
             ("127.0.0.1", ports[1]),
             self.packages,
             {"r": 1e6},
@@ -145,7 +145,7 @@
                 yield self
             self.tasks.cancel_scope.cancel()
 
-    async def call(self) -> Call:
+    async def call(self) -> HttpClientConnection:
         return await connect("127.0.0.1", self.port, 2.0)
 
     async def ask(self, pack="clip", headers=(), offer=None, query="", title="t"):
--- a/tests/test_attempt_order.py
+++ b/tests/test_attempt_order.py
@@ -9,7 +9,7 @@
 
 from curlewshift.front import server_pool
 from curlewshift.node import buffered_connection, isup
-from curlewshift.node.buffered_connection import Wire
+from curlewshift.node.buffered_connection import BufferedConnection
 from tests.node_place import Place, Plain
 from tests.proxied import Proxied
 from tests.sockets import SmallSite, story, until
@@ -125,7 +125,7 @@
         first = next(media for media in place.medias if media.had(isup.SET_UP))
         second = next(media for media in place.medias if media is not first)
         held = next(iter(place.node.reach.attempts.values())).line.wire
-        push = Wire._push
+        push = BufferedConnection._push
 
         def pushed(wire):
             return push(wire) if wire is not held or may_write() else False
@@ -136,7 +136,10 @@
             await ready(sock)
 
         ready = anyio.wait_writable
-        with mock.patch.object(Wire, "_push", pushed), mock.patch.object(buffered_connection.anyio, "wait_writable", writable):
+        with (
+            mock.patch.object(BufferedConnection, "_push", pushed),
+            mock.patch.object(buffered_connection.anyio, "wait_writable", writable),
+        ):
             await until(lambda: held.waiting)
             times["given up"] = anyio.current_time()
             await until(lambda: second.had(isup.SET_UP))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -17,7 +17,7 @@
 from curlewshift.exchange.client import connect
 from curlewshift.fault_injection.processes import PORTS
 from curlewshift.front import server_pool
-from curlewshift.front.planted_faults import DeafDesk
+from curlewshift.front.planted_faults import DeafSessionCore
 from curlewshift.standins.traffic import TICK, arrived_at
 from curlewshift.state.journal import Journal
 from curlewshift.verdict.attempts import judge_attempts
@@ -194,13 +194,13 @@
 
     @story
     async def test_a_front_that_does_not_hear_of_it_is_caught(self):
-        told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), desk=DeafDesk)
+        told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), desk=DeafSessionCore)
         self.assertEqual((told["late"], told["clean"]), (1, False), told)
         self.assertGreater(told["latest_ms"], 140)
 
     @story
     async def test_a_server_that_accepts_late_gets_nothing_for_who_left_meanwhile_unless_the_front_is_deaf(self):
-        for desk, begun in ((None, 0), (DeafDesk, 1)):
+        for desk, begun in ((None, 0), (DeafSessionCore, 1)):
             async with SmallSite(servers=1, patience=4 * 1000 * MS).up() as site:
                 if desk is not None:
                     site.front.desk.__class__ = desk
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,11 +13,11 @@
 
 from curlewshift.capacity.at_control import MOST_LISTED, REPORT_EACH
 from curlewshift.capacity.figures import Figure, short
-from curlewshift.capacity.measured import Measured
+from curlewshift.capacity.measured import Measurements
 from curlewshift.capacity.options import RESTS, shortfalls
-from curlewshift.capacity.page import BLOCK, NoPlace, differences, written
+from curlewshift.capacity.page import BLOCK, PageTableMismatch, differences, written
 from curlewshift.capacity.rows import FRONT, MEMORY, MESSAGES, PROCESSOR, ROLES, STATE, Mechanism, Row
-from curlewshift.capacity.slopes import Spoilt, slope_of
+from curlewshift.capacity.slopes import InvalidMeasurements, slope_of
 from curlewshift.capacity.tables import all_rows, tables
 from curlewshift.commands.capacity import MEASURED, PAGE, ROOT, USUAL, read_size
 from curlewshift.commands.main import NOUNS, main
@@ -26,7 +26,7 @@
 from curlewshift.node import discovery
 from curlewshift.peering import leasing, overloaded
 from curlewshift.peering.frames import Frame, encode
-from curlewshift.site.reading import Mistakes
+from curlewshift.site.reading import SiteErrors
 
 TEXT = USUAL.read_text()
 
@@ -76,7 +76,7 @@
         self.measured.mkdir()
         for name, told in held.items():
             (self.measured / f"{name.replace('_', '-')}.json").write_text(json.dumps(told))
-        return Measured(self.measured)
+        return Measurements(self.measured)
 
 
 class PageAndCommand(InAFolder):
@@ -85,7 +85,7 @@
         self.assertEqual((told.exit_code, told.stderr), (0, ""), "bin/curlewshift capacity --write puts it there")
 
     def test_each_table_row_that_is_changed_on_the_page_is_caught_at_its_line(self):
-        page, made = PAGE.read_text(), tables(read_size(USUAL), Measured(MEASURED), ROOT)
+        page, made = PAGE.read_text(), tables(read_size(USUAL), Measurements(MEASURED), ROOT)
         lines, tried = page.split("\n"), 0
         for block in BLOCK.finditer(page):
             first = page.count("\n", 0, block.start(3))
@@ -98,13 +98,13 @@
         self.assertGreater(tried, 60)
 
     def test_a_row_taken_out_and_a_table_without_a_place_are_caught(self):
-        page, made = PAGE.read_text(), tables(read_size(USUAL), Measured(MEASURED), ROOT)
+        page, made = PAGE.read_text(), tables(read_size(USUAL), Measurements(MEASURED), ROOT)
         row = next(line for line in page.split("\n") if line.startswith("| front nodes"))
         self.assertTrue(differences(page.replace(row + "\n", ""), made))
         last = page.split("\n<!-- /capacity -->")[1].split("\n")[-1]
         self.assertEqual(len(differences(page.replace(last + "\n", "", 1), made)), 1)
         for spoilt in (page.replace("<!-- capacity: order -->", ""), page + "\n<!-- capacity: more -->\n<!-- /capacity -->\n"):
-            with self.assertRaises(NoPlace):
+            with self.assertRaises(PageTableMismatch):
                 differences(spoilt, made)
 
     def test_a_measurement_that_is_changed_is_caught_by_the_check(self):
@@ -125,7 +125,7 @@
         self.assertEqual(run("--check", "--page", page).exit_code, 1)
         self.assertEqual(run("--write", "--page", page).exit_code, 0)
         self.assertEqual(page.read_text(), PAGE.read_text())
-        made = tables(read_size(USUAL), Measured(MEASURED), ROOT)
+        made = tables(read_size(USUAL), Measurements(MEASURED), ROOT)
         self.assertEqual(BLOCK.sub("", spoilt), BLOCK.sub("", written(spoilt, made)))
 
     def test_commands_beside_the_rows_are_there(self):
@@ -138,14 +138,14 @@
                 self.assertIn(rest[0], main.get_command(None, noun).commands, command)
 
     def test_each_role_has_a_row_for_each_of_the_four_kinds(self):
-        there = {(row.role, row.what) for row in all_rows(read_size(USUAL), Measured(MEASURED))}
+        there = {(row.role, row.what) for row in all_rows(read_size(USUAL), Measurements(MEASURED))}
         self.assertEqual({(role, what) for role in ROLES for what in (STATE, MESSAGES, PROCESSOR, MEMORY)} - there, set())
 
     def test_a_mechanism_is_in_the_tree(self):
-        for row in all_rows(read_size(USUAL), Measured(MEASURED)):
+        for row in all_rows(read_size(USUAL), Measurements(MEASURED)):
             if row.by is not None:
                 self.assertTrue(row.by.there(ROOT), row.by)
-        self.assertFalse(Mechanism("curlewshift/node/buffered_connection.py", "class Wirre").there(ROOT))
+        self.assertFalse(Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnnection").there(ROOT))
 
 
 class SizeFiles(InAFolder):
@@ -153,7 +153,7 @@
         path = self.size(*changes)
         told = run(path)
         self.assertEqual(told.exit_code, 2)
-        with self.assertRaises(Mistakes):
+        with self.assertRaises(SiteErrors):
             read_size(path)
         return told.stderr.replace(str(path), "F")
 
@@ -378,7 +378,7 @@
             told = line_file("memory-by-connection", 1_000_000, 9_000)
             slope_of(told["slopes"][0], "slope-memory.json")
             spoil(told["slopes"][0])
-            with self.assertRaises(Spoilt) as wrong:
+            with self.assertRaises(InvalidMeasurements) as wrong:
                 self.files(slope_memory=told)
             self.assertIn("slope-memory.json: slope memory-by-connection: ", str(wrong.exception))
         self.assertEqual(run("--measured", self.measured).exit_code, 2)
@@ -434,7 +434,7 @@
         self.assertEqual(DistributionTerms(("c1",)).report_each, REPORT_EACH * NS)
 
     def test_a_unit_that_cannot_become_the_one_wanted_is_refused(self):
-        with self.assertRaises(Spoilt):
+        with self.assertRaises(InvalidMeasurements):
             all_rows(self.small(), self.files(slope_memory=line_file("memory-by-connection", 1, 1, unit="seconds")))
 
     def test_without_files_no_row_has_a_measured_figure(self):
@@ -517,7 +517,11 @@
 
     def test_verdicts(self):
         def verdict(
-            value, error=0.0, bound=100.0, by=Mechanism("curlewshift/node/buffered_connection.py", "class Wire"), least=False
+            value,
+            error=0.0,
+            bound=100.0,
+            by=Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection"),
+            least=False,
         ):
             figure = (
                 None if value is None else Figure(value, "MB", "worked out", error, measured_to=1, wanted_at=2, at_least=least)
@@ -534,7 +538,7 @@
         self.assertEqual(verdict(50, by=Mechanism("curlewshift/none.py", "x")), "carried by nothing")
 
     def test_the_order_has_first_what_nothing_carries_and_most_rests_on_then_the_largest_factor(self):
-        wire = Mechanism("curlewshift/node/buffered_connection.py", "class Wire")
+        wire = Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection")
 
         def row(key, value, by):
             return Row(key, FRONT, MEMORY, key, Figure(value, "MB", "measured"), 10.0, by)
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -8,17 +8,17 @@
 from pathlib import Path
 from unittest import mock
 
-from curlewshift.capture.records import MAGIC, NotALog, Reading, frame
+from curlewshift.capture.records import MAGIC, InvalidCapture, Reading, frame
 from curlewshift.capture.replay import Replay
 from curlewshift.capture.store import CaptureWriter, read_capture
 from curlewshift.capture.tap import DID, TOLD, tapped
 from curlewshift.model import Outcome
 from curlewshift.peaks.calendar import Calendar
 from curlewshift.rules import Rules
-from curlewshift.session_core.session_core import Desk, KeyReused
+from curlewshift.session_core.session_core import KeyReused, SessionCore
 from tests import fake_driver
 from tests.fake import MS, SECOND
-from tests.fake_driver import PACKAGES, FakeOutside
+from tests.fake_driver import PACKAGES, FakeDriver
 
 FAILED = [Outcome.ERROR, Outcome.FULL, Outcome.SILENT, Outcome.UNREACHED, Outcome.BROKEN]
 
@@ -26,8 +26,8 @@
 def a_day(seed, steps=400, **changed):
     """A random day of one front, captured. Returns its records and its outside."""
     records = []
-    with mock.patch.object(fake_driver, "Desk", tapped(Desk, records.append)):
-        outside = FakeOutside(calendar=Calendar(PACKAGES), **changed)
+    with mock.patch.object(fake_driver, "SessionCore", tapped(SessionCore, records.append)):
+        outside = FakeDriver(calendar=Calendar(PACKAGES), **changed)
     chance, requests, desk = random.Random(seed), [], outside.desk
     for _ in range(steps):
         what = chance.randrange(14)
@@ -91,8 +91,8 @@
 
     def test_with_a_peak_on_the_calendar_and_the_wall_set(self):
         records = []
-        with mock.patch.object(fake_driver, "Desk", tapped(Desk, records.append)):
-            outside = FakeOutside(calendar=Calendar(PACKAGES))
+        with mock.patch.object(fake_driver, "SessionCore", tapped(SessionCore, records.append)):
+            outside = FakeDriver(calendar=Calendar(PACKAGES))
         from tests.test_peaks import peak
 
         outside.desk.announce(peak(starts=outside.wall() + SECOND, ends=outside.wall() + 9 * SECOND))
@@ -105,8 +105,8 @@
 
     def test_things_of_one_instant_keep_their_order(self):
         records, outside = [], None
-        with mock.patch.object(fake_driver, "Desk", tapped(Desk, records.append)):
-            outside = FakeOutside()
+        with mock.patch.object(fake_driver, "SessionCore", tapped(SessionCore, records.append)):
+            outside = FakeDriver()
         first, second = outside.ask("paid"), outside.ask("paid")
         tune_in = outside.out[0]
         outside.clock = tune_in.until
@@ -224,7 +224,7 @@
 
     def test_what_is_no_log_is_said_to_be_none(self):
         for raw in (b"", b"hello", MAGIC[:-3]):
-            with self.assertRaises(NotALog):
+            with self.assertRaises(InvalidCapture):
                 Reading(raw)
 
 
--- a/tests/test_captures_kept.py
+++ b/tests/test_captures_kept.py
@@ -14,7 +14,7 @@
 from curlewshift.baselines.baselines import BASELINES
 from curlewshift.capture.against import Compared, NoSuchPolicy, asked_of, policy
 from curlewshift.capture.index import Indexer, in_words
-from curlewshift.capture.records import NotALog
+from curlewshift.capture.records import InvalidCapture
 from curlewshift.capture.replay import Replay
 from curlewshift.capture.retention import DAY, Kept, to_let_go
 from curlewshift.capture.store import CaptureWriter, index_of, let_go, read_capture, segments_of
@@ -179,7 +179,7 @@
         raw = bytearray(segment.read_bytes())
         raw[4] ^= 0xFF
         segment.write_bytes(raw)
-        with self.assertRaises(NotALog):
+        with self.assertRaises(InvalidCapture):
             read_capture(self.folder)
 
     def test_a_kill_while_it_is_packed_loses_nothing(self):
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -24,9 +24,9 @@
 from curlewshift.front.in_service import Swap, in_service
 from curlewshift.front.planted_configuration_faults import HalfSwap, spoilt_begin
 from curlewshift.peering.frames import Frame, encode
-from curlewshift.session_core.server_list import Row
+from curlewshift.session_core.server_list import ServerEntry
 from curlewshift.site.changes import refusals
-from curlewshift.site.reading import Mistakes, read_xml
+from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.site.site import SCHEMA, read_site, site_of
 from curlewshift.standins.script import read_script
 from curlewshift.state.configured import Record
@@ -94,7 +94,7 @@
             ('seeds="f1', 'seeds="c9', "no front 'c9' to be a seed"),
         ):
             self.path.write_bytes(self.site((old, new)))
-            with self.assertRaises(Mistakes) as found:
+            with self.assertRaises(SiteErrors) as found:
                 read_site(self.path)
             self.assertIn(words, str(found.exception))
             self.assertRegex(str(found.exception), r":[1-9]\d*: ")
@@ -110,7 +110,7 @@
             script = self.folder / "day.xml"
             script.write_text(day.replace("configuration-site.xml", name))
             if wrong:
-                with self.assertRaises(Mistakes) as found:
+                with self.assertRaises(SiteErrors) as found:
                     read_script(script)
                 self.assertEqual(str(found.exception).count("has no <configuration> that it could befall"), wrong)
             else:
@@ -256,7 +256,7 @@
         self.configured = self.front.configured = Configured(self.front, Begun(self.path, self.front.site), None)
         now = self.front.now()
         self.front.desk.list_full(
-            "e", 1, [Row(f"h{n}", "on", now - 3600 * SECOND, "z", "r1", 4200.0, 24, f"s{n}") for n in range(1, 13)]
+            "e", 1, [ServerEntry(f"h{n}", "on", now - 3600 * SECOND, "z", "r1", 4200.0, 24, f"s{n}") for n in range(1, 13)]
         )
 
     def take(self, *changes, version="7.1-abc", text=SMALL):
@@ -311,7 +311,7 @@
             {f"h{shelf[1:]}" for shelf in front.site.titles["t99"]},
         )
         # and the list goes on telling of both
-        front.desk.list_change("e", 1, 2, [Row(f"h{shelves[0][1:]}", "off")])
+        front.desk.list_change("e", 1, 2, [ServerEntry(f"h{shelves[0][1:]}", "off")])
         self.assertEqual(holders, [])
 
     def test_who_is_under_way_has_the_patience_and_ceiling_it_came_with(self):
@@ -330,7 +330,7 @@
         self.assertIsNone(self.take(('<title name="t02"', '<title name="t99"')))
         holders = waits.course.vw.holders
         gone = holders[0]
-        desk.list_change("e", 1, 2, [Row(gone.name, "off")])
+        desk.list_change("e", 1, 2, [ServerEntry(gone.name, "off")])
         self.assertNotIn(gone, holders)
         self.assertTrue(holders)
         # nobody waits for it any more: the next version lets go of it
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,8 +15,8 @@
 import anyio
 
 from curlewshift.node import configuration, isup
-from curlewshift.node.buffered_connection import Listener, Wire
-from curlewshift.node.client_listener import Door
+from curlewshift.node.buffered_connection import BufferedConnection, Listener
+from curlewshift.node.client_listener import ClientListener
 from curlewshift.node.node import Node
 from tests.node_place import CLIP, Bulletin, Held, Place, Plain, set_up
 from tests.sockets import story, until
@@ -145,7 +145,7 @@
                 await until(
                     lambda: len(endpoint.lines) == 2 and not any(map(place.node.reach.teardowns.unconfirmed_on, endpoint.lines))
                 )
-                with mock.patch.object(Wire, "_push", lambda wire: False):
+                with mock.patch.object(BufferedConnection, "_push", lambda wire: False):
                     viewer.ask(C, package=CLIP)
                     await until(lambda: place.node.reach.attempts)
                     attempt = next(iter(place.node.reach.attempts.values()))
@@ -586,7 +586,7 @@
             await early.hear()
             early.tear_down(A)
             await early.hear()
-            finish, late = Door.finish, []
+            finish, late = ClientListener.finish, []
 
             async def with_a_late_one(door, *by):
                 # one connects and asks, one asks on an open connection: both are in the kernel, and nobody has looked
@@ -595,7 +595,7 @@
                 early.ask(C)
                 await finish(door, *by)
 
-            with mock.patch.object(Door, "finish", with_a_late_one):
+            with mock.patch.object(ClientListener, "finish", with_a_late_one):
                 os.kill(os.getpid(), signal.SIGTERM)
                 await self.ended(place)
             for viewer, id in ((late[0], B), (early, C)):
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -10,7 +10,16 @@
 from curlewshift.distribution.fetching import Fetch
 from curlewshift.distribution.giving import Giver
 from curlewshift.distribution.library import Library
-from curlewshift.distribution.pieces import PIECE, Spoilt, name_of, packed_difference, packed_whole, piece, pieces_of, unpacked
+from curlewshift.distribution.pieces import (
+    PIECE,
+    CorruptContent,
+    name_of,
+    packed_difference,
+    packed_whole,
+    piece,
+    pieces_of,
+    unpacked,
+)
 from curlewshift.distribution.reports import Report, aggregator_of, summed
 from curlewshift.distribution.store import Store
 from curlewshift.distribution.terms import DistributionTerms
@@ -397,7 +406,7 @@
         self.assertEqual(unpacked(difference, one), two)
         self.assertEqual(unpacked(packed_whole(two), b""), two)
         for spoilt in (b"", b"nothing", packed_whole(two)[:-5]):
-            with self.assertRaises(Spoilt):
+            with self.assertRaises(CorruptContent):
                 unpacked(spoilt, b"")
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,7 +11,7 @@
 
 from curlewshift.emulator.agreement import BOUNDS, agreement
 from curlewshift.emulator.planted_faults import NAMES
-from curlewshift.emulator.queue import Buckets, Heap, Runaway
+from curlewshift.emulator.queue import Buckets, EventLimitExceeded, Heap
 from curlewshift.emulator.world import World
 from curlewshift.fault_injection.rehearse import figures_of
 from curlewshift.standins.script import read_script, usual
@@ -141,7 +141,7 @@
                 queue.at(queue.now, again)
 
             queue.at(0, again)
-            with self.assertRaises(Runaway):
+            with self.assertRaises(EventLimitExceeded):
                 queue.run(10, 1000)
 
     def test_nothing_happens_before_now(self):
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -17,7 +17,7 @@
 from curlewshift.experiments.table import cells, interval
 from curlewshift.search.search import look, milder_days, mutated, search, shrunk
 from curlewshift.search.writing import write_found
-from curlewshift.site.reading import Mistakes
+from curlewshift.site.reading import SiteErrors
 from curlewshift.standins.script import read_script, usual
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -56,7 +56,7 @@
             ('baseline="rules"', 'baseline="none"', 1, "is no level"),
             ('levels="0.5 2"', 'levels="2 2"', 3, "all different"),
         ):
-            with self.assertRaises(Mistakes) as wrong:
+            with self.assertRaises(SiteErrors) as wrong:
                 self.read(SMALL.replace(old, new))
             self.assertIn(f":{line}: ", str(wrong.exception))
             self.assertIn(words, str(wrong.exception))
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -10,7 +10,7 @@
 import anyio
 
 from curlewshift.exchange import server as exchange_server
-from curlewshift.exchange.client import Broken, NeverSent, connect
+from curlewshift.exchange.client import ConnectionBroken, RequestNotSent, connect
 from curlewshift.signalling.bodies import LayerChoice, encode
 from tests.sockets import SmallSite, an_offer, story, until
 
@@ -112,8 +112,8 @@
     async def test_a_refused_connection_sends_a_paid_viewing_on(self):
         async with SmallSite(servers=2).up() as site:
             with (
-                mock.patch("curlewshift.session_core.session_core.Desk.notes_broke"),
-                mock.patch("curlewshift.session_core.session_core.Desk.server_lost"),
+                mock.patch("curlewshift.session_core.session_core.SessionCore.notes_broke"),
+                mock.patch("curlewshift.session_core.session_core.SessionCore.server_lost"),
             ):
                 site.servers["s0"].die()
                 await until(lambda: site.traffic.all("dead"))
@@ -230,7 +230,7 @@
                 site.servers["s0"].unfreeze()
             self.assertEqual((late.status, answers), (503, [201]))
             await until(lambda: site.traffic.all("session-end"))
-            with self.assertRaises(NeverSent):
+            with self.assertRaises(RequestNotSent):
                 for _ in range(200):
                     await (await site.call()).close()
                     await anyio.sleep(0.01)
@@ -297,13 +297,13 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(listener.serve, cut)
             call = await connect("127.0.0.1", port, 1.0)
-            with self.assertRaises(Broken):
+            with self.assertRaises(ConnectionBroken):
                 await call.ask("GET", "/")
             self.assertTrue(call.written)
             await call.close()
             tasks.cancel_scope.cancel()
         await listener.aclose()
-        with self.assertRaises(NeverSent):
+        with self.assertRaises(RequestNotSent):
             await connect("127.0.0.1", port, 1.0)
 
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -11,7 +11,7 @@
 from curlewshift.client.caller import links_of
 from curlewshift.signalling.conditions import refusal, tags_of
 from curlewshift.signalling.fragments import fragment_text, parse_fragment
-from curlewshift.signalling.sdp import BadDescription
+from curlewshift.signalling.sdp import InvalidDescription
 from tests.sockets import SmallSite, an_offer, story, until
 
 STEADY = settings(derandomize=True, deadline=None, max_examples=300)
@@ -37,7 +37,7 @@
     def test_fragments(self, text):
         try:
             fragment = parse_fragment(text)
-        except BadDescription as wrong:
+        except InvalidDescription as wrong:
             self.assertTrue(str(wrong))
         else:
             self.assertTrue(fragment.ufrag and fragment.pwd)
@@ -50,7 +50,7 @@
             (("m=video", "\r\n\r\nhello"), "letter=value"),
             (("a=end-of-candidates", "a=end-of-candidates\r\na=candidate:1"), "after the end"),
         ):
-            with self.subTest(change=change), self.assertRaises(BadDescription) as found:
+            with self.subTest(change=change), self.assertRaises(InvalidDescription) as found:
                 parse_fragment(FRAGMENT.replace(*change))
             self.assertIn(wrong, str(found.exception))
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -3,7 +3,7 @@
 import unittest
 
 from curlewshift.emulator.lease_histories import FAULTS, LASTS, MS, TERMS, LeaseHistory, broken
-from curlewshift.leases.acceptor import Keeper
+from curlewshift.leases.acceptor import LeaseAcceptor
 from curlewshift.leases.ballots import NONE, Ballot
 from curlewshift.leases.terms import LeaseTerms
 from curlewshift.model_checker.lease_checker import LeaseRounds, walk_leases, walk_rounds
@@ -122,10 +122,10 @@
         self.assertGreater(calm.holder().asker.may_act("l0"), number)
 
 
-class KeeperAlone(unittest.TestCase):
+class AcceptorAlone(unittest.TestCase):
     def keeper(self):
         self.clock, self.said = 10**12, []
-        keeper = Keeper(self, LeaseTerms(2 * SECOND, 0.01, SECOND // 5))
+        keeper = LeaseAcceptor(self, LeaseTerms(2 * SECOND, 0.01, SECOND // 5))
         self.later(keeper, 4)
         return keeper
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,8 +13,8 @@
 from curlewshift.limits.admission import Admission, Bounds
 from curlewshift.limits.buckets import Buckets
 from curlewshift.limits.concurrency import Concurrency
-from curlewshift.limits.descriptors import Gate
-from curlewshift.limits.heavy import Heavy
+from curlewshift.limits.descriptors import DescriptorGate
+from curlewshift.limits.heavy import HeavyHitters
 from curlewshift.limits.prefixes import Prefixes
 from curlewshift.limits.queue import Lines, Ticket
 from tests.fake import MS, SECOND
@@ -90,7 +90,7 @@
 
 class Heaviest(unittest.TestCase):
     def test_whoever_asks_for_more_than_its_part_is_found_and_errors_are_bounded(self):
-        heavy, exact, chance = Heavy(0, places=64), collections.Counter(), random.Random(2)
+        heavy, exact, chance = HeavyHitters(0, places=64), collections.Counter(), random.Random(2)
         for _ in range(20_000):
             key = f"h{chance.randrange(5)}" if chance.random() < 0.4 else f"one-off {chance.random()}"
             exact[key] += 1
@@ -103,7 +103,7 @@
             self.assertLessEqual(error, 20_000 / 64)
 
     def test_an_old_flood_weighs_no_more(self):
-        heavy = Heavy(0, places=8)
+        heavy = HeavyHitters(0, places=8)
         for _ in range(1000):
             heavy.add("old", 0)
         for number in range(100):
@@ -286,7 +286,7 @@
 
 class Descriptors(unittest.TestCase):
     def test_idle_connections_make_room_and_those_at_work_do_not(self):
-        gate = Gate(64, lambda: 100.0)
+        gate = DescriptorGate(64, lambda: 100.0)
         lines = [Connection(90.0 + number, at_work=number % 2 == 0) for number in range(10)]
         for line in lines:
             gate.opened(line)
@@ -294,7 +294,7 @@
         self.assertEqual([line.gone for line in lines], [number % 2 == 1 for number in range(10)])
 
     def test_an_accept_that_found_none_left_makes_the_gate_narrower_but_not_shut(self):
-        gate = Gate(100, lambda: 0.0)
+        gate = DescriptorGate(100, lambda: 0.0)
         first = gate.most
         for _ in range(100):
             gate.ran_out()
--- a/tests/test_model_checker.py
+++ b/tests/test_model_checker.py
@@ -5,7 +5,7 @@
 from curlewshift.model import Outcome
 from curlewshift.model_checker.session_checker import crash_points, done_again, walk
 from curlewshift.model_checker.world import Breach, Budgets, World
-from curlewshift.session_core.session_core import Desk
+from curlewshift.session_core.session_core import SessionCore
 from curlewshift.state.setting_up import SEND, WRITE
 
 
@@ -64,7 +64,7 @@
         self.caught(world(steps=after), 4, "2: c1 is sent again")
 
     def test_a_paid_key_forgotten_when_its_client_hangs_up(self):
-        class Forgets(Desk):
+        class Forgets(SessionCore):
             def _close(self, course):
                 if course.answer is None and course.held is not None:
                     self.keys.forget(course.held)
@@ -73,14 +73,14 @@
         self.caught(world(desk_class=Forgets), 4, "2: c1 is sent again")
 
     def test_a_failed_set_up_that_is_refused(self):
-        class Refuses(Desk):
+        class Refuses(SessionCore):
             def abort(self, viewing):
                 self.block(viewing, 0)
 
         self.caught(world(desk_class=Refuses), 3, "2: c1.0 is refused")
 
     def test_sessions_for_nobody_that_are_not_torn_down(self):
-        class Leaves(Desk):
+        class Leaves(SessionCore):
             def __init__(self, *args, **how):
                 super().__init__(*args, **how)
                 self.endings.end = lambda server, session: None
@@ -88,14 +88,14 @@
         self.caught(world(False, desk_class=Leaves), 3, "an orphan is left", settle_all=True)
 
     def test_a_front_that_sends_where_it_was_told_not_to(self):
-        class Deaf(Desk):
+        class Deaf(SessionCore):
             def stands(self, tune_in):
                 return tune_in.outcome is None
 
         self.caught(world(desk_class=Deaf), 2, "3: c1 is sent to s1")
 
     def test_an_answer_that_is_not_given(self):
-        class Silent(Desk):
+        class Silent(SessionCore):
             def _answer(self, request, answer):
                 if request.name.endswith(".0"):
                     self.waiting -= 1
@@ -105,7 +105,7 @@
         self.caught(world(False, desk_class=Silent), 3, "1: c1.0 got no answer", settle_all=True)
 
     def test_a_paid_set_up_found_again_whose_seat_is_another_viewers(self):
-        class Crowds(Desk):
+        class Crowds(SessionCore):
             def _seat_left(self, title, pack):
                 return True
 
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -38,8 +38,8 @@
 
 socket.socket.__init__ = opened
 if len(sys.argv) > 1:
-    from curlewshift.node.client_listener import Door
-    planted, taken = sys.argv[1], Door._set_up
+    from curlewshift.node.client_listener import ClientListener
+    planted, taken = sys.argv[1], ClientListener._set_up
 
     def used(self, *args):
         if planted == "socket":
@@ -51,7 +51,7 @@
             getattr(os, planted)(0, 0, 0, 0)
         taken(self, *args)
 
-    Door._set_up = used
+    ClientListener._set_up = used
 sys.argv = ["curlewshift.node"]
 runpy.run_module("curlewshift.node", run_name="__main__")
 """
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,9 +10,9 @@
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
 from curlewshift.overload.level import HIGH, Level, Round
-from curlewshift.overload.order import HOUR, STEPS, Order
+from curlewshift.overload.order import HOUR, STEPS, SheddingOrder
 from curlewshift.overload.overload import Overload
-from curlewshift.overload.retry_budget import LEAST, Advice, Again
+from curlewshift.overload.retry_budget import LEAST, RetryAdvice, RetryBudget
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.verdict.shed import judge_shed, storm_over
 from curlewshift.verdict.verdict import Figures
@@ -28,23 +28,25 @@
 
 class Orders(unittest.TestCase):
     def test_worth_for_room_goes_before_the_hash_and_the_hash_is_the_same_everywhere_for_an_hour(self):
-        one, other = Order(PACKAGES, 0.05), Order(list(reversed(PACKAGES)), 0.05)
+        one, other = SheddingOrder(PACKAGES, 0.05), SheddingOrder(list(reversed(PACKAGES)), 0.05)
         ranks = [one.rank(pack, f"v{n}", 5) for pack in (CHEAP, USUAL, DEAR) for n in range(50)]
         self.assertEqual(sorted(ranks[:50])[-1] < min(ranks[50:100]), True)
         self.assertEqual(ranks, [other.rank(pack, f"v{n}", HOUR - 1) for pack in (CHEAP, USUAL, DEAR) for n in range(50)])
         self.assertNotEqual(ranks, [one.rank(pack, f"v{n}", HOUR) for pack in (CHEAP, USUAL, DEAR) for n in range(50)])
         wide = package(name="wide", value=3.0, floor=1)
-        self.assertGreater(Order([wide, USUAL], 0.05).rank(USUAL, "v", 0), Order([wide, USUAL], 0.05).rank(wide, "v", 0))
+        self.assertGreater(
+            SheddingOrder([wide, USUAL], 0.05).rank(USUAL, "v", 0), SheddingOrder([wide, USUAL], 0.05).rank(wide, "v", 0)
+        )
 
     def test_who_comes_back_after_a_break_is_among_the_first_of_its_package_and_not_on_its_floor(self):
-        order = Order(PACKAGES, 0.05)
+        order = SheddingOrder(PACKAGES, 0.05)
         ranks = [order.rank(CHEAP, f"v{n}", 0, came_back=True) for n in range(200)]
         self.assertTrue(min(ranks) > STEPS * 0.7 and not any(order.floored(rank) for rank in ranks))
 
 
 class Levels(unittest.TestCase):
     def level(self):
-        order = Order(PACKAGES, 0.05)
+        order = SheddingOrder(PACKAGES, 0.05)
         return order, Level(order.top, order.floored)
 
     def rounds(self, order, level, offered, room, count=20, who=""):
@@ -339,7 +341,7 @@
 
 class WhatIsDoneAgain(unittest.TestCase):
     def test_tune_ins_beyond_the_first_are_paid_for_by_successes(self):
-        again = Again(OverloadTerms(again_share=0.2, again_free=2.0), 0)
+        again = RetryBudget(OverloadTerms(again_share=0.2, again_free=2.0), 0)
         for _ in range(2):
             self.assertTrue(again.may(0))
             again.spends(0)
@@ -353,7 +355,7 @@
 
     def test_with_many_fronts_the_free_ones_are_divided(self):
         def freely(fronts):
-            again = Again(OverloadTerms(again_free=8.0, fronts=fronts), 0)
+            again = RetryBudget(OverloadTerms(again_free=8.0, fronts=fronts), 0)
             made = 0
             while again.may(0):
                 again.spends(0)
@@ -363,7 +365,7 @@
         self.assertEqual([freely(fronts) for fronts in (1, 4, 8)], [8, 2, 1])
 
     def test_a_crowd_that_is_refused_does_not_come_back_together(self):
-        advice = Advice(TERMS, 0, random.Random(1))
+        advice = RetryAdvice(TERMS, 0, random.Random(1))
         waits = sorted(advice.wait(f"v{n}", 0) for n in range(500))
         self.assertTrue(waits[0] >= LEAST and waits[-1] <= TERMS.longest_wait)
         most = max(sum(wait <= other < wait + SECOND // 10 for other in waits) for wait in waits)
@@ -371,7 +373,7 @@
 
     def test_the_more_are_away_for_the_room_there_is_the_longer_they_are_told(self):
         def mean(refused, begun):
-            advice = Advice(TERMS, 0, random.Random(1))
+            advice = RetryAdvice(TERMS, 0, random.Random(1))
             for _ in range(begun):
                 advice.began(0)
             waits = [advice.wait(f"v{n}", 0) for n in range(refused)]
@@ -380,7 +382,7 @@
         self.assertGreater(mean(200, 100), 2 * mean(20, 100))
 
     def test_who_ignores_advice_is_told_to_stay_away_for_longer_each_time(self):
-        advice = Advice(TERMS, 0, random.Random(1))
+        advice = RetryAdvice(TERMS, 0, random.Random(1))
         first = advice.wait("v", 0)
         self.assertTrue(advice.early("v", first - 1) and not advice.early("v", first))
         second = advice.wait("v", first // 2)
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -8,11 +8,11 @@
 import anyio
 
 from curlewshift.front.control import tell
-from curlewshift.peaks.calendar import Calendar, Nonsense, Peak
-from curlewshift.peaks.forecast import Seen, began_early, expected
+from curlewshift.peaks.calendar import Calendar, InvalidPeak, Peak
+from curlewshift.peaks.forecast import ArrivalStatistics, began_early, expected
 from curlewshift.state.peaks import PeakStore
 from tests.fake import SECOND, Story, package
-from tests.fake_driver import PACKAGES, FakeOutside
+from tests.fake_driver import PACKAGES, FakeDriver
 from tests.sockets import SmallSite, story, until
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -28,7 +28,7 @@
 
 class Announcing(unittest.TestCase):
     def refused(self, calendar=None, **changed):
-        with self.assertRaises(Nonsense) as found:
+        with self.assertRaises(InvalidPeak) as found:
             (calendar or Calendar(PACKAGES)).announce(peak(**changed), 1000 * SECOND)
         return str(found.exception)
 
@@ -65,7 +65,7 @@
 
 class Forecast(unittest.TestCase):
     def seen(self, rate, span=20 * SECOND):
-        seen = Seen(0)
+        seen = ArrivalStatistics(0)
         for at in range(0, span, int(SECOND / rate)):
             seen.came(at)
         return seen, span
@@ -80,7 +80,7 @@
         self.assertTrue(began_early(5.0, seen, now, 15 * SECOND, 60 * SECOND))
         self.assertFalse(began_early(5.0, seen, now, 25 * SECOND, 60 * SECOND))
         self.assertFalse(began_early(9.0, seen, now, 15 * SECOND, 60 * SECOND))
-        one = Seen(0)
+        one = ArrivalStatistics(0)
         one.came(0)
         self.assertFalse(began_early(0.01, one, 1, SECOND, 60 * SECOND))
 
@@ -96,7 +96,7 @@
 
     def setUp(self):
         self.calendar = Calendar(PACKAGES)
-        self.outside = FakeOutside(calendar=self.calendar, free_further=None)
+        self.outside = FakeDriver(calendar=self.calendar, free_further=None)
         self.desk = self.outside.desk
         self.clip, self.lesson = PACKAGES[0], PACKAGES[2]
 
@@ -248,7 +248,7 @@
         self.outside.later(5 * SECOND)
 
     def test_a_hold_is_one_fronts_part(self):
-        three = FakeOutside(calendar=Calendar(PACKAGES), fronts=3)
+        three = FakeDriver(calendar=Calendar(PACKAGES), fronts=3)
         three.desk.peaks.calendar.announce(peak(starts=three.wall() + SECOND, ends=three.wall() + 30 * SECOND), three.wall())
         three.later(2 * SECOND)
         held = sum(sum(server.link.holds.values()) for server in three.desk.rules.servers)
