--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -16,8 +16,8 @@
 from curlewshift.membership.member import Rank
 from curlewshift.membership.terms import usual_manners
 from curlewshift.peering.wire import PeerWire
-from curlewshift.schedule.clock import LedClock
-from curlewshift.site.site import Door, Peers
+from curlewshift.schedule.clock import SkewedClock
+from curlewshift.site.site import ListenAddress, Peers
 from tests.fake import MS, SECOND
 from tests.sockets import SmallSite, story, until
 
@@ -35,9 +35,9 @@
         async with small.up() as site:
             other = PeerWire(
                 "test",
-                Door("g", "", 0, ("127.0.0.1", ports[1]), ("127.0.0.1", ports[1])),
+                ListenAddress("g", "", 0, ("127.0.0.1", ports[1]), ("127.0.0.1", ports[1])),
                 peers,
-                LedClock(),
+                SkewedClock(),
                 structlog.wrap_logger(structlog.ReturnLogger()),
                 Random(1),
             )
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,7 +19,7 @@
 from curlewshift.membership.views import Views
 from curlewshift.peering.frames import MOST_BYTES, Frame, Refused, Window, decode, encode
 from curlewshift.peering.rates import Allowance, Spent
-from curlewshift.schedule.steady_clock import Steady
+from curlewshift.schedule.steady_clock import SteadyClock
 from curlewshift.verdict.members import judge_members
 
 SECOND = NS
@@ -39,7 +39,7 @@
 
 class Time(unittest.TestCase):
     def test_steps_back_and_what_was_slept_through_are_left_out(self):
-        steady = Steady(1000, slack=50)
+        steady = SteadyClock(1000, slack=50)
         steady.due = 1100
         self.assertEqual(steady.read(1100), 1100)
         steady.due = 1200
@@ -50,7 +50,7 @@
         self.assertEqual((steady.stalls, steady.reading_of(1400)), (2, 10_100))
 
     def test_a_little_late_is_time(self):
-        steady = Steady(0, slack=50)
+        steady = SteadyClock(0, slack=50)
         steady.due = 100
         self.assertEqual((steady.read(149), steady.stalls), (149, 0))
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,20 +9,20 @@
 
 from curlewshift.exchange.client import ask
 from curlewshift.front.front import Front
-from curlewshift.recovery.recovery import TRIED_FOR, Doubt, Found, Recovery
+from curlewshift.recovery.recovery import TRIED_FOR, InterruptedSetup, ListedSession, Recovery
 from curlewshift.session_core.front_session import Kind
-from curlewshift.session_core.session_core import Unknown
-from curlewshift.state.journal import Journal, NotKept
-from curlewshift.state.session_registry import BEGAN, Book, Remembered
+from curlewshift.session_core.session_core import UnknownResource
+from curlewshift.state.journal import Journal, WriteFailed
+from curlewshift.state.session_registry import BEGAN, SessionRegistry, StoredSession
 from tests.fake import SECOND
-from tests.fake_driver import FakeOutside
+from tests.fake_driver import FakeDriver
 from tests.sockets import SmallSite, an_offer, story, until
 
 OWN, BEFORE = "f.2", "f.1"
 
 
 def remembered(token="tk", server="s0", path="/session/1", pack="lesson", title="t1", rung=1, key="k", **more):
-    return Remembered(
+    return StoredSession(
         **{
             **dict(
                 token=token,
@@ -49,7 +49,7 @@
     """A recovery over a fake desk: `asked` and `adopting` are the questions nobody has answered yet."""
 
     def __init__(self, sessions=(), boots=None, doubts=(), **how):
-        self.fake = FakeOutside(**how)
+        self.fake = FakeDriver(**how)
         self.asked, self.adopting, self.courses, self.forgot = [], [], {}, []
         for doubt in doubts:
             self.fake.desk.interrupted(doubt.key, doubt.offer, "paid", "t1", self.fake.clock + 60 * SECOND, doubt=True)
@@ -76,7 +76,9 @@
 
     def tells(self, server, *rows, boot="b"):
         self.asked.remove(server)
-        self.recovery.listed(self.fake.server(server), boot, [Found(path, life, rung, doubt) for path, life, rung, doubt in rows])
+        self.recovery.listed(
+            self.fake.server(server), boot, [ListedSession(path, life, rung, doubt) for path, life, rung, doubt in rows]
+        )
 
     def takes(self, server, *paths):
         self.adopting = [one for one in self.adopting if one[0] != server]
@@ -192,7 +194,7 @@
         self.assertEqual(day.forgot, ["tk"])
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         self.assertEqual(day.fake.torn, ["/session/1"])
-        with self.assertRaises(Unknown):
+        with self.assertRaises(UnknownResource):
             day.fake.desk.handed_over("lesson", "dropped", 2, day.fake.server("s0"), "x", 1)
 
 
@@ -200,7 +202,7 @@
     """A paid set-up whose answer its front never got."""
 
     def setUp(self):
-        self.day = Restart(doubts=[Doubt("k", "mark", "s0", "offer")])
+        self.day = Restart(doubts=[InterruptedSetup("k", "mark", "s0", "offer")])
         self.fake = self.day.fake
 
     def ask_again(self, **how):
@@ -248,7 +250,7 @@
 
 class Remembering(unittest.TestCase):
     def test_the_log_and_its_snapshot_remember_the_same(self):
-        book = Book()
+        book = SessionRegistry()
         records = [book.began(remembered(token=str(n))) for n in range(9)] + [
             book.changed("3", "rung", 2),
             book.changed("4", "etag", '"x"'),
@@ -260,13 +262,13 @@
         self.assertIsNone(book.ended("5"))
         whole = book.snapshot()
         for log in (records, whole, [*records, *records[:1], ["novel"], [BEGAN, 1], []]):
-            again = Book()
+            again = SessionRegistry()
             again.restore(log)
             self.assertEqual((again.open, again.boots), (book.open, book.boots))
         self.assertEqual(len(whole), 9)
 
     def test_a_log_grown_with_what_is_over_begins_anew(self):
-        book = Book()
+        book = SessionRegistry()
         for number in range(1500):
             book.began(remembered(token=str(number)))
             if number >= 100:
@@ -363,7 +365,7 @@
         async with SmallSite().up(self.state) as site:
 
             def full(record, flush):
-                raise NotKept("no space left")
+                raise WriteFailed("no space left")
 
             site.front.keeper.journal.add = full
             self.assertEqual((await site.ask()).status, 201)
@@ -371,7 +373,7 @@
             self.assertEqual((await site.ask()).status, 201)
 
     def test_a_torn_log_of_sessions_is_read_up_to_there(self):
-        book, journal = Book(), Journal(self.state / "sessions.log")
+        book, journal = SessionRegistry(), Journal(self.state / "sessions.log")
         for number in range(3):
             journal.add(book.began(remembered(token=str(number))), False)
         journal.close()
@@ -379,7 +381,7 @@
         raw = path.read_bytes()
         for cut in range(1, len(raw) // 3 - 30, 7):
             path.write_bytes(raw[:-cut])
-            again, torn = Book(), Journal(path)
+            again, torn = SessionRegistry(), Journal(path)
             again.restore(torn.records)
             torn.close()
             self.assertEqual((list(again.open), torn.damage), (["0", "1"], ""))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -7,9 +7,9 @@
 from curlewshift.client.plan import Ask, Plan, Stop
 from curlewshift.model import Link, Rack, Server
 from curlewshift.retries.keys import KeyTable
-from curlewshift.retries.session_ends import FIRST_PAUSE, TRIED_FOR, Endings
+from curlewshift.retries.session_ends import FIRST_PAUSE, TRIED_FOR, SessionEnds
 from curlewshift.schedule.wheel import Wheel
-from curlewshift.session_core.server_commands import Errands, Result
+from curlewshift.session_core.server_commands import CommandQueue, Result
 from curlewshift.session_core.timers import Timers
 
 SECOND = 1_000_000_000
@@ -95,7 +95,7 @@
     def setUp(self):
         self.clock, self.sent = 0, []
         self.timers = Timers(lambda at: None)
-        self.endings = Endings(lambda: self.clock, self.sent.append, self.timers.at)
+        self.endings = SessionEnds(lambda: self.clock, self.sent.append, self.timers.at)
         self.server = Server("s", 1, "z", 10, Rack(0, Link(1.0)), Link(1.0))
 
     def later(self, span):
@@ -174,10 +174,10 @@
         self.assertEqual((len(self.sent), len(self.endings)), (4, 0))
 
 
-class Errand(unittest.TestCase):
+class ServerCommand(unittest.TestCase):
     def setUp(self):
         self.sent, self.told = [], []
-        self.errands = Errands(self.sent.append)
+        self.errands = CommandQueue(self.sent.append)
 
     def patch(self, what):
         return self.errands.patch("course", what, lambda errand: self.told.append((errand.patch, errand.result)))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from curlewshift.scale.hollow import weight
 from curlewshift.scale.judge import Judge, VersionsSeen
 from curlewshift.scale.meter import Meter
-from curlewshift.scale.plan import Load, Plan, Unfit
+from curlewshift.scale.plan import InsufficientResources, Load, Plan
 from curlewshift.scale.relay import version_ridden
 from curlewshift.scale.run import ScaleRun
 from curlewshift.scale.versions import number_in
@@ -220,7 +220,7 @@
 
 class Bounds(unittest.TestCase):
     def refuses(self, what, plan):
-        with self.assertRaises(Unfit) as told:
+        with self.assertRaises(InsufficientResources) as told:
             plan.check()
         self.assertIn(what, str(told.exception))
         self.assertNotIn("\n", str(told.exception))
--- a/tests/test_session_core.py
+++ b/tests/test_session_core.py
@@ -2,16 +2,16 @@
 
 from curlewshift.model import Outcome
 from curlewshift.session_core.front_session import Kind
-from curlewshift.session_core.session_core import KeyReused, Misuse, Unknown
+from curlewshift.session_core.session_core import InvalidRequest, KeyReused, UnknownResource
 from curlewshift.session_core.timers import Timers
 from curlewshift.state.intents import KEPT_ON
 from tests.fake import SECOND
-from tests.fake_driver import FakeOutside
+from tests.fake_driver import FakeDriver
 
 
 class Once(unittest.TestCase):
     def setUp(self):
-        self.outside = FakeOutside()
+        self.outside = FakeDriver()
         self.desk = self.outside.desk
 
     def tearDown(self):
@@ -85,7 +85,7 @@
         self.assertEqual(ran, [6])
 
     def test_a_thousand_viewings_end_at_once(self):
-        self.outside = FakeOutside(free_further=None)
+        self.outside = FakeDriver(free_further=None)
         for server in list(self.outside.rows.values()):
             server.streams, server.link = 5000, 1e9
         self.outside.change(*self.outside.rows.values())
@@ -100,7 +100,7 @@
 
 class Keys(unittest.TestCase):
     def setUp(self):
-        self.outside = FakeOutside()
+        self.outside = FakeDriver()
         self.desk = self.outside.desk
 
     def tearDown(self):
@@ -126,7 +126,7 @@
             ("lesson", Outcome.BROKEN, 1, False),
         ):
             with self.subTest(pack=pack, outcome=outcome):
-                outside = FakeOutside()
+                outside = FakeDriver()
                 outside.desk.hung_up(outside.ask(pack, key="k"))
                 again = outside.ask(pack, key="k")
                 outside.ends(outside.out[0], outcome)
@@ -153,7 +153,7 @@
         self.assertEqual(len(self.outside.out), 1)
 
     def test_keys_of_ended_viewings_are_bounded(self):
-        outside = FakeOutside(most_keys=10)
+        outside = FakeDriver(most_keys=10)
         for number in range(50):
             outside.desk.closed(outside.play(key=f"k{number}"))
         self.assertLessEqual(len(outside.desk.keys), 10)
@@ -166,7 +166,7 @@
 
 class Full(unittest.TestCase):
     def test_a_full_front_refuses_at_once_and_says_so(self):
-        outside = FakeOutside(most_waiting=3)
+        outside = FakeDriver(most_waiting=3)
         requests = [outside.ask() for _ in range(5)]
         self.assertEqual([request in outside.answers for request in requests], [False] * 3 + [True] * 2)
         self.assertIn("too many", outside.answers[requests[4]].cause)
@@ -174,7 +174,7 @@
         self.assertNotIn(outside.ask(), outside.answers)
 
     def test_a_draining_front_answers_what_it_took_and_refuses_the_rest(self):
-        outside = FakeOutside()
+        outside = FakeDriver()
         taken = outside.ask()
         outside.desk.drain()
         self.assertEqual(outside.answers[outside.ask()].kind, Kind.REFUSED)
@@ -182,18 +182,18 @@
         self.assertEqual(outside.answers[taken].kind, Kind.PLAYS)
 
     def test_what_cannot_be_taken_costs_no_tune_in(self):
-        outside = FakeOutside()
-        for wrong, ask in ((Unknown, ("nope", "t1")), (Unknown, ("clip", "nope"))):
+        outside = FakeDriver()
+        for wrong, ask in ((UnknownResource, ("nope", "t1")), (UnknownResource, ("clip", "nope"))):
             with self.assertRaises(wrong):
                 outside.ask(*ask)
-        with self.assertRaises(Misuse):
+        with self.assertRaises(InvalidRequest):
             outside.desk.asked("q", "clip", "t1", 0)
         self.assertEqual((outside.out, outside.desk.waiting), ([], 0))
 
 
 class Lists(unittest.TestCase):
     def setUp(self):
-        self.outside = FakeOutside()
+        self.outside = FakeDriver()
         self.desk = self.outside.desk
 
     def test_a_gap_asks_for_the_whole_list_and_the_old_one_holds(self):
@@ -231,7 +231,7 @@
         self.assertIn(self.outside.server("s0"), self.desk.roster.titles["t1"].holders)
 
     def test_a_front_on_a_stale_list_keeps_its_pace_at_servers_that_may_be_cold(self):
-        outside = FakeOutside(fronts=3, servers=0)
+        outside = FakeDriver(fronts=3, servers=0)
         outside.desk.list_full("", -1, [outside.row(f"s{n}", shelf="abcd"[n]) for n in range(4)], stale=True)
         for _ in range(40):
             outside.ask()
@@ -252,7 +252,7 @@
 
 class Sessions(unittest.TestCase):
     def setUp(self):
-        self.outside = FakeOutside()
+        self.outside = FakeDriver()
         self.desk = self.outside.desk
 
     def test_a_restart_seen_by_its_notes_ends_what_played_and_makes_the_server_cold(self):
@@ -281,7 +281,7 @@
         course = self.outside.play(pack="clip")
         self.desk.ceiling_told(course, 1)
         self.assertEqual((course.vw.rung, self.outside.rungs), (1, [(course, 1)]))
-        with self.assertRaises(Misuse):
+        with self.assertRaises(InvalidRequest):
             self.desk.ceiling_told(course, 0)
 
 
@@ -301,12 +301,12 @@
     """A request's cost hangs on its holders and not on the fleet: counted in looks at servers, not in seconds."""
 
     def looks(self, fleet):
-        from curlewshift.session_core.server_list import Roster
+        from curlewshift.session_core.server_list import ServerList
 
-        outside = FakeOutside(servers=0)
+        outside = FakeDriver(servers=0)
         titles = {"t": tuple(f"s{n}" for n in range(5))}
         desk = outside.desk
-        desk.roster = Roster({"r": 1e9}, titles)
+        desk.roster = ServerList({"r": 1e9}, titles)
         desk.list_full("e", 1, [outside.row(f"m{n}", shelf=f"s{n}", started=SECOND) for n in range(fleet)])
         looks = 0
         may_send = desk.rules._may_send
--- a/tests/test_session_core_histories.py
+++ b/tests/test_session_core_histories.py
@@ -12,7 +12,7 @@
 from curlewshift.session_core.server_commands import Result
 from curlewshift.session_core.session_core import KeyReused
 from tests.fake import MS, SECOND
-from tests.fake_driver import FakeOutside
+from tests.fake_driver import FakeDriver
 
 FAILED = [Outcome.ERROR, Outcome.FULL, Outcome.SILENT, Outcome.UNREACHED, Outcome.BROKEN, Outcome.UNSENT]
 
@@ -20,7 +20,7 @@
 class History(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.outside = FakeOutside()
+        self.outside = FakeDriver()
         self.desk = self.outside.desk
         self.requests = []
         self.patches, self.patched = 0, []
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -15,15 +15,15 @@
 import jwt
 
 from curlewshift.client import Caller, Failed, Refused, SyncCaller, Wrong
-from curlewshift.exchange.client import NeverSent, ask, connect
+from curlewshift.exchange.client import RequestNotSent, ask, connect
 from curlewshift.exchange.server import serve
 from curlewshift.exchange.tls import client_context
-from curlewshift.limits.permits import BadKeys, NoPermit, Permits, allow, read_keys
+from curlewshift.limits.permits import InvalidKeySet, PermitDenied, Permits, allow, read_keys
 from curlewshift.signalling.events import Reader
 from curlewshift.signalling.fragments import CONTENT_TYPE as FRAGMENT
 from curlewshift.signalling.fragments import fragment_text
 from curlewshift.signalling.sdp import PUBLISHES, offer_text
-from curlewshift.site.authority import NoAuthority, issue, make_authority
+from curlewshift.site.authority import AuthorityError, issue, make_authority
 from tests.fake import SECOND
 from tests.sockets import FINGERPRINT, SDP, SmallSite, an_offer, story, until
 
@@ -409,7 +409,7 @@
         return time.time_ns()
 
     def refused(self, authorization):
-        with self.assertRaises(NoPermit) as found:
+        with self.assertRaises(PermitDenied) as found:
             Permits(read_keys(json.dumps({"keys": [SECRET]}).encode())).read(authorization, self.now)
         return found.exception.status, found.exception.error
 
@@ -444,7 +444,7 @@
             ("clip", "t", True, "127.0.0.9"),
             ("clip", "t", False, "192.0.2.1"),
         ):
-            with self.assertRaises(NoPermit) as found:
+            with self.assertRaises(PermitDenied) as found:
                 allow(permit, *wanted)
             self.assertEqual(found.exception.status, 403)
 
@@ -457,7 +457,7 @@
             b'{"keys":[{"kty":"oct"}]}',
             b'{"keys":[{"kty":"oct","kid":"a","k":"c2hvcnQ"}]}',
         ):
-            with self.assertRaises(BadKeys):
+            with self.assertRaises(InvalidKeySet):
                 read_keys(raw)
 
     @story
@@ -492,28 +492,28 @@
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             authority = make_authority(folder / "ca", "a story's")
-            with self.assertRaises(NoAuthority):
+            with self.assertRaises(AuthorityError):
                 make_authority(folder / "ca", "again")
             pem, key = issue(folder / "ca", ["127.0.0.1"], folder / "door")
             self.assertEqual(key.stat().st_mode & 0o77, 0)
             async with SmallSite(servers=1, site={"tls": (pem, key)}).up() as site:
                 base, context = f"https://127.0.0.1:{site.port}", client_context(authority)
                 await (await Caller([base], tls=context).play("clip", "t", an_offer().decode())).close()
-                with self.assertRaises(NeverSent):
+                with self.assertRaises(RequestNotSent):
                     await connect("localhost", site.port, 1.0, context)
-                with self.assertRaises(NeverSent):
+                with self.assertRaises(RequestNotSent):
                     await connect("127.0.0.1", site.port, 1.0, ssl.create_default_context())
                 old = client_context(authority)
                 old.minimum_version = ssl.TLSVersion.MINIMUM_SUPPORTED
                 old.maximum_version = ssl.TLSVersion.TLSv1_1
-                with self.assertRaises(NeverSent):
+                with self.assertRaises(RequestNotSent):
                     await connect("127.0.0.1", site.port, 1.0, old)
                 plain = await site.raw(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
                 self.assertNotIn(b"HTTP/1.1 2", plain)
                 issue(folder / "ca", ["localhost"], folder / "door")
                 before = site.front.tls.stamp
                 await until(lambda: site.front.tls.stamp != before)
-                with self.assertRaises(NeverSent):
+                with self.assertRaises(RequestNotSent):
                     await connect("127.0.0.1", site.port, 1.0, context)
                 await (await connect("localhost", site.port, 1.0, context)).close()
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -21,11 +21,11 @@
 from curlewshift.sharing.counts import Counts, picked
 from curlewshift.sharing.evidence import Evidence
 from curlewshift.sharing.loans import Loans, dealt
-from curlewshift.sharing.terms import SharingTerms, Together
+from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 from curlewshift.standins.script import Trouble
 from curlewshift.verdict.bounds import judge_bounds
 from tests.fake import Story
-from tests.fake_driver import FakeOutside
+from tests.fake_driver import FakeDriver
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -424,7 +424,7 @@
         fleet.until(fleet.agreed, 5)
         ends = []
         for post in fleet.posts:
-            desk = FakeOutside(servers=1, fronts=2).desk
+            desk = FakeDriver(servers=1, fronts=2).desk
             ends.append(
                 SharedWire(
                     post.channel,
@@ -432,7 +432,7 @@
                     ["f0", "f1"],
                     post.number,
                     TERMS,
-                    Together(),
+                    SharedBudgets(),
                     8 * SECOND,
                     post.now,
                     mock.Mock(),
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -3,10 +3,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from curlewshift.signalling.bodies import BadBody, ListNews, Note, decode, encode
+from curlewshift.signalling.bodies import InvalidBody, ListNews, Note, decode, encode
 from curlewshift.signalling.events import Event, Reader, TooLong, encode_event
 from curlewshift.signalling.loads import decode_load, encode_load
-from curlewshift.signalling.sdp import BadDescription, answer_text, candidate_of, checked_offer, identity, offer_text, parse
+from curlewshift.signalling.sdp import InvalidDescription, answer_text, candidate_of, checked_offer, identity, offer_text, parse
 
 FINGERPRINT = "sha-256 " + ":".join(["A5"] * 32)
 OFFER = offer_text("abcd", "p" * 22, FINGERPRINT)
@@ -42,7 +42,7 @@
             (("t=0 0\r\n", ""), 0, "the time line"),
             (("a=mid", "\r\na=mid"), 8, "empty line"),
         ):
-            with self.subTest(change=change), self.assertRaises(BadDescription) as found:
+            with self.subTest(change=change), self.assertRaises(InvalidDescription) as found:
                 checked_offer(OFFER.replace(*change))
             self.assertIn(wrong, str(found.exception))
             if line:
@@ -60,7 +60,7 @@
     def test_nothing_that_is_sent_breaks_the_reading(self, text):
         try:
             identity(checked_offer(text))
-        except BadDescription as wrong:
+        except InvalidDescription as wrong:
             self.assertTrue(str(wrong))
 
 
@@ -95,7 +95,7 @@
         news = ListNews("e", 3, [])
         self.assertEqual(decode(encode(news), ListNews), news)
         for raw in (b"", b"[]", b'{"epoch": 3}', b'{"epoch":"e","generation":"x","servers":[]}', b"\xff", b"[" * 9999):
-            with self.subTest(raw=raw[:20]), self.assertRaises(BadBody) as found:
+            with self.subTest(raw=raw[:20]), self.assertRaises(InvalidBody) as found:
                 decode(raw, ListNews)
             self.assertIn("the body is not a ListNews", str(found.exception))
 
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -5,7 +5,7 @@
 from click.testing import CliRunner
 
 from curlewshift.commands.main import main
-from curlewshift.site.reading import Mistakes
+from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import read_site
 from curlewshift.standins.script import read_script
 
@@ -24,7 +24,7 @@
             self.assertIn(old, text)
             text = text.replace(old, new, 1)
         self.path.write_text(text)
-        with self.assertRaises(Mistakes) as found:
+        with self.assertRaises(SiteErrors) as found:
             reader(self.path)
         return str(found.exception).replace(str(self.path), "F")
 
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -19,7 +19,7 @@
 from curlewshift.fault_injection.processes import ROOT
 from curlewshift.node import rtsp
 from curlewshift.scale import fits, slopes, slopes_control, slopes_idle
-from curlewshift.scale.fits import TooFew, fit
+from curlewshift.scale.fits import TooFewPoints, fit
 from curlewshift.scale.slopes_asked import Pace, p99
 from curlewshift.scale.slopes_loop import Loop
 from curlewshift.scale.slopes_stands import Bulletin, Listening
@@ -104,7 +104,7 @@
         self.assertRegex(told.by, r"quadratic term: .* 0\.1% of the rise")
 
     def test_three_sizes_are_too_few_however_often_repeated(self):
-        with self.assertRaisesRegex(TooFew, "3 different sizes"):
+        with self.assertRaisesRegex(TooFewPoints, "3 different sizes"):
             fit([(x, x) for x in (1, 2, 3) * 4])
 
     def test_a_step_that_no_parabola_follows_is_not_straight_where_sizes_are_repeated(self):
@@ -141,7 +141,7 @@
             ((1000, 2000, 4000, 20_000), dict(descriptors=20_000), "than the 20000 there are"),
             (SIZES, dict(memory=2**29), "half of the machine's memory"),
         ):
-            with self.assertRaises(slopes.NoRoom) as caught:
+            with self.assertRaises(slopes.MeasurementRefused) as caught:
                 slopes.check_room(self.KIND, sizes, **limits)
             self.assertIn(words, str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
@@ -160,11 +160,11 @@
             self.assertRegex(told, rf"[ :]{name},")
 
     def test_connections_that_may_rest_are_those_that_the_nodes_own_gate_lets_rest(self):
-        from curlewshift.limits.descriptors import CROWDED_PART, Gate
+        from curlewshift.limits.descriptors import CROWDED_PART, DescriptorGate
         from curlewshift.node.node import OTHERS, SERVERS_PART
 
         for limit in (500, 20_000):
-            gate = Gate(limit, lambda: 0.0, int(limit * SERVERS_PART) + OTHERS)
+            gate = DescriptorGate(limit, lambda: 0.0, int(limit * SERVERS_PART) + OTHERS)
             self.assertEqual(slopes_idle.resting_most(limit), int(gate.most * CROWDED_PART))
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -13,10 +13,10 @@
 import anyio
 
 from curlewshift.capture.records import MAGIC, frame
-from curlewshift.exchange.client import Broken, ask
+from curlewshift.exchange.client import ConnectionBroken, ask
 from curlewshift.model import Outcome
 from curlewshift.state.intents import BEGAN, ENDED, KEPT_ON, Intent, Intents
-from curlewshift.state.journal import Journal, Lock, NotKept, Taken
+from curlewshift.state.journal import FolderInUse, Journal, Lock, WriteFailed
 from tests.fake import SECOND
 from tests.sockets import SDP, SmallSite, an_offer, story, until
 
@@ -103,7 +103,7 @@
     def test_a_short_write_is_taken_back(self):
         journal = self.filled(2)
         write = os.write
-        with mock.patch("os.write", lambda file, raw: write(file, raw[:3])), self.assertRaises(NotKept):
+        with mock.patch("os.write", lambda file, raw: write(file, raw[:3])), self.assertRaises(WriteFailed):
             journal.add(["lost"], True)
         journal.add(["kept"], True)
         journal.close()
@@ -112,7 +112,7 @@
     def test_a_full_disk_keeps_nothing_new_and_loses_nothing_old(self):
         journal = self.filled(2)
         full = OSError(errno.ENOSPC, "No space left on device")
-        with mock.patch("os.write", side_effect=full), self.assertRaises(NotKept) as found:
+        with mock.patch("os.write", side_effect=full), self.assertRaises(WriteFailed) as found:
             journal.add(["lost"], True)
         self.assertIn("No space left", str(found.exception))
         journal.add(["kept"], True)
@@ -120,14 +120,14 @@
 
     def test_after_a_failed_flush_nothing_more_is_promised(self):
         journal = self.filled(2)
-        with mock.patch("os.fsync", side_effect=OSError(errno.EIO, "Input/output error")), self.assertRaises(NotKept):
+        with mock.patch("os.fsync", side_effect=OSError(errno.EIO, "Input/output error")), self.assertRaises(WriteFailed):
             journal.add(["perhaps"], True)
-        with self.assertRaises(NotKept):
+        with self.assertRaises(WriteFailed):
             journal.add(["not trusted"], True)
 
     def test_a_log_begun_anew_is_whole_or_the_old_one(self):
         journal = self.filled(5)
-        with mock.patch("os.replace", side_effect=OSError("a kill")), self.assertRaises(NotKept):
+        with mock.patch("os.replace", side_effect=OSError("a kill")), self.assertRaises(WriteFailed):
             journal.begin_anew([["new"]])
         self.assertEqual(len(Journal(self.path).records), 5)
         journal.begin_anew([["new"]])
@@ -136,7 +136,7 @@
 
     def test_one_process_has_a_folder(self):
         first = Lock(self.path.parent)
-        with self.assertRaises(Taken):
+        with self.assertRaises(FolderInUse):
             Lock(self.path.parent)
         first.release()
         Lock(self.path.parent).release()
@@ -155,7 +155,7 @@
                 front = await self._start(folder)
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self._kill_when, front, lambda: site.traffic.all("setup"))
-                    with self.assertRaises(Broken):
+                    with self.assertRaises(ConnectionBroken):
                         await self._post("paid", offer, key)
                 site.servers["s0"].unfreeze()
                 front = await self._start(folder)
@@ -178,7 +178,7 @@
         with tempfile.TemporaryDirectory() as name:
             async with SmallSite(servers=1).up(Path(name)) as site:
                 self.assertEqual((await site.ask("paid")).status, 201)
-                with mock.patch.object(site.front.journal, "add", side_effect=NotKept("no space")):
+                with mock.patch.object(site.front.journal, "add", side_effect=WriteFailed("no space")):
                     refused = await site.ask("paid")
                     self.assertEqual(refused.status, 503)
                     self.assertEqual((await site.ask("clip")).status, 201)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -6,20 +6,20 @@
 
 from curlewshift.emulator.loan_histories import overdrawn
 from curlewshift.emulator.seat_histories import FAULTS, SeatHistory, UntoldHistory
-from curlewshift.session_core.session_core import Misuse
+from curlewshift.session_core.session_core import InvalidRequest
 from curlewshift.sharing.budgets import FURTHER, SEAT
 from curlewshift.sharing.sharing import Sharing
 from curlewshift.sharing.standing import StandingLoans
-from curlewshift.sharing.terms import SharingTerms, Together
+from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 from curlewshift.verdict.bounds import judge_bounds
 from curlewshift.verdict.verdict import Figures
 from tests.fake import Story
-from tests.fake_driver import FakeOutside
+from tests.fake_driver import FakeDriver
 
 MS = 1_000_000
 SECOND = 1000 * MS
 TERMS = SharingTerms(term=SECOND, drift=0.01, window=SECOND, every=SECOND // 4)
-TOGETHER = Together(
+TOGETHER = SharedBudgets(
     free=1, look_back=10 * SECOND, seats={"clip": 1}, titles=["t1", "t2"], seat_term=4 * SECOND, lingers=6 * SECOND
 )
 
@@ -182,7 +182,7 @@
 
     def __init__(self, size=3, together=TOGETHER):
         self.clock, self.cut, self.size, self.together = 1000 * SECOND, set(), size, together
-        self.fakes = [FakeOutside(fronts=size, me=number) for number in range(size)]
+        self.fakes = [FakeDriver(fronts=size, me=number) for number in range(size)]
         self.ends = [End(self, number) for number in range(size)]
 
     def later(self, seconds):
@@ -266,7 +266,7 @@
         pass
 
 
-class InTheDesk(unittest.TestCase):
+class InTheSessionCore(unittest.TestCase):
     def plays(self, end, name):
         """Whether one more viewing of the title gets a seat at this front."""
         end.desk.asked(name, "clip", "t1")
@@ -287,7 +287,7 @@
     def test_a_front_that_starts_takes_nothing_up_that_it_has_no_right_for(self):
         fleet = Fleet()
         for end in fleet.ends:
-            with self.assertRaises(Misuse):
+            with self.assertRaises(InvalidRequest):
                 end.desk.handed_over("clip", "t1", 1, end.servers()[0], "remembered", 1)
 
     def test_what_sits_on_a_lent_seat_ends_when_its_front_hears_nobody(self):
@@ -383,7 +383,7 @@
 
     def test_it_asks_what_its_peers_know_and_their_proofs_make_servers_warm(self):
         fleet = self.seen()
-        fleet.fakes[0] = FakeOutside(fronts=3, me=0)
+        fleet.fakes[0] = FakeDriver(fronts=3, me=0)
         end = fleet.ends[0] = End(fleet, 0, life=2)
         end.fake.clock = fleet.clock
         for server in end.servers():
