--- a/curlewshift/capture/against.py
+++ b/curlewshift/capture/against.py
@@ -57,45 +57,45 @@
     class Shadow(other):
         """Says where it would send, and sends nothing."""
 
-        def _tune_in(self, vw, server, rung):
+        def _tune_in(self, viewing, server, rung):
             self.said = (server.name, rung)
 
-        def _block(self, vw):
+        def _block(self, viewing):
             self.said = None
 
     class Asked(Rules):
         said: tuple | None = None
         aside = False
 
-        def _place(self, vw):
+        def _place(self, viewing):
             chance, self.chance = self.chance, Random(len(compared.kinds) + compared.placings)
             state = {name: getattr(self, name) for name in ("unproven_left", "unproven_at")}
-            held, sent = (vw.rung, vw.over), [(server, list(server.sent)) for server in vw.holders]
+            held, sent = (viewing.rung, viewing.over), [(server, list(server.sent)) for server in viewing.holders]
             self.__class__, self.said = Shadow, None
             try:
-                other._place(self, vw)
+                other._place(self, viewing)
                 would = self.said
             finally:
                 self.__class__, self.chance = Asked, chance
-                vw.rung, vw.over = held
+                viewing.rung, viewing.over = held
                 for name, value in state.items():
                     setattr(self, name, value)
                 for server, times in sent:
                     server.sent = times
             self.done = None
-            super()._place(vw)
+            super()._place(viewing)
             compared.placings += 1
             kind = kind_of(self.done, would)
             compared.kinds[kind] += 1
             if kind != "the same" and len(compared.examples) < KEPT_EXAMPLES:
                 compared.examples.append(
-                    f"at {(self.host.now() - self.born) / 1e9:.3f} s viewing {vw.name} of "
-                    f"{vw.title!r}: {in_words(self.done)} here, {in_words(would)} there"
+                    f"at {(self.host.now() - self.born) / 1e9:.3f} s viewing {viewing.name} of "
+                    f"{viewing.title!r}: {in_words(self.done)} here, {in_words(would)} there"
                 )
 
-        def _tune_in(self, vw, server, rung):
+        def _tune_in(self, viewing, server, rung):
             self.done = (server.name, rung)
-            super()._tune_in(vw, server, rung)
+            super()._tune_in(viewing, server, rung)
 
     return Asked
 
--- a/curlewshift/capture/index.py
+++ b/curlewshift/capture/index.py
@@ -27,7 +27,7 @@
 
     def __init__(self):
         self.of_tune_in: dict[int, int] = {}
-        self.of_errand: dict[int, int] = {}
+        self.of_command: dict[int, int] = {}
         self.begin()
 
     def begin(self) -> None:
@@ -46,10 +46,10 @@
                     if arg[0] == "tunein":
                         viewing = self.of_tune_in.get(arg[1])
                     elif arg[0] == "errand":
-                        viewing = self.of_errand.get(arg[1])
+                        viewing = self.of_command.get(arg[1])
         elif record[0] == DID and record[1] in ("tune_in", "withdraw", "tell"):
             number, viewing = record[2][0], record[2][1]
-            (self.of_errand if record[1] == "tell" else self.of_tune_in)[number] = viewing
+            (self.of_command if record[1] == "tell" else self.of_tune_in)[number] = viewing
         if viewing is not None:
             self.viewings.add(viewing)
         return viewing
--- a/curlewshift/capture/replay.py
+++ b/curlewshift/capture/replay.py
@@ -91,14 +91,14 @@
         _, terms, (uplinks, titles), peaks, limits = self.records[0]
         terms = terms_in(terms)
         self.began = terms.now
-        self.outside = Again(self)
-        self.outside.at = terms.now
+        self.driver = Again(self)
+        self.driver.at = terms.now
         calendar = Calendar(terms.packages)
         for peak in peaks:
             calendar.peaks[peak["name"]] = Peak(**peak)
         self.position = 1
-        self.desk = tapped(SessionCore, self._note)(
-            self.outside, terms, ServerList(uplinks, titles), calendar=calendar, rules=self._rules(), **limits
+        self.session_core = tapped(SessionCore, self._note)(
+            self.driver, terms, ServerList(uplinks, titles), calendar=calendar, rules=self._rules(), **limits
         )
         while self.position < len(self.records) and self.done.difference is None:
             record = self.records[self.position]
@@ -114,11 +114,13 @@
 
     def _tell(self, record: list) -> None:
         _, at, wall, name, args, how = record
-        self.outside.at, self.outside.walls = at, wall
+        self.driver.at, self.driver.walls = at, wall
         self.done.until = at
         before = self.position
         try:
-            getattr(self.desk, name)(*[self._thing(one) for one in args], **{key: self._thing(one) for key, one in how.items()})
+            getattr(self.session_core, name)(
+                *[self._thing(one) for one in args], **{key: self._thing(one) for key, one in how.items()}
+            )
         except (InvalidRequest, InvalidPeak):
             # the log has the same: it was told, and did nothing
             pass
@@ -161,7 +163,7 @@
             return value
         kind, *rest = value
         if kind == "server":
-            return self.desk.roster.servers[rest[0]]
+            return self.session_core.server_list.servers[rest[0]]
         if kind in ("outcome", "result"):
             return (Outcome if kind == "outcome" else Result)(rest[0])
         if kind == "row":
@@ -174,7 +176,7 @@
             return {name: self._thing(one) for name, one in rest[0].items()}
         if kind == "call":
             return lambda *what: None
-        ids = self.desk.tap_ids
+        ids = self.session_core.tap_ids
         if kind == "opaque" and rest[0] == len(ids.objects):
             ids.of(Opaque(rest[0]))
         return ids.objects[rest[0]]
@@ -185,32 +187,32 @@
         replay = self
 
         class Explained(self.rules):
-            def _place(self, vw):
-                if replay.viewing is None or vw.name != replay.viewing:
-                    super()._place(vw)
+            def _place(self, viewing):
+                if replay.viewing is None or viewing.name != replay.viewing:
+                    super()._place(viewing)
                     return
-                lines = replay._why(self, vw)
-                super()._place(vw)
-                replay.done.explained += [*lines, replay._outcome(vw)]
+                lines = replay._why(self, viewing)
+                super()._place(viewing)
+                replay.done.explained += [*lines, replay._outcome(viewing)]
 
         return Explained
 
-    def _why(self, rules: Rules, vw) -> list[str]:
-        when = (self.outside.at - self.began) / SECOND
+    def _why(self, rules: Rules, viewing) -> list[str]:
+        when = (self.driver.at - self.began) / SECOND
         lines = [
-            f"at {when:.3f} s: viewing {vw.name} of {vw.title!r}, package {vw.package.name}, rungs "
-            f"{vw.package.floor} to {min(vw.ceiling, vw.package.top)}, {vw.tune_ins} tune-ins so far"
+            f"at {when:.3f} s: viewing {viewing.name} of {viewing.title!r}, package {viewing.package.name}, rungs "
+            f"{viewing.package.floor} to {min(viewing.ceiling, viewing.package.top)}, {viewing.tune_ins} tune-ins so far"
         ]
-        for server in vw.holders:
-            lines.append("  " + self._of_holder(rules, vw, server))
-        seats = vw.package.seats
+        for server in viewing.holders:
+            lines.append("  " + self._of_holder(rules, viewing, server))
+        seats = viewing.package.seats
         if seats:
-            lines.append(f"  {rules.seats[vw.title, vw.package]} of {seats} seats of this title are taken")
+            lines.append(f"  {rules.seats[viewing.title, viewing.package]} of {seats} seats of this title are taken")
         return lines
 
-    def _of_holder(self, rules: Rules, vw, server: Server) -> str:
+    def _of_holder(self, rules: Rules, viewing, server: Server) -> str:
         link = server.link
-        held = sum(room for package, room in link.holds.items() if package is not vw.package)
+        held = sum(room for package, room in link.holds.items() if package is not viewing.package)
         said = [
             f"{server.name}: link of {link.size:.0f} kB/s, own use {link.own:.0f}, others "
             f"{max(0.0, rules._others(link)):.0f}" + (f", held for other packages {held:.0f}" if held else "")
@@ -222,22 +224,22 @@
         else:
             fits = [
                 rung
-                for rung in range(vw.package.floor, min(vw.ceiling, vw.package.top) + 1)
-                if rules._room(server, vw.package.rates[rung], vw=vw) >= 0
+                for rung in range(viewing.package.floor, min(viewing.ceiling, viewing.package.top) + 1)
+                if rules._room(server, viewing.package.rates[rung], viewing=viewing) >= 0
             ]
             said.append(f"rungs up to {max(fits)} pass the test" if fits else "no rung passes the test")
         if rules._sick(server):
             said.append("in doubt after failures")
-        if server in vw.tried:
+        if server in viewing.tried:
             said.append("tried already")
         if rules._short(link) or rules._short(server.rack.link):
             said.append("short delivery noted")
         return "; ".join(said)
 
     @staticmethod
-    def _outcome(vw) -> str:
-        if vw.server is not None:
-            return f"  so: {vw.server.name} on rung {vw.rung}"
+    def _outcome(viewing) -> str:
+        if viewing.server is not None:
+            return f"  so: {viewing.server.name} on rung {viewing.rung}"
         return "  so: refused"
 
 
--- a/curlewshift/capture/tap.py
+++ b/curlewshift/capture/tap.py
@@ -119,10 +119,10 @@
 def act(ids: Ids, thing: Any) -> list:
     """What was done, in plain values and with what people want to read of it."""
     if isinstance(thing, TuneIn):
-        vw = thing.course.vw
-        return [ids.of(thing), vw.name, thing.server.name, thing.number, thing.rung, thing.until]
+        viewing = thing.front_session.viewing
+        return [ids.of(thing), viewing.name, thing.server.name, thing.number, thing.rung, thing.until]
     if isinstance(thing, ServerCommand):
-        return [ids.of(thing), thing.course.vw.name, -1 if thing.rung is None else thing.rung]
+        return [ids.of(thing), thing.front_session.viewing.name, -1 if thing.rung is None else thing.rung]
     if isinstance(thing, SessionEnd):
         return [ids.of(thing), thing.server.name, thing.tries]
     if isinstance(thing, Server):
@@ -133,15 +133,15 @@
 class Frozen:
     """The outside as the desk sees it while it is tapped: clocks that stand still, and every act noted."""
 
-    def __init__(self, outside, note: Callable[[list], None], ids: Ids):
-        self.outside, self.note, self.ids = outside, note, ids
-        self.at, self.walls = outside.now(), outside.wall()
+    def __init__(self, driver, note: Callable[[list], None], ids: Ids):
+        self.driver, self.note, self.ids = driver, note, ids
+        self.at, self.walls = driver.now(), driver.wall()
         for name in ACTS:
             setattr(self, name, self._noted(name))
 
     def _noted(self, name: str):
         def done(*things):
-            result = getattr(self.outside, name)(*things)
+            result = getattr(self.driver, name)(*things)
             what = act(self.ids, things[0]) if things else []
             if name == "answer":
                 request, answer = things
@@ -158,40 +158,40 @@
         return self.walls
 
     def wake(self, at: int) -> None:
-        self.outside.wake(at)
+        self.driver.wake(at)
 
     def freeze(self) -> None:
-        self.at, self.walls = max(self.at, self.outside.now()), self.outside.wall()
+        self.at, self.walls = max(self.at, self.driver.now()), self.driver.wall()
 
 
 def tapped(base: type[SessionCore], note: Callable[[list], None]) -> type[SessionCore]:
     """A class like `base` that notes each record by `note`, which must not block."""
 
     class Tapped(base):
-        def __init__(self, outside, terms: Terms, roster: ServerList, *args, calendar: Calendar | None = None, **how):
+        def __init__(self, driver, terms: Terms, server_list: ServerList, *args, calendar: Calendar | None = None, **how):
             self.tap_ids, self.tap_depth = Ids(), 0
-            self.tap_outside = Frozen(outside, note, self.tap_ids)
+            self.tap_driver = Frozen(driver, note, self.tap_ids)
             limits = {name: how[name] for name in ("most_waiting", "most_keys") if name in how}
             note(
                 [
                     BEGAN,
                     terms_out(terms),
-                    [roster.uplinks, {name: list(title.shelves) for name, title in roster.titles.items()}],
+                    [server_list.uplinks, {name: list(title.shelves) for name, title in server_list.titles.items()}],
                     [asdict(peak) for peak in (calendar.peaks.values() if calendar else ())],
                     limits,
                 ]
             )
-            self.tap_outside.at = terms.now
-            super().__init__(self.tap_outside, terms, roster, *args, calendar=calendar, **how)
+            self.tap_driver.at = terms.now
+            super().__init__(self.tap_driver, terms, server_list, *args, calendar=calendar, **how)
 
         def now(self) -> int:
             if not self.tap_depth:
                 # asked from outside, between two things told
-                self.tap_outside.freeze()
-            return self.tap_outside.at
+                self.tap_driver.freeze()
+            return self.tap_driver.at
 
         def stands(self, tune_in: TuneIn) -> bool:
-            self.tap_outside.freeze()
+            self.tap_driver.freeze()
             return super().stands(tune_in)
 
     def entry(name: str):
@@ -200,13 +200,13 @@
         def noted(self, *args, **how):
             if self.tap_depth:
                 return told(self, *args, **how)
-            self.tap_outside.freeze()
+            self.tap_driver.freeze()
             ids = self.tap_ids
             note(
                 [
                     TOLD,
-                    self.tap_outside.at,
-                    self.tap_outside.walls,
+                    self.tap_driver.at,
+                    self.tap_driver.walls,
                     name,
                     [plain(ids, one) for one in args],
                     {key: plain(ids, one) for key, one in how.items()},
@@ -217,9 +217,9 @@
                 result = told(self, *args, **how)
             finally:
                 self.tap_depth -= 1
-            if isinstance(result, Request) and result.course is not None:
+            if isinstance(result, Request) and result.front_session is not None:
                 ids.of(result)
-                ids.of(result.course)
+                ids.of(result.front_session)
             elif isinstance(result, (Request, FrontSession)):
                 ids.of(result)
             return result
--- a/curlewshift/commands/check.py
+++ b/curlewshift/commands/check.py
@@ -13,6 +13,6 @@
     """Read SITE and tell all that is wrong with it."""
     held = site_of(site)
     click.echo(
-        f"{site}: {len(held.doors)} fronts, {len(held.machines)} servers, {len(held.titles)} titles, "
+        f"{site}: {len(held.front_addresses)} fronts, {len(held.machines)} servers, {len(held.titles)} titles, "
         f"{len(held.packages)} packages"
     )
--- a/curlewshift/commands/front.py
+++ b/curlewshift/commands/front.py
@@ -47,14 +47,14 @@
         number = held.door(name) if name else 0
     except KeyError:
         where = f"{site}, as version {how['begun'].version} of it" if how and how["begun"].how == "disk" else site
-        click.echo(f"{where}: there is no front {name!r}, but {', '.join(door.name for door in held.doors)}", err=True)
+        click.echo(f"{where}: there is no front {name!r}, but {', '.join(door.name for door in held.front_addresses)}", err=True)
         sys.exit(2)
     arguments = (
         held,
         number,
         secrets.randbits(32) if seed is None else seed,
         state,
-        make_log(front=held.doors[number].name),
+        make_log(front=held.front_addresses[number].name),
         life,
     )
     try:
@@ -71,8 +71,8 @@
         from curlewshift.peaks.reserve import FixedReserve
 
         package, _, share = reserve.partition("=")
-        made.desk.peaks.__class__ = FixedReserve
-        made.desk.peaks.package, made.desk.peaks.share = made.desk.packages[package], float(share)
+        made.session_core.peaks.__class__ = FixedReserve
+        made.session_core.peaks.package, made.session_core.peaks.share = made.session_core.packages[package], float(share)
     if busy:
         from curlewshift.fault_injection.joins import fill_background
 
--- a/curlewshift/commands/walk.py
+++ b/curlewshift/commands/walk.py
@@ -37,7 +37,7 @@
     states = steps = 0
     for rates in permutations((round(units * (1 - drift)), units, round(units * (1 + drift)))):
         # two are a majority of three; of five they are the planted fault
-        more = {"keepers": 5} if rounds and fault == "majority-of-two" else {}
+        more = {"acceptors": 5} if rounds and fault == "majority-of-two" else {}
         done = walked(depth, rates, **(faults[fault] if fault else {}), **more)
         states, steps = states + done.states, steps + done.steps
         if done.breach:
--- a/curlewshift/control/machine.py
+++ b/curlewshift/control/machine.py
@@ -36,10 +36,10 @@
     operator without an answer. Where nobody does, the machine that all pick asks, so that they do not outbid each other."""
 
     async def run(self) -> None:
-        every = self.asker.terms.every / NS
+        every = self.proposer.terms.every / NS
         while True:
             try:
-                self.keeper.time()
+                self.acceptor.time()
                 self.time()
                 self._to_itself()
             except Exception as fault:
@@ -49,15 +49,15 @@
     def time(self) -> None:
         me = self.order[self.me]
         # one that has just started knows of no holder yet, and does not outbid one
-        free = not self.keeper.silent() and self.writer() in ("", me)
+        free = not self.acceptor.silent() and self.writer() in ("", me)
         if self.fence() or (free and picked(LEASE, [*self.members(), me]) == me):
-            self.asker.want(LEASE)
-        elif LEASE in self.asker.tries:
-            self.asker.leave(LEASE)
-        self.asker.time()
+            self.proposer.want(LEASE)
+        elif LEASE in self.proposer.tries:
+            self.proposer.leave(LEASE)
+        self.proposer.time()
 
     def leave(self) -> None:
-        self.asker.leave(LEASE)
+        self.proposer.leave(LEASE)
         self._to_itself()
 
     def members(self) -> list[str]:
@@ -65,25 +65,25 @@
 
     def fence(self) -> int:
         """The number to make a version with at this moment; 0 where this machine may not."""
-        return self.asker.may_act(LEASE)
+        return self.proposer.may_act(LEASE)
 
     def writer(self) -> str:
         """Who holds the lease as far as this machine knows; empty if nobody does."""
         if self.fence():
             return self.order[self.me]
-        kept = self.keeper.leases.get(LEASE)
+        kept = self.acceptor.leases.get(LEASE)
         holds = kept is not None and kept.holder >= 0 and kept.until > self.now()
         return self.order[kept.holder] if holds else ""
 
     def show(self) -> dict:
-        held = self.asker.tries.get(LEASE)
+        held = self.proposer.tries.get(LEASE)
         return {
             "me": self.order[self.me],
             "writer": self.writer(),
             "number": self.fence(),
-            "silent": self.keeper.silent(),
+            "silent": self.acceptor.silent(),
             "promised_by": len(held.promised) if held is not None else 0,
-            "needed": self.asker.majority,
+            "needed": self.proposer.majority,
         }
 
 
@@ -95,7 +95,7 @@
     def __init__(self, path: Path, site: Site, name: str, state: Path, seed: int, log):
         self.path, self.site, self.name, self.log = path, site, name, log
         names = [machine.name for machine in site.control.machines]
-        me, chance = names.index(name), Random(seed)
+        me, rng = names.index(name), Random(seed)
         self.lock = Lock(state)
         self.clock = Clock()
         self.copy, self.vote = Record(state / "configuration"), Record(state / "vote")
@@ -103,9 +103,9 @@
         for record in (self.copy, self.vote):
             if record.damage:
                 log.error("record-damaged", cause=record.damage)
-        self.peers = PeerWire(site.name, site.control.machines[me], site.peers, self.clock, log, Random(chance.random()))
+        self.peers = PeerWire(site.name, site.control.machines[me], site.peers, self.clock, log, Random(rng.random()))
         self.leases = self.leases_class(
-            self.peers.channel, self.clock, names, me, names, site.control.terms, log, Random(chance.random())
+            self.peers.channel, self.clock, names, me, names, site.control.terms, log, Random(rng.random())
         )
         self.wire = self.distribution_class(
             self.peers.channel,
@@ -116,7 +116,7 @@
             self.leases.fence,
             self.clock,
             log,
-            Random(chance.random()),
+            Random(rng.random()),
             copy,
             vote,
         )
--- a/curlewshift/distribution/copy.py
+++ b/curlewshift/distribution/copy.py
@@ -44,15 +44,15 @@
 
 
 class Copy:
-    def __init__(self, outside: Driver):
-        self.outside = outside
+    def __init__(self, driver: Driver):
+        self.driver = driver
         # newest that was heard of; newest whose content is here, good or not; the one in force
         self.newest, self.held, self.version = NONE, NONE, NONE
         self.content: bytes | None = None
         # of the newest held, good or not: others may want it, and may think otherwise of it
         self.held_content = b""
         self.refused: dict[Version, str] = {}
-        self.since = outside.now()
+        self.since = driver.now()
         # when a majority vouched that `held` is the newest, as far as the words of others tell (ns of this clock)
         self.vouched_at: int | None = None
         self.forks = 0
@@ -68,7 +68,7 @@
             if held.form != FORM or not self._fits(version, content):
                 raise ValueError("its digest is another than it says")
         except (msgspec.DecodeError, zstandard.ZstdError, ValueError, RecursionError) as wrong:
-            self.outside.copy_lost(str(wrong))
+            self.driver.copy_lost(str(wrong))
             return False
         self.newest = version
         return self._take(version, content, kept_already=True)
@@ -80,7 +80,7 @@
         for other in {self.newest, self.held}:
             if version.number == other.number and version.digest != other.digest:
                 self.forks += 1
-                self.outside.forked(version, other)
+                self.driver.forked(version, other)
         if not version.over(self.newest):
             return False
         self.newest = version
@@ -104,41 +104,41 @@
 
     def _take(self, version: Version, content: bytes, kept_already: bool = False) -> bool:
         before, self.held, self.held_content, self.vouched_at = self.version, version, content, None
-        wrong = self.outside.check_configuration(content)
+        wrong = self.driver.check_configuration(content)
         if wrong is None:
             if not kept_already:
                 self._keep(version, content)
-            wrong = self.outside.take_configuration(version.text, content)
+            wrong = self.driver.take_configuration(version.text, content)
             if wrong is not None and not kept_already and self.content is not None:
                 self._keep(before, self.content)
         if wrong is not None:
             self.refused[version] = wrong
             while len(self.refused) > MOST_REFUSED:
                 del self.refused[next(iter(self.refused))]
-            self.outside.refuses(version, wrong)
+            self.driver.refuses(version, wrong)
             return False
-        self.version, self.content, self.since = version, content, self.outside.now()
-        self.outside.in_force(version, before)
+        self.version, self.content, self.since = version, content, self.driver.now()
+        self.driver.in_force(version, before)
         return True
 
     def _keep(self, version: Version, content: bytes) -> None:
         packed = zstandard.ZstdCompressor(level=3).compress(content)
         try:
-            self.outside.keep_configuration(ENCODER.encode(Kept(FORM, tuple(version), packed)))
+            self.driver.keep_configuration(ENCODER.encode(Kept(FORM, tuple(version), packed)))
         except OSError as wrong:
-            self.outside.not_kept(str(wrong))
+            self.driver.not_kept(str(wrong))
 
     # ---- how old it is
 
     def vouched(self, version: Version, age: int) -> None:
         """So long ago (ns) a majority had nothing newer than this."""
-        at = self.outside.now() - age
+        at = self.driver.now() - age
         if version.number == self.held.number and (self.vouched_at is None or at > self.vouched_at):
             self.vouched_at = at
 
     @property
     def age(self) -> int:
-        return NEVER if self.vouched_at is None else max(0, self.outside.now() - self.vouched_at)
+        return NEVER if self.vouched_at is None else max(0, self.driver.now() - self.vouched_at)
 
     @property
     def why_refused(self) -> str:
--- a/curlewshift/distribution/fetching.py
+++ b/curlewshift/distribution/fetching.py
@@ -44,8 +44,8 @@
 
 
 class Fetch:
-    def __init__(self, outside: Driver, library: Library, terms: DistributionTerms, chance: Random):
-        self.outside, self.library, self.terms, self.chance = outside, library, terms, chance
+    def __init__(self, driver: Driver, library: Library, terms: DistributionTerms, rng: Random):
+        self.driver, self.library, self.terms, self.rng = driver, library, terms, rng
         self.wanted: dict[bytes, Wanted] = {}
         # who is left alone, until when
         self.resting: dict[str, int] = {}
@@ -55,7 +55,7 @@
     def want(self, version: Version, givers: Callable[[], list[str]]) -> None:
         held = self.library.get(version.digest)
         if held is not None:
-            self.outside.came(version, held)
+            self.driver.came(version, held)
         elif version.digest in self.wanted:
             # who has it is known better now than when it was first wanted (history 49: for ever asked of one that had lost it)
             self.wanted[version.digest].givers = givers
@@ -69,7 +69,7 @@
         self.wanted.pop(version.digest, None)
 
     def time(self) -> None:
-        now = self.outside.now()
+        now = self.driver.now()
         self.resting = {name: until for name, until in self.resting.items() if until > now}
         for wanted in list(self.wanted.values()):
             wanted.tries = 0
@@ -96,7 +96,7 @@
             parts = wanted.parts[packing] = Parts(base, total)
         parts.put(index, data)
         if wanted.asked == giver:
-            wanted.heard_at = self.outside.now()
+            wanted.heard_at = self.driver.now()
             wanted.due -= 1
         if parts.whole:
             del wanted.parts[packing]
@@ -112,7 +112,7 @@
 
     def _not_now(self, giver: str, version: Version, after: int) -> None:
         # not all at the same moment again
-        self.resting[giver] = self.outside.now() + int(min(after, self.terms.rest) * self.chance.uniform(1, 2))
+        self.resting[giver] = self.driver.now() + int(min(after, self.terms.rest) * self.rng.uniform(1, 2))
         wanted = self.wanted.get(version.digest)
         if wanted is not None and wanted.asked == giver:
             wanted.asked = ""
@@ -123,19 +123,19 @@
     # ---- the course of one
 
     def _ask(self, wanted: Wanted, of: str = "") -> None:
-        now = self.outside.now()
+        now = self.driver.now()
         if not of:
             free = [name for name in wanted.givers() if self.resting.get(name, 0) <= now]
-            near = self.outside.near(free)
+            near = self.driver.near(free)
             if not near:
                 return
-            of = self.chance.choice(near)
+            of = self.rng.choice(near)
         packing, parts = max(wanted.parts.items(), key=lambda pair: len(pair[1].held), default=(b"", None))
         base = b"" if wanted.whole_only else self.base
         wanted.asked, wanted.asked_at, wanted.heard_at = of, now, 0
         missing = parts.missing(self.terms.window) if parts is not None else []
         wanted.due = len(missing) or self.terms.window
-        self.outside.ask(of, wanted.version, base, packing, missing)
+        self.driver.ask(of, wanted.version, base, packing, missing)
 
     def _whole(self, wanted: Wanted, giver: str, parts: Parts) -> None:
         try:
@@ -149,12 +149,12 @@
             wanted.whole_only = True
             wanted.parts.clear()
             wanted.asked = ""
-            self.resting[giver] = self.outside.now() + self.terms.rest
-            self.outside.spoilt(wanted.version, giver, str(why))
+            self.resting[giver] = self.driver.now() + self.terms.rest
+            self.driver.spoilt(wanted.version, giver, str(why))
             self._ask(wanted)
             return
         self.drop(wanted.version)
-        self.outside.came(wanted.version, content)
+        self.driver.came(wanted.version, content)
 
     def _fits(self, content: bytes, version: Version) -> bool:
         return version != NONE and digest_of(content) == version.digest
--- a/curlewshift/distribution/giving.py
+++ b/curlewshift/distribution/giving.py
@@ -25,12 +25,12 @@
 
 
 class Giver:
-    def __init__(self, outside: Driver, library: Library, terms: DistributionTerms, is_store: bool = False):
-        self.outside, self.library, self.terms = outside, library, terms
+    def __init__(self, driver: Driver, library: Library, terms: DistributionTerms, is_store: bool = False):
+        self.driver, self.library, self.terms = driver, library, terms
         self.rate = terms.store_give_bytes if is_store else terms.give_bytes
         self.burst = max(self.rate, terms.give_burst)
         self.most_askers = terms.store_most_askers if is_store else terms.most_askers
-        self.left, self.at = float(self.burst), outside.now()
+        self.left, self.at = float(self.burst), driver.now()
         self.busy_left = float(terms.most_busy)
         self.askers: dict[str, int] = {}
         self.given_bytes = self.times_busy = 0
@@ -39,9 +39,9 @@
         """`base` is the digest of what the asker has, `packing` the name of what it has begun to collect."""
         content = self.library.get(version.digest)
         if content is None:
-            self.outside.have_not(asker, version)
+            self.driver.have_not(asker, version)
             return
-        now = self.outside.now()
+        now = self.driver.now()
         self._refill(now)
         base, packed = self._packing(content, base, packing)
         name, total = name_of(packed), pieces_of(packed)
@@ -56,7 +56,7 @@
             if index >= total:
                 break
             data = piece(packed, index)
-            if self.left <= 0 or not self.outside.give(asker, version, base, name, total, index, data):
+            if self.left <= 0 or not self.driver.give(asker, version, base, name, total, index, data):
                 # the rest is for another to give
                 self._busy(asker, version, max(self._wait(asker, now, total), NS // 2))
                 break
@@ -67,7 +67,7 @@
         self.times_busy += 1
         if self.busy_left >= 1:
             self.busy_left -= 1
-            self.outside.busy(asker, version, after)
+            self.driver.busy(asker, version, after)
 
     def _packing(self, content: bytes, base: bytes, packing: bytes) -> tuple[bytes, bytes]:
         whole, held = packed_whole(content), self.library.get(base)
--- a/curlewshift/distribution/reports.py
+++ b/curlewshift/distribution/reports.py
@@ -51,8 +51,8 @@
 class Reporter:
     """Of one node; any node may find itself adding up for its zone."""
 
-    def __init__(self, outside: Driver, me: str, zone: str, terms: DistributionTerms):
-        self.outside, self.me, self.zone, self.terms = outside, me, zone, terms
+    def __init__(self, driver: Driver, me: str, zone: str, terms: DistributionTerms):
+        self.driver, self.me, self.zone, self.terms = driver, me, zone, terms
         self.told: Report | None = None
         self.told_to, self.again_at = "", 0
         # the next looks at who adds up: membership changes rarely, and the draw goes over a whole zone
@@ -61,22 +61,22 @@
         self.sum_due, self.sum_at, self.sum_told = 0, 0, None
 
     def time(self, report: Report) -> None:
-        now = self.outside.now()
+        now = self.driver.now()
         if now >= self.look_at or report != self.told:
             self.look_at = now + 2 * self.terms.sum_each
-            self.aggregator = aggregator_of(self.zone, [*self.outside.zone_members(), self.me])
+            self.aggregator = aggregator_of(self.zone, [*self.driver.zone_members(), self.me])
         if report != self.told or self.aggregator != self.told_to or now >= self.again_at:
             self.told, self.told_to = report, self.aggregator
             self.again_at = now + self.terms.report_each
             if self.aggregator == self.me:
                 self.reported(self.me, report)
             else:
-                self.outside.report_to(self.aggregator, report)
+                self.driver.report_to(self.aggregator, report)
         if self.aggregator == self.me and now >= self.sum_due:
             self._sum_up(now)
 
     def reported(self, name: str, report: Report) -> None:
-        self.heard[name] = (self.outside.now(), report)
+        self.heard[name] = (self.driver.now(), report)
 
     def _sum_up(self, now: int) -> None:
         kept = 3 * self.terms.report_each
@@ -87,7 +87,7 @@
             return
         self.sum_told, self.sum_at = told, now
         for store in self.terms.stores:
-            self.outside.sum_to(store, told)
+            self.driver.sum_to(store, told)
 
 
 def summed(zone: str, reports: dict[str, Report], most_named: int) -> ZoneSum | None:
@@ -120,15 +120,15 @@
 class Fleet:
     """At a control machine: the latest sum of each zone, by whoever adds it up."""
 
-    def __init__(self, outside: Driver):
-        self.outside = outside
+    def __init__(self, driver: Driver):
+        self.driver = driver
         self.zones: dict[str, Heard] = {}
 
     def sum_told(self, by: str, told: ZoneSum) -> None:
-        self.zones[told.zone] = Heard(by, self.outside.now(), told)
+        self.zones[told.zone] = Heard(by, self.driver.now(), told)
 
     def show(self) -> list[dict]:
-        now = self.outside.now()
+        now = self.driver.now()
         return [
             {
                 "zone": zone,
--- a/curlewshift/distribution/store.py
+++ b/curlewshift/distribution/store.py
@@ -74,9 +74,9 @@
 
 
 class Store:
-    def __init__(self, outside: Driver, kept: bytes | None, chance: Random):
-        self.outside = outside
-        self.number, self.blank = chance.getrandbits(60), True
+    def __init__(self, driver: Driver, kept: bytes | None, rng: Random):
+        self.driver = driver
+        self.number, self.blank = rng.getrandbits(60), True
         self.promised, self.taken_at = NO_BALLOT, NO_BALLOT
         self.taken, self.chosen, self.content = NONE, NONE, b""
         self.noted: dict[str, Noted] = {}
@@ -88,7 +88,7 @@
             held = read_record(kept)
             content = zstandard.ZstdDecompressor().decompress(held.content, max_output_size=MOST_CONTENT) if held.content else b""
         except (ValueError, zstandard.ZstdError) as wrong:
-            self.outside.vote_lost("its record cannot be read: it does not vote until it is let in", str(wrong))
+            self.driver.vote_lost("its record cannot be read: it does not vote until it is let in", str(wrong))
             return
         self.number, self.blank = held.number, False
         self.promised, self.taken_at = Ballot(*held.promised), Ballot(*held.taken_at)
@@ -116,9 +116,9 @@
         if ballot != self.promised or older:
             self._answer(writer, ballot)
             return
-        content = self.outside.content_of(version)
+        content = self.driver.content_of(version)
         if content is None:
-            self.outside.fetch_for_store(version, writer)
+            self.driver.fetch_for_store(version, writer)
         elif digest_of(content) == version.digest and self._keep(taken_at=ballot, taken=version, content=content):
             self._answer(writer, ballot)
 
@@ -138,9 +138,9 @@
             return
         if self._behind(writer, ballot):
             return
-        content = b"" if version == NONE else self.outside.content_of(version)
+        content = b"" if version == NONE else self.driver.content_of(version)
         if content is None:
-            self.outside.fetch_for_store(version, writer)
+            self.driver.fetch_for_store(version, writer)
         elif self._keep(
             blank=False,
             promised=ballot,
@@ -160,12 +160,12 @@
 
     def _behind(self, writer: str, ballot: Ballot) -> bool:
         if ballot.behind(self.promised):
-            self.outside.outbid(writer, ballot, self.promised)
+            self.driver.outbid(writer, ballot, self.promised)
             return True
         return False
 
     def _answer(self, writer: str, ballot: Ballot) -> None:
-        self.outside.stands(writer, ballot, Stand(self.number, self.blank, self.taken_at, self.taken, self.chosen, self.noted))
+        self.driver.stands(writer, ballot, Stand(self.number, self.blank, self.taken_at, self.taken, self.chosen, self.noted))
 
     def _keep(self, **now) -> bool:
         """False where the disk did not take it: then it has not come about, and nothing is said of it."""
@@ -185,10 +185,10 @@
         )
         record.sum = digest_of(ENCODER.encode(record))
         try:
-            self.outside.keep_vote(ENCODER.encode(record))
+            self.driver.keep_vote(ENCODER.encode(record))
         except OSError as wrong:
             for name, value in before.items():
                 setattr(self, name, value)
-            self.outside.vote_lost("its record was not kept, and it does not answer", str(wrong))
+            self.driver.vote_lost("its record was not kept, and it does not answer", str(wrong))
             return False
         return True
--- a/curlewshift/distribution/writer.py
+++ b/curlewshift/distribution/writer.py
@@ -64,8 +64,8 @@
 class Writer:
     """`stores` by name; this machine's own is one of them. `life` is never that of another process of this name."""
 
-    def __init__(self, outside: Driver, me: str, life: int, terms: DistributionTerms):
-        self.outside, self.me, self.life, self.terms = outside, me, life, terms
+    def __init__(self, driver: Driver, me: str, life: int, terms: DistributionTerms):
+        self.driver, self.me, self.life, self.terms = driver, me, life, terms
         self.tenure: Tenure | None = None
         self.wanted: Put | None = None
 
@@ -80,11 +80,11 @@
         if self.wanted is not None:
             done(refused("another change is being made at this moment"))
             return
-        self.wanted = Put(content, base, self.outside.now() + within, done)
+        self.wanted = Put(content, base, self.driver.now() + within, done)
         self.time()
 
     def time(self) -> None:
-        now, fence = self.outside.now(), self.outside.fence()
+        now, fence = self.driver.now(), self.driver.fence()
         tenure = self.tenure
         if not fence:
             self.tenure = None
@@ -102,7 +102,7 @@
         if tenure is None or tenure.ballot != ballot or store not in self.terms.stores:
             return
         tenure.stands[store] = stand
-        tenure.answered[store] = self.outside.now()
+        tenure.answered[store] = self.driver.now()
         if stand.taken_at == ballot and stand.taken == tenure.value and tenure.decided:
             tenure.votes.add(store)
         self._go_on()
@@ -117,7 +117,7 @@
 
     def vouches(self) -> bool:
         """Whether a majority answered it of late: what is newest here then is the newest there was."""
-        tenure, now = self.tenure, self.outside.now()
+        tenure, now = self.tenure, self.driver.now()
         return (
             tenure is not None
             and tenure.decided
@@ -134,12 +134,12 @@
         tenure.next_at = now + self.terms.again
         for store in self.terms.stores:
             if self._may_act():
-                self.outside.prepare(store, tenure.ballot)
+                self.driver.prepare(store, tenure.ballot)
         self._go_on(again=True)
 
     def _may_act(self) -> bool:
         """Asked in the instant of each act: one that was stopped finds here that its time is over."""
-        return self.tenure is not None and self.outside.fence() == self.tenure.ballot.fence
+        return self.tenure is not None and self.driver.fence() == self.tenure.ballot.fence
 
     def _noted(self) -> dict[str, Noted]:
         """The records that count, by the latest word of any store that votes."""
@@ -193,7 +193,7 @@
         """A majority has it: it may be said."""
         value, put = self.tenure.value, self.wanted
         if value != NONE:
-            self.outside.chosen(value)
+            self.driver.chosen(value)
         if put is not None and put.version == value:
             self.wanted = None
             put.done({"ok": True, "version": value.text})
@@ -202,12 +202,12 @@
         tenure = self.tenure
         if tenure.value == NONE:
             return
-        if self.outside.content_of(tenure.value) is None:
-            self.outside.fetch_for_writer(tenure.value, [store for store in voters if tenure.stands[store].taken == tenure.value])
+        if self.driver.content_of(tenure.value) is None:
+            self.driver.fetch_for_writer(tenure.value, [store for store in voters if tenure.stands[store].taken == tenure.value])
             return
         for store in voters:
             if store not in tenure.votes and again and self._may_act():
-                self.outside.take(store, tenure.ballot, tenure.stands[store].record, tenure.value)
+                self.driver.take(store, tenure.ballot, tenure.stands[store].record, tenure.value)
 
     def _let_in(self, voters: list[str], again: bool) -> None:
         """Stores that are blank, or whose record is not the one that the others know: first all hear of the record."""
@@ -223,9 +223,9 @@
             lacking = [other for other in voters if tenure.stands[other].noted.get(store) != known]
             if fresh or again:
                 for other in lacking:
-                    self.outside.note(other, tenure.ballot, tenure.stands[other].record, store, known)
+                    self.driver.note(other, tenure.ballot, tenure.stands[other].record, store, known)
             if stand.blank and again and len(voters) - len(lacking) >= self.majority:
-                self.outside.enter(store, tenure.ballot, stand.record, self._noted(), tenure.value, False)
+                self.driver.enter(store, tenure.ballot, stand.record, self._noted(), tenure.value, False)
 
     def _found(self, again: bool) -> None:
         """All stores answered, and none ever took anything: there is no earlier version that could be lost."""
@@ -240,7 +240,7 @@
         noted = {store: (tenure.ballot.fence, tenure.notes, stand.record) for store, stand in stands.items()}
         for store, stand in list(stands.items()):
             if self._may_act():
-                self.outside.enter(store, tenure.ballot, stand.record, noted, NONE, True)
+                self.driver.enter(store, tenure.ballot, stand.record, noted, NONE, True)
 
     def _make(self) -> None:
         tenure, put = self.tenure, self.wanted
@@ -259,7 +259,7 @@
         put.version = tenure.value = Version(tenure.ballot.fence, tenure.count, digest_of(put.content))
         tenure.is_chosen = False
         tenure.votes.clear()
-        self.outside.hold_content(put.content)
+        self.driver.hold_content(put.content)
         self._offer(self._voters(), again=True)
 
     def _late(self) -> None:
--- a/curlewshift/emulator/front.py
+++ b/curlewshift/emulator/front.py
@@ -59,7 +59,7 @@
 class EmulatedFront:
     def __init__(self, world, number: int, life: int, disk: Disk, seed: int, rules: type[Rules], wrong: str = ""):
         self.world, self.number, self.disk, self.wrong = world, number, disk, wrong
-        self.door = world.site.doors[number].name
+        self.door = world.site.front_addresses[number].name
         self.name = f"{self.door}.{life}"
         self.zone = world.zone_of_front(number)
         # the generation of the list that it has, and when the last news of it arrives
@@ -71,13 +71,13 @@
         self.answered = 0
         self.book, self.intents = SessionRegistry(), Intents()
         site, terms = world.site, world.site.terms(self.now(), seed, number)
-        desk = SessionCore
+        session_core = SessionCore
         if wrong:
             from curlewshift.emulator.planted_faults import wronged
 
-            desk, rules, terms = wronged(wrong, terms, rules)
+            session_core, rules, terms = wronged(wrong, terms, rules)
         self.calendar = Calendar(terms.packages)
-        self.desk = desk(
+        self.session_core = session_core(
             self,
             terms,
             ServerList(site.uplinks, site.titles),
@@ -87,17 +87,17 @@
         )
         self.shared = EmulatedSharing(self, seed) if world.shared is not None else None
         self.sheds = EmulatedOverload(self, seed) if world.shedding is not None else None
-        if hasattr(self.desk.rules, "sees"):
+        if hasattr(self.session_core.rules, "sees"):
             # an oracle, for comparison alone
-            self.desk.rules.sees = world
+            self.session_core.rules.sees = world
         if disk.rows:
-            self.desk.list_full("", -1, disk.rows, stale=True)
+            self.session_core.list_full("", -1, disk.rows, stale=True)
         self._recover()
 
     def _recover(self) -> None:
         self.book.restore(self.disk.book)
         intents = self.intents.restore(self.disk.intents, self.wall())
-        self.recovery = recovery_of(self, self.desk, self.name, self.book, intents, mark_of)
+        self.recovery = recovery_of(self, self.session_core, self.name, self.book, intents, mark_of)
         if self.wrong != "leave-orphans" and (self.book.open or intents or self.disk.rows):
             self.recovery.begin()
             self._go_on_recovering()
@@ -130,16 +130,16 @@
 
     def _time(self) -> None:
         if self.alive:
-            self.desk.time()
+            self.session_core.time()
 
     def asked(self, name: str, package: str, title: str, top: int, patience: int, key: str, who: str) -> Request | None:
         """A request at the door; None where it was shed there."""
-        if self.sheds is not None and not self.desk.knows(key):
+        if self.sheds is not None and not self.session_core.knows(key):
             wait = self.sheds.asked(package, title, who)
             if wait:
                 self.world.viewers.answered(name, Answer(Kind.REFUSED, "more is asked for than there is room", wait), self)
                 return None
-        request = self.desk.asked(name, package, title, top, patience, key, Offer(key))
+        request = self.session_core.asked(name, package, title, top, patience, key, Offer(key))
         if self.sheds is not None:
             self.sheds.taken(request, who)
         return request
@@ -150,7 +150,7 @@
         if self.shared is not None:
             self.shared.sharing.sent(tune_in.server, tune_in.number > 1)
         attempt = self.attempts[tune_in] = Attempt()
-        intent = intent_of(tune_in, tune_in.course.vw.expires)
+        intent = intent_of(tune_in, tune_in.front_session.viewing.expires)
         # the connection takes a way there and back
         self.world.to_server(self, self.world.machines.get(tune_in.server.name), self._connected, tune_in, attempt, intent)
 
@@ -164,7 +164,7 @@
         if machine is None or machine.dead:
             self._ended(tune_in, attempt, Outcome.UNREACHED)
             return
-        steps = setting_up(self.desk, tune_in, self.intents, intent)
+        steps = setting_up(self.session_core, tune_in, self.intents, intent)
         self._step(steps, None, machine, tune_in, attempt)
 
     def _step(self, steps, kept: bool | None, machine: Machine, tune_in: TuneIn, attempt: Attempt) -> None:
@@ -183,22 +183,31 @@
             self.world.queue.at(self.now() + FLUSH, self._step, steps, True, machine, tune_in, attempt)
 
     def _send(self, machine: Machine, tune_in: TuneIn, attempt: Attempt) -> None:
-        course, vw = tune_in.course, tune_in.course.vw
-        request = course.requests[0].name if course.requests else str(vw.name)
-        rung = 0 if self.wrong == "under-floor" and vw.name % EVERY == 0 else tune_in.rung
-        mark = mark_of(course.held.key) if vw.package.paid_at_setup and course.held is not None else ""
+        front_session, viewing = tune_in.front_session, tune_in.front_session.viewing
+        request = front_session.requests[0].name if front_session.requests else str(viewing.name)
+        rung = 0 if self.wrong == "under-floor" and viewing.name % EVERY == 0 else tune_in.rung
+        mark = mark_of(front_session.held.key) if viewing.package.paid_at_setup and front_session.held is not None else ""
         attempt.sent, attempt.machine = True, machine
-        attempt.setup = SetUp(self.name, request, tune_in.number, vw.package.name, vw.title, rung, mark, None)
+        attempt.setup = SetUp(self.name, request, tune_in.number, viewing.package.name, viewing.title, rung, mark, None)
         attempt.setup.answer = lambda how, session: self.world.from_server(
             self, machine, self._answered, tune_in, attempt, how, session
         )
         self.world.to_server(self, machine, self._arrives, attempt)
-        if self.wrong == "double-tune-in" and vw.name % 3 == 0:
-            others = [server for server in vw.holders if server is not tune_in.server and server.open]
+        if self.wrong == "double-tune-in" and viewing.name % 3 == 0:
+            others = [server for server in viewing.holders if server is not tune_in.server and server.open]
             other = self.world.machines.get(others[0].name) if others else None
             if other is not None:
                 twin = Attempt(
-                    SetUp(self.name, request, tune_in.number + 1, vw.package.name, vw.title, rung, "", lambda how, session: None),
+                    SetUp(
+                        self.name,
+                        request,
+                        tune_in.number + 1,
+                        viewing.package.name,
+                        viewing.title,
+                        rung,
+                        "",
+                        lambda how, session: None,
+                    ),
                     other,
                     True,
                 )
@@ -217,13 +226,13 @@
         if how == "plays":
             self.attempts.pop(tune_in, None)
             attempt.over = True
-            if self.wrong == "overspend-budget" and self.answered % 2 and not tune_in.course.vw.package.paid_at_setup:
+            if self.wrong == "overspend-budget" and self.answered % 2 and not tune_in.front_session.viewing.package.paid_at_setup:
                 self.answered += 1
-                self.desk.failed(tune_in, Outcome.FULL)
+                self.session_core.failed(tune_in, Outcome.FULL)
                 return
             self.answered += 1
             report = dict(zip(("link", "uplink"), attempt.machine.report))
-            self.desk.played(tune_in, session.path, report)
+            self.session_core.played(tune_in, session.path, report)
         elif not attempt.over:
             report = dict(zip(("link", "uplink"), attempt.machine.report)) if how == "full" else None
             self._ended(tune_in, attempt, OUTCOMES[how], report)
@@ -231,12 +240,12 @@
     def _ended(self, tune_in: TuneIn, attempt: Attempt, outcome: Outcome, report: dict | None = None) -> None:
         attempt.over = True
         self.attempts.pop(tune_in, None)
-        held = tune_in.course.held
-        if held is not None and tune_in.course.vw.package.paid_at_setup:
+        held = tune_in.front_session.held
+        if held is not None and tune_in.front_session.viewing.package.paid_at_setup:
             record = self.intents.ended(held.key, outcome)
             if record is not None:
                 self.disk.intents.append(record)
-        self.desk.failed(tune_in, outcome, report)
+        self.session_core.failed(tune_in, outcome, report)
 
     def withdraw(self, tune_in: TuneIn) -> bool:
         attempt = self.attempts.pop(tune_in, None)
@@ -273,35 +282,35 @@
             lambda machine: machine.when_thawed(lambda: self.world.from_server(self, machine, answered, there(machine))),
         )
 
-    def tell(self, errand) -> None:
-        course = errand.course
-        if course in self.tokens:
-            self._note(self.book.changed(self.tokens[course], "rung", errand.rung))
+    def tell(self, command) -> None:
+        front_session = command.front_session
+        if front_session in self.tokens:
+            self._note(self.book.changed(self.tokens[front_session], "rung", command.rung))
         self._call(
-            course.vw.server,
-            lambda machine: machine.layer(course.session, errand.rung),
-            lambda result: self.desk.told_server(
-                errand, Result.UNANSWERED if result is None else Result.DONE if result else Result.REFUSED
+            front_session.viewing.server,
+            lambda machine: machine.layer(front_session.session, command.rung),
+            lambda result: self.session_core.told_server(
+                command, Result.UNANSWERED if result is None else Result.DONE if result else Result.REFUSED
             ),
         )
 
-    def end_session(self, ending) -> None:
+    def end_session(self, session_end) -> None:
         def there(machine):
-            machine.end(ending.session, "deleted", tell=False)
+            machine.end(session_end.session, "deleted", tell=False)
             return True
 
-        self._call(ending.server, there, lambda result: self.desk.session_ended(ending, bool(result)))
+        self._call(session_end.server, there, lambda result: self.session_core.session_ended(session_end, bool(result)))
 
     def probe(self, server: Server) -> None:
         self._call(
             server,
             lambda machine: dict(zip(("link", "uplink"), machine.report)),
-            lambda result: self.desk.probed(server, Outcome.SILENT if result is None else Outcome.PLAYED, result),
+            lambda result: self.session_core.probed(server, Outcome.SILENT if result is None else Outcome.PLAYED, result),
         )
 
     def answer(self, request: Request, answer: Answer) -> None:
         if answer.kind is Kind.PLAYS:
-            self._kept(answer.course)
+            self._kept(answer.front_session)
         if self.sheds is not None:
             self.sheds.answered(request, answer)
         if self.wrong == "lose-answer" and self.number_of(request) % EVERY == 0:
@@ -319,23 +328,23 @@
 
     # ---- what is kept
 
-    def _kept(self, course) -> None:
-        if course in self.tokens:
+    def _kept(self, front_session) -> None:
+        if front_session in self.tokens:
             return
-        token = self.tokens[course] = f"{self.name} {course.vw.name}"
-        self._note(self.book.began(remembered(course, token, None, course.session)))
+        token = self.tokens[front_session] = f"{self.name} {front_session.viewing.name}"
+        self._note(self.book.began(remembered(front_session, token, None, front_session.session)))
 
     def _note(self, record: list | None) -> None:
         if record is not None:
             self.disk.book.append(record)
 
-    def closed(self, course) -> None:
-        token = self.tokens.pop(course, None)
+    def closed(self, front_session) -> None:
+        token = self.tokens.pop(front_session, None)
         if token is not None:
             self._note(self.book.ended(token))
             if self.book.stale():
                 self.disk.book = self.book.snapshot()
-        self.desk.closed(course)
+        self.session_core.closed(front_session)
 
     # ---- recovery's outside
 
@@ -367,10 +376,12 @@
         )
 
     def taken_up(self, one: StoredSession, server: Server):
-        course = self.desk.handed_over(one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer))
-        self.tokens[course] = one.token
-        self.world.viewers.taken_up(self, course, one.path)
-        return course
+        front_session = self.session_core.handed_over(
+            one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer)
+        )
+        self.tokens[front_session] = one.token
+        self.world.viewers.taken_up(self, front_session, one.path)
+        return front_session
 
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> str:
         return found.path
--- a/curlewshift/emulator/goodput.py
+++ b/curlewshift/emulator/goodput.py
@@ -35,7 +35,7 @@
     troubles = [Trouble("crash", LOST_AT, LOST_FOR, 0.5, 1.0)] if storm else []
     script = made_up(fronts, SERVERS, VIEWINGS, LASTS, 1.0, seed, troubles=troubles, come_again=1.0 if storm else 0.8)
     script.each_second *= load
-    script.site.duties.longest_wait = LONGEST_WAIT
+    script.site.obligations.longest_wait = LONGEST_WAIT
     terms = OverloadTerms(longest_wait=LONGEST_WAIT, fronts=fronts)
     shedding = None if way in ("none", "oracle") else Shedding(terms, together=way == "one")
     traffic: list[dict] = []
--- a/curlewshift/emulator/lease_figures.py
+++ b/curlewshift/emulator/lease_figures.py
@@ -23,13 +23,13 @@
 
     terms = LeaseTerms(term=2 * SECOND, drift=0.01, every=SECOND // 5)
 
-    def __init__(self, seed: int, fronts: int, keepers: int, leases: int):
-        super().__init__(seed, fronts, keepers, leases, troubled=False)
+    def __init__(self, seed: int, fronts: int, acceptors: int, leases: int):
+        super().__init__(seed, fronts, acceptors, leases, troubled=False)
         self.loss, self.doubled, self.late = 0.0, 0.0, 5 * MS
 
     def holder(self, lease: str):
         return next(
-            (front for front in self.fronts if front.alive and front.paused_until <= self.now and front.asker.may_act(lease)),
+            (front for front in self.fronts if front.alive and front.paused_until <= self.now and front.proposer.may_act(lease)),
             None,
         )
 
@@ -61,7 +61,7 @@
             holder.paused_until = 0
             cut_off(history, holder.number)
         else:
-            holder.asker.leave("l0")
+            holder.proposer.leave("l0")
         history.run(began + 20 * MS)
         while history.holder("l0") in (holder, None) and history.now - began < 30 * SECOND:
             if kind == "release":
@@ -69,7 +69,7 @@
             history.run(history.now + 10 * MS)
         if kind == "release":
             history.until_held("l0")
-            holder.asker.want("l0")
+            holder.proposer.want("l0")
         took.append((history.now - began) / history.terms.term)
         if kind == "kill":
             holder.start()
@@ -97,7 +97,7 @@
     for number, front in enumerate(history.fronts):
         for index, lease in enumerate(history.names):
             if index % fronts != number:
-                front.asker.tries.pop(lease, None)
+                front.proposer.tries.pop(lease, None)
     history.run(10 * SECOND)
     before = history.words
     history.run(16 * SECOND)
--- a/curlewshift/emulator/lease_histories.py
+++ b/curlewshift/emulator/lease_histories.py
@@ -26,27 +26,27 @@
 class LeaseFront:
     def __init__(self, history: LeaseHistory, number: int):
         self.history, self.number = history, number
-        chance = history.chance
-        self.rate, self.offset = 1 + chance.choice((-1, 1, chance.uniform(-1, 1))) * history.terms.drift, chance.randrange(10**12)
+        rng = history.rng
+        self.rate, self.offset = 1 + rng.choice((-1, 1, rng.uniform(-1, 1))) * history.terms.drift, rng.randrange(10**12)
         self.paused_until, self.life, self.alive = 0, 0, False
-        self.asker: LeaseProposer | None = None
-        self.keeper: LeaseAcceptor | None = None
+        self.proposer: LeaseProposer | None = None
+        self.acceptor: LeaseAcceptor | None = None
 
     def start(self) -> None:
         history = self.history
         self.life += 1
         self.alive, self.paused_until = True, 0
-        self.asker = history.askers(
+        self.proposer = history.proposers(
             self,
             self.number,
             self.life,
-            list(range(history.keepers_count)),
+            list(range(history.acceptors_count)),
             self.history.terms,
             Random(f"{history.seed} {self.number} {self.life}"),
         )
-        self.keeper = history.keepers(self, self.history.terms)
+        self.acceptor = history.acceptors(self, self.history.terms)
         for lease in history.names:
-            self.asker.want(lease)
+            self.proposer.want(lease)
 
     def now(self) -> int:
         return int(self.history.now * self.rate) + self.offset
@@ -56,14 +56,14 @@
 
     # ---- askers' words
 
-    def prepare(self, keeper, lease, ballot) -> None:
-        self.history.say(self, keeper, "keeper", "prepare", (self.number, lease, ballot))
+    def prepare(self, acceptor, lease, ballot) -> None:
+        self.history.say(self, acceptor, "acceptor", "prepare", (self.number, lease, ballot))
 
-    def propose(self, keeper, lease, ballot, fence) -> None:
-        self.history.say(self, keeper, "keeper", "propose", (self.number, lease, ballot, fence))
+    def propose(self, acceptor, lease, ballot, fence) -> None:
+        self.history.say(self, acceptor, "acceptor", "propose", (self.number, lease, ballot, fence))
 
-    def release(self, keeper, lease, ballot) -> None:
-        self.history.say(self, keeper, "keeper", "released", (self.number, lease, ballot))
+    def release(self, acceptor, lease, ballot) -> None:
+        self.history.say(self, acceptor, "acceptor", "released", (self.number, lease, ballot))
 
     def begins(self, lease, fence) -> None:
         self.history.began(self, lease, fence)
@@ -73,14 +73,14 @@
 
     # ---- keepers' words
 
-    def promise(self, asker, lease, ballot, holder, of, fence) -> None:
-        self.history.say(self, asker, "asker", "promise", (self.number, lease, ballot, holder, of, fence))
+    def promise(self, proposer, lease, ballot, holder, of, fence) -> None:
+        self.history.say(self, proposer, "proposer", "promise", (self.number, lease, ballot, holder, of, fence))
 
-    def accept(self, asker, lease, ballot) -> None:
-        self.history.say(self, asker, "asker", "accepted", (self.number, lease, ballot))
+    def accept(self, proposer, lease, ballot) -> None:
+        self.history.say(self, proposer, "proposer", "accepted", (self.number, lease, ballot))
 
-    def outbid(self, asker, lease, ballot, by) -> None:
-        self.history.say(self, asker, "asker", "outbid", (self.number, lease, ballot, by))
+    def outbid(self, proposer, lease, ballot, by) -> None:
+        self.history.say(self, proposer, "proposer", "outbid", (self.number, lease, ballot, by))
 
 
 class LeaseHistory:
@@ -90,20 +90,20 @@
         self,
         seed: int,
         fronts: int = 0,
-        keepers: int = 0,
+        acceptors: int = 0,
         leases: int = 0,
-        asker: type[LeaseProposer] = LeaseProposer,
-        keeper: type[LeaseAcceptor] = LeaseAcceptor,
+        proposer: type[LeaseProposer] = LeaseProposer,
+        acceptor: type[LeaseAcceptor] = LeaseAcceptor,
         troubled: bool = True,
     ):
-        self.seed, self.chance, self.now = seed, Random(f"leases {seed}"), 0
-        chance = self.chance
-        self.askers, self.keepers = asker, keeper
-        size = fronts or chance.randint(3, 8)
-        self.keepers_count = keepers or min(size, chance.choice((3, 3, 5)))
-        self.names = [f"l{n}" for n in range(leases or chance.randint(1, 3))]
-        self.loss, self.doubled = chance.choice((0, 0.1, 0.4)), chance.choice((0, 0.3))
-        self.late, self.wall_off = chance.choice((5, 100, 5000)) * MS, 0
+        self.seed, self.rng, self.now = seed, Random(f"leases {seed}"), 0
+        rng = self.rng
+        self.proposers, self.acceptors = proposer, acceptor
+        size = fronts or rng.randint(3, 8)
+        self.acceptors_count = acceptors or min(size, rng.choice((3, 3, 5)))
+        self.names = [f"l{n}" for n in range(leases or rng.randint(1, 3))]
+        self.loss, self.doubled = rng.choice((0, 0.1, 0.4)), rng.choice((0, 0.3))
+        self.late, self.wall_off = rng.choice((5, 100, 5000)) * MS, 0
         self.queue: list[tuple] = []
         self.order = count()
         self.fences: dict[str, int] = {}
@@ -115,7 +115,7 @@
         self.fronts = [LeaseFront(self, number) for number in range(size)]
         for front in self.fronts:
             front.start()
-            self.at(chance.randrange(self.terms.every), self._round, front)
+            self.at(rng.randrange(self.terms.every), self._round, front)
         self.at(0, self._look)
         if troubled:
             self.at(3000 * MS, self._trouble)
@@ -137,9 +137,9 @@
             # itself it hears at once, and always
             self.at(self.now, self._arrives, to, sender.life, part, what, words)
             return
-        for _ in range(2 if self.chance.random() < self.doubled else 1):
-            if self.chance.random() >= self.loss:
-                self.at(self.now + 1 + self.chance.randrange(self.late), self._arrives, to, 0, part, what, words)
+        for _ in range(2 if self.rng.random() < self.doubled else 1):
+            if self.rng.random() >= self.loss:
+                self.at(self.now + 1 + self.rng.randrange(self.late), self._arrives, to, 0, part, what, words)
 
     def _arrives(self, to: int, life: int, part: str, what: str, words: tuple) -> None:
         front = self.fronts[to]
@@ -152,15 +152,15 @@
 
     def _round(self, front: LeaseFront) -> None:
         if front.alive and front.paused_until <= self.now:
-            front.keeper.time()
-            front.asker.time()
+            front.acceptor.time()
+            front.proposer.time()
         self.at(self.now + self.terms.every, self._round, front)
 
     def _look(self) -> None:
         """Who may act at this moment: it is asked of each as it would ask itself before an act."""
         for lease in self.names:
             holders = [
-                front for front in self.fronts if front.alive and front.paused_until <= self.now and front.asker.may_act(lease)
+                front for front in self.fronts if front.alive and front.paused_until <= self.now and front.proposer.may_act(lease)
             ]
             if len(holders) > 1:
                 raise TwoHolders(f"{lease}: {' and '.join(str(front.number) for front in holders)} at {self.now / 1e9:.3f} s")
@@ -179,20 +179,20 @@
         self.fences[lease] = fence
 
     def _trouble(self) -> None:
-        front, kind = self.chance.choice(self.fronts), self.chance.random()
+        front, kind = self.rng.choice(self.fronts), self.rng.random()
         if kind < 0.3:
             front.start()
         elif kind < 0.4:
             front.alive = False
-            self.at(self.now + self.chance.randrange(8000 * MS), self._back, front, front.life)
+            self.at(self.now + self.rng.randrange(8000 * MS), self._back, front, front.life)
         elif kind < 0.7:
-            front.paused_until = self.now + self.chance.randrange(8000 * MS)
+            front.paused_until = self.now + self.rng.randrange(8000 * MS)
         elif kind < 0.8:
-            for one in self.chance.sample(self.fronts, len(self.fronts)):
+            for one in self.rng.sample(self.fronts, len(self.fronts)):
                 one.start()
         else:
-            self.loss = self.chance.choice((0, 0.3, 1.0))
-        self.at(self.now + self.chance.randrange(6000 * MS), self._trouble)
+            self.loss = self.rng.choice((0, 0.3, 1.0))
+        self.at(self.now + self.rng.randrange(6000 * MS), self._trouble)
 
     def _back(self, front: LeaseFront, life: int) -> None:
         if front.life == life:
@@ -214,16 +214,16 @@
 
 
 class NoSilenceAfterStart(LeaseAcceptor):
-    def __init__(self, outside, terms):
-        super().__init__(outside, terms)
+    def __init__(self, driver, terms):
+        super().__init__(driver, terms)
         self.silent_until = 0
 
 
 class DriftIgnored(LeaseAcceptor):
     """Lets go when the bare term is over by its own clock."""
 
-    def propose(self, asker, lease, ballot, fence):
-        super().propose(asker, lease, ballot, fence)
+    def propose(self, proposer, lease, ballot, fence):
+        super().propose(proposer, lease, ballot, fence)
         kept = self.leases.get(lease)
         if kept is not None and kept.accepted == ballot:
             kept.until = self.steady.last + self.terms.term
@@ -234,7 +234,7 @@
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.majority = min(2, len(self.keepers))
+        self.majority = min(2, len(self.acceptors))
 
 
 class RenewAfterEnd(LeaseProposer):
@@ -256,8 +256,8 @@
     def _propose(self, lease, held, now):
         held.proposing, held.proposed_at, held.renews = True, now, held.until > now
         held.fence = max(1, held.highest_fence)
-        for keeper in self.keepers:
-            self.outside.propose(keeper, lease, held.ballot, held.fence)
+        for acceptor in self.acceptors:
+            self.driver.propose(acceptor, lease, held.ballot, held.fence)
 
 
 class ActWithoutLook(LeaseProposer):
@@ -269,10 +269,10 @@
 
 
 FAULTS = {
-    "no-silence-after-start": dict(keeper=NoSilenceAfterStart),
-    "drift-ignored": dict(keeper=DriftIgnored),
-    "majority-of-two": dict(asker=MajorityOfTwo),
-    "renew-after-end": dict(asker=RenewAfterEnd),
-    "fence-not-raised": dict(asker=FenceNotRaised),
-    "act-without-look": dict(asker=ActWithoutLook),
+    "no-silence-after-start": dict(acceptor=NoSilenceAfterStart),
+    "drift-ignored": dict(acceptor=DriftIgnored),
+    "majority-of-two": dict(proposer=MajorityOfTwo),
+    "renew-after-end": dict(proposer=RenewAfterEnd),
+    "fence-not-raised": dict(proposer=FenceNotRaised),
+    "act-without-look": dict(proposer=ActWithoutLook),
 }
--- a/curlewshift/emulator/loan_histories.py
+++ b/curlewshift/emulator/loan_histories.py
@@ -27,15 +27,15 @@
 class LoanFront:
     def __init__(self, history: LoanHistory, number: int):
         self.history, self.number = history, number
-        chance = history.chance
-        self.rate, self.offset = 1 + chance.uniform(-1, 1) * history.terms.drift, chance.randrange(10**12)
+        rng = history.rng
+        self.rate, self.offset = 1 + rng.uniform(-1, 1) * history.terms.drift, rng.randrange(10**12)
         self.paused_until = 0
         self.loans: Loans | None = None
         self.sent: dict[str, deque[int]] = {}
         self.start()
 
     def start(self) -> None:
-        self.loans = self.history.kind(self, self.number, self.history.terms, self.history.chance.getrandbits(30))
+        self.loans = self.history.kind(self, self.number, self.history.terms, self.history.rng.getrandbits(30))
         # a life that starts has no memory of what an earlier one sent, but its silence outlasts any window
         self.sent = {key: deque() for key in self.history.rights}
 
@@ -75,14 +75,14 @@
     calm, killed = 4000 * MS, 0.4
 
     def __init__(self, seed: int, kind: type[Loans] = Loans, fronts: int = 0):
-        self.chance, self.kind, self.now = Random(f"loans {seed}"), kind, 0
-        chance = self.chance
-        size = fronts or chance.choice(self.sizes)
-        keys = [self.key_form.format(n) for n in range(chance.randint(1, 3))]
-        self.rights = {key: chance.choice((1, 2, 3, size // 2 + 1, size, 2 * size + 1)) for key in keys}
-        self.marks = {key: chance.randrange(1000) for key in keys}
-        self.loss, self.doubled = chance.choice((0, 0.1, 0.5)), chance.choice((0, 0.3))
-        self.late = chance.choice((5, 50, 3000)) * MS
+        self.rng, self.kind, self.now = Random(f"loans {seed}"), kind, 0
+        rng = self.rng
+        size = fronts or rng.choice(self.sizes)
+        keys = [self.key_form.format(n) for n in range(rng.randint(1, 3))]
+        self.rights = {key: rng.choice((1, 2, 3, size // 2 + 1, size, 2 * size + 1)) for key in keys}
+        self.marks = {key: rng.randrange(1000) for key in keys}
+        self.loss, self.doubled = rng.choice((0, 0.1, 0.5)), rng.choice((0, 0.3))
+        self.late = rng.choice((5, 50, 3000)) * MS
         self.uses: dict[str, deque[int]] = {key: deque() for key in keys}
         self.queue: list[tuple] = []
         self.order = count()
@@ -93,7 +93,7 @@
         for front in self.fronts:
             # as if they had run for long
             front.loans.quiet_until = 0
-            self.at(chance.randrange(self.terms.every), self._round, front)
+            self.at(rng.randrange(self.terms.every), self._round, front)
         self.at(0, self._viewing)
         self.at(0, self._trouble)
 
@@ -108,9 +108,9 @@
         return self
 
     def say(self, sender: int, to: int, what: str, words: tuple) -> None:
-        for _ in range(2 if self.chance.random() < self.doubled else 1):
-            if self.chance.random() >= self.loss:
-                self.at(self.now + 1 + self.chance.randrange(self.late), self._arrives, to, what, words)
+        for _ in range(2 if self.rng.random() < self.doubled else 1):
+            if self.rng.random() >= self.loss:
+                self.at(self.now + 1 + self.rng.randrange(self.late), self._arrives, to, what, words)
 
     def _arrives(self, to: int, what: str, words: tuple) -> None:
         front = self.fronts[to]
@@ -122,13 +122,13 @@
     def _round(self, front: LoanFront) -> None:
         if front.paused_until <= self.now:
             others = [number for number in range(len(self.fronts)) if number != front.number]
-            self.chance.shuffle(others)
+            self.rng.shuffle(others)
             front.loans.time(lambda key: [one for one in others if self.fronts[one].part(key)])
         self.at(self.now + self.terms.every, self._round, front)
 
     def _viewing(self) -> None:
-        self._try(self.chance.choice(self.fronts), self.chance.choice(list(self.rights)), 0)
-        self.at(self.now + self.chance.randrange(120 * MS), self._viewing)
+        self._try(self.rng.choice(self.fronts), self.rng.choice(list(self.rights)), 0)
+        self.at(self.now + self.rng.randrange(120 * MS), self._viewing)
 
     def _try(self, front: LoanFront, key: str, times: int) -> None:
         if front.paused_until > self.now:
@@ -138,17 +138,17 @@
             self.used_count += 1
         elif times < 2:
             # a viewer that is turned away comes again
-            self.at(self.now + self.chance.randrange(600 * MS, 1000 * MS), self._try, front, key, times + 1)
+            self.at(self.now + self.rng.randrange(600 * MS, 1000 * MS), self._try, front, key, times + 1)
 
     def _trouble(self) -> None:
-        front, kind = self.chance.choice(self.fronts), self.chance.random()
+        front, kind = self.rng.choice(self.fronts), self.rng.random()
         if kind < self.killed:
             front.start()
         elif kind < 0.8:
-            front.paused_until = self.now + self.chance.randrange(6000 * MS)
+            front.paused_until = self.now + self.rng.randrange(6000 * MS)
         else:
-            self.loss = self.chance.choice((0, 0.3, 1.0))
-        self.at(self.now + self.chance.randrange(self.calm), self._trouble)
+            self.loss = self.rng.choice((0, 0.3, 1.0))
+        self.at(self.now + self.rng.randrange(self.calm), self._trouble)
 
     def used(self, key: str) -> None:
         times = self.uses[key]
--- a/curlewshift/emulator/machine.py
+++ b/curlewshift/emulator/machine.py
@@ -58,10 +58,10 @@
 class Machine:
     """One life of one server."""
 
-    def __init__(self, world, machine, name: str, link: LinkModel, born: int, chance):
-        self.world, self.machine, self.name, self.link, self.born, self.chance = world, machine, name, link, born, chance
-        self.duties = world.site.duties
-        self.boot = f"{chance.getrandbits(32):08x}"
+    def __init__(self, world, machine, name: str, link: LinkModel, born: int, rng):
+        self.world, self.machine, self.name, self.link, self.born, self.rng = world, machine, name, link, born, rng
+        self.obligations = world.site.obligations
+        self.boot = f"{rng.getrandbits(32):08x}"
         self.sessions: dict[str, Session] = {}
         self.by_life: Counter = Counter()
         self.free_cores = machine.cores
@@ -126,7 +126,7 @@
     def asked(self, setup: SetUp) -> None:
         setup.facts = dict(server=self.name, boot=self.boot, front=setup.life, request=setup.request, number=setup.number)
         self.world.seen("setup", package=setup.package, title=setup.title, rung=setup.rung, **setup.facts)
-        if falls_over(self.arrivals, self.world.queue.now, self.born, self.machine.streams, self.duties):
+        if falls_over(self.arrivals, self.world.queue.now, self.born, self.machine.streams, self.obligations):
             # it falls over, and what is in work with it
             self.held.append(setup)
             self.world.seen("fell-over", server=self.name, boot=self.boot)
@@ -170,7 +170,7 @@
             self.at_work.add(setup)
             self.world.seen("ran", **setup.facts)
             age = self.world.queue.now - self.born
-            pace = warmth(age, self.duties.warm_within, self.duties.start_capacity)
+            pace = warmth(age, self.obligations.warm_within, self.obligations.start_capacity)
             self.world.queue.at(self.world.queue.now + int(self.world.setup_work * NS / pace), self._worked, setup)
 
     def _worked(self, setup: SetUp) -> None:
@@ -200,7 +200,7 @@
             setup.title,
             setup.rung,
             rate,
-            self.chance.uniform(0.88, 1.12),
+            self.rng.uniform(0.88, 1.12),
             setup.mark,
             self,
             unwatched_since=self.world.queue.now,
@@ -265,7 +265,7 @@
         now = self.world.queue.now
         uplink = self.link.uplink.asked() / self.link.uplink.size
         self.history.append((now, self.link.use(), uplink, self.link.share()))
-        noise = self.chance.uniform(1 - NOISE, 1 + NOISE)
+        noise = self.rng.uniform(1 - NOISE, 1 + NOISE)
         self.report = (self.link.use() * noise, uplink * noise)
         if self.frozen:
             return
@@ -277,7 +277,7 @@
 
     def then(self) -> tuple[int, float, float, float]:
         """How it was as long ago as notes are late."""
-        return as_of(self.history, self.world.queue.now - self.duties.told_late - int(self.notes_late * NS))
+        return as_of(self.history, self.world.queue.now - self.obligations.told_late - int(self.notes_late * NS))
 
     def short(self) -> bool:
         return self.then()[3] < SHORT_UNDER
--- a/curlewshift/emulator/oracle.py
+++ b/curlewshift/emulator/oracle.py
@@ -15,22 +15,26 @@
 
     sees = None
 
-    def _place(self, vw: Viewing) -> None:
-        seats_left = not vw.package.seats or self.seats[vw.title, vw.package] < vw.package.seats
-        late = vw.tune_ins >= self.max_tune_ins or self.host.now() >= vw.expires
-        able = [server for server in self._open_to(vw) if self._able(server)]
-        if late or not seats_left or not self._budget_left(vw) or not able:
-            self._block(vw)
+    def _place(self, viewing: Viewing) -> None:
+        seats_left = not viewing.package.seats or self.seats[viewing.title, viewing.package] < viewing.package.seats
+        late = viewing.tune_ins >= self.max_tune_ins or self.host.now() >= viewing.expires
+        able = [server for server in self._open_to(viewing) if self._able(server)]
+        if late or not seats_left or not self._budget_left(viewing) or not able:
+            self._block(viewing)
             return
         best = max(able, key=lambda server: (self._true_room(server), server.mark))
         room = self._true_room(best)
-        fits = [rung for rung in range(vw.package.floor, min(vw.ceiling, vw.package.top) + 1) if vw.package.rates[rung] <= room]
+        fits = [
+            rung
+            for rung in range(viewing.package.floor, min(viewing.ceiling, viewing.package.top) + 1)
+            if viewing.package.rates[rung] <= room
+        ]
         if fits:
-            self._tune_in(vw, best, max(fits))
+            self._tune_in(viewing, best, max(fits))
         elif room > -0.05 * best.link.size:
-            self._tune_in(vw, best, vw.package.floor)
+            self._tune_in(viewing, best, viewing.package.floor)
         else:
-            self._block(vw)
+            self._block(viewing)
 
     def _able(self, server: Server) -> bool:
         machine = self.sees.machines.get(server.name)
--- a/curlewshift/emulator/overloaded.py
+++ b/curlewshift/emulator/overloaded.py
@@ -31,12 +31,12 @@
 
     def __init__(self, front, seed: int):
         self.front, self.world, self.how = front, front.world, front.world.shedding
-        self.chance, self.life, self.spoken = Random(f"{seed} sheds"), front.now(), 0
+        self.rng, self.life, self.spoken = Random(f"{seed} sheds"), front.now(), 0
         packages = self.world.site.packages
-        super().__init__(lambda: front.desk, packages)
+        super().__init__(lambda: front.session_core, packages)
         self.bounds_further = self.how.further
-        self.overload = self.how.overload(self, front.door, packages, self.how.terms, self.chance)
-        self.world.queue.at(front.now() + self.chance.randrange(self.how.terms.every), self._round)
+        self.overload = self.how.overload(self, front.door, packages, self.how.terms, self.rng)
+        self.world.queue.at(front.now() + self.rng.randrange(self.how.terms.every), self._round)
 
     def _round(self) -> None:
         if self.front.alive:
@@ -59,8 +59,8 @@
 
     def _say(self, to: str, what: str, *words) -> None:
         other = next_front(self.world, to)
-        if other is not None and self.chance.random() >= self.how.loss:
-            self.world.queue.at(self.now() + int(self.chance.uniform(*WAY)), self._arrives, other, what, words)
+        if other is not None and self.rng.random() >= self.how.loss:
+            self.world.queue.at(self.now() + int(self.rng.uniform(*WAY)), self._arrives, other, what, words)
 
     @staticmethod
     def _arrives(front, what: str, words: tuple) -> None:
--- a/curlewshift/emulator/peer_figures.py
+++ b/curlewshift/emulator/peer_figures.py
@@ -10,7 +10,7 @@
 
 from curlewshift.emulator.peer_histories import histories
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet
-from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.terms import default_membership_terms
 
 PERIOD = NS
 SIZES = (8, 32, 200, 1000)
@@ -23,7 +23,7 @@
 
 def of_size(size: int) -> dict:
     """Detection of kills, bytes, and how soon halves that were cut apart hold the same again."""
-    fleet = PeerFleet(size, 1, usual_manners(PERIOD))
+    fleet = PeerFleet(size, 1, default_membership_terms(PERIOD))
     fleet.start_settled()
     fleet.run(3)
     before = fleet.bytes
@@ -62,7 +62,7 @@
     links = Links(loss=0.05)
     if hard:
         links.hard_of_hearing = {number: HARD_OF_HEARING for number in range(0, CALM_FRONTS, 10)}
-    fleet = PeerFleet(CALM_FRONTS, seed, usual_manners(PERIOD, lifeguard=lifeguard), links=links)
+    fleet = PeerFleet(CALM_FRONTS, seed, default_membership_terms(PERIOD, lifeguard=lifeguard), links=links)
     fleet.start_settled()
     minutes = HARD_MINUTES if hard else CALM_MINUTES
     fleet.run(60 * minutes)
--- a/curlewshift/emulator/peer_histories.py
+++ b/curlewshift/emulator/peer_histories.py
@@ -9,7 +9,7 @@
 
 from curlewshift.emulator.peers import BORN, MS, NS, PeerFleet
 from curlewshift.membership.membership import Membership
-from curlewshift.membership.terms import MembershipTerms, usual_manners
+from curlewshift.membership.terms import MembershipTerms, default_membership_terms
 
 PERIOD = NS // 2
 # Periods of trouble, and of quiet after it: the last one of many waits nine for an answer and then 18 for a suspect.
@@ -34,31 +34,31 @@
 )
 
 
-def manners(**more) -> MembershipTerms:
-    return usual_manners(PERIOD, **more)
+def membership_terms(**more) -> MembershipTerms:
+    return default_membership_terms(PERIOD, **more)
 
 
 class History:
     """One history; `run()` returns how many periods after the last trouble all agreed, None if they did not."""
 
     def __init__(self, seed: int, membership: type[Membership] = Membership):
-        self.chance = chance = Random(f"history {seed}")
-        self.size = chance.randint(3, 7)
-        self.fleet = PeerFleet(self.size, seed, manners(), seeds=SEEDS, membership=membership)
+        self.rng = rng = Random(f"history {seed}")
+        self.size = rng.randint(3, 7)
+        self.fleet = PeerFleet(self.size, seed, membership_terms(), seeds=SEEDS, membership=membership)
         self.story: list[tuple] = []
 
     def run(self) -> float | None:
-        fleet, chance = self.fleet, self.chance
-        fleet.start(chance.sample(range(self.size), chance.randint(1, self.size)))
+        fleet, rng = self.fleet, self.rng
+        fleet.start(rng.sample(range(self.size), rng.randint(1, self.size)))
         while fleet.queue.now < BORN + TROUBLED * PERIOD:
-            fleet.run(chance.uniform(0.05, 4))
-            self._befall(chance.choice(KINDS), chance.choice(fleet.posts))
+            fleet.run(rng.uniform(0.05, 4))
+            self._befall(rng.choice(KINDS), rng.choice(fleet.posts))
         self._calm()
         after = fleet.until(fleet.agreed, QUIET * PERIOD / NS)
         return None if after is None else after * NS / PERIOD
 
     def _befall(self, kind: str, post) -> None:
-        links, chance = self.fleet.links, self.chance
+        links, rng = self.fleet.links, self.rng
         self.story.append((round((self.fleet.queue.now - BORN) / NS, 2), kind, post.name))
         if kind == "kill":
             post.kill()
@@ -78,22 +78,22 @@
         elif kind == "go-on":
             post.go_on()
         elif kind == "cut":
-            side = set(chance.sample(range(self.size), chance.randint(1, self.size - 1)))
+            side = set(rng.sample(range(self.size), rng.randint(1, self.size - 1)))
             links.parted = lambda a, b: (a in side) != (b in side)
         elif kind == "one-way":
             links.parted = lambda a, b, mute=post.number: a == mute
         elif kind == "heal":
             links.parted = lambda a, b: False
         elif kind == "loss":
-            links.loss, links.doubled, links.spoilt = chance.uniform(0, 0.6), chance.random(), chance.uniform(0, 0.3)
-            links.late, links.late_by = chance.uniform(0, 0.5), chance.randint(10, 8000) * MS
+            links.loss, links.doubled, links.spoilt = rng.uniform(0, 0.6), rng.random(), rng.uniform(0, 0.3)
+            links.late, links.late_by = rng.uniform(0, 0.5), rng.randint(10, 8000) * MS
         elif kind == "clean":
             self._clean()
         elif kind == "step":
-            post.set_clock(chance.choice((-1, 1)) * chance.randint(1, 600) * NS)
+            post.set_clock(rng.choice((-1, 1)) * rng.randint(1, 600) * NS)
         elif kind == "rate":
             # steps keep what the clock shows, as a clock that is led does
-            shown, post.rate = post.now(), chance.uniform(0.99, 1.01)
+            shown, post.rate = post.now(), rng.uniform(0.99, 1.01)
             post.offset += shown - post.now()
 
     def _clean(self) -> None:
--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -81,7 +81,7 @@
             self.address,
             self.now() // MS * 1024 + self.lives,
             self.fleet.seeds,
-            self.fleet.manners,
+            self.fleet.membership_terms,
             self.fleet.most_bytes,
             Random(f"{self.fleet.seed} {self.number} {self.lives}"),
             self.fleet.membership,
@@ -112,14 +112,14 @@
         self,
         size: int,
         seed: int,
-        manners: MembershipTerms,
+        membership_terms: MembershipTerms,
         seeds: int = 3,
         most_bytes: int = 128 * 1024,
         links: Links | None = None,
         membership: type[Membership] = Membership,
     ):
-        self.queue, self.chance, self.seed = Buckets(BORN), Random(seed), seed
-        self.manners, self.most_bytes, self.membership = manners, most_bytes, membership
+        self.queue, self.rng, self.seed = Buckets(BORN), Random(seed), seed
+        self.membership_terms, self.most_bytes, self.membership = membership_terms, most_bytes, membership
         self.links = links or Links()
         self.posts = [Post(self, number) for number in range(size)]
         self.seeds = [post.address for post in self.posts[:seeds]]
@@ -149,18 +149,18 @@
         self.datagrams += 1
         self.bytes += len(data)
         to = self.at.get(address)
-        links, chance = self.links, self.chance
+        links, rng = self.links, self.rng
         if to is None or links.parted(sender.number, to.number):
             return
-        if chance.random() < links.loss or chance.random() < links.hard_of_hearing.get(to.number, 0.0):
+        if rng.random() < links.loss or rng.random() < links.hard_of_hearing.get(to.number, 0.0):
             return
-        if links.spoilt and chance.random() < links.spoilt:
-            at = chance.randrange(len(data))
-            data = data[:at] + bytes((data[at] ^ 1 << chance.randrange(8),)) + data[at + 1 :]
-        for _ in range(2 if links.doubled and chance.random() < links.doubled else 1):
-            way = chance.uniform(*WAY)
-            if links.late and chance.random() < links.late:
-                way += chance.uniform(0, links.late_by)
+        if links.spoilt and rng.random() < links.spoilt:
+            at = rng.randrange(len(data))
+            data = data[:at] + bytes((data[at] ^ 1 << rng.randrange(8),)) + data[at + 1 :]
+        for _ in range(2 if links.doubled and rng.random() < links.doubled else 1):
+            way = rng.uniform(*WAY)
+            if links.late and rng.random() < links.late:
+                way += rng.uniform(0, links.late_by)
             self.queue.at(self.queue.now + int(way), to.arrive, data)
 
     def changed(self, post: Post, member: Member, before: Rank | None) -> None:
--- a/curlewshift/emulator/planted_faults.py
+++ b/curlewshift/emulator/planted_faults.py
@@ -26,11 +26,11 @@
 
 def wronged(wrong: str, terms: Terms, rules: type[Rules]) -> tuple[type[SessionCore], type[Rules], Terms]:
     """Desk, rules and terms of a front that has this fault."""
-    desk = {"ignore-drain": SessionCoreIgnoringLeavers, "lost-teardown": LostTeardown}.get(wrong, SessionCore)
+    session_core = {"ignore-drain": SessionCoreIgnoringLeavers, "lost-teardown": LostTeardown}.get(wrong, SessionCore)
     rules = {"resend-paid": ResendPaid, "ignore-drain": IgnoreDrain, "push-cold": PushCold}.get(wrong, rules)
     changed = {"under-floor": {"floor": 0}, "over-seats": {"seats": 0}}.get(wrong)
     if changed:
         terms = replace(terms, packages=[replace(package, **changed) for package in terms.packages])
     if wrong == "overspend-budget":
         terms = replace(terms, free_further=None, max_tune_ins=50)
-    return desk, rules, terms
+    return session_core, rules, terms
--- a/curlewshift/emulator/planted_shedding_faults.py
+++ b/curlewshift/emulator/planted_shedding_faults.py
@@ -11,23 +11,23 @@
     """As many as ever, and whoever it hits."""
 
     def _sheds(self, rank, cut, floored):
-        return self.advice.chance.random() < cut / self.order.top
+        return self.advice.rng.random() < cut / self.order.top
 
 
 class OwnLevelOnly(Overload):
     """Sheds as if it were alone, by a hash that nobody else has."""
 
-    def __init__(self, outside, me, *arguments):
-        super().__init__(outside, me, *arguments)
+    def __init__(self, driver, me, *arguments):
+        super().__init__(driver, me, *arguments)
         order, rank = self.order, self.order.rank
         order.rank = lambda package, who, wall, came_back=False: rank(package, f"{me} {who}", wall, came_back)
 
     def time(self):
-        members, self.outside.members = self.outside.members, lambda: []
+        members, self.driver.members = self.driver.members, lambda: []
         try:
             super().time()
         finally:
-            self.outside.members = members
+            self.driver.members = members
 
 
 class OneReturn(RetryAdvice):
--- a/curlewshift/emulator/queue_cost.py
+++ b/curlewshift/emulator/queue_cost.py
@@ -13,15 +13,15 @@
 
 def one(queue, open_at_once: int) -> float:
     """Microseconds an event, with so many waiting at any time; each sets the next one, up to some seconds ahead."""
-    chance, left = Random(1), [EVENTS]
+    rng, left = Random(1), [EVENTS]
 
     def happens() -> None:
         if left[0] > 0:
             left[0] -= 1
-            queue.at(queue.now + int(chance.expovariate(1 / (200 * MS))), happens)
+            queue.at(queue.now + int(rng.expovariate(1 / (200 * MS))), happens)
 
     for _ in range(open_at_once):
-        queue.at(chance.randrange(200 * MS), happens)
+        queue.at(rng.randrange(200 * MS), happens)
     began = time.perf_counter()
     queue.run(10**15)
     return (time.perf_counter() - began) / (EVENTS + open_at_once) * 1e6
--- a/curlewshift/emulator/seat_histories.py
+++ b/curlewshift/emulator/seat_histories.py
@@ -34,7 +34,7 @@
     pool_class = Seats
 
     def __init__(self, history: SeatHistory, number: int):
-        self.me, self.order, self.chance = number, [f"f{n}" for n in range(len(history.fronts))], history.chance
+        self.me, self.order, self.rng = number, [f"f{n}" for n in range(len(history.fronts))], history.rng
         self.life = self.acted_at = 0
         self.viewings: dict[str, list[int]] = {}
         self.out: dict[str, list[int]] = {}
@@ -42,7 +42,7 @@
         super().__init__(history, number)
 
     @property
-    def outside(self) -> SeatFront:
+    def driver(self) -> SeatFront:
         return self
 
     def start(self) -> None:
@@ -66,7 +66,7 @@
         self.loans = self.pool.loans
         for key, names in before.items():
             for name in names:
-                if self.chance.random() < 0.7 and self._seat_left(key):
+                if self.rng.random() < 0.7 and self._seat_left(key):
                     # remembered, and taken up before its door opens
                     self.viewings[key].append(name)
                     self._leaves_some_time(key, name)
@@ -74,7 +74,7 @@
                     self._left_to_its_server(key, name)
 
     def _left_to_its_server(self, key: str, name: int) -> None:
-        self.history.at(self.history.now + self.chance.randrange(KEPT_BY_SERVERS), self.history.over, key, name)
+        self.history.at(self.history.now + self.rng.randrange(KEPT_BY_SERVERS), self.history.over, key, name)
 
     # ---- the pool's outside
 
@@ -119,7 +119,7 @@
             return False
         name = self.history.name()
         self.out[key].append(name)
-        self.history.at(self.history.now + self.chance.randrange(WAY), self._sends, key, name, self.life)
+        self.history.at(self.history.now + self.rng.randrange(WAY), self._sends, key, name, self.life)
         return True
 
     def _sends(self, key: str, name: int, life: int) -> None:
@@ -127,7 +127,7 @@
         if life != self.life:
             return
         if self.paused_until > self.history.now:
-            late = self.chance.random() < 0.5
+            late = self.rng.random() < 0.5
             self.history.at(self.paused_until, self._sends if late else self._never_sent, key, name, life)
             return
         # what it has told to end frees its own seat at once, as at one front alone
@@ -135,7 +135,7 @@
             self.history.over(*ended)
             self.ending.remove(ended)
         self.history.begins(key, name)
-        self.history.at(self.history.now + self.chance.randrange(LONGEST_SETUP), self._plays, key, name, life)
+        self.history.at(self.history.now + self.rng.randrange(LONGEST_SETUP), self._plays, key, name, life)
 
     def _never_sent(self, key: str, name: int, life: int) -> None:
         if life == self.life:
@@ -149,7 +149,7 @@
             return
         self.out[key].remove(name)
         self.viewings[key].append(name)
-        if self.chance.random() < 0.1:
+        if self.rng.random() < 0.1:
             # its viewer has hung up meanwhile
             self._end(key, name)
         else:
@@ -159,8 +159,8 @@
         """Its front counts it no more from now on; its server hears of that later."""
         self.viewings[key].remove(name)
         self.ending.append((key, name))
-        late = WAY if self.chance.random() < 0.7 else LATE_ENDING
-        self.history.at(self.history.now + self.chance.randrange(late), self._ended, key, name)
+        late = WAY if self.rng.random() < 0.7 else LATE_ENDING
+        self.history.at(self.history.now + self.rng.randrange(late), self._ended, key, name)
 
     def _ended(self, key: str, name: int) -> None:
         self.history.over(key, name)
@@ -168,7 +168,7 @@
             self.ending.remove((key, name))
 
     def _leaves_some_time(self, key: str, name: int) -> None:
-        self.history.at(self.history.now + self.chance.randrange(self.history.longest), self.leaves, key, name, self.life)
+        self.history.at(self.history.now + self.rng.randrange(self.history.longest), self.leaves, key, name, self.life)
 
     def leaves(self, key: str, name: int, life: int) -> None:
         """Its viewer has had enough; a front that is stopped hears of it when it goes on."""
@@ -196,8 +196,8 @@
         self.longest, self.rounds_late = 12_000 * MS, 0
         super().__init__(seed, kind, fronts)
         # viewers that stay for longer than any loan lasts unrenewed, and loops that are late now and then
-        self.longest = self.chance.choice((12_000, 50_000)) * MS
-        self.rounds_late = self.chance.choice((0, 0, 2000)) * MS
+        self.longest = self.rng.choice((12_000, 50_000)) * MS
+        self.rounds_late = self.rng.choice((0, 0, 2000)) * MS
 
     def _round(self, front: SeatFront) -> None:
         if front.paused_until > self.now:
@@ -207,7 +207,7 @@
         front.acted_at = self.now
         self.turn += 1
         front.pool.time(set(range(len(self.fronts))) - {front.number}, self.turn)
-        late = self.chance.randrange(self.rounds_late) if self.rounds_late and self.chance.random() < 0.1 else 0
+        late = self.rng.randrange(self.rounds_late) if self.rounds_late and self.rng.random() < 0.1 else 0
         self.at(self.now + self.terms.every + late, self._round, front)
 
     def _arrives(self, to: int, what: str, words: tuple) -> None:
@@ -223,19 +223,19 @@
             front.paused_until = min(front.paused_until, front.acted_at + LONGEST_STOP)
         borrowers = [front for front in self.fronts if front.loans.borrowed and front.paused_until <= self.now]
         lenders = [front for front in self.fronts if front.loans.lent and front.paused_until <= self.now]
-        kind = self.chance.random()
+        kind = self.rng.random()
         if lenders and kind > 0.8:
             # by more than may pass for a round that comes late
-            self.chance.choice(lenders).offset += self.chance.randrange(3000 * MS, 20_000 * MS)
+            self.rng.choice(lenders).offset += self.rng.randrange(3000 * MS, 20_000 * MS)
         if not borrowers or kind > 0.5:
             return
-        front = self.chance.choice(borrowers)
+        front = self.rng.choice(borrowers)
         if kind < 0.3:
             # its clock seems to be past the bound, for a while
             front.loans.withdraw(True)
-            self.at(self.now + self.chance.randrange(6000 * MS), front.loans.withdraw, False)
+            self.at(self.now + self.rng.randrange(6000 * MS), front.loans.withdraw, False)
         else:
-            front.offset -= self.chance.randrange(1, 4000 * MS)
+            front.offset -= self.rng.randrange(1, 4000 * MS)
 
     def name(self) -> int:
         self.names += 1
@@ -273,11 +273,11 @@
     """Lends a seat on which somebody of its own sits."""
 
     def asked(self, borrower, number, keys, life=0):
-        in_use, self.outside.in_use = self.outside.in_use, lambda key: 0
+        in_use, self.driver.in_use = self.driver.in_use, lambda key: 0
         try:
             super().asked(borrower, number, keys, life)
         finally:
-            self.outside.in_use = in_use
+            self.driver.in_use = in_use
 
 
 class SeatsSurviveRestart(StandingLoans):
--- a/curlewshift/emulator/shared.py
+++ b/curlewshift/emulator/shared.py
@@ -40,8 +40,8 @@
 
     def __init__(self, front, seed: int):
         self.front, self.world, self.shares = front, front.world, front.world.shared
-        self.chance, self.spoken = Random(f"{seed} shares"), 0
-        order = [door.name for door in self.world.site.doors]
+        self.rng, self.spoken = Random(f"{seed} shares"), 0
+        order = [door.name for door in self.world.site.front_addresses]
         me = order.index(front.door)
         self.life = front.now()
         self.sharing = Sharing(
@@ -50,12 +50,12 @@
             me,
             self.life,
             self.shares.terms,
-            self.world.site.duties.warm_within,
-            self.chance,
-            self.world.site.together.patient(lambda name: front.desk.packages[name].patience),
+            self.world.site.obligations.warm_within,
+            self.rng,
+            self.world.site.together.patient(lambda name: front.session_core.packages[name].patience),
         )
-        front.desk.share_rights()
-        self.world.queue.at(front.now() + self.chance.randrange(self.shares.terms.every), self._round)
+        front.session_core.share_rights()
+        self.world.queue.at(front.now() + self.rng.randrange(self.shares.terms.every), self._round)
 
     def _round(self) -> None:
         if self.front.alive:
@@ -66,11 +66,11 @@
 
     def _say(self, to: str, what: str, *words) -> None:
         other = next_front(self.world, to)
-        shares, chance = self.shares, self.chance
+        shares, rng = self.shares, self.rng
         shares.words += 1
-        if other is None or {self.sharing.me, self.sharing.number_of[to]} & shares.deaf or chance.random() < shares.loss:
+        if other is None or {self.sharing.me, self.sharing.number_of[to]} & shares.deaf or rng.random() < shares.loss:
             return
-        self.world.queue.at(self.now() + int(chance.uniform(*WAY)), self._arrives, other, what, words)
+        self.world.queue.at(self.now() + int(rng.uniform(*WAY)), self._arrives, other, what, words)
 
     @staticmethod
     def _arrives(front, what: str, words: tuple) -> None:
@@ -83,10 +83,10 @@
         return self.front.now()
 
     def servers(self):
-        return self.front.desk.rules.servers
+        return self.front.session_core.rules.servers
 
     def rights_of(self, server: Server) -> int:
-        return self.front.desk.rules.rights_of(server)
+        return self.front.session_core.rules.rights_of(server)
 
     def members(self) -> list[str]:
         return self.world.doors_up
@@ -114,7 +114,7 @@
         self._say(to, "report_told", self.sharing.name, rows)
 
     def link_reported(self, server: Server, use: float) -> None:
-        self.front.desk.link_reported(server, use)
+        self.front.session_core.link_reported(server, use)
 
     def tell_seen(self, to: str, rows: list) -> None:
         if self.shares.seen:
@@ -122,50 +122,50 @@
             self._say(to, "seen_told", self.sharing.name, self.life, self.spoken, rows)
 
     def rights_held(self, server: Server, rights: list) -> None:
-        self.front.desk.rights_held(server, rights)
+        self.front.session_core.rights_held(server, rights)
 
     def doubted(self, server: Server, doubted: bool) -> None:
         if self.shares.seen:
-            self.front.desk.doubted(server, doubted)
+            self.front.session_core.doubted(server, doubted)
 
     def counted(self, server: Server, use: float, age: int) -> None:
         if self.shares.counts:
-            self.front.desk.counted(server, use, age)
+            self.front.session_core.counted(server, use, age)
 
     def seen_warm(self, server: Server) -> None:
         if self.shares.seen:
-            self.front.desk.seen_warm(server)
+            self.front.session_core.seen_warm(server)
 
     def ask_what_is_known(self, to: str) -> None:
         self._say(to, "known_asked", self.sharing.name)
 
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
         if self.shares.counts:
-            self.front.desk.uplink_counted(server, use, age)
+            self.front.session_core.uplink_counted(server, use, age)
 
     def further_wanted_at(self) -> int:
-        return self.front.desk.rules.further_wanted_at
+        return self.front.session_core.rules.further_wanted_at
 
     def further_held(self, rights: list) -> None:
-        self.front.desk.further_held(rights)
+        self.front.session_core.further_held(rights)
 
     def seats_wanted_at(self) -> dict[tuple[str, str], int]:
-        return {(package.name, title): at for (title, package), at in self.front.desk.rules.seat_wanted_at.items()}
+        return {(package.name, title): at for (title, package), at in self.front.session_core.rules.seat_wanted_at.items()}
 
     def seats_in_use(self, package: str, title: str) -> int:
-        desk = self.front.desk
-        return desk.rules.seats.get((title, desk.packages[package]), 0)
+        session_core = self.front.session_core
+        return session_core.rules.seats.get((title, session_core.packages[package]), 0)
 
     def seats_ending(self, package: str, title: str) -> bool:
-        desk = self.front.desk
-        held = desk.roster.titles.get(title)
-        return held is not None and any(server in desk.endings.servers for server in held.holders)
+        session_core = self.front.session_core
+        held = session_core.server_list.titles.get(title)
+        return held is not None and any(server in session_core.session_ends.servers for server in held.holders)
 
     def seats_held(self, package: str, title: str, rights: list) -> None:
-        self.front.desk.seats_held(package, title, rights)
+        self.front.session_core.seats_held(package, title, rights)
 
     def seats_over(self, package: str, title: str, count: int) -> None:
-        self.front.desk.seats_over(package, title, count)
+        self.front.session_core.seats_over(package, title, count)
 
     def clock_off(self, by: float, out: bool) -> None:
         pass
--- a/curlewshift/emulator/sharing_bytes.py
+++ b/curlewshift/emulator/sharing_bytes.py
@@ -27,17 +27,17 @@
 
     def __init__(self, fronts: int, servers: int):
         self.clock, self.names = 1000 * NS, [f"front-{n}" for n in range(fronts)]
-        chance = Random(1)
+        rng = Random(1)
         racks = [Rack(n, Link(1e5), name=f"rack-{n}") for n in range(-(-servers // RACK))]
         self.fleet = [
-            Server(f"10.0.{n // 250}.{n % 250}:8100", chance.getrandbits(32), f"z{n % 3}", 40, racks[n // RACK], Link(1e4))
+            Server(f"10.0.{n // 250}.{n % 250}:8100", rng.getrandbits(32), f"z{n % 3}", 40, racks[n // RACK], Link(1e4))
             for n in range(servers)
         ]
-        for server in chance.sample(self.fleet, min(PLAYS_ON, servers)):
+        for server in rng.sample(self.fleet, min(PLAYS_ON, servers)):
             server.link.own = server.rack.link.own = 700.0
         self.bytes = self.datagrams = 0
-        self.sharing = Sharing(self, self.names, 0, 1, TERMS, 8 * NS, chance)
-        self.chance = chance
+        self.sharing = Sharing(self, self.names, 0, 1, TERMS, 8 * NS, rng)
+        self.rng = rng
 
     def run(self) -> Among:
         for _ in range(SECONDS * NS // TERMS.every):
@@ -46,7 +46,7 @@
                 if server.link.own:
                     # it is heard of, and what is used there moves
                     server.heard_at = self.clock
-                    server.link.own = 700.0 * self.chance.uniform(0.9, 1.1)
+                    server.link.own = 700.0 * self.rng.uniform(0.9, 1.1)
             self.sharing.time()
         return self
 
--- a/curlewshift/emulator/sizes.py
+++ b/curlewshift/emulator/sizes.py
@@ -34,7 +34,7 @@
     for `load` of what there is; a title lies on `copies` servers. Raises `ValueError` for sizes that are none."""
     if min(fronts, servers, viewings, lasts, load, watches) <= 0:
         raise ValueError("sizes have to be more than nothing")
-    chance = Random(seed)
+    rng = Random(seed)
     each_second = viewings / lasts
     playing = each_second * watches
     mean_rate = sum(LADDER) / len(LADDER)
@@ -47,13 +47,13 @@
     racks = {machine.rack for machine in machines}
     per_rack = {rack: sum(machine.rack == rack for machine in machines) for rack in racks}
     copies = min(copies, servers)
-    titles = {f"t{n}": tuple(machines[m].shelf for m in chance.sample(range(servers), copies)) for n in range(max(3, servers))}
+    titles = {f"t{n}": tuple(machines[m].shelf for m in rng.sample(range(servers), copies)) for n in range(max(3, servers))}
     packages = [
         Package("receipt", 3.0, NS, 4 * NS, False, LADDER, 1, 3, 0),
         Package("review", 2.0, NS, 5 * NS, True, LADDER, 0, 3, 0),
         Package("lesson", 1.0, 3 * NS // 2, 4 * NS, False, LADDER, 0, 3, 0),
     ]
-    duties = Obligations(
+    obligations = Obligations(
         way_back=150 * MS,
         longest_wait=2 * NS,
         most_tune_ins=3,
@@ -78,13 +78,13 @@
         {rack: 0.9 * link * per_rack[rack] for rack in sorted(racks)},
         machines,
         titles,
-        duties,
+        obligations,
         2000,
         64,
     )
-    wishes = [
+    planned_viewings = [
         PlannedViewing("receipt", 0.3, watches),
         PlannedViewing("review", 0.2, watches),
         PlannedViewing("lesson", 0.5, watches),
     ]
-    return Script(Path("made-up.xml"), site, lasts, seed, each_second, come_again, 0.0, 0.0, wishes, list(troubles), [])
+    return Script(Path("made-up.xml"), site, lasts, seed, each_second, come_again, 0.0, 0.0, planned_viewings, list(troubles), [])
--- a/curlewshift/emulator/version_figures.py
+++ b/curlewshift/emulator/version_figures.py
@@ -118,7 +118,7 @@
     before, began, late = fleet.spent(), fleet.queue.now, 0
     for number in range(STRETCH_CHANGES):
         if number % (STRETCH_CHANGES // STRETCH_RESTARTS) == 2:
-            post = fleet.chance.choice(fleet.nodes)
+            post = fleet.rng.choice(fleet.nodes)
             post.kill()
             fleet.run(0.5)
             post.start()
--- a/curlewshift/emulator/version_histories.py
+++ b/curlewshift/emulator/version_histories.py
@@ -160,19 +160,19 @@
 
 class VersionHistory:
     def __init__(self, seed: int, wire: type[DistributionWire] = DistributionWire, nodes: int = 0, troubled: bool = True):
-        self.seed, self.chance, self.now, self.wire = seed, Random(f"versions {seed}"), 1000 * NS, wire
-        chance = self.chance
+        self.seed, self.rng, self.now, self.wire = seed, Random(f"versions {seed}"), 1000 * NS, wire
+        rng = self.rng
         self.queue: list[tuple] = []
         self.order = count()
         self.log = Quiet()
         self.loss = self.doubled = self.spoilt = 0.0
         self.late = 5 * MS
         self.parted = lambda a, b: False
-        stores = [f"c{n}" for n in range(chance.choice((3, 3, 4, 5)))]
-        zones = chance.randint(2, 4)
+        stores = [f"c{n}" for n in range(rng.choice((3, 3, 4, 5)))]
+        zones = rng.randint(2, 4)
         self.places = {
             name: (f"r{n % zones // 2}", f"z{n % zones}")
-            for n, name in enumerate(stores + [f"n{n}" for n in range(nodes or chance.randint(3, 30))])
+            for n, name in enumerate(stores + [f"n{n}" for n in range(nodes or rng.randint(3, 30))])
         }
         self.terms = DistributionTerms(tuple(stores))
         self.peers = {name: Peer(name) for name in self.places}
@@ -191,8 +191,8 @@
         self.takes = self.restarts = self.made = 0
         for process in self.processes.values():
             self._start(process)
-            self.at(self.now + chance.randrange(EVERY), self._round, process)
-            self.at(self.now + chance.randrange(NS), self._probe, process)
+            self.at(self.now + rng.randrange(EVERY), self._round, process)
+            self.at(self.now + rng.randrange(NS), self._probe, process)
         self.at(self.now + 100 * MS, self._grant)
         self.last_trouble = self.now
         if troubled:
@@ -243,20 +243,20 @@
     # ---- words
 
     def carry(self, sender: Process, to: str, body: bytes, ride: bool = False) -> None:
-        chance = self.chance
-        if chance.random() < self.loss:
+        rng = self.rng
+        if rng.random() < self.loss:
             return
-        if self.spoilt and not ride and chance.random() < self.spoilt:
+        if self.spoilt and not ride and rng.random() < self.spoilt:
             body = self._spoil(body)
-        for _ in range(2 if self.doubled and chance.random() < self.doubled else 1):
-            self.at(self.now + 1 + chance.randrange(self.late), self._arrives, sender, sender.name, to, body, ride)
+        for _ in range(2 if self.doubled and rng.random() < self.doubled else 1):
+            self.at(self.now + 1 + rng.randrange(self.late), self._arrives, sender, sender.name, to, body, ride)
 
     def _spoil(self, body: bytes) -> bytes:
         """A piece's data change on their way, and the frame's sum with them: as in a giver's memory."""
         word = DECODER.decode(body)
         if type(word) is Piece and word.data:
-            at = self.chance.randrange(len(word.data))
-            word.data = word.data[:at] + bytes((word.data[at] ^ 1 << self.chance.randrange(8),)) + word.data[at + 1 :]
+            at = self.rng.randrange(len(word.data))
+            word.data = word.data[:at] + bytes((word.data[at] ^ 1 << self.rng.randrange(8),)) + word.data[at + 1 :]
             return ENCODER.encode(word)
         return body
 
@@ -283,7 +283,7 @@
         if process.alive and process.paused_until <= self.now:
             ring = process.lane.ring
             if ring:
-                other = self.processes[self.chance.choice(ring).name]
+                other = self.processes[self.rng.choice(ring).name]
                 self.carry(process, other.name, process.lane.rider(), ride=True)
                 if other.alive:
                     self.carry(other, process.name, other.lane.rider(), ride=True)
@@ -318,30 +318,30 @@
                 if store.paused_until <= self.now:
                     store.fence = 0
         if kind != "same-fence" or not self.fences:
-            self.fences += self.chance.randint(1, 3)
-        self.chance.choice(able).fence = self.fences
+            self.fences += self.rng.randint(1, 3)
+        self.rng.choice(able).fence = self.fences
 
     def _trouble(self) -> None:
         if self.now >= self.troubled_until:
             return
-        chance, kind = self.chance, self.chance.choice(KINDS)
-        process = chance.choice(self.stores if chance.random() < 0.5 else list(self.processes.values()))
+        rng, kind = self.rng, self.rng.choice(KINDS)
+        process = rng.choice(self.stores if rng.random() < 0.5 else list(self.processes.values()))
         if kind == "kill":
             self._kill(process)
         elif kind == "start":
             self._start(process)
         elif kind == "pause":
-            process.paused_until = self.now + chance.randrange(8 * NS)
+            process.paused_until = self.now + rng.randrange(8 * NS)
         elif kind == "cut":
-            side = set(chance.sample(list(self.processes), chance.randint(1, len(self.processes) - 1)))
+            side = set(rng.sample(list(self.processes), rng.randint(1, len(self.processes) - 1)))
             self.parted = lambda a, b: (a.name in side) != (b.name in side)
         elif kind == "region":
             self.parted = lambda a, b: a.place[0] != b.place[0]
         elif kind == "heal":
             self.parted = lambda a, b: False
         elif kind == "links":
-            self.loss, self.doubled = chance.choice((0, 0.1, 0.4)), chance.choice((0, 0.3))
-            self.late, self.spoilt = chance.choice((5, 100, 4000)) * MS, chance.choice((0, 0.1))
+            self.loss, self.doubled = rng.choice((0, 0.1, 0.4)), rng.choice((0, 0.3))
+            self.late, self.spoilt = rng.choice((5, 100, 4000)) * MS, rng.choice((0, 0.1))
         elif kind == "clean":
             self._clean()
         elif kind == "spoil":
@@ -352,7 +352,7 @@
             process.disk_full = not process.disk_full
         else:
             self._grant(kind)
-        self.at(self.now + chance.randrange(2 * NS), self._trouble)
+        self.at(self.now + rng.randrange(2 * NS), self._trouble)
 
     def _rot(self, process: Process) -> None:
         """A node's memory of a content changes; it gives on what it has."""
@@ -390,22 +390,22 @@
         able = [store for store in self.stores if store.alive and store.paused_until <= self.now]
         held = [store for store in able if store.fence]
         if held or able:
-            self._put_at(self.chance.choice(held or able), [])
-        self.at(self.now + self.chance.randrange(4 * NS), self._put)
+            self._put_at(self.rng.choice(held or able), [])
+        self.at(self.now + self.rng.randrange(4 * NS), self._put)
 
     def _put_at(self, store: Process, made: list, refusable: bool = True) -> None:
-        chance, wire = self.chance, store.wire
-        lines = (wire.content or b"".join(b"front-%d place %d\n" % (n, chance.getrandbits(40)) for n in range(60))).split(b"\n")
-        lines[chance.randrange(len(lines))] = b"front line %d" % chance.getrandbits(60)
-        if refusable and chance.random() < 0.1:
-            lines[0] = b"refused-by n%d;" % chance.randrange(5)
+        rng, wire = self.rng, store.wire
+        lines = (wire.content or b"".join(b"front-%d place %d\n" % (n, rng.getrandbits(40)) for n in range(60))).split(b"\n")
+        lines[rng.randrange(len(lines))] = b"front line %d" % rng.getrandbits(60)
+        if refusable and rng.random() < 0.1:
+            lines[0] = b"refused-by n%d;" % rng.randrange(5)
         elif not refusable:
             lines[0] = b"good for all"
         # no two alike: the judge knows by its content upon what a change was made
         self.made += 1
         lines[-1] = b"change %d" % self.made
         content = b"\n".join(lines)
-        base = wire.version if chance.random() < 0.9 else chance.choice(self.ok_versions or ["file"])
+        base = wire.version if rng.random() < 0.9 else rng.choice(self.ok_versions or ["file"])
         if wire.copy.held.text != wire.version and not refusable:
             base = wire.copy.held.text
         self.bases[content] = base
@@ -509,7 +509,7 @@
     def _take(self, version, content, kept_already=False):
         if self.content:
             half = len(content) // 2
-            self.outside.take_configuration(version.text, content[:half] + self.content[half:])
+            self.driver.take_configuration(version.text, content[:half] + self.content[half:])
         return super()._take(version, content, kept_already)
 
 
@@ -539,7 +539,7 @@
         for store, stand in list(tenure.stands.items()):
             if stand.blank and again and len(voters) >= self.majority:
                 known = {**self._noted(), store: (tenure.ballot.fence, 1, stand.record)}
-                self.outside.enter(store, tenure.ballot, stand.record, known, tenure.value, False)
+                self.driver.enter(store, tenure.ballot, stand.record, known, tenure.value, False)
 
     def _voters(self):
         return [store for store, stand in self.tenure.stands.items() if not stand.blank]
--- a/curlewshift/emulator/versions.py
+++ b/curlewshift/emulator/versions.py
@@ -12,7 +12,7 @@
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import digest_of
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet, Post
-from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.terms import default_membership_terms
 from curlewshift.peering.distributed import DistributionWire
 
 EVERY = 200 * MS
@@ -20,11 +20,11 @@
 
 def site_file(fronts: int, changed: int = 0) -> bytes:
     """Settings with so many fronts named; with another `changed` one attribute differs."""
-    chance = Random(1)
+    rng = Random(1)
     rows = [
-        f'    <front name="{chance.choice("abcdefgh")}{chance.randrange(10**5)}-{n}" listen="10.{chance.randrange(256)}.'
-        f'{chance.randrange(256)}.{chance.randrange(256)}:8443" peers-listen="10.{chance.randrange(256)}.'
-        f'{chance.randrange(256)}.{chance.randrange(256)}:8181" zone="z{n % 9}"/>'
+        f'    <front name="{rng.choice("abcdefgh")}{rng.randrange(10**5)}-{n}" listen="10.{rng.randrange(256)}.'
+        f'{rng.randrange(256)}.{rng.randrange(256)}:8443" peers-listen="10.{rng.randrange(256)}.'
+        f'{rng.randrange(256)}.{rng.randrange(256)}:8181" zone="z{n % 9}"/>'
         for n in range(fronts)
     ]
     packages = [
@@ -97,7 +97,7 @@
             self.copy,
             self.vote,
         )
-        fleet.queue.at(fleet.queue.now + fleet.chance.randrange(EVERY), self._round, life)
+        fleet.queue.at(fleet.queue.now + fleet.rng.randrange(EVERY), self._round, life)
 
     def _round(self, life: int) -> None:
         if self.channel is not None and self.lives == life:
@@ -149,7 +149,7 @@
 
 class VersionFleet(PeerFleet):
     def __init__(self, size: int, seed: int = 1, zones: int = 9, regions: int = 3, stores: int = 4, loss: float = 0.0):
-        super().__init__(0, seed, usual_manners(NS), most_bytes=64 * 1024, links=Links(loss=loss))
+        super().__init__(0, seed, default_membership_terms(NS), most_bytes=64 * 1024, links=Links(loss=loss))
         self.fronts, self.log, self.disks = size, NoLog(), {}
         self.posts = [VersionPost(self, number) for number in range(size + stores)]
         for number, post in enumerate(self.posts[size:]):
--- a/curlewshift/emulator/viewers.py
+++ b/curlewshift/emulator/viewers.py
@@ -20,11 +20,11 @@
 
 
 class Viewer:
-    __slots__ = ("began", "chance", "ends_in", "name", "package", "served", "spoilt", "title", "top", "visits", "wish")
+    __slots__ = ("began", "ends_in", "name", "package", "planned_viewing", "rng", "served", "spoilt", "title", "top", "visits")
 
-    def __init__(self, name, wish, package, title, top, ends_in, chance):
-        self.name, self.wish, self.package, self.title, self.top = name, wish, package, title, top
-        self.ends_in, self.visits, self.chance, self.served, self.began = ends_in, 0, chance, False, 0
+    def __init__(self, name, planned_viewing, package, title, top, ends_in, rng):
+        self.name, self.planned_viewing, self.package, self.title, self.top = name, planned_viewing, package, title, top
+        self.ends_in, self.visits, self.rng, self.served, self.began = ends_in, 0, rng, False, 0
         self.spoilt = False
 
 
@@ -35,10 +35,10 @@
         "answer",
         "asked_at",
         "asks_on",
-        "at_desk",
-        "course",
+        "at_session_core",
         "door",
         "front",
+        "front_session",
         "hangs_up",
         "key",
         "leaves",
@@ -52,8 +52,8 @@
 
     def __init__(self, viewer: Viewer, request: str, door: int):
         self.viewer, self.request, self.door, self.key = viewer, request, door, f"{request} key"
-        self.asked_at, self.front, self.at_desk, self.waits, self.answer = 0, None, None, False, None
-        self.session = self.course = None
+        self.asked_at, self.front, self.at_session_core, self.waits, self.answer = 0, None, None, False, None
+        self.session = self.front_session = None
         self.asks_on, self.tail, self.hangs_up, self.leaves, self.over = ASKS_ON, "", False, False, False
 
 
@@ -81,7 +81,7 @@
         self.titles = list(world.site.titles)
         ranks = 1 / numpy.arange(1, len(self.titles) + 1) ** world.skew
         self.upto = numpy.cumsum(ranks / ranks.sum())
-        shares = numpy.array([wish.share for wish in self.script.wishes])
+        shares = numpy.array([planned_viewing.share for planned_viewing in self.script.planned_viewings])
         self.shares = numpy.cumsum(shares / shares.sum())
         self.packages = {package.name: package for package in world.site.packages}
         self.tally = Tally()
@@ -106,22 +106,22 @@
     def _comes(self, rate: float, more: list[Part]) -> None:
         now = self.world.queue.now
         crowd, package = drawn_part(rate, more, self.draw.random())
-        wishes = self.script.wishes
-        wish = (
-            next((one for one in wishes if one.package == package), None)
-            or wishes[min(len(wishes) - 1, int(numpy.searchsorted(self.shares, self.draw.random(), "right")))]
+        planned_viewings = self.script.planned_viewings
+        planned_viewing = (
+            next((one for one in planned_viewings if one.package == package), None)
+            or planned_viewings[min(len(planned_viewings) - 1, int(numpy.searchsorted(self.shares, self.draw.random(), "right")))]
         )
         title = crowd or self.titles[min(len(self.titles) - 1, int(numpy.searchsorted(self.upto, self.draw.random(), "right")))]
-        pack = self.packages[wish.package]
+        pack = self.packages[planned_viewing.package]
         top = pack.top if self.draw.random() < 0.75 else max(pack.floor, pack.top - 1)
         self.names += 1
         viewer = Viewer(
             f"v{self.names}",
-            wish,
+            planned_viewing,
             pack,
             title,
             top,
-            int(self.draw.exponential(wish.watches) * NS),
+            int(self.draw.exponential(planned_viewing.watches) * NS),
             Random(int(self.draw.integers(2**62))),
         )
         viewer.began = now
@@ -135,10 +135,10 @@
     # ---- one visit
 
     def _visit(self, viewer: Viewer) -> None:
-        visit = Visit(viewer, f"{viewer.name}.{viewer.visits}", viewer.chance.randrange(len(self.world.site.doors)))
+        visit = Visit(viewer, f"{viewer.name}.{viewer.visits}", viewer.rng.randrange(len(self.world.site.front_addresses)))
         viewer.visits += 1
-        visit.leaves = viewer.chance.random() < self.script.leave
-        visit.hangs_up = not visit.leaves and viewer.chance.random() < self.script.hang_up
+        visit.leaves = viewer.rng.random() < self.script.leave
+        visit.hangs_up = not visit.leaves and viewer.rng.random() < self.script.hang_up
         if visit.hangs_up:
             visit.tail = "h"
         self._ask(visit)
@@ -151,7 +151,7 @@
                 "unreached",
                 request=visit.request + visit.tail,
                 viewing=visit.viewer.name,
-                front=self.world.site.doors[visit.door].name,
+                front=self.world.site.front_addresses[visit.door].name,
             )
             self.world.queue.at(self.world.queue.now + self.world.way(), self._nobody, visit)
             return
@@ -172,9 +172,7 @@
         self.world.queue.at(visit.asked_at + self.world.way(), self._arrives, visit, name, front)
         self.world.queue.at(visit.asked_at + package.patience, self._gives_up, visit, name)
         if visit.leaves:
-            self.world.queue.at(
-                visit.asked_at + int(visit.viewer.chance.uniform(*LEAVES_AFTER) * NS), self._hangs_up, visit, name
-            )
+            self.world.queue.at(visit.asked_at + int(visit.viewer.rng.uniform(*LEAVES_AFTER) * NS), self._hangs_up, visit, name)
         elif visit.tail == "h":
             self.world.queue.at(visit.asked_at + int(HANGS_UP_AFTER * NS), self._hangs_up, visit, name)
 
@@ -182,8 +180,8 @@
         if not front.alive:
             return
         viewer, package = visit.viewer, visit.viewer.package
-        patience = max(1, package.patience - self.world.site.duties.way_back)
-        visit.at_desk = front.asked(name, package.name, viewer.title, viewer.top, patience, visit.key, viewer.name)
+        patience = max(1, package.patience - self.world.site.obligations.way_back)
+        visit.at_session_core = front.asked(name, package.name, viewer.title, viewer.top, patience, visit.key, viewer.name)
 
     def _hangs_up(self, visit: Visit, name: str) -> None:
         if visit.tail == "h" and visit.over:
@@ -197,7 +195,7 @@
             visit.over = True
             return
         # whether it was answered or not: who is impatient asks again with its key, and gets the same answer
-        visit.tail, visit.at_desk = "", None
+        visit.tail, visit.at_session_core = "", None
         self._ask(visit)
 
     def _gives_up(self, visit: Visit, name: str) -> None:
@@ -210,14 +208,14 @@
         """The connection is closed from here; the front sees it a way later."""
         visit.waits = False
         del self.waiting[name]
-        front, request = visit.front, visit.at_desk
+        front, request = visit.front, visit.at_session_core
         if request is not None:
             self.world.queue.at(self.world.queue.now + self.world.way(), self._seen_gone, front, request)
 
     @staticmethod
     def _seen_gone(front, request) -> None:
         if front.alive:
-            front.desk.hung_up(request)
+            front.session_core.hung_up(request)
 
     def front_died(self, front) -> None:
         """Connections to it break."""
@@ -230,11 +228,11 @@
 
     def _nobody(self, visit: Visit) -> None:
         """It got no answer. What was paid for is asked for again at the same front with the same key."""
-        visit.at_desk = None
+        visit.at_session_core = None
         if visit.viewer.package.paid_at_setup and visit.asks_on:
             visit.asks_on -= 1
             visit.tail = "b"
-            self.world.queue.at(self.world.queue.now + int(visit.viewer.chance.uniform(*PAUSE) / 2 * NS), self._ask, visit)
+            self.world.queue.at(self.world.queue.now + int(visit.viewer.rng.uniform(*PAUSE) / 2 * NS), self._ask, visit)
         else:
             self._ended(visit, "unreached", 0)
 
@@ -267,7 +265,7 @@
                 visit.viewer.served = True
                 self.tally.served += package.value
                 self.tally.second((visit.viewer.began - self.world.begins) // NS)[4] += package.value
-            self._watch(visit, answer.course, front)
+            self._watch(visit, answer.front_session, front)
         elif answer.kind is Kind.REFUSED:
             self.tally.refused += 1
             second[2] += 1
@@ -276,13 +274,13 @@
             self.tally.failed += 1
             self._ended(visit, "failed", 0)
 
-    def _watch(self, visit: Visit, course, front) -> None:
-        machine = self.world.machines.get(course.vw.server.name) if course.vw.server else None
-        session = machine.sessions.get(course.session) if machine is not None else None
+    def _watch(self, visit: Visit, front_session, front) -> None:
+        machine = self.world.machines.get(front_session.viewing.server.name) if front_session.viewing.server else None
+        session = machine.sessions.get(front_session.session) if machine is not None else None
         if session is None or session.over:
             self._ended(visit, "broke", 0)
             return
-        visit.session, visit.course = session, course
+        visit.session, visit.front_session = session, front_session
         self.by_path[session.path] = visit
         if machine.frozen:
             # the media do not begin: that is waited for only so long
@@ -306,8 +304,8 @@
 
     def _closes(self, visit: Visit) -> None:
         front = visit.front
-        if front is not None and front.alive and visit.course is not None and visit.course.vw.playing:
-            front.closed(visit.course)
+        if front is not None and front.alive and visit.front_session is not None and visit.front_session.viewing.playing:
+            front.closed(visit.front_session)
             self.world.seen("closed", requests=[visit.request, visit.request + "h", visit.request + "b"])
 
     def short_of(self, session) -> None:
@@ -333,11 +331,11 @@
             visit.viewer.ends_in -= watched
             self.world.queue.at(self.world.queue.now + self.world.way(), self._ended, visit, "broke", 0)
 
-    def taken_up(self, front, course, path: str) -> None:
+    def taken_up(self, front, front_session, path: str) -> None:
         """Another life of its front has its session now."""
         visit = self.by_path.get(path)
         if visit is not None:
-            visit.front, visit.course = front, course
+            visit.front, visit.front_session = front, front_session
 
     def _ended(self, visit: Visit, how: str, wait: int) -> None:
         viewer, now = visit.viewer, self.world.queue.now
@@ -346,10 +344,10 @@
             how in ("refused", "broke", "unreached")
             and viewer.visits < MOST_VISITS
             and viewer.ends_in > NS
-            and (viewer.chance.random() < self.script.come_again)
+            and (viewer.rng.random() < self.script.come_again)
         )
         if not again or now > self.ends:
             return
         self.tally.again += 1
-        pause = wait + int(viewer.chance.uniform(0, 0.5) * NS) if wait else int(viewer.chance.uniform(*PAUSE) * NS)
+        pause = wait + int(viewer.rng.uniform(0, 0.5) * NS) if wait else int(viewer.rng.uniform(*PAUSE) * NS)
         self.world.queue.at(now + pause, self._visit, viewer)
--- a/curlewshift/emulator/world.py
+++ b/curlewshift/emulator/world.py
@@ -50,8 +50,8 @@
 class Listing:
     """The server list: it knows whether processes run, and tells it late and in order."""
 
-    def __init__(self, world, chance: Random):
-        self.world, self.chance = world, chance
+    def __init__(self, world, rng: Random):
+        self.world, self.rng = world, rng
         self.rows: dict[str, ServerEntry] = {}
         self.generation, self.stuck = 0, False
         self.pending: deque[tuple[int, ServerEntry]] = deque()
@@ -60,7 +60,7 @@
         self.rows = {row.server: row for row in rows}
 
     def knows(self, row: ServerEntry) -> None:
-        due = self.world.queue.now + int(self.chance.uniform(*LATE) * NS)
+        due = self.world.queue.now + int(self.rng.uniform(*LATE) * NS)
         if self.pending:
             due = max(due, self.pending[-1][0])
         self.pending.append((due, row))
@@ -91,7 +91,7 @@
         front.disk.rows = list(self.rows.values())
         if generation > front.generation:
             since, front.generation = front.generation, generation
-            front.desk.list_change("e", since, generation, rows)
+            front.session_core.list_change("e", since, generation, rows)
             front.recovery.list_told()
 
     def whole(self, front) -> None:
@@ -105,7 +105,7 @@
                 self.world.seen("told", front=front.name, server=row.server, state=row.state, started=row.started // MS)
             self.world.seen("told-all", front=front.name, servers=[row.server for row in rows])
             front.generation, front.disk.rows = self.generation, rows
-            front.desk.list_full("e", self.generation, rows)
+            front.session_core.list_full("e", self.generation, rows)
             front.recovery.list_told()
 
 
@@ -138,12 +138,12 @@
         self.setup_work, self.seed = setup_work, seed
         self.queue = Buckets(BORN) if queue is None else queue
         self.begins = BORN + SETTLE
-        self.chance, self.fate, self.net = Random(seed), Random(seed + 1), Random(seed + 2)
+        self.rng, self.fate, self.net = Random(seed), Random(seed + 1), Random(seed + 2)
         self.ladder = {package.name: package.rates for package in self.site.packages}
         uplinks = {name: Uplink(size) for name, size in self.site.uplinks.items()}
         self.places = []
         for machine in self.site.machines:
-            link = LinkModel(machine.link * self.chance.uniform(1 - LINK_OFF, 1 + LINK_OFF), uplinks[machine.rack])
+            link = LinkModel(machine.link * self.rng.uniform(1 - LINK_OFF, 1 + LINK_OFF), uplinks[machine.rack])
             link.uplink.links.append(link)
             self.places.append(Place(machine, link))
         # what listens at each address; a machine that is gone is not there
@@ -153,10 +153,10 @@
         for place in self.places:
             self._start(place, BORN - int(LONG_AGO), tell=False)
         self.listing.begin([self._row(place.server, "on") for place in self.places])
-        self.disks = [Disk() for _ in self.site.doors]
-        self.lives = [0] * len(self.site.doors)
-        self.fronts: list[EmulatedFront | None] = [None] * len(self.site.doors)
-        self.number_of_door = {door.name: number for number, door in enumerate(self.site.doors)}
+        self.disks = [Disk() for _ in self.site.front_addresses]
+        self.lives = [0] * len(self.site.front_addresses)
+        self.fronts: list[EmulatedFront | None] = [None] * len(self.site.front_addresses)
+        self.number_of_door = {door.name: number for number, door in enumerate(self.site.front_addresses)}
         # names of those that run, as fronts that know each other have them
         self.doors_up: list[str] = []
         self.last_heard: dict[str, int] = {}
@@ -195,11 +195,11 @@
 
     def run(self) -> None:
         """Raises `EventLimitExceeded` if it would not end."""
-        for number in range(len(self.site.doors)):
+        for number in range(len(self.site.front_addresses)):
             self.queue.at(BORN, self.start_front, number)
         self.queue.at(BORN, self._measure)
         self.queue.at(self._next(SHORT_EVERY), self._tell_short)
-        self.queue.at(self._next(self.site.duties.told_every / NS), self._tell_load)
+        self.queue.at(self._next(self.site.obligations.told_every / NS), self._tell_load)
         self.queue.at(BORN, self._media)
         self.queue.at(self.begins, self._begin)
         expected = self.script.each_second * self.script.lasts * 3 + 100
@@ -236,7 +236,7 @@
         starts = self.begins + int(announced.at * NS)
         for front in self.fronts:
             if front is not None and front.alive:
-                front.desk.announce(
+                front.session_core.announce(
                     Peak(
                         announced.name,
                         announced.package,
@@ -284,15 +284,15 @@
 
     def end_front(self, front: EmulatedFront, then: Callable[[], None]) -> None:
         """It takes nothing new, answers what it has, ends what plays, and goes."""
-        front.desk.drain()
+        front.session_core.drain()
         self.queue.at(self.queue.now + 50 * MS, self._ending, front, then, self.queue.now + 8 * NS)
 
     def _ending(self, front: EmulatedFront, then, until: int) -> None:
-        if front.desk.waiting and self.queue.now < until:
+        if front.session_core.waiting and self.queue.now < until:
             self.queue.at(self.queue.now + 50 * MS, self._ending, front, then, until)
             return
-        for course in list(front.desk.courses.values()):
-            front.closed(course)
+        for front_session in list(front.session_core.front_sessions.values()):
+            front.closed(front_session)
         self.queue.at(self.queue.now + 100 * MS, self._gone, front, then)
 
     def _gone(self, front: EmulatedFront, then) -> None:
@@ -317,7 +317,7 @@
         if not name:
             self.addresses += 1
             name = f"127.0.0.1:{20_000 + self.addresses}"
-        server = place.server = Machine(self, place.machine, name, place.link, born, Random(self.chance.random()))
+        server = place.server = Machine(self, place.machine, name, place.link, born, Random(self.rng.random()))
         self.machines[name] = server
         server.measure()
         if tell:
@@ -332,10 +332,10 @@
             return
         self.seen("notes-open", server=server.name, boot=server.boot, front=front.name)
         known, front.boots[server.name] = front.boots.get(server.name), server.boot
-        held = front.desk.roster.servers.get(server.name)
+        held = front.session_core.server_list.servers.get(server.name)
         front._note(front.book.boot(server.name, server.boot))
         if known is not None and known != server.boot and held is not None:
-            front.desk.restarted(held)
+            front.session_core.restarted(held)
 
     def _row(self, server: Machine, state: str) -> ServerEntry:
         machine = server.machine
@@ -355,16 +355,16 @@
                 self.queue.at(self.queue.now + self.way(front, server), self._notes_broke, front, server.name)
 
     def _notes_broke(self, front, name: str) -> None:
-        held = front.desk.roster.servers.get(name) if front.alive else None
+        held = front.session_core.server_list.servers.get(name) if front.alive else None
         if held is not None:
-            front.desk.notes_broke(held)
+            front.session_core.notes_broke(held)
             # it is asked for again soon, and if nobody listens there what it played is over
             self.queue.at(self.queue.now + int(self.net.uniform(0.1, 0.2) * NS), self._gone_there, front, name)
 
     def _gone_there(self, front, name: str) -> None:
-        held = front.desk.roster.servers.get(name) if front.alive else None
+        held = front.session_core.server_list.servers.get(name) if front.alive else None
         if held is not None and name not in self.machines and held.link.playing:
-            front.desk.server_lost(held)
+            front.session_core.server_lost(held)
 
     def fell(self, server: Machine) -> None:
         self.die(server)
@@ -386,7 +386,7 @@
 
     def _tell_load(self) -> None:
         lives = self._lives()
-        uplinks = self.site.duties.uplinks
+        uplinks = self.site.obligations.uplinks
         for server in self.machines.values():
             if not server.by_life or server.frozen:
                 continue
@@ -396,13 +396,13 @@
                 front = lives.get(life)
                 if front is not None:
                     self.queue.at(self.queue.now + self.way(front, server), self._told, front, server.name, report)
-        self.queue.at(self._next(self.site.duties.told_every / NS), self._tell_load)
+        self.queue.at(self._next(self.site.obligations.told_every / NS), self._tell_load)
 
     @staticmethod
     def _told(front, name: str, report: dict) -> None:
-        held = front.desk.roster.servers.get(name) if front.alive else None
+        held = front.session_core.server_list.servers.get(name) if front.alive else None
         if held is not None:
-            front.desk.told(held, report)
+            front.session_core.told(held, report)
 
     def _tell_short(self) -> None:
         lives = self._lives()
@@ -420,9 +420,9 @@
 
     @staticmethod
     def _delivered(front, name: str, share: float) -> None:
-        held = front.desk.roster.servers.get(name) if front.alive else None
+        held = front.session_core.server_list.servers.get(name) if front.alive else None
         if held is not None:
-            front.desk.delivered(held, share)
+            front.session_core.delivered(held, share)
 
     def _sample(self) -> None:
         """How full the links are and on which rungs what plays is, once a second."""
@@ -479,85 +479,89 @@
 
     @staticmethod
     def _ended(front, name: str, path: str) -> None:
-        held = front.desk.roster.servers.get(name) if front.alive else None
+        held = front.session_core.server_list.servers.get(name) if front.alive else None
         if held is None:
             return
-        for vw in held.link.playing:
-            course = front.desk.courses[vw]
-            if course.session == path:
-                front.desk.lost(course)
+        for viewing in held.link.playing:
+            front_session = front.session_core.front_sessions[viewing]
+            if front_session.session == path:
+                front.session_core.lost(front_session)
                 return
 
     # ---- troubles
 
-    def _struck(self, trouble: Trouble, chance: Random) -> list[Place]:
+    def _affected(self, trouble: Trouble, rng: Random) -> list[Place]:
         if trouble.kind in ("list-stuck", "notes-late"):
             return []
         able = [place for place in self.places if not place.busy and not place.server.dead]
         count = min(len(able), max(1, math.floor(trouble.part * len(self.places) + 0.5)))
-        struck = chance.sample(able, count)
-        for place in struck:
+        affected = rng.sample(able, count)
+        for place in affected:
             place.busy = True
-        return struck
+        return affected
 
     def _later(self, seconds: float, call: Callable, *args) -> None:
         self.queue.at(self.queue.now + int(seconds * NS), call, *args)
 
-    def _befall(self, trouble: Trouble, chance: Random) -> None:
-        struck = self._struck(trouble, chance)
+    def _befall(self, trouble: Trouble, rng: Random) -> None:
+        affected = self._affected(trouble, rng)
         self.seen(
-            "trouble", kind=trouble.kind, lasts=trouble.lasts, size=trouble.size, servers=[place.server.name for place in struck]
+            "trouble",
+            kind=trouble.kind,
+            lasts=trouble.lasts,
+            size=trouble.size,
+            servers=[place.server.name for place in affected],
         )
-        getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble, struck, chance)
+        getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble, affected, rng)
 
-    def _free(self, struck: list[Place]) -> None:
-        for place in struck:
+    def _free(self, affected: list[Place]) -> None:
+        for place in affected:
             place.busy = False
 
     def _back(self, place: Place, name: str, tell: bool = True) -> None:
         self._start(place, self.queue.now, name, tell)
 
-    def _crash(self, trouble, struck, chance):
-        for place in struck:
+    def _crash(self, trouble, affected, rng):
+        for place in affected:
             old = place.server
             self.die(old)
             self.listing.knows(self._row(old, "off"))
             self._later(trouble.lasts, self._back, place, old.name)
-        self._later(trouble.lasts, self._free, struck)
+        self._later(trouble.lasts, self._free, affected)
 
-    def _vanish(self, trouble, struck, chance):
-        for place in struck:
+    def _vanish(self, trouble, affected, rng):
+        for place in affected:
             place.server.freeze()
             self.listing.knows(self._row(place.server, "off"))
             self._later(trouble.lasts, self._vanished_back, place)
-        self._later(trouble.lasts + 0.1, self._free, struck)
+        self._later(trouble.lasts + 0.1, self._free, affected)
 
     def _vanished_back(self, place: Place) -> None:
         old = place.server
         self.die(old)
         self._later(0.1, self._back, place, old.name)
 
-    def _cold_restart(self, trouble, struck, chance):
-        for place in struck:
+    def _cold_restart(self, trouble, affected, rng):
+        for place in affected:
             old = place.server
             self.die(old)
-            self._later(0.1, self._back, place, old.name, chance.random() < 0.5)
-        self._later(trouble.lasts, self._free, struck)
+            self._later(0.1, self._back, place, old.name, rng.random() < 0.5)
+        self._later(trouble.lasts, self._free, affected)
 
-    def _for_a_while(self, trouble, struck, name: str, value, rest) -> None:
-        servers = [place.server for place in struck]
+    def _for_a_while(self, trouble, affected, name: str, value, rest) -> None:
+        servers = [place.server for place in affected]
         for server in servers:
             setattr(server, name, value)
 
         def over() -> None:
             for server in servers:
                 setattr(server, name, rest)
-            self._free(struck)
+            self._free(affected)
 
         self._later(trouble.lasts, over)
 
-    def _hang(self, trouble, struck, chance):
-        servers = [place.server for place in struck]
+    def _hang(self, trouble, affected, rng):
+        servers = [place.server for place in affected]
         for server in servers:
             server.freeze()
 
@@ -565,38 +569,38 @@
             for server in servers:
                 if not server.dead:
                     server.thaw()
-            self._free(struck)
+            self._free(affected)
 
         self._later(trouble.lasts, over)
 
-    def _fast_errors(self, trouble, struck, chance):
-        self._for_a_while(trouble, struck, "fails_fast", True, False)
+    def _fast_errors(self, trouble, affected, rng):
+        self._for_a_while(trouble, affected, "fails_fast", True, False)
 
-    def _answer_lost(self, trouble, struck, chance):
-        self._for_a_while(trouble, struck, "loses_answers", chance.choice(("silence", "reset")), "")
+    def _answer_lost(self, trouble, affected, rng):
+        self._for_a_while(trouble, affected, "loses_answers", rng.choice(("silence", "reset")), "")
 
-    def _slow(self, trouble, struck, chance):
-        for place in struck:
+    def _slow(self, trouble, affected, rng):
+        for place in affected:
             place.link.shrunk = trouble.size
 
         def over() -> None:
-            for place in struck:
+            for place in affected:
                 place.link.shrunk = 1.0
-            self._free(struck)
+            self._free(affected)
 
         self._later(trouble.lasts, over)
 
-    def _neighbour(self, trouble, struck, chance):
+    def _neighbour(self, trouble, affected, rng):
         ends = self.queue.now + int(trouble.lasts * NS)
 
         def rival() -> None:
             on = self.queue.now < ends
-            for place in struck:
-                place.link.taken = trouble.size if on and chance.random() < 0.6 else 0.0
+            for place in affected:
+                place.link.taken = trouble.size if on and rng.random() < 0.6 else 0.0
             if on:
                 self._later(RIVAL_PACE, rival)
             else:
-                self._free(struck)
+                self._free(affected)
 
         rival()
 
@@ -616,18 +620,18 @@
 
         look()
 
-    def _deploy(self, trouble, struck, chance):
-        pause = trouble.lasts / max(1, len(struck))
-        for number, place in enumerate(struck):
+    def _deploy(self, trouble, affected, rng):
+        pause = trouble.lasts / max(1, len(affected))
+        for number, place in enumerate(affected):
             self._later(pause * number, self._replace, place, DRAIN_FOR)
-        self._later(trouble.lasts + DRAIN_FOR, self._free, struck)
+        self._later(trouble.lasts + DRAIN_FOR, self._free, affected)
 
-    def _preempt(self, trouble, struck, chance):
-        for place in struck:
+    def _preempt(self, trouble, affected, rng):
+        for place in affected:
             self._replace(place, PREEMPT_FOR)
-        self._later(trouble.lasts, self._free, struck)
+        self._later(trouble.lasts, self._free, affected)
 
-    def _list_stuck(self, trouble, struck, chance):
+    def _list_stuck(self, trouble, affected, rng):
         self.listing.stuck = True
 
         def over() -> None:
@@ -636,7 +640,7 @@
 
         self._later(trouble.lasts, over)
 
-    def _notes_late(self, trouble, struck, chance):
+    def _notes_late(self, trouble, affected, rng):
         servers = list(self.machines.values())
         for server in servers:
             server.notes_late = trouble.size
@@ -647,12 +651,17 @@
 
         self._later(trouble.lasts, over)
 
-    def _front_trouble(self, trouble: Trouble, chance: Random) -> None:
+    def _front_trouble(self, trouble: Trouble, rng: Random) -> None:
         count = max(1, round(trouble.part * len(self.fronts)))
-        struck = chance.sample(range(len(self.fronts)), count)
-        self.seen("trouble", kind=trouble.kind, lasts=trouble.lasts, fronts=[self.site.doors[number].name for number in struck])
+        affected = rng.sample(range(len(self.fronts)), count)
+        self.seen(
+            "trouble",
+            kind=trouble.kind,
+            lasts=trouble.lasts,
+            fronts=[self.site.front_addresses[number].name for number in affected],
+        )
         if trouble.kind == "front-crash":
-            for number in struck:
+            for number in affected:
                 front = self.fronts[number]
                 if front is not None and front.alive:
                     self.kill_front(front)
@@ -677,4 +686,4 @@
             else:
                 self.end_front(front, start)
 
-        roll(struck)
+        roll(affected)
--- a/curlewshift/exchange/server.py
+++ b/curlewshift/exchange/server.py
@@ -70,10 +70,10 @@
 class Exchange:
     """One request, and the means to answer it once."""
 
-    __slots__ = ("always", "answered", "body", "headers", "line", "method", "path", "query", "target")
+    __slots__ = ("always", "answered", "body", "connection", "headers", "method", "path", "query", "target")
 
-    def __init__(self, line: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes):
-        self.line, self.method, self.target, self.headers, self.body = line, method, target, headers, body
+    def __init__(self, connection: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes):
+        self.connection, self.method, self.target, self.headers, self.body = connection, method, target, headers, body
         path, _, query = target.partition("?")
         self.path = path
         self.query = dict(part.partition("=")[::2] for part in query.split("&") if part)
@@ -84,7 +84,7 @@
     async def answer(self, status: int, headers: list[tuple[str, str]] = (), body: bytes = b"") -> None:
         """Raises `PeerDisconnected`."""
         self.answered = True
-        await self.line.send_whole(status, [*self.always, *headers], body)
+        await self.connection.send_whole(status, [*self.always, *headers], body)
 
     async def problem(
         self,
@@ -101,16 +101,16 @@
     async def start(self, status: int, headers: list[tuple[str, str]]) -> Callable[[bytes], Awaitable[None]]:
         """A body of no known length: returns what sends a piece of it. The connection ends with it."""
         self.answered = True
-        return await self.line.send_open(status, [*self.always, *headers])
+        return await self.connection.send_open(status, [*self.always, *headers])
 
     def on_hang_up(self, call: Callable[[], None]) -> None:
         """`call` runs once the peer has closed or broken the connection, at once if it has."""
-        self.line.on_gone(call)
+        self.connection.on_gone(call)
 
     def abort(self) -> None:
         """End the connection with a reset and without an answer."""
         self.answered = True
-        self.line.reset()
+        self.connection.reset()
 
 
 Handler = Callable[[Exchange], Awaitable[None]]
@@ -334,16 +334,16 @@
         listener = QuietListener(listener, tls, standard_compatible=False, handshake_timeout=HANDSHAKE_WITHIN)
 
     async def one(stream: SocketStream) -> None:
-        line = HttpConnection(stream, handler)
+        connection = HttpConnection(stream, handler)
         if gate is not None:
-            gate.opened(line)
+            gate.opened(connection)
         try:
-            await line.run()
+            await connection.run()
         except Exception as fault:
             on_fault(fault)
         finally:
             if gate is not None:
-                gate.closed(line)
+                gate.closed(connection)
 
     try:
         await listener.serve(one, task_group=tasks)
--- a/curlewshift/experiments/one_run.py
+++ b/curlewshift/experiments/one_run.py
@@ -80,10 +80,10 @@
     how = levels.get("shared", "alone")
     if how == "alone":
         return None
-    fronts = len(script.site.doors)
+    fronts = len(script.site.front_addresses)
     deaf = Random(seed).sample(range(fronts), round(float(levels.get("deaf", 0)) * fronts))
     parts = {} if how == "shared" else {part: part == how for part in ("counts", "rights", "seen")}
-    return Shares(usual_terms(script.site.duties.fall_within), float(levels.get("words-lost", 0)), set(deaf), **parts)
+    return Shares(usual_terms(script.site.obligations.fall_within), float(levels.get("words-lost", 0)), set(deaf), **parts)
 
 
 def measured(world: World, cpu: float) -> dict:
--- a/curlewshift/fault_injection/configuring.py
+++ b/curlewshift/fault_injection/configuring.py
@@ -78,7 +78,7 @@
         self.machines: list[MachineProcess] = []
         self.base = b""
         self.mark = 0
-        self.chance = Random(f"{day.seed} operator")
+        self.rng = Random(f"{day.seed} operator")
 
     async def start(self) -> None:
         self.base = (self.day.out / "site.xml").read_bytes()
@@ -150,7 +150,7 @@
 
     # ---- what the operator does
 
-    async def befall(self, trouble, struck: list) -> bool:
+    async def befall(self, trouble, affected: list) -> bool:
         """False for a trouble of another kind."""
         kind = trouble.kind
         if kind == "put":
@@ -165,13 +165,13 @@
         elif kind == "control-lost":
             await self._lose_machine(trouble.lasts)
         elif kind in ("front-lost", "front-spoilt"):
-            for front in struck:
+            for front in affected:
                 front.kill()
                 self._spoil(front.state / "configuration", kind)
                 self.day.traffic.seen("disk", front=front.name, life=front.life, what=kind)
             await anyio.sleep(trouble.lasts)
             async with anyio.create_task_group() as tasks:
-                for front in struck:
+                for front in affected:
                     tasks.start_soon(front.start)
         else:
             return False
@@ -262,7 +262,7 @@
             return
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._put, PUT_WITHIN, machine)
-            await anyio.sleep(0.01 + self.chance.random() * STRUCK_WITHIN)
+            await anyio.sleep(0.01 + self.rng.random() * STRUCK_WITHIN)
             if kind == "writer-pause":
                 await machine.pause(lasts)
             else:
@@ -272,7 +272,7 @@
 
     async def _lose_machine(self, lasts: float) -> None:
         writer = await self.writer(PUT_WITHIN)
-        machine = self.chance.choice([one for one in self.machines if one is not writer and not one.paused])
+        machine = self.rng.choice([one for one in self.machines if one is not writer and not one.paused])
         machine.kill()
         for name in ("vote", "configuration"):
             (machine.state / name).unlink(missing_ok=True)
--- a/curlewshift/fault_injection/fleet_cost.py
+++ b/curlewshift/fault_injection/fleet_cost.py
@@ -34,22 +34,22 @@
 
 
 def one_size(fleet: int, requests: int) -> dict:
-    outside = Nowhere()
+    driver = Nowhere()
     package = Package("p", 1.0, SECOND, 4 * SECOND, False, (1.0, 2.0, 4.0), 0, 2, 0)
     terms = Terms(
-        outside.clock, 1, 0, 1, [package], True, SECOND // 2, 3, False, 2 * SECOND, 10 * SECOND, 0.5, 2.0, SECOND, None, 0.0, 0
+        driver.clock, 1, 0, 1, [package], True, SECOND // 2, 3, False, 2 * SECOND, 10 * SECOND, 0.5, 2.0, SECOND, None, 0.0, 0
     )
     titles = {f"t{n}": tuple(f"s{(n * 7 + k * 13) % fleet}" for k in range(HOLDERS)) for n in range(50)}
-    desk = SessionCore(outside, terms, ServerList({"r": 1e9}, titles))
+    session_core = SessionCore(driver, terms, ServerList({"r": 1e9}, titles))
     rows = [ServerEntry(f"m{n}", "on", SECOND, "z", f"r{n // 20}", 1e6, 1000, f"s{n}") for n in range(fleet)]
     began = time.perf_counter_ns()
-    desk.list_full("e", 1, rows)
+    session_core.list_full("e", 1, rows)
     listed = time.perf_counter_ns() - began
     began = time.perf_counter_ns()
     for number in range(requests):
-        request = desk.asked(f"q{number}", "p", f"t{number % 50}")
-        desk.played(outside.out.pop(), "session")
-        desk.closed(request.course)
+        request = session_core.asked(f"q{number}", "p", f"t{number % 50}")
+        session_core.played(driver.out.pop(), "session")
+        session_core.closed(request.front_session)
     return {
         "servers": fleet,
         "request_us": round((time.perf_counter_ns() - began) / requests / 1000, 1),
--- a/curlewshift/fault_injection/flood.py
+++ b/curlewshift/fault_injection/flood.py
@@ -64,10 +64,10 @@
 
 
 async def _clients(port: int, told: Counter, times: list[float]) -> None:
-    async def one(number: int, chance: Random) -> None:
+    async def one(number: int, rng: Random) -> None:
         ends = time.monotonic() + LASTS
         while time.monotonic() < ends:
-            await anyio.sleep(chance.expovariate(EACH_SECOND))
+            await anyio.sleep(rng.expovariate(EACH_SECOND))
             how, took = await one_ask(port, f"127.0.2.{number + 1}")
             told[how] += 1
             if how == "201":
--- a/curlewshift/fault_injection/key_cost.py
+++ b/curlewshift/fault_injection/key_cost.py
@@ -27,22 +27,22 @@
         held = self.held.get(key)
         return None if held is None or (held[2] is not None and held[2] <= now) else held
 
-    def hold(self, key, mark, course):
-        self.held[key] = (mark, course, None)
+    def hold(self, key, mark, front_session):
+        self.held[key] = (mark, front_session, None)
         return key
 
     def ended(self, key, until):
-        mark, course, _ = self.held[key]
-        self.held[key] = (mark, course, until)
+        mark, front_session, _ = self.held[key]
+        self.held[key] = (mark, front_session, until)
 
 
 def one(table, rate: int, seconds: int) -> dict:
     """`rate` keys a second, each asked for, held, ended at once and kept for five seconds."""
-    chance, now, gap = Random(1), 0, SECOND // rate
+    rng, now, gap = Random(1), 0, SECOND // rate
     took = []
     for number in range(rate * seconds):
         now += gap
-        key = f"key {number} {chance.random()}"
+        key = f"key {number} {rng.random()}"
         began = time.perf_counter_ns()
         if table.find(key, now) is None:
             table.ended(table.hold(key, "mark", None), now + KEPT_FOR)
--- a/curlewshift/fault_injection/limits_cost.py
+++ b/curlewshift/fault_injection/limits_cost.py
@@ -112,10 +112,10 @@
 
 def sketch_error() -> dict:
     """A tenth of a million requests: twenty heavy sources by a skewed law, the rest seen once."""
-    chance, heavy, exact = Random(1), HeavyHitters(0), Counter()
+    rng, heavy, exact = Random(1), HeavyHitters(0), Counter()
     weights = [1 / rank for rank in range(1, 21)]
     for number in range(100_000):
-        key = f"heavy {chance.choices(range(20), weights)[0]}" if chance.random() < 0.5 else f"one-off {number}"
+        key = f"heavy {rng.choices(range(20), weights)[0]}" if rng.random() < 0.5 else f"one-off {number}"
         exact[key] += 1
         heavy.add(key, 0)
     wanted = [key for key, _ in exact.most_common(20)]
--- a/curlewshift/fault_injection/mix.py
+++ b/curlewshift/fault_injection/mix.py
@@ -21,13 +21,13 @@
             raise ValueError(f"there is no trouble {kind!r}, but {', '.join(name for name in USUAL if name != 'peak')}")
     out.mkdir(parents=True, exist_ok=True)
     tree = etree.parse(str(base))
-    root, chance = tree.getroot(), Random(f"{seed} {' '.join(kinds)}")
+    root, rng = tree.getroot(), Random(f"{seed} {' '.join(kinds)}")
     for element in [*root.iterfind("trouble"), *root.iterfind("announce")]:
         root.remove(element)
     length = float(root.get("lasts").removesuffix("s"))
     for kind in kinds:
         lasts = min(USUAL[kind][0], length / 3)
-        at = chance.uniform(QUIET, max(QUIET + 0.1, length - lasts - QUIET))
+        at = rng.uniform(QUIET, max(QUIET + 0.1, length - lasts - QUIET))
         etree.SubElement(root, "trouble", kind=kind, at=f"{at:.2f}s", lasts=f"{lasts:g}s")
     site = base.parent / root.get("site")
     shutil.copyfile(site, out / site.name)
--- a/curlewshift/fault_injection/node_day.py
+++ b/curlewshift/fault_injection/node_day.py
@@ -38,7 +38,7 @@
     def __init__(self, out: Path, seed: int, seconds: float, viewers: int, sabotage: str = "", stops: int = STOPS):
         self.out, self.seed, self.sabotage, self.stops = out, seed, sabotage, stops
         self.seconds, self.viewers = min(seconds, MOST_SECONDS), min(viewers, MOST_VIEWERS)
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         out.mkdir(parents=True, exist_ok=True)
         for name in ("traffic.jsonl", "node.log", "verdict.json"):
             (out / name).unlink(missing_ok=True)
@@ -48,7 +48,7 @@
         """The verdict, which is written to the folder too."""
         # a server comes back to its port: not one that an outgoing connection may have been given meanwhile
         self.port, *ports = free_ports(SERVERS + 1, Random(os.getpid()))
-        self.servers = [Server(number, port, Random(self.chance.random()), self.traffic) for number, port in enumerate(ports)]
+        self.servers = [Server(number, port, Random(self.rng.random()), self.traffic) for number, port in enumerate(ports)]
         bulletin = socket.create_server(("127.0.0.1", 0))
         self._write_configuration(bulletin.getsockname()[1])
         try:
@@ -110,21 +110,21 @@
 
     async def _viewers(self) -> list[Viewer]:
         """All who come in the day, over when the last has gone."""
-        begins, chance = time.monotonic(), Random(self.chance.random())
-        viewers = [Viewer(number, Random(chance.random()), self.traffic, FRONT) for number in range(1, self.viewers + 1)]
+        begins, rng = time.monotonic(), Random(self.rng.random())
+        viewers = [Viewer(number, Random(rng.random()), self.traffic, FRONT) for number in range(1, self.viewers + 1)]
         async with anyio.create_task_group() as tasks:
-            for viewer, at in zip(viewers, sorted(chance.uniform(0, self.seconds) for _ in viewers)):
+            for viewer, at in zip(viewers, sorted(rng.uniform(0, self.seconds) for _ in viewers)):
                 await anyio.sleep(max(0.0, begins + at - time.monotonic()))
                 tasks.start_soon(viewer.come, self.port)
         return viewers
 
     async def _stop_now_and_then(self) -> None:
-        chance = Random(self.chance.random())
+        rng = Random(self.rng.random())
         for _ in range(self.stops):
-            await anyio.sleep(chance.uniform(0.3, 0.8) * self.seconds / max(1, self.stops))
+            await anyio.sleep(rng.uniform(0.3, 0.8) * self.seconds / max(1, self.stops))
             self.process.send_signal(signal.SIGSTOP)
             self.traffic.seen("front-paused", front=FRONT)
-            await anyio.sleep(chance.uniform(*STOPPED))
+            await anyio.sleep(rng.uniform(*STOPPED))
             self.traffic.seen("front-goes-on", front=FRONT)
             self.process.send_signal(signal.SIGCONT)
 
--- a/curlewshift/fault_injection/node_planted_faults.py
+++ b/curlewshift/fault_injection/node_planted_faults.py
@@ -13,24 +13,24 @@
 class DeafToEnds(ClientListener):
     """Takes the end of a connection for nothing that its requests have to do with."""
 
-    def _left(self, line):
-        line.waiting.clear()
-        super()._left(line)
+    def _left(self, connection):
+        connection.waiting.clear()
+        super()._left(connection)
 
     def read_first(self, name, then):
         asked = self.asked.get(name)
-        return asked is not None and not asked.line.wire.gone and super().read_first(name, then)
+        return asked is not None and not asked.connection.wire.gone and super().read_first(name, then)
 
 
 class DeafToCancels(ClientListener):
     """Takes a cancel, and forgets it."""
 
-    def _torn_down(self, line, name, number, message):
+    def _torn_down(self, connection, name, number, message):
         asked = self.asked.get(name)
-        if asked is None or asked.course is not None:
-            super()._torn_down(line, name, number, message)
+        if asked is None or asked.front_session is not None:
+            super()._torn_down(connection, name, number, message)
         else:
-            line.wire.send(rtsp.answer(200, number, name))
+            connection.wire.send(rtsp.answer(200, number, name))
 
 
 class DeafNode(node.Node):
--- a/curlewshift/fault_injection/node_sides.py
+++ b/curlewshift/fault_injection/node_sides.py
@@ -46,9 +46,9 @@
     """One media server. Listening on a queue that is full it cannot be dialled: the kernel drops who comes, and who comes again
     a second later gets in, if it has made room by then."""
 
-    def __init__(self, number: int, port: int, chance: Random, traffic: Traffic):
+    def __init__(self, number: int, port: int, rng: Random, traffic: Traffic):
         self.port = port
-        self.name, self.number, self.chance, self.traffic = f"s-{number + 1:08x}", number, chance, traffic
+        self.name, self.number, self.rng, self.traffic = f"s-{number + 1:08x}", number, rng, traffic
         self.given_up: set[bytes] = set()
         self.accepts, self.parked, self.turn = anyio.Event(), anyio.Event(), anyio.CancelScope()
         self.accepts.set()
@@ -73,16 +73,16 @@
         """Now and then it accepts late, or is away and refuses who dials it."""
         ends = anyio.current_time() + lasts
         while anyio.current_time() < ends:
-            await anyio.sleep(self.chance.uniform(*WELL))
+            await anyio.sleep(self.rng.uniform(*WELL))
             # nobody may wait on a listener that is closed: waits are known by a descriptor's number, and the next socket gets it
             self.accepts, self.parked = anyio.Event(), anyio.Event()
             self.turn.cancel()
             await self.parked.wait()
-            late = self.chance.random() < 0.75
+            late = self.rng.random() < 0.75
             fillers = [self._filler()] if late else []
             if not late:
                 self.listener.close()
-            await anyio.sleep(self.chance.uniform(*AWAY))
+            await anyio.sleep(self.rng.uniform(*AWAY))
             for filler in fillers:
                 filler.close()
             if late:
@@ -134,8 +134,8 @@
     def _take(self, sock: socket.socket, tasks, kind: int, id: bytes, first: int) -> None:
         if kind == SET_UP:
             self.traffic.seen("setup", request=id.hex(), server=self.name, first_byte=first)
-            deal = self.chance.choices(list(DEALS), list(DEALS.values()))[0]
-            tasks.start_soon(self._deal, sock, id, deal, self.chance.choice((0.0, self.chance.uniform(0, DEALT_WITHIN))))
+            deal = self.rng.choices(list(DEALS), list(DEALS.values()))[0]
+            tasks.start_soon(self._deal, sock, id, deal, self.rng.choice((0.0, self.rng.uniform(0, DEALT_WITHIN))))
         elif kind == RELEASE:
             self.given_up.add(id)
             self._say(sock, message(RELEASED, id))
@@ -151,7 +151,7 @@
         elif deal in ("refuses", "fails"):
             self._say(sock, message(RELEASE, id, CAUSE, bytes((FULL if deal == "refuses" else ERROR,))))
         elif deal == "breaks":
-            self._close(sock, reset=self.chance.random() < 0.5)
+            self._close(sock, reset=self.rng.random() < 0.5)
 
     def _say(self, sock: socket.socket, data: bytes) -> None:
         try:
@@ -163,9 +163,9 @@
 class Viewer:
     """One connection with one to three requests on it."""
 
-    def __init__(self, number: int, chance: Random, traffic: Traffic, front: str):
-        self.chance, self.traffic, self.front = chance, traffic, front
-        self.ids = [f"{number:08x}{place:08x}" for place in range(chance.choice((1, 1, 2, 3)))]
+    def __init__(self, number: int, rng: Random, traffic: Traffic, front: str):
+        self.rng, self.traffic, self.front = rng, traffic, front
+        self.ids = [f"{number:08x}{place:08x}" for place in range(rng.choice((1, 1, 2, 3)))]
         self.answers: dict[str, int] = {}
         self.heard = b""
         # requests of one that stayed, and that nobody answered
@@ -188,17 +188,17 @@
             for id in self.ids:
                 self.traffic.seen("ask", request=id, front=self.front)
             self.sock.sendall(b"".join(self._set_up(id) for id in self.ids))
-            stays = self.chance.randrange(100) < STAY
-            within = ANSWERED_WITHIN if stays else self.chance.uniform(0, self.chance.choice(LEAVE_WITHIN))
+            stays = self.rng.randrange(100) < STAY
+            within = ANSWERED_WITHIN if stays else self.rng.uniform(0, self.rng.choice(LEAVE_WITHIN))
             if not stays and not within:
                 # nobody has had a turn since the request went out
-                await self._leave(self.chance.choice(WAYS))
+                await self._leave(self.rng.choice(WAYS))
                 return
             with anyio.move_on_after(within):
                 while self.waits_for:
                     await self._hear()
             self.unanswered = len(self.waits_for) if stays else 0
-            await self._leave("closed" if stays else self.chance.choice(WAYS))
+            await self._leave("closed" if stays else self.rng.choice(WAYS))
         except ConnectionError:
             self._gone("broken")
         finally:
@@ -241,9 +241,9 @@
                 self.over.add(id)
 
     def _set_up(self, id: str) -> bytes:
-        package = self.chance.choice(("lesson", "clip"))
+        package = self.rng.choice(("lesson", "clip"))
         return (
             f"SETUP rtsp://media/00000000000000aa RTSP/1.0\r\nCSeq: 1\r\nSession: {id}\r\nX-Cos: {package}\r\n"
-            f"X-Timer-Ms: {PATIENCE_MS}\r\nX-Legs: home:{self.chance.randrange(4)};copies:4;top:1;viewer:{id}\r\n"
+            f"X-Timer-Ms: {PATIENCE_MS}\r\nX-Legs: home:{self.rng.randrange(4)};copies:4;top:1;viewer:{id}\r\n"
             f"Content-Length: 5\r\n\r\noffer"
         ).encode()
--- a/curlewshift/fault_injection/peers_cost.py
+++ b/curlewshift/fault_injection/peers_cost.py
@@ -33,10 +33,10 @@
 
 
 async def measure_service(count: int) -> dict:
-    chance = Random(os.getpid())
+    rng = Random(os.getpid())
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        ports, udp = free_ports(2 * FRONTS + SERVERS + 1, chance), free_ports(FRONTS, chance, socket.SOCK_DGRAM)
+        ports, udp = free_ports(2 * FRONTS + SERVERS + 1, rng), free_ports(FRONTS, rng, socket.SOCK_DGRAM)
         servers, list_port = ports[2 * FRONTS : -1], ports[-1]
         ways = {"alone": (ports[:FRONTS], []), "peers": (ports[FRONTS : 2 * FRONTS], udp)}
         log, children = folder / "log", []
--- a/curlewshift/fault_injection/processes.py
+++ b/curlewshift/fault_injection/processes.py
@@ -22,11 +22,11 @@
 PORTS = tuple(map(int, os.environ.get("CURLEWSHIFT_PORTS", "12000-20000").split("-")))
 
 
-def free_ports(count: int, chance: Random, kind: int = socket.SOCK_STREAM) -> list[int]:
+def free_ports(count: int, rng: Random, kind: int = socket.SOCK_STREAM) -> list[int]:
     """Loopback ports that nothing listens on now, outside those that outgoing connections are given."""
     found = []
     for _ in range(1000):
-        port = chance.randrange(*PORTS)
+        port = rng.randrange(*PORTS)
         with socket.socket(socket.AF_INET, kind) as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
--- a/curlewshift/fault_injection/recovery_cost.py
+++ b/curlewshift/fault_injection/recovery_cost.py
@@ -46,7 +46,7 @@
 
 async def _measured(site, state: Path, sessions: int) -> dict:
     state.mkdir()
-    chance, traffic, uplink = Random(1), Traffic(None), Uplink(9e6)
+    rng, traffic, uplink = Random(1), Traffic(None), Uplink(9e6)
     book, journal = SessionRegistry(), Journal(state / "sessions.log")
     async with anyio.create_task_group() as tasks:
         for number, machine in enumerate(site.machines):
@@ -57,9 +57,9 @@
                 f"127.0.0.1:{machine.port}",
                 link,
                 {package.name: package.rates for package in site.packages},
-                site.duties,
+                site.obligations,
                 0,
-                chance,
+                rng,
                 traffic,
                 0.0,
             )
@@ -91,7 +91,7 @@
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=machine.port)
             tasks.start_soon(server.run, listener.listeners[0])
         journal.close()
-        listing = ServerList(chance, traffic)
+        listing = ServerList(rng, traffic)
         rows = [
             ListRow(f"127.0.0.1:{machine.port}", "on", 0, "z", "r", machine.link, machine.streams, machine.shelf)
             for machine in site.machines
@@ -106,7 +106,7 @@
         await opened.wait()
         open_after = time.perf_counter() - began
         async with anyio.create_task_group() as joining:
-            joining.start_soon(_joins, site.doors[0].port, waits)
+            joining.start_soon(_joins, site.front_addresses[0].port, waits)
             while not (front.recovery.over and front.recovery.kept == sessions):
                 await anyio.sleep(0.002)
             known_after = time.perf_counter() - began
--- a/curlewshift/fault_injection/rehearse.py
+++ b/curlewshift/fault_injection/rehearse.py
@@ -68,16 +68,16 @@
 
 
 def figures_of(site: Site) -> Figures:
-    duties, packages = site.duties, site.packages
+    obligations, packages = site.obligations, site.packages
     return Figures(
-        grace=duties.grace,
-        warm_within=duties.warm_within,
-        start_capacity=duties.start_capacity,
-        fall_multiple=duties.fall_multiple,
-        fall_within=duties.fall_within,
-        free_further=duties.free_further,
-        further_share=duties.further_share,
-        look_back=duties.look_back,
+        grace=obligations.grace,
+        warm_within=obligations.warm_within,
+        start_capacity=obligations.start_capacity,
+        fall_multiple=obligations.fall_multiple,
+        fall_within=obligations.fall_within,
+        free_further=obligations.free_further,
+        further_share=obligations.further_share,
+        look_back=obligations.look_back,
         patience={package.name: package.patience for package in packages},
         join_target={package.name: package.join_target for package in packages},
         value={package.name: package.value for package in packages},
@@ -91,7 +91,7 @@
     """One front over its lives."""
 
     def __init__(self, day: FaultInjectionRun, number: int, port: int):
-        super().__init__(day, number, day.script.site.doors[number].name)
+        super().__init__(day, number, day.script.site.front_addresses[number].name)
         self.port = port
 
     async def start(self) -> None:
@@ -169,7 +169,7 @@
         return StartFailed(why)
 
     async def _day(self) -> None:
-        ports = free_ports(len(self.script.site.doors), Random(os.getpid()))
+        ports = free_ports(len(self.script.site.front_addresses), Random(os.getpid()))
         list_port = await self._start_fleet()
         peers = await self._start_relay() if self.script.site.peers is not None else []
         self._write_site(ports, list_port, peers)
@@ -241,7 +241,7 @@
         """For each front and control machine the port where its peers' datagrams come in, and the relay's by which they reach
         it."""
         site = self.script.site
-        doors = [*site.doors, *(site.control.machines if site.control is not None else [])]
+        doors = [*site.front_addresses, *(site.control.machines if site.control is not None else [])]
         ports = free_ports(len(doors), Random(os.getpid() + 1), socket.SOCK_DGRAM)
         named = [f"--front={door.name}={port}" for door, port in zip(doors, ports)]
         self.relay = ChildProcess(
@@ -342,47 +342,47 @@
 
     async def _befall(self, trouble: Trouble, begins: float) -> None:
         await anyio.sleep(max(0.0, begins + trouble.at - time.monotonic()))
-        chance = Random(f"{self.seed} {trouble.kind} {trouble.at}")
+        rng = Random(f"{self.seed} {trouble.kind} {trouble.at}")
         count = max(1, round(trouble.part * len(self.fronts)))
-        struck = chance.sample(self.fronts, count)
-        self.traffic.seen("trouble", kind=trouble.kind, lasts=trouble.lasts, fronts=[front.name for front in struck])
+        affected = rng.sample(self.fronts, count)
+        self.traffic.seen("trouble", kind=trouble.kind, lasts=trouble.lasts, fronts=[front.name for front in affected])
         if trouble.kind == "front-crash":
-            for front in struck:
+            for front in affected:
                 front.kill()
             await anyio.sleep(trouble.lasts)
             async with anyio.create_task_group() as tasks:
-                for front in struck:
+                for front in affected:
                     tasks.start_soon(front.start)
         elif trouble.kind == "pause":
             async with anyio.create_task_group() as tasks:
-                for front in struck:
+                for front in affected:
                     tasks.start_soon(front.pause, trouble.lasts)
         elif trouble.kind == "clock-rate":
             for rate in (trouble.size, 1.0):
-                for front in struck:
+                for front in affected:
                     await front.ask({"do": "clock", "rate": rate})
                 await anyio.sleep(trouble.lasts if rate != 1.0 else 0)
         elif trouble.kind == "clock-step":
-            for front in struck:
-                await front.ask({"do": "clock", "step": int(trouble.size * NS) * chance.choice((-1, 1))})
+            for front in affected:
+                await front.ask({"do": "clock", "step": int(trouble.size * NS) * rng.choice((-1, 1))})
         elif trouble.kind == "pause-in-act":
             await self._stop_in_act(trouble.lasts, count)
-        elif self.configuring is not None and await self.configuring.befall(trouble, struck):
+        elif self.configuring is not None and await self.configuring.befall(trouble, affected):
             pass
         elif trouble.kind == "bad-path":
             # a front of its own event: the judge has to know whose path it was
-            self.traffic.seen("bad-path", lasts=trouble.lasts, fronts=[front.name for front in struck])
+            self.traffic.seen("bad-path", lasts=trouble.lasts, fronts=[front.name for front in affected])
             for lost in (True, False):
-                for front in struck:
+                for front in affected:
                     await front.ask({"do": "path", "lost": lost})
                 await anyio.sleep(trouble.lasts if lost else 0)
         else:
-            for front in struck:
+            for front in affected:
                 next_at = time.monotonic() + trouble.lasts / count
                 await front.end()
                 await front.start()
                 await anyio.sleep(max(0.0, next_at - time.monotonic()))
-        self.traffic.seen("trouble-over", kind=trouble.kind, fronts=[front.name for front in struck])
+        self.traffic.seen("trouble-over", kind=trouble.kind, fronts=[front.name for front in affected])
 
     async def _stop_in_act(self, lasts: float, count: int) -> None:
         """Holders of leases are stopped in the very middle of an act, and go on after others have begun."""
@@ -415,8 +415,8 @@
         if peaks:
             verdict["phases"] = phases(events, figures_of(self.script.site), peaks[0].at, peaks[0].at + peaks[0].lasts)
         if self.relay is not None:
-            manners = self.script.site.peers.manners
-            verdict["members"] = judge_members(events, manners.period, manners.forget_after)
+            membership_terms = self.script.site.peers.membership_terms
+            verdict["members"] = judge_members(events, membership_terms.period, membership_terms.forget_after)
         if self.script.site.sharing is not None:
             verdict["bounds"] = judge_bounds(events, figures_of(self.script.site), self._together())
         if self.script.site.leases is not None:
--- a/curlewshift/fault_injection/wheel_cost.py
+++ b/curlewshift/fault_injection/wheel_cost.py
@@ -39,15 +39,15 @@
 
 def one(timers, taken_back: float) -> dict:
     """Timers of one to thirty seconds, one set every 0.1 ms; some are taken back within a second."""
-    chance, now, open_ones = Random(1), 0, []
+    rng, now, open_ones = Random(1), 0, []
     began = time.perf_counter_ns()
     for step in range(STEPS):
         now += MS // 10
-        entry = timers.add(now + chance.randrange(1000, 30_000) * MS, step)
-        if chance.random() < taken_back:
+        entry = timers.add(now + rng.randrange(1000, 30_000) * MS, step)
+        if rng.random() < taken_back:
             open_ones.append(entry)
             if len(open_ones) > 1000:
-                timers.cancel(open_ones.pop(chance.randrange(1000)))
+                timers.cancel(open_ones.pop(rng.randrange(1000)))
         if not step % 100:
             timers.due(now)
     took = time.perf_counter_ns() - began
--- a/curlewshift/front/configured.py
+++ b/curlewshift/front/configured.py
@@ -124,18 +124,18 @@
     def live(self) -> dict:
         """What decides at this instant, read from what decides."""
         front = self.front
-        desk, rules, admission = front.desk, front.desk.rules, front.door.admission
+        session_core, rules, admission = front.session_core, front.session_core.rules, front.door.admission
         return {
             "version": self.version,
             "way_back": front.door.way_back,
-            "longest_wait": desk.longest_wait,
+            "longest_wait": session_core.longest_wait,
             "most_tune_ins": rules.max_tune_ins,
             "further_share": rules.further_share,
-            "most_waiting": desk.most_waiting,
+            "most_waiting": session_core.most_waiting,
             "ice_servers": list(front.door.ice_servers),
-            "titles": len(desk.roster.titles),
+            "titles": len(session_core.server_list.titles),
             "limits": {name: [buckets.rate, buckets.burst] for name, buckets in admission.buckets.items()} if admission else None,
             "packages": {
-                package.name: {name: getattr(package, name) for name in OF_PACKAGES} for package in desk.packages.values()
+                package.name: {name: getattr(package, name) for name in OF_PACKAGES} for package in session_core.packages.values()
             },
         }
--- a/curlewshift/front/control.py
+++ b/curlewshift/front/control.py
@@ -130,12 +130,12 @@
             peak = msgspec.convert({**command.peak, "who": who, "why": command.why}, Peak)
         except msgspec.ValidationError as wrong:
             raise InvalidPeak(f"this is no peak: {wrong}") from None
-        self.front.desk.announce(peak)
+        self.front.session_core.announce(peak)
         try:
             await anyio.to_thread.run_sync(self.store.announced, peak, self.front.wall())
         except sqlite3.Error:
             # what is not kept is not confirmed, and not in force either
-            self.front.desk.cancel(peak.name)
+            self.front.session_core.cancel(peak.name)
             raise
         self.front.log.info("peak-announced", peak=peak.name, package=peak.package, who=who, cause=command.why)
         return {"ok": True}
@@ -145,7 +145,7 @@
             raise InvalidPeak(f"there is no peak {command.name!r}")
         await anyio.to_thread.run_sync(self.store.cancelled, command.name, self.front.wall(), who, command.why)
         if command.name in self.front.calendar.peaks:
-            self.front.desk.cancel(command.name)
+            self.front.session_core.cancel(command.name)
         self.front.log.info("peak-cancelled", peak=command.name, who=who, cause=command.why)
         return {"ok": True}
 
@@ -157,17 +157,17 @@
         return {"ok": True}
 
     def _lose_path(self, command: Command) -> dict:
-        if not hasattr(self.front.reach, "lost"):
+        if not hasattr(self.front.server_pool, "lost"):
             raise InvalidPeak("this front's path is not to be led")
-        self.front.reach.lost = command.lost
+        self.front.server_pool.lost = command.lost
         self.front.log.info("path-led", lost=command.lost)
         return {"ok": True}
 
     def _stop_in_act(self) -> dict:
         """The process stops itself between its next look at a lease and the act that follows; who asked has to let it go on."""
-        if not hasattr(self.front.reach, "stops_in_act"):
+        if not hasattr(self.front.server_pool, "stops_in_act"):
             raise InvalidPeak("this front is not to be stopped in an act")
-        self.front.reach.stops_in_act = True
+        self.front.server_pool.stops_in_act = True
         return {"ok": True}
 
     def _release(self, command: Command, who: str) -> dict:
@@ -181,7 +181,7 @@
     def _limits(self) -> dict:
         front, admission = self.front, self.front.door.admission
         gate = {
-            "connections": len(front.gate.lines),
+            "connections": len(front.gate.connections),
             "most_connections": front.gate.most,
             "dropped": front.gate.dropped,
             "none_left": front.gate.none_left,
@@ -189,12 +189,12 @@
         return {**gate, "limits": admission.show(front.now()) if admission is not None else None}
 
     def _peaks(self) -> list[dict]:
-        holding = self.front.desk.peaks.holding
+        holding = self.front.session_core.peaks.holding
         rows = []
         for peak in self.front.calendar.peaks.values():
             held = holding.get(peak.name)
             package = self.front.calendar.packages[peak.package]
-            kept = sum(link.holds.get(package, 0.0) for link in self.front.desk.peaks.held)
+            kept = sum(link.holds.get(package, 0.0) for link in self.front.session_core.peaks.held)
             rows.append(
                 {
                     **msgspec.to_builtins(peak),
--- a/curlewshift/front/followers.py
+++ b/curlewshift/front/followers.py
@@ -32,8 +32,8 @@
 class Stream:
     """One server-sent event stream, kept up over breaks. `on_open` and `on_event` are called as it goes."""
 
-    def __init__(self, host: str, port: int, target: str, chance: Random, tls=None):
-        self.host, self.port, self.target, self.chance, self.tls = host, port, target, chance, tls
+    def __init__(self, host: str, port: int, target: str, rng: Random, tls=None):
+        self.host, self.port, self.target, self.rng, self.tls = host, port, target, rng, tls
         self.last_id: str | None = None
         self.refused = False
         self.call: HttpClientConnection | None = None
@@ -57,7 +57,7 @@
                 self.refused = False
             if opened or self.refused:
                 yield None
-            await anyio.sleep(pause * self.chance.uniform(0.5, 1.0))
+            await anyio.sleep(pause * self.rng.uniform(0.5, 1.0))
             pause = min(LONGEST_PAUSE, pause * 2)
 
     def afresh(self) -> None:
@@ -89,9 +89,11 @@
 class ListFollower:
     """`on_news(epoch, generation, news)`, if set, hears of what was read here."""
 
-    def __init__(self, desk: SessionCore, host: str, port: int, name: str, kept: KeptList | None, chance: Random, log, on_list):
-        self.desk, self.kept, self.log, self.on_list = desk, kept, log, on_list
-        self.stream = Stream(host, port, f"/list?front={name}", chance)
+    def __init__(
+        self, session_core: SessionCore, host: str, port: int, name: str, kept: KeptList | None, rng: Random, log, on_list
+    ):
+        self.session_core, self.kept, self.log, self.on_list = session_core, kept, log, on_list
+        self.stream = Stream(host, port, f"/list?front={name}", rng)
         self.on_news = None
         self.itself = anyio.Event()
         self.itself.set()
@@ -132,9 +134,9 @@
         """Of the list itself, or as another front read it."""
         rows = [row_of(row) for row in news.servers]
         if full:
-            self.desk.list_full(news.epoch, news.generation, rows)
+            self.session_core.list_full(news.epoch, news.generation, rows)
         else:
-            self.desk.list_change(news.epoch, news.since, news.generation, rows)
+            self.session_core.list_change(news.epoch, news.since, news.generation, rows)
         if self.kept is not None:
             self.kept.take(news, full)
         self.on_list()
@@ -143,10 +145,12 @@
 class NotesFollower:
     """The notes of one server. Which of its lives speaks, it says first; another one means that nothing plays."""
 
-    def __init__(self, desk: SessionCore, server: Server, front: str, chance: Random, log, course_of, tls=None, on_boot=None):
+    def __init__(
+        self, session_core: SessionCore, server: Server, front: str, rng: Random, log, front_session_of, tls=None, on_boot=None
+    ):
         self.on_boot = on_boot
-        self.desk, self.server, self.log, self.course_of = desk, server, log, course_of
-        self.stream = Stream(*host_port(server.name), f"/notes?front={front}", chance, tls)
+        self.session_core, self.server, self.log, self.front_session_of = session_core, server, log, front_session_of
+        self.stream = Stream(*host_port(server.name), f"/notes?front={front}", rng, tls)
         self.boot = ""
         self.broke = False
 
@@ -161,11 +165,11 @@
         if self.boot and not self.broke:
             self.broke = True
             self.log.info("notes-broke", server=self.server.name, playing=len(self.server.link.playing))
-            self.desk.notes_broke(self.server)
+            self.session_core.notes_broke(self.server)
         if self.stream.refused and self.server.link.playing:
             # nobody listens there any more: the process is gone, and what it played with it
             self.log.info("server-gone", server=self.server.name, playing=len(self.server.link.playing))
-            self.desk.server_lost(self.server)
+            self.session_core.server_lost(self.server)
 
     def _take(self, event: Event) -> None:
         try:
@@ -176,17 +180,17 @@
         if event.kind == "hello":
             if self.boot and note.boot != self.boot:
                 self.log.info("server-restarted", server=self.server.name)
-                self.desk.restarted(self.server)
+                self.session_core.restarted(self.server)
             self.boot, self.broke = note.boot, False
             if self.on_boot is not None:
                 self.on_boot(self.server.name, note.boot)
         elif event.kind == "delivered":
-            self.desk.delivered(self.server, note.share)
+            self.session_core.delivered(self.server, note.share)
         elif event.kind == "load":
             report = {"link": note.link, "uplink": note.uplink}
-            self.desk.told(self.server, {name: value for name, value in report.items() if value is not None})
+            self.session_core.told(self.server, {name: value for name, value in report.items() if value is not None})
         elif event.kind == "ended":
-            course = self.course_of(self.server, note.session)
-            if course is not None:
-                self.log.info("ended", viewing=course.vw.name, server=self.server.name, cause=note.why)
-                self.desk.lost(course)
+            front_session = self.front_session_of(self.server, note.session)
+            if front_session is not None:
+                self.log.info("ended", viewing=front_session.viewing.name, server=self.server.name, cause=note.why)
+                self.session_core.lost(front_session)
