--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -69,7 +69,7 @@
 class Front:
     """Made for the number-th front of the site. `name` tells servers and list which life of which front speaks."""
 
-    reach_class = ServerPool
+    server_pool_class = ServerPool
     peers_class = PeerWire
     shared_class = SharedWire
     leased_class = LeaseWire
@@ -85,21 +85,21 @@
         state: Path | None,
         log,
         life: str = "",
-        desk: type[SessionCore] = SessionCore,
+        session_core: type[SessionCore] = SessionCore,
         capture: Path | None = None,
         led: bool = False,
         begun: Begun | None = None,
         **how,
     ):
         self.site, self.log = site, log
-        self.door_at = site.doors[number]
+        self.door_at = site.front_addresses[number]
         self.clock = SkewedClock() if led else Clock()
-        if led and self.reach_class is ServerPool:
+        if led and self.server_pool_class is ServerPool:
             from curlewshift.front.led import LedServerPool
 
-            self.reach_class = LedServerPool
+            self.server_pool_class = LedServerPool
         self.name = life or f"{self.door_at.name}.{self.clock.now() // 1_000_000 % 10**9}"
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.kept = KeptList(state / "list.json", log) if state else None
         # what these files lack is told before anything listens
         self.permits = Permits(read_keys(site.token_keys.read_bytes())) if site.token_keys else None
@@ -110,8 +110,8 @@
         self.keys_read = b""
         self.gate = DescriptorGate(resource.getrlimit(resource.RLIMIT_NOFILE)[0], time.monotonic)
         if site.limits is not None:
-            self.door.admission = Admission(site.limits, self.chance.getrandbits(32), self.clock.now(), self.door.ticket_told)
-        self.waking = WakeupTimer(self.clock, lambda: self.desk.time())
+            self.door.admission = Admission(site.limits, self.rng.getrandbits(32), self.clock.now(), self.door.ticket_told)
+        self.waking = WakeupTimer(self.clock, lambda: self.session_core.time())
         self.followed: dict[Server, anyio.CancelScope] = {}
         self.terms = site.terms(self.clock.now(), seed, number)
         self.calendar = Calendar(site.packages)
@@ -134,28 +134,28 @@
             # names sort by time, so that the newest life is the last
             life_at = capture / f"{time.strftime('%Y%m%dT%H%M%SZ', time.gmtime())}-{self.name}"
             self.capture = CaptureWriter(life_at, lambda why: log.warning("capture-ended", cause=why))
-            desk = tapped(desk, self.capture.note)
+            session_core = tapped(session_core, self.capture.note)
         # the desk's first wake comes while it is made
-        self.desk = desk(
+        self.session_core = session_core(
             self, self.terms, ServerList(site.uplinks, site.titles), most_waiting=site.most_waiting, calendar=self.calendar, **how
         )
-        self.door.desk = self.desk
+        self.door.session_core = self.session_core
         self.peers: PeerWire | None = None
         if site.peers is not None:
-            self.peers = self.peers_class(site.name, self.door_at, site.peers, self.clock, log, Random(self.chance.random()))
+            self.peers = self.peers_class(site.name, self.door_at, site.peers, self.clock, log, Random(self.rng.random()))
         self.shared: SharedWire | None = None
         if self.peers is not None and site.sharing is not None:
             self.shared = self.shared_class(
                 self.peers.channel,
-                self.desk,
-                [door.name for door in site.doors],
+                self.session_core,
+                [door.name for door in site.front_addresses],
                 number,
                 site.sharing,
                 site.together,
-                site.duties.warm_within,
+                site.obligations.warm_within,
                 self.clock.now,
                 log,
-                Random(self.chance.random()),
+                Random(self.rng.random()),
             )
         self.kept_shared = None
         if self.shared is not None and state is not None:
@@ -166,14 +166,14 @@
             self.leased = self.leased_class(
                 self.peers.channel,
                 self,
-                [door.name for door in site.doors],
+                [door.name for door in site.front_addresses],
                 number,
                 wants.keepers,
                 wants.terms,
                 wants.shards,
                 wants.probe_each,
                 log,
-                Random(self.chance.random()),
+                Random(self.rng.random()),
                 wants.tasks,
                 wants.orphans_after,
             )
@@ -183,10 +183,10 @@
                 self.peers.channel if self.peers is not None else None,
                 self,
                 self.door_at.name,
-                frozenset(door.name for door in site.doors),
+                frozenset(door.name for door in site.front_addresses),
                 site.overload,
                 log,
-                Random(self.chance.random()),
+                Random(self.rng.random()),
             )
         self.configured: Configured | None = None
         if self.peers is not None and site.configuration is not None:
@@ -200,7 +200,7 @@
                 lambda: 0,
                 self.clock,
                 log,
-                Random(self.chance.random()),
+                Random(self.rng.random()),
                 self.configured.begun.copy,
                 None,
             )
@@ -228,7 +228,7 @@
         self.journal.records = []
         for intent in intents:
             self.log.info("interrupted", package=intent.package, server=intent.server, cause="it may have run")
-        self.recovery = recovery_of(self, self.desk, self.name, self.keeper.book, intents, doubt_mark)
+        self.recovery = recovery_of(self, self.session_core, self.name, self.keeper.book, intents, doubt_mark)
         self.recovery.begin()
         if not self.recovery.over:
             self.recovering = self.background.add("recover", self._go_on_recovering, self.now(), every=int(RECOVER_EVERY * NS))
@@ -252,14 +252,14 @@
     # ---- recovery's outside, see curlewshift/recovery/recovery.py
 
     def ask_sessions(self, server: Server) -> None:
-        self.reach.ask_sessions(server, self.recovery)
+        self.server_pool.ask_sessions(server, self.recovery)
 
     def adopt(self, server: Server, paths: list[str]) -> None:
-        self.reach.adopt(server, paths, self.recovery)
+        self.server_pool.adopt(server, paths, self.recovery)
 
     def taken_up(self, one: StoredSession, server: Server) -> FrontSession:
         session = Session(one.path, one.answer, one.etag, one.ufrag)
-        course = self.desk.handed_over(
+        front_session = self.session_core.handed_over(
             one.package,
             one.title,
             one.ceiling,
@@ -269,8 +269,8 @@
             one.key,
             Offer(one.offer, way=one.way, ufrag=one.ufrag),
         )
-        self.door.sessions.take_up(course, one.token, one.holder)
-        return course
+        self.door.sessions.take_up(front_session, one.token, one.holder)
+        return front_session
 
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> Session:
         return Session(found.path, found.answer, found.etag)
@@ -294,7 +294,7 @@
             await self._run(ready)
         finally:
             with anyio.CancelScope(shield=True):
-                await self.reach.close()
+                await self.server_pool.close()
                 if self.journal is not None:
                     await anyio.to_thread.run_sync(self.keeper.close)
                     self.journal.close()
@@ -305,8 +305,8 @@
     async def _run(self, ready) -> None:
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
-            self.reach = self.reach_class(
-                self.desk,
+            self.server_pool = self.server_pool_class(
+                self.session_core,
                 tasks,
                 self.name,
                 self.site.most_connections,
@@ -320,9 +320,15 @@
                 rows = [row_of(row) for row in self.kept.read()]
                 if rows:
                     self.log.info("list", what="kept", servers=len(rows))
-                    self.desk.list_full("", -1, rows, stale=True)
+                    self.session_core.list_full("", -1, rows, stale=True)
             self.lists = ListFollower(
-                self.desk, *self.site.list_at, self.name, self.kept, Random(self.chance.random()), self.log, self._follow_servers
+                self.session_core,
+                *self.site.list_at,
+                self.name,
+                self.kept,
+                Random(self.rng.random()),
+                self.log,
+                self._follow_servers,
             )
             if self.leased is not None:
                 self.lists.on_news = self.leased.listing.read
@@ -366,27 +372,27 @@
     async def _signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for which in signals:
-                self.log.info("drain", cause=signal.Signals(which).name, waiting=self.desk.waiting)
+                self.log.info("drain", cause=signal.Signals(which).name, waiting=self.session_core.waiting)
                 await self.end()
                 return
 
     async def end(self) -> None:
         """New requests are refused with advice, those taken are answered, what plays is ended; then all stops."""
-        self.desk.drain()
+        self.session_core.drain()
         longest = max(package.patience for package in self.site.packages) / NS
         with anyio.move_on_after(longest + 1):
-            while self.desk.waiting:
+            while self.session_core.waiting:
                 await anyio.sleep(0.02)
         if self.leased is not None:
             self.leased.leave()
         if self.peers is not None:
             await self.peers.leave()
         await anyio.sleep(0.05)
-        for course in list(self.desk.courses.values()):
-            self.desk.closed(course)
+        for front_session in list(self.session_core.front_sessions.values()):
+            self.session_core.closed(front_session)
         self.door.sweep()
         with anyio.move_on_after(LAST_WORDS):
-            while len(self.desk.endings):
+            while len(self.session_core.session_ends):
                 await anyio.sleep(0.02)
         # Closed before the process ends, which takes a while: who comes now is turned away by the machine at once
         # and not reset later, and what was taken is still answered.
@@ -449,23 +455,23 @@
     def _follow_servers(self) -> None:
         if self.recovery is not None:
             self.recovery.list_told()
-        held = self.desk.roster.shelf_of
+        held = self.session_core.server_list.shelf_of
         for server in held:
             if server not in self.followed:
                 scope = self.followed[server] = anyio.CancelScope()
                 self.tasks.start_soon(self._follow, server, scope)
         for server in [server for server in self.followed if server not in held]:
             self.followed.pop(server).cancel()
-            self.reach.forget(server)
+            self.server_pool.forget(server)
 
     async def _follow(self, server: Server, scope: anyio.CancelScope) -> None:
         follower = NotesFollower(
-            self.desk,
+            self.session_core,
             server,
             self.name,
-            Random(self.chance.random()),
+            Random(self.rng.random()),
             self.log,
-            self._course_of,
+            self._front_session_of,
             self.servers_tls,
             self.keeper.boot if self.keeper is not None else None,
         )
@@ -478,11 +484,11 @@
                     self.log.error("fault", server=server.name, cause=repr(fault), exc_info=fault)
                     await anyio.sleep(SWEEP)
 
-    def _course_of(self, server: Server, path: str) -> FrontSession | None:
-        for vw in server.link.playing:
-            course = self.desk.courses[vw]
-            if course.session.path == path:
-                return course
+    def _front_session_of(self, server: Server, path: str) -> FrontSession | None:
+        for viewing in server.link.playing:
+            front_session = self.session_core.front_sessions[viewing]
+            if front_session.session.path == path:
+                return front_session
         return None
 
     # ---- the desk's outside, see curlewshift/session_core/driver.py
@@ -497,47 +503,53 @@
         self.waking.at(at)
 
     def tune_in(self, tune_in: TuneIn) -> None:
-        vw = tune_in.course.vw
+        viewing = tune_in.front_session.viewing
         self.log.info(
             "tune-in",
-            viewing=vw.name,
+            viewing=viewing.name,
             server=tune_in.server.name,
             rung=tune_in.rung,
             number=tune_in.number,
-            request=tune_in.course.requests[0].name if tune_in.course.requests else "",
+            request=tune_in.front_session.requests[0].name if tune_in.front_session.requests else "",
         )
         if self.shared is not None:
             self.shared.sharing.sent(tune_in.server, tune_in.number > 1)
         if self.sheds is not None:
             self.sheds.tune_in(tune_in)
-        self.reach.tune_in(tune_in)
+        self.server_pool.tune_in(tune_in)
 
     def withdraw(self, tune_in: TuneIn) -> bool:
-        self.log.info("withdrawn", viewing=tune_in.course.vw.name, server=tune_in.server.name, cause="its time is over")
-        return self.reach.withdraw(tune_in)
-
-    def tell(self, errand: ServerCommand) -> None:
-        vw = errand.course.vw
-        if errand.rung is not None:
-            self.log.info("rung", viewing=vw.name, server=vw.server.name, rung=errand.rung)
-            self.door.rung_changed(errand.course, errand.rung)
+        self.log.info(
+            "withdrawn", viewing=tune_in.front_session.viewing.name, server=tune_in.server.name, cause="its time is over"
+        )
+        return self.server_pool.withdraw(tune_in)
+
+    def tell(self, command: ServerCommand) -> None:
+        viewing = command.front_session.viewing
+        if command.rung is not None:
+            self.log.info("rung", viewing=viewing.name, server=viewing.server.name, rung=command.rung)
+            self.door.rung_changed(command.front_session, command.rung)
         else:
-            self.log.info("patch", viewing=vw.name, server=vw.server.name)
-        self.reach.tell(errand)
+            self.log.info("patch", viewing=viewing.name, server=viewing.server.name)
+        self.server_pool.tell(command)
 
-    def end_session(self, ending: SessionEnd) -> None:
-        self.log.info("tear-down", server=ending.server.name, session=ending.session.path, number=ending.tries)
-        self.reach.end_session(ending)
+    def end_session(self, session_end: SessionEnd) -> None:
+        self.log.info("tear-down", server=session_end.server.name, session=session_end.session.path, number=session_end.tries)
+        self.server_pool.end_session(session_end)
 
     def probe(self, server: Server) -> None:
         self.log.info("probe", server=server.name)
-        self.reach.probe(server)
+        self.server_pool.probe(server)
 
     def answer(self, request: Request, answer: Answer) -> None:
         if self.sheds is not None:
             self.sheds.answered(request, answer)
-        viewing = request.course.vw.name if request.course is not None else 0
-        more = {"server": answer.course.vw.server.name} if answer.kind is Kind.PLAYS and answer.course.vw.server else {}
+        viewing = request.front_session.viewing.name if request.front_session is not None else 0
+        more = (
+            {"server": answer.front_session.viewing.server.name}
+            if answer.kind is Kind.PLAYS and answer.front_session.viewing.server
+            else {}
+        )
         self.log.info(
             "answer",
             viewing=viewing,
--- a/curlewshift/front/http_listener.py
+++ b/curlewshift/front/http_listener.py
@@ -36,9 +36,9 @@
     """`permits` is None where anyone may ask."""
 
     def __init__(self, site: Site, log, permits: Permits | None = None):
-        self.way_back, self.log, self.permits = site.duties.way_back, log, permits
+        self.way_back, self.log, self.permits = site.obligations.way_back, log, permits
         self.published, self.ice_servers = site.published, site.ice_servers
-        self.desk: SessionCore | None = None
+        self.session_core: SessionCore | None = None
         self.now = None
         self.waiters: dict[Request, anyio.Event] = {}
         self.sessions = Sessions(self, log)
@@ -57,8 +57,8 @@
         if waiter is not None:
             waiter.set()
 
-    def rung_changed(self, course: FrontSession, rung: int) -> None:
-        self.sessions.rung_changed(course, rung)
+    def rung_changed(self, front_session: FrontSession, rung: int) -> None:
+        self.sessions.rung_changed(front_session, rung)
 
     def sweep(self) -> None:
         self.sessions.sweep()
@@ -107,7 +107,7 @@
             raise RequestError(405, "sessions are asked for by POST", [("allow", "OPTIONS, POST")])
         permit = self.permit(exchange)
         if permit is not None:
-            allow(permit, package, title, way == PUBLISHES, exchange.line.peer)
+            allow(permit, package, title, way == PUBLISHES, exchange.connection.peer)
         if self.admission is None:
             await self._taken(exchange, way, package, title, permit)
             return
@@ -122,7 +122,7 @@
     async def _admit(self, exchange: Exchange, permit: Permit | None, package: str) -> Ticket:
         """A place for this request, perhaps after a wait. Raises `RequestError` with advice if there is none."""
         ticket = self.admission.asked(
-            exchange.line.peer,
+            exchange.connection.peer,
             permit.holder if permit else None,
             exchange.headers.get("user-agent", "").partition(" ")[0][:64],
             package,
@@ -135,9 +135,9 @@
                 await told.wait()
             finally:
                 self.admitted.pop(ticket, None)
-                if ticket.state == "waiting" or exchange.line.gone:
+                if ticket.state == "waiting" or exchange.connection.gone:
                     self.admission.gave_up(ticket, self.now())
-            if exchange.line.gone:
+            if exchange.connection.gone:
                 raise PeerDisconnected
         if ticket.state == "no":
             # RFC 6585, 4 for who asks too much; whoever only came at a full time is refused as ever
@@ -155,7 +155,7 @@
         """Whether it plays."""
         if exchange.headers.get("content-type", "").partition(";")[0].strip().lower() != SDP:
             raise RequestError(415, f"sessions are asked for with an offer of type {SDP}", [("accept-post", SDP)])
-        if package in self.desk.packages and (package in self.published) != (way == PUBLISHES):
+        if package in self.session_core.packages and (package in self.published) != (way == PUBLISHES):
             other = PUBLISHES if way == PLAYS else PLAYS
             raise RequestError(404, f"package {package!r} is asked for at /{other}/")
         offer = self._offer(exchange, way)
@@ -168,7 +168,7 @@
         mine = f"{permit.holder if permit else ''}\n{f'key {key}' if key else f'offer {way} {offer.identity}'}"
         self.names += 1
         who = self._shed(exchange, package, title, permit, mine)
-        request = self.desk.asked(
+        request = self.session_core.asked(
             name or f"r{self.names}", package, title, self._ceiling(exchange), self._patience(exchange, package), mine, offer
         )
         if who:
@@ -183,7 +183,7 @@
             return ""
         called = exchange.headers.get("x-viewing", "")[:MOST_NAME]
         who = f"{permit.holder if permit else ''} {called or ('' if permit else key)}"
-        if not self.desk.draining and not self.desk.knows(key):
+        if not self.session_core.draining and not self.session_core.knows(key):
             wait = self.sheds.asked(package, title, who)
             if wait:
                 raise RequestError(
@@ -211,7 +211,7 @@
 
     def _patience(self, exchange: Exchange, package: str) -> int:
         """What the viewer says by `Prefer: wait` (RFC 7240, 4.3; s), or the package's, less the way back."""
-        pack = self.desk.packages.get(package)
+        pack = self.session_core.packages.get(package)
         if pack is None:
             return 0
         said = WAIT.search(exchange.headers.get("prefer", ""))
@@ -223,7 +223,7 @@
             waiter = self.waiters[request] = anyio.Event()
 
             def gone() -> None:
-                self.desk.hung_up(request)
+                self.session_core.hung_up(request)
                 self.answer(request, None)
 
             exchange.on_hang_up(gone)
@@ -231,7 +231,7 @@
                 await waiter.wait()
             finally:
                 # whatever ended the wait, nothing is owed to this request any more
-                self.desk.hung_up(request)
+                self.session_core.hung_up(request)
                 self.waiters.pop(request, None)
         if request.answer is None:
             raise PeerDisconnected
@@ -239,7 +239,7 @@
 
     async def write(self, exchange: Exchange, answer: Answer, permit: Permit | None = None) -> None:
         if answer.kind is Kind.PLAYS:
-            await self._write_plays(exchange, answer.course, permit)
+            await self._write_plays(exchange, answer.front_session, permit)
         elif answer.kind is Kind.REFUSED:
             # whole seconds, rounded up: never sooner than advised
             wait = [("retry-after", str(-(-answer.wait // NS)))] if answer.wait else []
@@ -247,14 +247,14 @@
         else:
             await exchange.problem(502, answer.cause)
 
-    async def _write_plays(self, exchange: Exchange, course: FrontSession, permit: Permit | None) -> None:
-        path = self.sessions.path_of(course, permit)
-        etag = [("etag", course.session.etag)] if course.session.etag else []
+    async def _write_plays(self, exchange: Exchange, front_session: FrontSession, permit: Permit | None) -> None:
+        path = self.sessions.path_of(front_session, permit)
+        etag = [("etag", front_session.session.etag)] if front_session.session.etag else []
         links = [("link", f'<{path}/layer>; rel="{LAYERS}"'), ("link", f'<{path}/events>; rel="{EVENTS}"')]
         await exchange.answer(
             201,
             [("content-type", SDP), ("location", path), ("accept-patch", PATCHES), *etag, *links, *self._ice()],
-            course.session.answer.encode(),
+            front_session.session.answer.encode(),
         )
 
     def _ice(self) -> list[tuple[str, str]]:
--- a/curlewshift/front/in_service.py
+++ b/curlewshift/front/in_service.py
@@ -15,7 +15,7 @@
 from curlewshift.site.site import Site
 
 # Fields of Site that stand for what is in force where nothing else holds them; the packages' objects stay what they are.
-STANDS = ("duties", "most_waiting", "ice_servers", "limits", "machines", "titles", "uplinks", "overload")
+STANDS = ("obligations", "most_waiting", "ice_servers", "limits", "machines", "titles", "uplinks", "overload")
 
 
 class Swap:
@@ -52,20 +52,20 @@
 
 def in_service(front, new: Site, swap: Swap) -> None:
     """All that changes when `new` comes into force at the running front, as steps of the swap; nothing changes here."""
-    site, desk, rules, duties = front.site, front.desk, front.desk.rules, new.duties
+    site, session_core, rules, obligations = front.site, front.session_core, front.session_core.rules, new.obligations
     for before, after in zip(site.packages, new.packages):
         for name in OF_PACKAGES:
             swap.set(before, name, getattr(after, name))
-    swap.set(front.door, "way_back", duties.way_back)
+    swap.set(front.door, "way_back", obligations.way_back)
     swap.set(front.door, "ice_servers", new.ice_servers)
-    swap.set(desk, "longest_wait", duties.longest_wait)
-    swap.set(desk, "most_waiting", new.most_waiting)
+    swap.set(session_core, "longest_wait", obligations.longest_wait)
+    swap.set(session_core, "most_waiting", new.most_waiting)
     for name, value in (
-        ("wait", min(COME_BACK, duties.longest_wait)),
-        ("max_tune_ins", duties.most_tune_ins),
-        ("free_further", inf if duties.free_further is None else duties.free_further),
-        ("further_share", duties.further_share),
-        ("look_back", duties.look_back),
+        ("wait", min(COME_BACK, obligations.longest_wait)),
+        ("max_tune_ins", obligations.most_tune_ins),
+        ("free_further", inf if obligations.free_further is None else obligations.free_further),
+        ("further_share", obligations.further_share),
+        ("look_back", obligations.look_back),
     ):
         swap.set(rules, name, value)
     if new.limits is not None:
@@ -74,10 +74,15 @@
         overload = front.sheds.overload
         for held in (overload, overload.advice, overload.again):
             swap.set(held, "terms", new.overload)
-    swap.set(desk.roster, "uplinks", new.uplinks)
-    for rack in desk.roster.racks.values():
+    swap.set(session_core.server_list, "uplinks", new.uplinks)
+    for rack in session_core.server_list.racks.values():
         swap.set(rack.link, "size", new.uplinks.get(rack.name, inf))
-    _catalogue(desk.roster, new.titles, {vw.title for vw in desk.courses if not vw.playing}, swap)
+    _catalogue(
+        session_core.server_list,
+        new.titles,
+        {viewing.title for viewing in session_core.front_sessions if not viewing.playing},
+        swap,
+    )
     for name in STANDS:
         swap.set(site, name, getattr(new, name))
 
@@ -102,16 +107,16 @@
     swap.set(admission.concurrency, "limit", min(admission.concurrency.limit, most))
 
 
-def _catalogue(roster: ServerList, titles: dict[str, tuple[str, ...]], waited_for: set[str], swap: Swap) -> None:
+def _catalogue(server_list: ServerList, titles: dict[str, tuple[str, ...]], waited_for: set[str], swap: Swap) -> None:
     """A title that is gone is not found by new requests; those that wait for it go on with its holders, as they are told of
     by the list. One that plays plays on."""
     on_shelf: dict[str, list[Title]] = {}
     servers_on: dict[str, list] = {}
-    for server, shelf in roster.shelf_of.items():
+    for server, shelf in server_list.shelf_of.items():
         servers_on.setdefault(shelf, []).append(server)
     new: dict[str, Title] = {}
     for name, shelves in titles.items():
-        title, shelves = roster.titles.get(name), tuple(shelves)
+        title, shelves = server_list.titles.get(name), tuple(shelves)
         if title is None or title.shelves != shelves:
             holders = [server for shelf in dict.fromkeys(shelves) for server in servers_on.get(shelf, ())]
             if title is None:
@@ -122,9 +127,9 @@
         new[name] = title
         for shelf in dict.fromkeys(shelves):
             on_shelf.setdefault(shelf, []).append(title)
-    for name, title in roster.titles.items():
+    for name, title in server_list.titles.items():
         if name not in new and name in waited_for:
             for shelf in dict.fromkeys(title.shelves):
                 on_shelf.setdefault(shelf, []).append(title)
-    swap.set(roster, "titles", new)
-    swap.set(roster, "on_shelf", on_shelf)
+    swap.set(server_list, "titles", new)
+    swap.set(server_list, "on_shelf", on_shelf)
--- a/curlewshift/front/led.py
+++ b/curlewshift/front/led.py
@@ -28,6 +28,6 @@
             self.stops_in_act = False
             os.kill(os.getpid(), signal.SIGSTOP)
         if self.lost:
-            self.desk.probed(server, Outcome.UNREACHED)
+            self.session_core.probed(server, Outcome.UNREACHED)
         else:
             await super()._probe(server, fence, found)
--- a/curlewshift/front/planted_faults.py
+++ b/curlewshift/front/planted_faults.py
@@ -55,7 +55,7 @@
         await super().write(exchange, answer, permit)
         self.count += 1
         if not self.count % EVERY:
-            await exchange.line.stream.send(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")
+            await exchange.connection.stream.send(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")
 
 
 class AnswerTwice(Front):
@@ -67,10 +67,10 @@
 class ResendPaid(Rules):
     """Takes every failed set-up for one that never ran."""
 
-    def ended(self, vw, outcome, closed):
-        if not closed and not vw.playing and not vw.over and outcome not in NEVER_RAN:
+    def ended(self, viewing, outcome, closed):
+        if not closed and not viewing.playing and not viewing.over and outcome not in NEVER_RAN:
             outcome = Outcome.UNREACHED
-        super().ended(vw, outcome, closed)
+        super().ended(viewing, outcome, closed)
 
 
 class IgnoreDrain(Rules):
@@ -108,8 +108,8 @@
     def _may_send(self, server):
         return server.open
 
-    def _room(self, server, rate=0.0, bound=3.09, vw=None):
-        room = super()._room(server, rate, bound, vw)
+    def _room(self, server, rate=0.0, bound=3.09, viewing=None):
+        room = super()._room(server, rate, bound, viewing)
         return 1e9 if self.host.now() < server.cold_until and room > 0 else room
 
 
@@ -121,7 +121,7 @@
         super().__init__(site, *args, **how)
 
     def tune_in(self, tune_in):
-        tune_in.rung = 0 if tune_in.number == 1 and tune_in.course.vw.name % EVERY == 0 else tune_in.rung
+        tune_in.rung = 0 if tune_in.number == 1 and tune_in.front_session.viewing.name % EVERY == 0 else tune_in.rung
         super().tune_in(tune_in)
 
 
@@ -137,11 +137,11 @@
     """Knows of no budget for further tune-ins, and sends them freely."""
 
     @property
-    def reach_class(self):
+    def server_pool_class(self):
         return WastefulServerPool
 
     def __init__(self, site, *args, **how):
-        site.duties = replace(site.duties, free_further=None, most_tune_ins=50)
+        site.obligations = replace(site.obligations, free_further=None, most_tune_ins=50)
         super().__init__(site, *args, **how)
 
 
@@ -152,8 +152,8 @@
 
     def _judge(self, tune_in, answered):
         self.count += 1
-        if answered.status == 201 and not tune_in.course.vw.package.paid_at_setup and self.count % 2:
-            self.desk.failed(tune_in, Outcome.FULL)
+        if answered.status == 201 and not tune_in.front_session.viewing.package.paid_at_setup and self.count % 2:
+            self.session_core.failed(tune_in, Outcome.FULL)
         else:
             super()._judge(tune_in, answered)
 
@@ -165,14 +165,14 @@
 
     async def _ask(self, tune_in, call, request):
         self.count += 1
-        others = [server for server in tune_in.course.vw.holders if server is not tune_in.server and server.open]
+        others = [server for server in tune_in.front_session.viewing.holders if server is not tune_in.server and server.open]
         if others and not self.count % 3:
-            offer, vw = tune_in.course.offer, tune_in.course.vw
+            offer, viewing = tune_in.front_session.offer, tune_in.front_session.viewing
             self.tasks.start_soon(
                 self._call,
                 others[0],
                 "POST",
-                f"/{offer.way}/{vw.package.name}/{vw.title}?layer={tune_in.rung}",
+                f"/{offer.way}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
                 [("content-type", "application/sdp"), ("x-request-id", request), ("x-tune-in", str(tune_in.number + 1))],
                 offer.text.encode(),
             )
@@ -180,7 +180,7 @@
 
 
 class DoubleTuneIn(Front):
-    reach_class = DoubleServerPool
+    server_pool_class = DoubleServerPool
 
 
 class LostTeardown(SessionCore):
@@ -188,7 +188,7 @@
 
     def __init__(self, *args, **how):
         super().__init__(*args, **how)
-        self.endings.end = lambda server, session: None
+        self.session_ends.end = lambda server, session: None
 
 
 class LeaveOrphans(Front):
@@ -230,11 +230,11 @@
     return Spoilt
 
 
-def leasing(asker: type[LeaseProposer] = LeaseProposer, keeper: type[LeaseAcceptor] = LeaseAcceptor) -> type[Front]:
+def leasing(proposer: type[LeaseProposer] = LeaseProposer, acceptor: type[LeaseAcceptor] = LeaseAcceptor) -> type[Front]:
     """A front with this asker and this keeper of leases."""
 
     class Wire(LeaseWire):
-        asker_class, keeper_class = asker, keeper
+        proposer_class, acceptor_class = proposer, acceptor
 
     class Holder(Front):
         leased_class = Wire
@@ -289,14 +289,14 @@
         "lose-answer": lambda: LoseAnswer(*args, **how),
         "answer-twice": lambda: AnswerTwice(*args, **how),
         "resend-paid": lambda: Front(*args, **how, rules=ResendPaid),
-        "ignore-drain": lambda: Front(*args, **how, desk=SessionCoreIgnoringLeavers, rules=IgnoreDrain),
-        "deaf-to-leaving": lambda: Front(*args, **how, desk=DeafSessionCore),
+        "ignore-drain": lambda: Front(*args, **how, session_core=SessionCoreIgnoringLeavers, rules=IgnoreDrain),
+        "deaf-to-leaving": lambda: Front(*args, **how, session_core=DeafSessionCore),
         "push-cold": lambda: Front(*args, **how, rules=PushCold),
         "under-floor": lambda: UnderFloor(*args, **how),
         "over-seats": lambda: OverSeats(*args, **how),
         "overspend-budget": lambda: Overspend(*args, **how),
         "double-tune-in": lambda: DoubleTuneIn(*args, **how),
-        "lost-teardown": lambda: Front(*args, **how, desk=LostTeardown),
+        "lost-teardown": lambda: Front(*args, **how, session_core=LostTeardown),
         "leave-orphans": lambda: LeaveOrphans(*args, **how),
         "deaf-incarnation": lambda: wired(DeafIncarnation)(*args, **how),
         "old-life-taken": lambda: wired(OldLifeTaken)(*args, **how),
--- a/curlewshift/front/server_pool.py
+++ b/curlewshift/front/server_pool.py
@@ -99,7 +99,7 @@
 
     def __init__(
         self,
-        desk: SessionCore,
+        session_core: SessionCore,
         tasks: TaskGroup,
         name: str,
         most_connections: int,
@@ -109,7 +109,7 @@
         journal: Journal | None = None,
         wall=None,
     ):
-        self.desk, self.tasks, self.name, self.log = desk, tasks, name, log
+        self.session_core, self.tasks, self.name, self.log = session_core, tasks, name, log
         self.most_connections, self.tls = most_connections, tls
         # what is to be known after a kill; without a state folder nothing is
         self.intents, self.journal, self.wall = intents, journal, wall
@@ -122,7 +122,9 @@
 
     def tune_in(self, tune_in: TuneIn) -> None:
         out = self.out[tune_in] = Out(anyio.CancelScope())
-        request = tune_in.course.requests[0].name if tune_in.course.requests else str(tune_in.course.vw.name)
+        request = (
+            tune_in.front_session.requests[0].name if tune_in.front_session.requests else str(tune_in.front_session.viewing.name)
+        )
         self.tasks.start_soon(self._tune_in, tune_in, out, request)
 
     def withdraw(self, tune_in: TuneIn) -> bool:
@@ -135,8 +137,8 @@
         # The server sees that nobody waits; an answer that is on its way already is still read, as the session that
         # it tells of has to be ended.
         out.call.say_no_more()
-        vw = tune_in.course.vw
-        vw.unconfirmed = {*vw.unconfirmed, tune_in.server}
+        viewing = tune_in.front_session.viewing
+        viewing.unconfirmed = {*viewing.unconfirmed, tune_in.server}
         out.scope.deadline = anyio.current_time() + LATE_ANSWER
         return True
 
@@ -147,8 +149,8 @@
             with out.scope:
                 try:
                     # a kept connection may end under the request, which proves nothing: not for what is paid
-                    fresh = tune_in.course.vw.package.paid_at_setup
-                    call = out.call = await self._connection(server, (tune_in.until - self.desk.now()) / NS, fresh)
+                    fresh = tune_in.front_session.viewing.package.paid_at_setup
+                    call = out.call = await self._connection(server, (tune_in.until - self.session_core.now()) / NS, fresh)
                     await self._after_earlier(tune_in)
                     ended = await self._ready(tune_in)
                     if ended is not None:
@@ -162,16 +164,16 @@
                     self._end(tune_in, Outcome.UNREACHED)
                 except ConnectionBroken as wrong:
                     self.log.info("broke", server=server.name, viewing=request, cause=str(wrong))
-                    self.desk.failed(tune_in, Outcome.BROKEN)
+                    self.session_core.failed(tune_in, Outcome.BROKEN)
                 except Exception as fault:
                     # one tune-in that goes wrong in a way on no list must not end the front
                     self.log.error("fault", viewing=request, server=server.name, cause=repr(fault), exc_info=fault)
-                    self.desk.failed(tune_in, Outcome.BROKEN)
+                    self.session_core.failed(tune_in, Outcome.BROKEN)
         finally:
             del self.out[tune_in]
             out.over.set()
-            vw = tune_in.course.vw
-            vw.unconfirmed = {one for one in vw.unconfirmed if one is not server}
+            viewing = tune_in.front_session.viewing
+            viewing.unconfirmed = {one for one in viewing.unconfirmed if one is not server}
             if out.call is not None and not kept:
                 with anyio.CancelScope(shield=True):
                     await self._drop(server, out.call)
@@ -179,7 +181,7 @@
     async def _after_earlier(self, tune_in: TuneIn) -> None:
         """Two connections order nothing: the server may see the end of an earlier attempt after the beginning of this one."""
         for other, out in list(self.out.items()):
-            if other is not tune_in and other.course is tune_in.course and other.server is tune_in.server:
+            if other is not tune_in and other.front_session is tune_in.front_session and other.server is tune_in.server:
                 await out.over.wait()
 
     async def _connection(self, server: Server, within: float, fresh: bool = False) -> HttpClientConnection:
@@ -200,14 +202,14 @@
             raise
 
     async def _ask(self, tune_in: TuneIn, call: HttpClientConnection, request: str) -> HttpResponse:
-        vw = tune_in.course.vw
-        offer = tune_in.course.offer
-        held = tune_in.course.held
+        viewing = tune_in.front_session.viewing
+        offer = tune_in.front_session.offer
+        held = tune_in.front_session.held
         # by this a session is known again whose answer a killed front never got
-        mark = [("x-viewing", doubt_mark(held.key))] if held is not None and vw.package.paid_at_setup else []
+        mark = [("x-viewing", doubt_mark(held.key))] if held is not None and viewing.package.paid_at_setup else []
         return await call.ask(
             "POST",
-            f"/{offer.way}/{vw.package.name}/{vw.title}?layer={tune_in.rung}",
+            f"/{offer.way}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
             [("content-type", SDP), ("x-request-id", request), ("x-front", self.name), ("x-tune-in", str(tune_in.number)), *mark],
             offer.text.encode() if offer else b"",
         )
@@ -219,9 +221,9 @@
                 answered.headers["location"],
                 answered.body.decode("utf-8", "replace"),
                 answered.headers.get("etag", ""),
-                tune_in.course.offer.ufrag,
+                tune_in.front_session.offer.ufrag,
             )
-            self.desk.played(tune_in, session, report)
+            self.session_core.played(tune_in, session, report)
             return
         # A redirect has done nothing (RFC 9110, 15.4). It is not followed: where it points may be draining or cold,
         # and only the rules know; they pick again, as they do for a server that is full.
@@ -231,9 +233,9 @@
     async def _ready(self, tune_in: TuneIn) -> Outcome | None:
         """Takes the steps before the first byte, with nothing awaited after the last look; how the tune-in ended, if it does not
         go out."""
-        until = self.wall() + max(0, tune_in.course.vw.expires - self.desk.now())
+        until = self.wall() + max(0, tune_in.front_session.viewing.expires - self.session_core.now())
         intent = intent_of(tune_in, until) if self.journal is not None else None
-        steps = self.steps(self.desk, tune_in, self.intents, intent)
+        steps = self.steps(self.session_core, tune_in, self.intents, intent)
         try:
             what, record = next(steps)
             while what != SEND:
@@ -248,16 +250,16 @@
             return ended.value
         # All who asked may have left while a connection was made or the disk was slow. It is not withdrawn when they leave, as
         # one who comes again with its key finds it on its way; but nothing begins for nobody.
-        return None if tune_in.course.waiting else Outcome.UNSENT
+        return None if tune_in.front_session.waiting else Outcome.UNSENT
 
     def _end(self, tune_in: TuneIn, outcome: Outcome, report: dict[str, float] | None = None) -> None:
         """Not flushed: a lost end makes the answer after a kill more careful than it need be, and no more."""
-        held = tune_in.course.held
-        if self.journal is not None and held is not None and tune_in.course.vw.package.paid_at_setup:
+        held = tune_in.front_session.held
+        if self.journal is not None and held is not None and tune_in.front_session.viewing.package.paid_at_setup:
             record = self.intents.ended(held.key, outcome)
             if record is not None:
                 self.tasks.start_soon(self._note, record)
-        self.desk.failed(tune_in, outcome, report)
+        self.session_core.failed(tune_in, outcome, report)
 
     async def _note(self, record: list) -> None:
         try:
@@ -301,19 +303,19 @@
 
     # ---- what no viewer waits for
 
-    def tell(self, errand: ServerCommand) -> None:
-        vw = errand.course.vw
-        self.tasks.start_soon(self._tell, errand, vw.server, errand.course.session)
+    def tell(self, command: ServerCommand) -> None:
+        viewing = command.front_session.viewing
+        self.tasks.start_soon(self._tell, command, viewing.server, command.front_session.session)
 
-    async def _tell(self, errand: ServerCommand, server: Server, session: Session) -> None:
-        if errand.rung is not None:
-            answered = await self._call(server, "POST", session.path + "/layer", JSON, encode(LayerChoice(str(errand.rung))))
+    async def _tell(self, command: ServerCommand, server: Server, session: Session) -> None:
+        if command.rung is not None:
+            answered = await self._call(server, "POST", session.path + "/layer", JSON, encode(LayerChoice(str(command.rung))))
         else:
-            patch: Patch = errand.patch
+            patch: Patch = command.patch
             restarts = patch.fragment.restarts(session.ufrag)
             status = refusal(patch.if_match, session.etag, restarts)
             if status is not None:
-                self.desk.told_server(errand, Result.REFUSED, _own_words(status, session))
+                self.session_core.told_server(command, Result.REFUSED, _own_words(status, session))
                 return
             answered = await self._call(
                 server, "PATCH", session.path, [("content-type", FRAGMENT), ("if-match", patch.if_match)], patch.body
@@ -322,18 +324,18 @@
                 session.etag = answered.headers.get("etag", session.etag)
                 session.ufrag = patch.fragment.ufrag
         if answered is None or answered.status >= 500:
-            self.desk.told_server(errand, Result.UNANSWERED)
+            self.session_core.told_server(command, Result.UNANSWERED)
             return
         kept = [(name, answered.headers[name]) for name in ("content-type", "etag") if name in answered.headers]
         done = Result.DONE if answered.status < 300 else Result.REFUSED
-        self.desk.told_server(errand, done, Reply(answered.status, kept, answered.body))
+        self.session_core.told_server(command, done, Reply(answered.status, kept, answered.body))
 
-    def end_session(self, ending: SessionEnd) -> None:
-        self.tasks.start_soon(self._end_session, ending)
+    def end_session(self, session_end: SessionEnd) -> None:
+        self.tasks.start_soon(self._end_session, session_end)
 
-    async def _end_session(self, ending: SessionEnd) -> None:
-        answered = await self._call(ending.server, "DELETE", ending.session.path)
-        self.desk.session_ended(ending, answered is not None and answered.status < 500)
+    async def _end_session(self, session_end: SessionEnd) -> None:
+        answered = await self._call(session_end.server, "DELETE", session_end.session.path)
+        self.session_core.session_ended(session_end, answered is not None and answered.status < 500)
 
     def probe(self, server: Server, fence: str = "", found=None) -> None:
         """`fence` is lease and number where it is asked for all fronts; a server that knows a higher one refuses it, and what
@@ -345,17 +347,17 @@
         try:
             answered = await ask(*host_port(server.name), "GET", "/load", headers, within=PATIENT, tls=self.tls)
         except RequestNotSent:
-            self.desk.probed(server, Outcome.UNREACHED)
+            self.session_core.probed(server, Outcome.UNREACHED)
         except ConnectionBroken:
-            self.desk.probed(server, Outcome.BROKEN)
+            self.session_core.probed(server, Outcome.BROKEN)
         except TimeoutError:
-            self.desk.probed(server, Outcome.SILENT)
+            self.session_core.probed(server, Outcome.SILENT)
         else:
             if answered.status == 412:
                 self.log.warning("fenced", server=server.name, cause=f"a later holder than {fence} has acted there")
                 return
             well, report = answered.status < 300, decode_load(answered.headers.get(HEADER, ""))
-            self.desk.probed(server, Outcome.PLAYED if well else Outcome.ERROR, report)
+            self.session_core.probed(server, Outcome.PLAYED if well else Outcome.ERROR, report)
             if well and found is not None:
                 found(server, report)
 
--- a/curlewshift/front/session_writer.py
+++ b/curlewshift/front/session_writer.py
@@ -25,9 +25,11 @@
 
     # ---- what happens
 
-    def began(self, token: str, holder: str | None, course: FrontSession) -> None:
-        session = course.session
-        self._note(self.book.began(remembered(course, token, holder, session.path, session.etag, session.ufrag, session.answer)))
+    def began(self, token: str, holder: str | None, front_session: FrontSession) -> None:
+        session = front_session.session
+        self._note(
+            self.book.began(remembered(front_session, token, holder, session.path, session.etag, session.ufrag, session.answer))
+        )
 
     def changed(self, token: str, **values: object) -> None:
         for what, value in values.items():
--- a/curlewshift/front/sessions.py
+++ b/curlewshift/front/sessions.py
@@ -50,7 +50,7 @@
 class Held:
     """One session at the door. `streams` are its event streams by name: the kinds wanted and what has changed."""
 
-    course: FrontSession
+    front_session: FrontSession
     token: str
     holder: str | None
     streams: dict[str, frozenset[str]] = field(default_factory=dict)
@@ -61,25 +61,25 @@
     def __init__(self, door, log):
         self.door, self.log = door, log
         self.by_token: dict[str, Held] = {}
-        self.by_course: dict[FrontSession, Held] = {}
+        self.by_front_session: dict[FrontSession, Held] = {}
         # writes down what has to be known after a kill; None where nothing is kept
         self.keeper = None
 
-    def path_of(self, course: FrontSession, permit: Permit | None) -> str:
-        held = self.by_course.get(course)
+    def path_of(self, front_session: FrontSession, permit: Permit | None) -> str:
+        held = self.by_front_session.get(front_session)
         if held is None:
-            held = Held(course, secrets.token_urlsafe(16), permit.holder if permit else None)
-            self.by_course[course] = self.by_token[held.token] = held
+            held = Held(front_session, secrets.token_urlsafe(16), permit.holder if permit else None)
+            self.by_front_session[front_session] = self.by_token[held.token] = held
             if self.keeper is not None:
-                self.keeper.began(held.token, held.holder, course)
+                self.keeper.began(held.token, held.holder, front_session)
         return f"/session/{held.token}"
 
-    def take_up(self, course: FrontSession, token: str, holder: str | None) -> None:
+    def take_up(self, front_session: FrontSession, token: str, holder: str | None) -> None:
         """A session of an earlier life goes on at the address that its client has."""
-        self.by_course[course] = self.by_token[token] = Held(course, token, holder)
+        self.by_front_session[front_session] = self.by_token[token] = Held(front_session, token, holder)
 
-    def rung_changed(self, course: FrontSession, rung: int) -> None:
-        held = self.by_course.get(course)
+    def rung_changed(self, front_session: FrontSession, rung: int) -> None:
+        held = self.by_front_session.get(front_session)
         if held is not None:
             if self.keeper is not None:
                 self.keeper.changed(held.token, rung=rung)
@@ -88,9 +88,9 @@
 
     def sweep(self) -> None:
         """Forgets sessions that have ended; their event streams end with a last word."""
-        for course, held in list(self.by_course.items()):
-            if course.vw not in self.door.desk.courses:
-                del self.by_course[course], self.by_token[held.token]
+        for front_session, held in list(self.by_front_session.items()):
+            if front_session.viewing not in self.door.session_core.front_sessions:
+                del self.by_front_session[front_session], self.by_token[held.token]
                 held.changed.set()
                 if self.keeper is not None:
                     self.keeper.ended(held.token)
@@ -103,13 +103,13 @@
             return
         permit = self.door.permit(exchange)
         held = self.by_token.get(token)
-        if held is None or not held.course.vw.playing:
+        if held is None or not held.front_session.viewing.playing:
             raise RequestError(404, "there is no such session here")
         if permit is not None and permit.holder != held.holder:
             raise PermitDenied(403, "insufficient_scope", "the session is another's")
         if not rest and exchange.method == "DELETE":
-            self.log.info("closed", viewing=held.course.vw.name, cause="the viewer ended it")
-            self.door.desk.closed(held.course)
+            self.log.info("closed", viewing=held.front_session.viewing.name, cause="the viewer ended it")
+            self.door.session_core.closed(held.front_session)
             await exchange.answer(200)
         elif not rest and exchange.method == "PATCH":
             await self._patch(exchange, held)
@@ -135,28 +135,28 @@
         except InvalidDescription as wrong:
             raise RequestError(400, f"the fragment: {wrong}") from None
         ended = anyio.Event()
-        errands: list[ServerCommand] = []
+        commands: list[ServerCommand] = []
 
-        def told(errand: ServerCommand) -> None:
-            errands.append(errand)
+        def told(command: ServerCommand) -> None:
+            commands.append(command)
             if self.keeper is not None:
-                self.keeper.changed(held.token, etag=held.course.session.etag, ufrag=held.course.session.ufrag)
+                self.keeper.changed(held.token, etag=held.front_session.session.etag, ufrag=held.front_session.session.ufrag)
             ended.set()
 
         exchange.on_hang_up(ended.set)
-        self.door.desk.patched(held.course, Patch(exchange.body, fragment, exchange.headers.get("if-match")), told)
+        self.door.session_core.patched(held.front_session, Patch(exchange.body, fragment, exchange.headers.get("if-match")), told)
         with anyio.move_on_after(PATCH_WITHIN):
             await ended.wait()
-        if exchange.line.gone:
+        if exchange.connection.gone:
             raise PeerDisconnected
-        await self._patched(exchange, errands[0] if errands else None)
+        await self._patched(exchange, commands[0] if commands else None)
 
-    async def _patched(self, exchange: Exchange, errand: ServerCommand | None) -> None:
-        if errand is not None and errand.reply is not None:
-            await exchange.answer(errand.reply.status, errand.reply.headers, errand.reply.body)
-        elif errand is not None and errand.result is Result.OVER:
+    async def _patched(self, exchange: Exchange, command: ServerCommand | None) -> None:
+        if command is not None and command.reply is not None:
+            await exchange.answer(command.reply.status, command.reply.headers, command.reply.body)
+        elif command is not None and command.result is Result.OVER:
             raise RequestError(404, "the session has ended")
-        elif errand is not None and errand.result is Result.CROWDED:
+        elif command is not None and command.result is Result.CROWDED:
             raise RequestError(503, "too many changes of this session wait", [("retry-after", "1")])
         else:
             raise RequestError(504, "the server of this session did not answer; the change may have been taken all the same")
@@ -168,9 +168,9 @@
             raise RequestError(400, str(wrong)) from None
         if not rung.isascii() or not rung.isdigit() or len(rung) > 3:
             raise RequestError(400, f"encodingId has to be the number of a rung, got {rung[:20]!r}")
-        self.door.desk.ceiling_told(held.course, int(rung))
+        self.door.session_core.ceiling_told(held.front_session, int(rung))
         if self.keeper is not None:
-            self.keeper.changed(held.token, ceiling=held.course.vw.ceiling)
+            self.keeper.changed(held.token, ceiling=held.front_session.viewing.ceiling)
         await exchange.answer(204)
 
     # ---- server-sent events
@@ -199,16 +199,16 @@
             held.streams.pop(name, None)
 
     async def _tell(self, exchange: Exchange, held: Held, kinds: frozenset[str], piece) -> None:
-        told, vw = None, held.course.vw
-        while not exchange.line.gone:
+        told, viewing = None, held.front_session.viewing
+        while not exchange.connection.gone:
             changed = held.changed
-            if not vw.playing:
+            if not viewing.playing:
                 if "inactive" in kinds:
                     await piece(encode_event(Event("inactive", "{}")))
                 return
-            if "layers" in kinds and vw.rung != told:
-                told = vw.rung
-                await piece(encode_event(Event("layers", layers(vw.package.rates, vw.ceiling, told))))
+            if "layers" in kinds and viewing.rung != told:
+                told = viewing.rung
+                await piece(encode_event(Event("layers", layers(viewing.package.rates, viewing.ceiling, told))))
             with anyio.move_on_after(ALIVE_EVERY) as quiet:
                 await changed.wait()
             if quiet.cancelled_caught:
--- a/curlewshift/leases/acceptor.py
+++ b/curlewshift/leases/acceptor.py
@@ -19,9 +19,9 @@
 
 class Driver(Protocol):
     def now(self) -> int: ...
-    def promise(self, asker: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None: ...
-    def accept(self, asker: int, lease: str, ballot: Ballot) -> None: ...
-    def outbid(self, asker: int, lease: str, ballot: Ballot, by: Ballot) -> None: ...
+    def promise(self, proposer: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None: ...
+    def accept(self, proposer: int, lease: str, ballot: Ballot) -> None: ...
+    def outbid(self, proposer: int, lease: str, ballot: Ballot, by: Ballot) -> None: ...
 
 
 @dataclass(slots=True)
@@ -36,9 +36,9 @@
 
 
 class LeaseAcceptor:
-    def __init__(self, outside: Driver, terms: LeaseTerms):
-        self.outside, self.terms = outside, terms
-        self.steady = SteadyClock(outside.now(), terms.every)
+    def __init__(self, driver: Driver, terms: LeaseTerms):
+        self.driver, self.terms = driver, terms
+        self.steady = SteadyClock(driver.now(), terms.every)
         self.steady.due = self.steady.last + terms.every
         self.silent_until = self.steady.last + terms.kept
         self.leases: dict[str, AcceptedLease] = {}
@@ -50,32 +50,32 @@
     def silent(self) -> bool:
         return self._now() < self.silent_until
 
-    def prepare(self, asker: int, lease: str, ballot: Ballot) -> None:
+    def prepare(self, proposer: int, lease: str, ballot: Ballot) -> None:
         """An asker wants to know who holds, and that no lower ballot comes through here any more."""
         now = self._now()
-        kept = self._heard(asker, lease, ballot, now)
+        kept = self._heard(proposer, lease, ballot, now)
         if kept is None:
             return
         kept.promised = ballot
         self._let_go(kept, now)
-        self.outside.promise(asker, lease, ballot, kept.holder, kept.accepted, kept.fence)
+        self.driver.promise(proposer, lease, ballot, kept.holder, kept.accepted, kept.fence)
 
-    def propose(self, asker: int, lease: str, ballot: Ballot, fence: int) -> None:
+    def propose(self, proposer: int, lease: str, ballot: Ballot, fence: int) -> None:
         now = self._now()
-        kept = self._heard(asker, lease, ballot, now)
+        kept = self._heard(proposer, lease, ballot, now)
         if kept is None:
             return
         kept.promised = kept.accepted = ballot
-        kept.holder, kept.until, kept.fence = asker, now + self.terms.kept, max(kept.fence, fence)
-        self.outside.accept(asker, lease, ballot)
+        kept.holder, kept.until, kept.fence = proposer, now + self.terms.kept, max(kept.fence, fence)
+        self.driver.accept(proposer, lease, ballot)
 
-    def released(self, asker: int, lease: str, ballot: Ballot) -> None:
+    def released(self, proposer: int, lease: str, ballot: Ballot) -> None:
         """The holder has stopped. A word on another ballot than the one held to changes nothing."""
         kept = self.leases.get(lease)
-        if kept is not None and kept.accepted == ballot and kept.holder == asker:
+        if kept is not None and kept.accepted == ballot and kept.holder == proposer:
             kept.accepted, kept.holder, kept.until = NONE, -1, 0
 
-    def _heard(self, asker: int, lease: str, ballot: Ballot, now: int) -> AcceptedLease | None:
+    def _heard(self, proposer: int, lease: str, ballot: Ballot, now: int) -> AcceptedLease | None:
         """What is kept of the lease; None if this word is not to be answered, or has been: a higher ballot came before it."""
         if now < self.silent_until:
             return None
@@ -83,7 +83,7 @@
         if kept is None and len(self.leases) < MOST:
             kept = self.leases[lease] = AcceptedLease()
         if kept is not None and ballot < kept.promised:
-            self.outside.outbid(asker, lease, ballot, kept.promised)
+            self.driver.outbid(proposer, lease, ballot, kept.promised)
             return None
         return kept
 
@@ -93,4 +93,4 @@
             kept.accepted, kept.holder, kept.until = NONE, -1, 0
 
     def _now(self) -> int:
-        return self.steady.read(self.outside.now())
+        return self.steady.read(self.driver.now())
--- a/curlewshift/leases/proposer.py
+++ b/curlewshift/leases/proposer.py
@@ -17,9 +17,9 @@
 class Driver(Protocol):
     def now(self) -> int: ...
     def wall(self) -> int: ...
-    def prepare(self, keeper: int, lease: str, ballot: Ballot) -> None: ...
-    def propose(self, keeper: int, lease: str, ballot: Ballot, fence: int) -> None: ...
-    def release(self, keeper: int, lease: str, ballot: Ballot) -> None: ...
+    def prepare(self, acceptor: int, lease: str, ballot: Ballot) -> None: ...
+    def propose(self, acceptor: int, lease: str, ballot: Ballot, fence: int) -> None: ...
+    def release(self, acceptor: int, lease: str, ballot: Ballot) -> None: ...
     def begins(self, lease: str, fence: int) -> None: ...
     def stops(self, lease: str, why: str) -> None: ...
 
@@ -45,15 +45,15 @@
 
 
 class LeaseProposer:
-    """`me` is this front's number, `life` its life; `keepers` are numbers of fronts."""
+    """`me` is this front's number, `life` its life; `acceptors` are numbers of fronts."""
 
-    def __init__(self, outside: Driver, me: int, life: int, keepers: list[int], terms: LeaseTerms, chance: Random):
-        self.outside, self.me, self.life, self.keepers, self.terms = outside, me, life, keepers, terms
-        self.chance = chance
-        self.majority = len(keepers) // 2 + 1
+    def __init__(self, driver: Driver, me: int, life: int, acceptors: list[int], terms: LeaseTerms, rng: Random):
+        self.driver, self.me, self.life, self.acceptors, self.terms = driver, me, life, acceptors, terms
+        self.rng = rng
+        self.majority = len(acceptors) // 2 + 1
         self.tries: dict[str, LeaseView] = {}
         self.count = 0
-        self.latest = outside.now()
+        self.latest = driver.now()
 
     # ---- what this front wants
 
@@ -71,8 +71,8 @@
         ballot = held.ballot
         if held.until:
             self._stop(lease, held, "given back")
-            for keeper in self.keepers:
-                self.outside.release(keeper, lease, ballot)
+            for acceptor in self.acceptors:
+                self.driver.release(acceptor, lease, ballot)
         held.asked_at = -1
 
     def may_act(self, lease: str) -> int:
@@ -100,13 +100,13 @@
 
     # ---- what comes in
 
-    def promise(self, keeper: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None:
+    def promise(self, acceptor: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None:
         """A keeper tells who holds as far as it knows (-1: nobody), by which ballot, and the highest number it has seen."""
         now = self._now()
         held = self.tries.get(lease)
         if held is None or held.ballot != ballot or held.asked_at < 0 or held.proposing:
             return
-        held.promised[keeper] = (holder, of)
+        held.promised[acceptor] = (holder, of)
         held.highest_fence = max(held.highest_fence, fence)
         if holder >= 0 and holder != self.me:
             held.holder = holder
@@ -115,12 +115,12 @@
         if len(free) >= self.majority:
             self._propose(lease, held, now)
 
-    def accepted(self, keeper: int, lease: str, ballot: Ballot) -> None:
+    def accepted(self, acceptor: int, lease: str, ballot: Ballot) -> None:
         now = self._now()
         held = self.tries.get(lease)
         if held is None or held.ballot != ballot or not held.proposing:
             return
-        held.accepted.add(keeper)
+        held.accepted.add(acceptor)
         if len(held.accepted) < self.majority:
             return
         until = held.proposed_at + self.terms.term
@@ -133,9 +133,9 @@
             return
         held.until, held.since, held.holder = until, held.proposed_at, self.me
         if begins:
-            self.outside.begins(lease, held.fence)
+            self.driver.begins(lease, held.fence)
 
-    def outbid(self, keeper: int, lease: str, ballot: Ballot, by: Ballot) -> None:
+    def outbid(self, acceptor: int, lease: str, ballot: Ballot, by: Ballot) -> None:
         """Another's ballot is higher: this one rests for a while by chance, or both go on outbidding each other."""
         self.count = max(self.count, by.count)
         held = self.tries.get(lease)
@@ -143,10 +143,10 @@
             if held.proposing and not held.until:
                 # who accepted it would keep it for a term against everyone, for a tenure that will never be: two that
                 # proposed at once left the lease without a holder for 2.7 terms
-                for one in self.keepers:
-                    self.outside.release(one, lease, ballot)
+                for one in self.acceptors:
+                    self.driver.release(one, lease, ballot)
             held.asked_at, held.proposing = -1, False
-            held.next_at = self._now() + int(self.terms.every * self.chance.uniform(0.25, 2))
+            held.next_at = self._now() + int(self.terms.every * self.rng.uniform(0.25, 2))
 
     # ---- the course of a try
 
@@ -156,21 +156,21 @@
         held.asked_at, held.proposing = now, False
         held.promised.clear()
         held.accepted.clear()
-        held.next_at = now + int(self.terms.every * self.chance.uniform(1, 3))
-        for keeper in self.keepers:
-            self.outside.prepare(keeper, lease, held.ballot)
+        held.next_at = now + int(self.terms.every * self.rng.uniform(1, 3))
+        for acceptor in self.acceptors:
+            self.driver.prepare(acceptor, lease, held.ballot)
 
     def _propose(self, lease: str, held: LeaseView, now: int) -> None:
         held.proposing, held.proposed_at, held.renews = True, now, held.until > now
         if not held.renews:
             # over restarts of all keepers nothing is remembered but the time of day
-            held.fence = max(held.highest_fence + 1, self.outside.wall() // 1_000_000)
-        for keeper in self.keepers:
-            self.outside.propose(keeper, lease, held.ballot, held.fence)
+            held.fence = max(held.highest_fence + 1, self.driver.wall() // 1_000_000)
+        for acceptor in self.acceptors:
+            self.driver.propose(acceptor, lease, held.ballot, held.fence)
 
     def _stop(self, lease: str, held: LeaseView, why: str) -> None:
         held.until = 0
-        self.outside.stops(lease, why)
+        self.driver.stops(lease, why)
 
     def give_up_all(self, why: str) -> None:
         for lease, held in self.tries.items():
@@ -179,7 +179,7 @@
                 self._stop(lease, held, why)
 
     def _now(self) -> int:
-        now = self.outside.now()
+        now = self.driver.now()
         if now < self.latest:
             # how long it really was nobody knows
             self.latest = now
--- a/curlewshift/limits/admission.py
+++ b/curlewshift/limits/admission.py
@@ -53,7 +53,7 @@
     """`tell(ticket)` is called once for a ticket that waited, when it is in or refused."""
 
     def __init__(self, bounds: Bounds, seed: int, now: int, tell: Callable[[Ticket], None]):
-        self.bounds, self.chance, self.tell = bounds, Random(seed), tell
+        self.bounds, self.rng, self.tell = bounds, Random(seed), tell
         self.buckets = {
             name: Buckets(rate, rate * bounds.burst, now)
             for name, rate in (
@@ -198,7 +198,7 @@
         """Spread over as long as it takes to let in all who were refused of late, at the pace at which places come free."""
         pace = max(1.0, self.entries)
         spread = max(2 * LEAST_ADVICE, int(self.refusals / pace * LATELY))
-        wait = max(least, LEAST_ADVICE) + int(self.chance.random() * spread)
+        wait = max(least, LEAST_ADVICE) + int(self.rng.random() * spread)
         told = self.told.pop(source, None)
         strikes = 0
         if told is not None:
--- a/curlewshift/limits/descriptors.py
+++ b/curlewshift/limits/descriptors.py
@@ -31,7 +31,7 @@
         kept: int | None = None,
         idle_for: float = IDLE_FOR,
         at_once: int = DROPPED_AT_ONCE,
-        spared=lambda line: False,
+        spared=lambda connection: False,
     ):
         """`kept` where it is known how many others need; the rest where crowds come that ask once and stay. Connections
         that are `spared` go only where there is no place left, and nobody else has been idle for some time."""
@@ -42,28 +42,28 @@
             kept = int(min(KEPT_MOST, max(KEPT_LEAST, limit * KEPT_PART)))
         self.most = self.first_most = max(4, limit - kept)
         self.clock = clock
-        self.lines: dict[object, bool] = {}
+        self.connections: dict[object, bool] = {}
         self.dropped = self.none_left = 0
 
     def may_accept(self) -> bool:
-        return len(self.lines) < self.most
+        return len(self.connections) < self.most
 
     @property
     def crowded(self) -> bool:
         """Little room is left: who rests may go before someone has to wait for it."""
-        return len(self.lines) > self.most * CROWDED_PART
+        return len(self.connections) > self.most * CROWDED_PART
 
-    def opened(self, line: object) -> None:
-        self.lines[line] = True
+    def opened(self, connection: object) -> None:
+        self.connections[connection] = True
         self.none_since = None
 
-    def closed(self, line: object) -> None:
-        self.lines.pop(line, None)
+    def closed(self, connection: object) -> None:
+        self.connections.pop(connection, None)
 
     def ran_out(self) -> None:
         """There was no descriptor for an accept: others use more than was kept for them."""
         self.none_left += 1
-        self.most = max(self.first_most // 2, min(self.most, len(self.lines)) - FEWER, 4)
+        self.most = max(self.first_most // 2, min(self.most, len(self.connections)) - FEWER, 4)
 
     def make_room(self, needed: bool = True) -> None:
         """`needed` if someone waits for a place: then who is spared goes too, once there is nobody else."""
@@ -75,14 +75,14 @@
             self.none_since = now
         elif needed and now - self.none_since >= SPARED_PART * self.idle_for:
             idle = self._idle(now, True)
-        idle.sort(key=lambda line: line.rested_at)
-        for line in idle[: self.at_once]:
+        idle.sort(key=lambda connection: connection.rested_at)
+        for connection in idle[: self.at_once]:
             self.dropped += 1
-            line.drop()
+            connection.drop()
 
     def _idle(self, now: float, spared: bool) -> list:
         return [
-            line
-            for line in self.lines
-            if now - line.rested_at >= self.idle_for and self.spared(line) is spared and not line.at_work
+            connection
+            for connection in self.connections
+            if now - connection.rested_at >= self.idle_for and self.spared(connection) is spared and not connection.at_work
         ]
--- a/curlewshift/membership/membership.py
+++ b/curlewshift/membership/membership.py
@@ -1,6 +1,6 @@
 """Which fronts are in, suspected and gone: SWIM with Lifeguard's local health, free of I/O. Held by peering/channel.py.
 
-Each thing that can happen is a method; what is to be done is called on `outside`. Nothing here is trusted for safety: it
+Each thing that can happen is a method; what is to be done is called on `driver`. Nothing here is trusted for safety: it
 makes things quick, and is wrong for as long as it takes to find out.
 """
 
@@ -47,20 +47,20 @@
 
 class Membership:
     """`life` is greater than that of any earlier process of this name, as far as it knows; where peers know better it is
-    raised. `seeds` are addresses. `outside.now()` may be any clock that goes on, even one that stalls or steps."""
+    raised. `seeds` are addresses. `driver.now()` may be any clock that goes on, even one that stalls or steps."""
 
     def __init__(
         self,
-        outside: Driver,
+        driver: Driver,
         name: str,
         address: tuple[str, int],
         life: int,
         seeds: list[tuple[str, int]],
-        manners: MembershipTerms,
-        chance: Random,
+        membership_terms: MembershipTerms,
+        rng: Random,
     ):
-        self.outside, self.manners, self.chance, self.seeds = outside, manners, chance, seeds
-        self.steady = SteadyClock(outside.now(), manners.period // 2)
+        self.driver, self.membership_terms, self.rng, self.seeds = driver, membership_terms, rng, seeds
+        self.steady = SteadyClock(driver.now(), membership_terms.period // 2)
         self.now = self.steady.last
         self.me = Member(name, *address, life, 0, Rank.ALIVE, self.now, name)
         self.members: dict[str, Member] = {}
@@ -71,7 +71,7 @@
         self.views.flip(self.me.name, life, 0)
         self.health = 0
         # not from 1: an answer to an earlier life's probe must not pass for one to this one's
-        self.numbers = count(chance.getrandbits(40))
+        self.numbers = count(rng.getrandbits(40))
         self.probes: dict[int, Probe] = {}
         self.timers: list[tuple[int, int, Callable, tuple]] = []
         self.order = count()
@@ -84,7 +84,7 @@
         # most buckets differed when views were last compared, as after a cut: then they are compared more often
         self.apart = False
         # whom to look at next: in turn, as by chance one of few was left out for long (history 9355)
-        self.looks = chance.getrandbits(16)
+        self.looks = rng.getrandbits(16)
         self.armed: int | None = None
         self.refuted = self.no_room = self.old_words = 0
 
@@ -97,8 +97,8 @@
     def start(self) -> None:
         self._read()
         self.begun = True
-        self._after(self.chance.randrange(self.manners.period), self._each_period)
-        self._after(self.manners.news_every, self._pass_news_on)
+        self._after(self.rng.randrange(self.membership_terms.period), self._each_period)
+        self._after(self.membership_terms.news_every, self._pass_news_on)
         self._look()
         self._arm()
 
@@ -107,8 +107,8 @@
         self._read()
         self.leaving = True
         self.me.rank = Rank.LEFT
-        for member in spread(self.ring, 2 * self.manners.news_to, self.chance):
-            self.outside.tell(member.address, [self.me.claim()])
+        for member in spread(self.ring, 2 * self.membership_terms.news_to, self.rng):
+            self.driver.tell(member.address, [self.me.claim()])
 
     def time(self) -> None:
         self._read()
@@ -130,7 +130,7 @@
         held = self.members.get(claim.name)
         if held is not None and claim.life < held.life:
             self.old_words += 1
-            self.outside.tell((claim.host, claim.port), [held.claim()])
+            self.driver.tell((claim.host, claim.port), [held.claim()])
             return None
         self.joined = True
         self._take(claim, claim.name)
@@ -140,7 +140,7 @@
         held.heard = self.now
         if held.rank is not Rank.ALIVE and held.rank is not Rank.LEFT:
             # it can contradict only what it has heard (Lifeguard's buddy system)
-            self.outside.tell(held.address, [held.claim()])
+            self.driver.tell(held.address, [held.claim()])
         self._arm()
         return held
 
@@ -159,7 +159,7 @@
         if probe.asker is not None:
             if probe.target is by:
                 del self.probes[number]
-                self.outside.ack_for(probe.asker, probe.number)
+                self.driver.ack_for(probe.asker, probe.number)
         elif not probe.answered and (probe.target is by or probe.asked):
             probe.answered = True
             self._healthier(-1)
@@ -169,12 +169,12 @@
         self._read()
         held = self.members.get(target)
         if held is None or not held.there:
-            self.outside.nack(asker, number)
+            self.driver.nack(asker, number)
             return
         mine = next(self.numbers)
         self.probes[mine] = Probe(held, asker, number)
-        self.outside.ping(held, mine)
-        self._after(self.manners.answer_within, self._tried_for_another, mine)
+        self.driver.ping(held, mine)
+        self._after(self.membership_terms.answer_within, self._tried_for_another, mine)
         self._arm()
 
     def nacked(self, number: int, by: Member) -> None:
@@ -189,13 +189,13 @@
             self.differs, self.apart = None, False
         elif self.differs is None:
             self.differs = self.now
-        elif self.apart or self.now - self.differs >= self.manners.period:
+        elif self.apart or self.now - self.differs >= self.membership_terms.period:
             self._pull(by)
 
     def _pull(self, by: Member) -> None:
-        if self.now - self.pulled >= self.manners.period // (4 if self.apart else 1):
+        if self.now - self.pulled >= self.membership_terms.period // (4 if self.apart else 1):
             self.pulled = self.now
-            self.outside.compare(by.address)
+            self.driver.compare(by.address)
 
     def compared(self, by: Member, written: bytes) -> None:
         """What lies in the buckets that differ goes out, and what the other has in them is asked for."""
@@ -203,7 +203,7 @@
         buckets = set(self.views.differ(written))
         if not buckets:
             return
-        self.outside.pieces(
+        self.driver.pieces(
             by.address,
             [self.me.claim()] * (bucket_of(self.me.name) in buckets)
             + [member.claim() for member in self.members.values() if bucket_of(member.name) in buckets],
@@ -217,8 +217,8 @@
     def _each_period(self) -> None:
         # who is slow waits longer for answers, but asks as often (Lifeguard asks less often too): the last one left of many
         # would otherwise need nine periods for each of the others
-        health = self.health if self.manners.lifeguard else 0
-        self._after(self.manners.period, self._each_period)
+        health = self.health if self.membership_terms.lifeguard else 0
+        self._after(self.membership_terms.period, self._each_period)
         if self.superseded:
             return
         self._forget()
@@ -227,16 +227,16 @@
             return
         number = next(self.numbers)
         self.probes[number] = Probe(target)
-        self.outside.ping(target, number)
-        self._after(self.manners.answer_within * (1 + health), self._ask_others, number)
-        self._after(self.manners.period * (1 + health) - 1, self._probe_over, number)
+        self.driver.ping(target, number)
+        self._after(self.membership_terms.answer_within * (1 + health), self._ask_others, number)
+        self._after(self.membership_terms.period * (1 + health) - 1, self._probe_over, number)
 
     def _next_target(self) -> Member | None:
         if not self.ring:
             return None
         if self.at >= len(self.ring):
             self.at = 0
-            self.chance.shuffle(self.ring)
+            self.rng.shuffle(self.ring)
         self.at += 1
         return self.ring[self.at - 1]
 
@@ -244,9 +244,9 @@
         probe = self.probes.get(number)
         if probe is None or probe.answered:
             return
-        for helper in spread(self.ring, self.manners.helpers, self.chance, but=probe.target):
+        for helper in spread(self.ring, self.membership_terms.helpers, self.rng, but=probe.target):
             probe.asked += 1
-            self.outside.ask(helper, number, probe.target)
+            self.driver.ask(helper, number, probe.target)
 
     def _probe_over(self, number: int) -> None:
         probe = self.probes.pop(number, None)
@@ -262,13 +262,13 @@
     def _tried_for_another(self, mine: int) -> None:
         probe = self.probes.pop(mine, None)
         if probe is not None:
-            self.outside.nack(probe.asker, probe.number)
+            self.driver.nack(probe.asker, probe.number)
 
     def _healthier(self, by: int) -> None:
-        self.health = min(self.manners.health_most, max(0, self.health + by))
+        self.health = min(self.membership_terms.health_most, max(0, self.health + by))
 
     def _accuse(self, member: Member, accusers: list[str]) -> None:
-        claim = member.claim()._replace(rank=int(Rank.SUSPECT), accusers=tuple(accusers[: self.manners.witnesses + 1]))
+        claim = member.claim()._replace(rank=int(Rank.SUSPECT), accusers=tuple(accusers[: self.membership_terms.witnesses + 1]))
         self._take(claim, self.me.name)
 
     # ---- claims
@@ -291,15 +291,15 @@
         # what is told of one that is gone, and of whom nothing is known, would bring back what was forgotten
         if claim.rank >= Rank.GONE:
             return
-        if len(self.members) >= self.manners.most_members and not self._make_room():
+        if len(self.members) >= self.membership_terms.most_members and not self._make_room():
             self.no_room += 1
             return
         member = Member(claim.name, claim.host, claim.port, claim.life, claim.incarnation, Rank(claim.rank), self.now, by)
-        member.accusers = dict.fromkeys(claim.accusers[: self.manners.witnesses + 1])
+        member.accusers = dict.fromkeys(claim.accusers[: self.membership_terms.witnesses + 1])
         self.members[member.name] = member
         self._comes_in(member)
         self.news.put(member.claim())
-        self.outside.changed(member, None, f"told by {by}" if by != member.name else "spoke")
+        self.driver.changed(member, None, f"told by {by}" if by != member.name else "spoke")
         if member.rank is Rank.SUSPECT:
             self._suspected(member)
 
@@ -312,14 +312,14 @@
         if (
             held.rank is Rank.SUSPECT
             and claim.incarnation == held.incarnation
-            and (self.now - held.since >= self.manners.period * 2)
+            and (self.now - held.since >= self.membership_terms.period * 2)
         ):
             return True
         accused = claim._replace(rank=int(Rank.SUSPECT), accusers=(by,))
         if accused.over(held):
             self._change(held, accused, by)
             # it may contradict at once, before others are told the same
-            self.outside.tell(held.address, [held.claim()])
+            self.driver.tell(held.address, [held.claim()])
         else:
             self._also_accused(held, accused, by)
         return False
@@ -334,7 +334,7 @@
         held.rank = Rank(claim.rank)
         if held.rank is not before or another or again:
             held.since, held.by = self.now, by
-        held.accusers = dict.fromkeys(claim.accusers[: self.manners.witnesses + 1])
+        held.accusers = dict.fromkeys(claim.accusers[: self.membership_terms.witnesses + 1])
         if held.there:
             if there:
                 self.views.flip(held.name, held.life, held.incarnation)
@@ -346,7 +346,7 @@
             self._suspected(held)
         self.news.put(held.claim())
         if held.rank is not before or another:
-            self.outside.changed(
+            self.driver.changed(
                 held,
                 before,
                 "spoke"
@@ -358,7 +358,7 @@
 
     def _comes_in(self, member: Member) -> None:
         self.views.flip(member.name, member.life, member.incarnation)
-        self.ring.insert(self.chance.randrange(len(self.ring) + 1), member)
+        self.ring.insert(self.rng.randrange(len(self.ring) + 1), member)
 
     def _goes_out(self, member: Member) -> None:
         index = self.ring.index(member)
@@ -369,13 +369,13 @@
         self._after(self._patience(member), self._suspicion_over, member, member.incarnation, member.life)
 
     def _patience(self, member: Member) -> int:
-        return self.manners.patience(self.size, len(member.accusers) - 1)
+        return self.membership_terms.patience(self.size, len(member.accusers) - 1)
 
     def _also_accused(self, member: Member, claim: Claim, by: str) -> None:
         """More witnesses make the suspicion shorter, and are news as long as they do (Lifeguard, section IV-B)."""
         known = len(member.accusers)
         for name in claim.accusers:
-            if len(member.accusers) <= self.manners.witnesses:
+            if len(member.accusers) <= self.membership_terms.witnesses:
                 member.accusers[name] = None
         if len(member.accusers) > known:
             self.news.put(member.claim())
@@ -424,41 +424,43 @@
     def _outlived(self, over: bool) -> None:
         if over is not self.superseded:
             self.superseded = over
-            self.outside.outlived(over)
+            self.driver.outlived(over)
 
     # ---- news, looks, and what is forgotten
 
     def take_news(self, room: int) -> list[Claim]:
-        return [] if self.superseded else self.news.take(room, self.manners.tellings(self.size))
+        return [] if self.superseded else self.news.take(room, self.membership_terms.tellings(self.size))
 
     def _pass_news_on(self) -> None:
-        self._after(self.manners.news_every, self._pass_news_on)
+        self._after(self.membership_terms.news_every, self._pass_news_on)
         if not self.superseded:
-            for member in spread(self.ring, self.manners.news_to, self.chance):
+            for member in spread(self.ring, self.membership_terms.news_to, self.rng):
                 if not len(self.news):
                     break
-                self.outside.pass_on(member)
+                self.driver.pass_on(member)
 
     def _look(self) -> None:
         """At one that is gone, or at a seed that is not in; before it is in itself, at every seed."""
-        self._after(self.manners.period * (self.manners.look_each if self.joined else 1), self._look)
+        self._after(self.membership_terms.period * (self.membership_terms.look_each if self.joined else 1), self._look)
         there = {member.address for member in self.ring}
         seeds = [seed for seed in self.seeds if seed not in there and seed != self.me.address]
         if not self.joined:
             for seed in seeds:
-                self.outside.compare(seed)
+                self.driver.compare(seed)
             return
         gone = [member.address for member in self.members.values() if member.rank is Rank.GONE]
         others = list(dict.fromkeys(gone + seeds))
         if self.superseded:
-            others += [member.address for member in spread(self.ring, 1, self.chance)]
+            others += [member.address for member in spread(self.ring, 1, self.rng)]
         if others:
             self.looks += 1
-            self.outside.compare(others[self.looks % len(others)])
+            self.driver.compare(others[self.looks % len(others)])
 
     def _forget(self) -> None:
         old = [
-            member for member in self.members.values() if not member.there and self.now - member.since > self.manners.forget_after
+            member
+            for member in self.members.values()
+            if not member.there and self.now - member.since > self.membership_terms.forget_after
         ]
         for member in old:
             self._drop(member)
@@ -478,7 +480,7 @@
 
     def _read(self) -> None:
         stalls = self.steady.stalls
-        self.now = self.steady.read(self.outside.now())
+        self.now = self.steady.read(self.driver.now())
         if self.steady.stalls != stalls:
             self._healthier(1)
 
@@ -492,4 +494,4 @@
             at = self.steady.reading_of(due)
             if (due, at) != (self.steady.due, self.armed):
                 self.steady.due, self.armed = due, at
-                self.outside.wake(at)
+                self.driver.wake(at)
--- a/curlewshift/membership/terms.py
+++ b/curlewshift/membership/terms.py
@@ -54,7 +54,7 @@
         return max(1, ceil(self.repeats * log10(size + 1)))
 
 
-def usual_manners(period: int, **more) -> MembershipTerms:
+def default_membership_terms(period: int, **more) -> MembershipTerms:
     """What is not said follows from the period."""
     return MembershipTerms(
         period, **{"answer_within": 3 * period // 10, "news_every": period // 5, "forget_after": 60 * period, **more}
--- a/curlewshift/membership/updates.py
+++ b/curlewshift/membership/updates.py
@@ -53,14 +53,14 @@
         return [claim for _, claim in taken]
 
 
-def spread(members: list, count: int, chance: Random, but=None) -> list:
+def spread(members: list, count: int, rng: Random, but=None) -> list:
     """`count` of the members, or all there are, drawn without the one left out; constant work for a long list."""
     if len(members) <= 2 * count + 1:
         rest = [member for member in members if member is not but]
-        return rest if len(rest) <= count else chance.sample(rest, count)
+        return rest if len(rest) <= count else rng.sample(rest, count)
     drawn: dict = {}
     while len(drawn) < count:
-        member = members[chance.randrange(len(members))]
+        member = members[rng.randrange(len(members))]
         if member is not but:
             drawn[member] = None
     return list(drawn)
--- a/curlewshift/model_checker/budget_checker.py
+++ b/curlewshift/model_checker/budget_checker.py
@@ -80,7 +80,7 @@
         other.fronts = []
         for number, front in enumerate(self.fronts):
             twin = copy(front)
-            twin.outside = End(other, number)
+            twin.driver = End(other, number)
             twin.steady = copy(front.steady)
             twin.steady.due = front.steady.due
             twin.lent, twin.wanted, twin.used, twin.out = (
--- a/curlewshift/model_checker/lease_checker.py
+++ b/curlewshift/model_checker/lease_checker.py
@@ -20,7 +20,7 @@
 # A tick is four units of a true clock; one at the bound shows three or five.
 UNITS, DRIFT = 4, 0.25
 TERMS = LeaseTerms(term=8, drift=DRIFT, every=4)
-LEASE, KEEPERS, ASKERS = "l", 3, 2
+LEASE, ACCEPTORS, PROPOSERS = "l", 3, 2
 # One step over as many ticks as a keeper on the slowest clock keeps what it accepted.
 LONG = -(-TERMS.kept // 3)
 # Answers that are kept back, and restarts of keepers or askers in one course.
@@ -38,15 +38,15 @@
         # a millisecond a tick: no clock of the walk is set back further than a keeper is silent for
         return self.world.ticks * 1_000_000
 
-    def prepare(self, keeper, lease, ballot) -> None:
-        self.world.asks[self.number, keeper] = ("prepare", ballot, 0)
+    def prepare(self, acceptor, lease, ballot) -> None:
+        self.world.asks[self.number, acceptor] = ("prepare", ballot, 0)
 
-    def propose(self, keeper, lease, ballot, fence) -> None:
-        self.world.asks[self.number, keeper] = ("propose", ballot, fence)
+    def propose(self, acceptor, lease, ballot, fence) -> None:
+        self.world.asks[self.number, acceptor] = ("propose", ballot, fence)
         self.world.stale[self.number] = ("propose", ballot, fence)
 
-    def release(self, keeper, lease, ballot) -> None:
-        self.world.asks[self.number, keeper] = ("released", ballot, 0)
+    def release(self, acceptor, lease, ballot) -> None:
+        self.world.asks[self.number, acceptor] = ("released", ballot, 0)
 
     def begins(self, lease, fence) -> None:
         self.world.began(fence)
@@ -60,16 +60,16 @@
         self.world, self.number = world, number
 
     def now(self) -> int:
-        return self.world.clocks[ASKERS + self.number]
+        return self.world.clocks[PROPOSERS + self.number]
 
-    def promise(self, asker, lease, ballot, holder, of, fence) -> None:
-        self.world.answer = (asker, "promise", (self.number, lease, ballot, holder, of, fence))
+    def promise(self, proposer, lease, ballot, holder, of, fence) -> None:
+        self.world.answer = (proposer, "promise", (self.number, lease, ballot, holder, of, fence))
 
-    def accept(self, asker, lease, ballot) -> None:
-        self.world.answer = (asker, "accepted", (self.number, lease, ballot))
+    def accept(self, proposer, lease, ballot) -> None:
+        self.world.answer = (proposer, "accepted", (self.number, lease, ballot))
 
-    def outbid(self, asker, lease, ballot, by) -> None:
-        self.world.answer = (asker, "outbid", (self.number, lease, ballot, by))
+    def outbid(self, proposer, lease, ballot, by) -> None:
+        self.world.answer = (proposer, "outbid", (self.number, lease, ballot, by))
 
 
 class LeaseWorld:
@@ -78,29 +78,29 @@
     def __init__(
         self,
         rates: tuple[int, int, int],
-        asker: type[LeaseProposer] = LeaseProposer,
-        keeper: type[LeaseAcceptor] = LeaseAcceptor,
-        keepers: int = KEEPERS,
+        proposer: type[LeaseProposer] = LeaseProposer,
+        acceptor: type[LeaseAcceptor] = LeaseAcceptor,
+        acceptors: int = ACCEPTORS,
     ):
-        self.rates = (*rates[:2], *[rates[2]] * keepers)
-        self.kinds, self.size = (asker, keeper), keepers
-        self.clocks = [1000] * (ASKERS + keepers)
+        self.rates = (*rates[:2], *[rates[2]] * acceptors)
+        self.kinds, self.size = (proposer, acceptor), acceptors
+        self.clocks = [1000] * (PROPOSERS + acceptors)
         # the number of the latest tenure, and whether one came that was not higher
         self.ticks, self.latest_fence, self.fence_fell = 0, 0, False
-        self.lives, self.restarts = [1] * ASKERS, 0
+        self.lives, self.restarts = [1] * PROPOSERS, 0
         self.asks: dict[tuple[int, int], tuple] = {}
         self.stale: dict[int, tuple] = {}
         self.back: list[tuple] = []
         self.answer: tuple | None = None
-        self.askers = [self._asker(number) for number in range(ASKERS)]
-        self.keepers = []
-        for number in range(keepers):
-            made = keeper(AcceptorEnd(self, number), TERMS)
+        self.proposers = [self._proposer(number) for number in range(PROPOSERS)]
+        self.acceptors = []
+        for number in range(acceptors):
+            made = acceptor(AcceptorEnd(self, number), TERMS)
             # as if it had run for long
             made.silent_until = 0
-            self.keepers.append(made)
+            self.acceptors.append(made)
 
-    def _asker(self, number: int) -> LeaseProposer:
+    def _proposer(self, number: int) -> LeaseProposer:
         made = self.kinds[0](ProposerEnd(self, number), number, self.lives[number], list(range(self.size)), TERMS, Random(1))
         made.tries[LEASE] = LeaseView()
         return made
@@ -114,35 +114,35 @@
             dict(self.stale),
             list(self.back),
         )
-        other.askers, other.keepers = [], []
-        for number, asker in enumerate(self.askers):
-            twin = copy(asker)
-            twin.outside = ProposerEnd(other, number)
+        other.proposers, other.acceptors = [], []
+        for number, proposer in enumerate(self.proposers):
+            twin = copy(proposer)
+            twin.driver = ProposerEnd(other, number)
             # not into the dict that both still share: each state then went on with what its last neighbour had done
-            held = copy(asker.tries[LEASE])
+            held = copy(proposer.tries[LEASE])
             held.promised, held.accepted = dict(held.promised), set(held.accepted)
             twin.tries = {LEASE: held}
-            other.askers.append(twin)
-        for number, keeper in enumerate(self.keepers):
-            twin = copy(keeper)
-            twin.outside, twin.steady = AcceptorEnd(other, number), copy(keeper.steady)
-            twin.leases = {lease: copy(kept) for lease, kept in keeper.leases.items()}
-            other.keepers.append(twin)
+            other.proposers.append(twin)
+        for number, acceptor in enumerate(self.acceptors):
+            twin = copy(acceptor)
+            twin.driver, twin.steady = AcceptorEnd(other, number), copy(acceptor.steady)
+            twin.leases = {lease: copy(kept) for lease, kept in acceptor.leases.items()}
+            other.acceptors.append(twin)
         return other
 
     def state(self) -> tuple:
         ballots = {NONE}
-        for asker in self.askers:
-            held = asker.tries[LEASE]
+        for proposer in self.proposers:
+            held = proposer.tries[LEASE]
             ballots |= {held.ballot, *(of for _, of in held.promised.values())}
-        for keeper in self.keepers:
-            for kept in keeper.leases.values():
+        for acceptor in self.acceptors:
+            for kept in acceptor.leases.values():
                 ballots |= {kept.promised, kept.accepted}
         ballots |= {ask[1] for ask in self.asks.values()} | {ask[1] for ask in self.stale.values()}
         ballots |= {words[2] for _, _, words in self.back}
         rank = {ballot: (index, ballot.front) for index, ballot in enumerate(sorted(ballots))}
 
-        askers = tuple(
+        proposers = tuple(
             (
                 rank[held.ballot],
                 held.asked_at >= 0,
@@ -154,14 +154,14 @@
                 rank[self.stale[number][1]] if number in self.stale else (),
             )
             for number, (held, now) in enumerate(
-                (asker.tries[LEASE], self.clocks[number]) for number, asker in enumerate(self.askers)
+                (proposer.tries[LEASE], self.clocks[number]) for number, proposer in enumerate(self.proposers)
             )
         )
 
-        def of(keeper: int) -> tuple:
+        def of(acceptor: int) -> tuple:
             """All that is known of one keeper, by anyone: keepers with the same are the same, so that their order says
             nothing."""
-            one = self.keepers[keeper]
+            one = self.acceptors[acceptor]
             kept, steady = one.leases.get(LEASE), one.steady.last
             own = (
                 (max(0, one.silent_until - steady),)
@@ -176,13 +176,13 @@
                 )
             )
             heard = []
-            for number, asker in enumerate(self.askers):
-                held, ask = asker.tries[LEASE], self.asks.get((number, keeper))
-                told = held.promised.get(keeper) if held.asked_at >= 0 and not held.proposing else None
+            for number, proposer in enumerate(self.proposers):
+                held, ask = proposer.tries[LEASE], self.asks.get((number, acceptor))
+                told = held.promised.get(acceptor) if held.asked_at >= 0 and not held.proposing else None
                 heard.append(
                     (
                         (told[0], rank[told[1]]) if told else (),
-                        held.proposing and keeper in held.accepted,
+                        held.proposing and acceptor in held.accepted,
                         (ask[0], rank[ask[1]]) if ask else (),
                     )
                 )
@@ -190,14 +190,14 @@
                 sorted(
                     (to, what, rank[words[2]], words[3:5] if what == "promise" else ())
                     for to, what, words in self.back
-                    if words[0] == keeper
+                    if words[0] == acceptor
                 )
             )
             return own, tuple(heard), back
 
         return (
-            askers,
-            tuple(sorted((of(keeper) for keeper in range(self.size)), key=repr)),
+            proposers,
+            tuple(sorted((of(acceptor) for acceptor in range(self.size)), key=repr)),
             self.restarts,
             self.latest_fence - self.ticks,
         )
@@ -206,17 +206,17 @@
 
     def steps(self) -> list[tuple]:
         found: list[tuple] = [("tick",), ("long",)]
-        for number, _asker in enumerate(self.askers):
+        for number, _proposer in enumerate(self.proposers):
             found.append(("ask", number))
-        for number, keeper in self.asks:
-            found.append(("trip", number, keeper))
+        for number, acceptor in self.asks:
+            found.append(("trip", number, acceptor))
             if len(self.back) < MOST_BACK:
-                found.append(("half", number, keeper))
+                found.append(("half", number, acceptor))
         for number in self.stale:
-            found += [("stale", number, keeper) for keeper in range(self.size)]
+            found += [("stale", number, acceptor) for acceptor in range(self.size)]
         found += [("answer", index) for index in range(len(self.back))]
         if self.restarts < MOST_RESTARTS:
-            found += [("keeper", keeper) for keeper in range(self.size)] + [("asker", number) for number in range(ASKERS)]
+            found += [("keeper", acceptor) for acceptor in range(self.size)] + [("asker", number) for number in range(PROPOSERS)]
         return found
 
     def take(self, step: tuple) -> None:
@@ -226,46 +226,46 @@
                 self.ticks += 1
                 for number, rate in enumerate(self.rates):
                     self.clocks[number] += rate
-                for keeper in self.keepers:
-                    keeper.time()
+                for acceptor in self.acceptors:
+                    acceptor.time()
         elif kind == "ask":
-            asker = self.askers[step[1]]
-            asker.may_act(LEASE)
-            asker._ask(LEASE, asker.tries[LEASE], asker._now())
+            proposer = self.proposers[step[1]]
+            proposer.may_act(LEASE)
+            proposer._ask(LEASE, proposer.tries[LEASE], proposer._now())
         elif kind in ("trip", "half"):
-            self._to_keeper(step[1], step[2], self.asks.pop(step[1:]), kept_back=kind == "half")
+            self._to_acceptor(step[1], step[2], self.asks.pop(step[1:]), kept_back=kind == "half")
         elif kind == "stale":
-            self._to_keeper(step[1], step[2], self.stale[step[1]], kept_back=False)
+            self._to_acceptor(step[1], step[2], self.stale[step[1]], kept_back=False)
         elif kind == "answer":
-            self._to_asker(self.back.pop(step[1]))
+            self._to_proposer(self.back.pop(step[1]))
         elif kind == "keeper":
             self.restarts += 1
-            self.keepers[step[1]] = self.kinds[1](AcceptorEnd(self, step[1]), TERMS)
+            self.acceptors[step[1]] = self.kinds[1](AcceptorEnd(self, step[1]), TERMS)
         else:
             self.restarts += 1
             number = step[1]
             self.lives[number] += 1
             self.asks = {key: ask for key, ask in self.asks.items() if key[0] != number}
-            self.askers[number] = self._asker(number)
+            self.proposers[number] = self._proposer(number)
             # tries of the new life go on above what it may have used: its ballots bear the life
         self._look()
 
-    def _to_keeper(self, number: int, keeper: int, ask: tuple, kept_back: bool) -> None:
+    def _to_acceptor(self, number: int, acceptor: int, ask: tuple, kept_back: bool) -> None:
         self.answer = None
         what, ballot, fence = ask
         if what == "propose":
-            self.keepers[keeper].propose(number, LEASE, ballot, fence)
+            self.acceptors[acceptor].propose(number, LEASE, ballot, fence)
         else:
-            getattr(self.keepers[keeper], what)(number, LEASE, ballot)
+            getattr(self.acceptors[acceptor], what)(number, LEASE, ballot)
         if self.answer is not None:
             if kept_back:
                 self.back.append(self.answer)
             else:
-                self._to_asker(self.answer)
+                self._to_proposer(self.answer)
 
-    def _to_asker(self, answer: tuple) -> None:
+    def _to_proposer(self, answer: tuple) -> None:
         to, what, words = answer
-        getattr(self.askers[to], what)(*words)
+        getattr(self.proposers[to], what)(*words)
 
     def began(self, fence: int) -> None:
         self.fence_fell |= fence <= self.latest_fence
@@ -274,7 +274,7 @@
     def _look(self) -> None:
         if self.fence_fell:
             raise InvariantViolated("a later tenure's number is not higher")
-        holders = [number for number, asker in enumerate(self.askers) if asker.may_act(LEASE)]
+        holders = [number for number, proposer in enumerate(self.proposers) if proposer.may_act(LEASE)]
         if len(holders) > 1:
             raise InvariantViolated("two hold the lease at once")
 
@@ -286,14 +286,14 @@
     def steps(self) -> list[tuple]:
         found: list[tuple] = [("tick",), ("long",)]
         most = self.size // 2 + 1
-        for number in range(ASKERS):
+        for number in range(PROPOSERS):
             for heard in subsets(self.size):
                 if len(heard) >= min(most, 2):
                     found += [("try", number, heard, taken) for taken in subsets(self.size)]
             if number in self.stale:
-                found += [("stale", number, keeper) for keeper in range(self.size)]
+                found += [("stale", number, acceptor) for acceptor in range(self.size)]
         if self.restarts < MOST_RESTARTS:
-            found += [("keeper", keeper) for keeper in range(self.size)] + [("asker", number) for number in range(ASKERS)]
+            found += [("keeper", acceptor) for acceptor in range(self.size)] + [("asker", number) for number in range(PROPOSERS)]
         return found
 
     def take(self, step: tuple) -> None:
@@ -301,14 +301,14 @@
             super().take(step)
             return
         _, number, heard, taken = step
-        asker = self.askers[number]
-        asker.may_act(LEASE)
-        asker._ask(LEASE, asker.tries[LEASE], asker._now())
+        proposer = self.proposers[number]
+        proposer.may_act(LEASE)
+        proposer._ask(LEASE, proposer.tries[LEASE], proposer._now())
         for hears in (heard, taken):
-            for keeper in hears:
-                ask = self.asks.pop((number, keeper), None)
+            for acceptor in hears:
+                ask = self.asks.pop((number, acceptor), None)
                 if ask is not None:
-                    self._to_keeper(number, keeper, ask, kept_back=False)
+                    self._to_acceptor(number, acceptor, ask, kept_back=False)
         self.asks = {key: ask for key, ask in self.asks.items() if key[0] != number}
         self._look()
 
@@ -320,19 +320,19 @@
 def walk_leases(
     depth: int,
     rates: tuple[int, int, int] = (3, 4, 5),
-    asker: type[LeaseProposer] = LeaseProposer,
-    keeper: type[LeaseAcceptor] = LeaseAcceptor,
+    proposer: type[LeaseProposer] = LeaseProposer,
+    acceptor: type[LeaseAcceptor] = LeaseAcceptor,
     most: int = 10**9,
 ) -> Walked:
-    return explore(LeaseWorld(rates, asker, keeper), depth, most)
+    return explore(LeaseWorld(rates, proposer, acceptor), depth, most)
 
 
 def walk_rounds(
     depth: int,
     rates: tuple[int, int, int] = (3, 4, 5),
-    asker: type[LeaseProposer] = LeaseProposer,
-    keeper: type[LeaseAcceptor] = LeaseAcceptor,
+    proposer: type[LeaseProposer] = LeaseProposer,
+    acceptor: type[LeaseAcceptor] = LeaseAcceptor,
     most: int = 10**9,
-    keepers: int = KEEPERS,
+    acceptors: int = ACCEPTORS,
 ) -> Walked:
-    return explore(LeaseRounds(rates, asker, keeper, keepers), depth, most)
+    return explore(LeaseRounds(rates, proposer, acceptor, acceptors), depth, most)
--- a/curlewshift/model_checker/session_checker.py
+++ b/curlewshift/model_checker/session_checker.py
@@ -83,7 +83,7 @@
 def crash_points(make: Callable[[], World], runs: int, length: int, seed: int = 1) -> Crashed:
     """Longer courses drawn by chance, and in each of them a kill after every step, once with all that was written on
     the disk and once without what was not flushed."""
-    crashed, chance = Crashed(), Random(seed)
+    crashed, rng = Crashed(), Random(seed)
     for _ in range(runs):
         crashed.runs += 1
         course: list[tuple] = []
@@ -93,7 +93,7 @@
                 choices = [choice for choice in world.choices() if not choice[0].startswith("the front is killed")]
                 if not choices:
                     break
-                course.append(chance.choice(choices))
+                course.append(rng.choice(choices))
                 world.do(*course[-1])
             for after in range(len(course) + 1):
                 for behind in (False, True):
--- a/curlewshift/model_checker/version_checker.py
+++ b/curlewshift/model_checker/version_checker.py
@@ -181,7 +181,7 @@
         other.writers = []
         for number, writer in enumerate(self.writers):
             twin = copy(writer)
-            twin.outside = WriterEnd(other, number)
+            twin.driver = WriterEnd(other, number)
             if writer.tenure is not None:
                 tenure = twin.tenure = copy(writer.tenure)
                 for name in ("stands", "answered", "votes", "letting"):
@@ -193,11 +193,11 @@
         other.stores = {}
         for name, store in self.stores.items():
             twin = other.stores[name] = copy(store)
-            twin.outside = StoreEnd(other, name)
+            twin.driver = StoreEnd(other, name)
         other.nodes = []
         for number, node in enumerate(self.nodes):
             twin = copy(node)
-            twin.outside, twin.refused = NodeEnd(other, number), dict(node.refused)
+            twin.driver, twin.refused = NodeEnd(other, number), dict(node.refused)
             other.nodes.append(twin)
         return other
 
@@ -462,7 +462,7 @@
     count: int, length: int, seed: int = 1, writer: type[Writer] = Writer, store: type[Store] = Store, copy: type[Copy] = Copy
 ) -> Walked:
     """By chance, and beyond any walk: courses of so many steps with more of everything, in small and in large steps in turn."""
-    chance, steps = Random(seed), 0
+    rng, steps = Random(seed), 0
     for number in range(count):
         world = (VersionRounds if number % 2 else VersionWorld)(writer, store, copy, blank=number % 8 > 5)
         world.tenures_most = world.puts_most = world.restarts_most = world.lost_most = length
@@ -471,8 +471,8 @@
             found = world.steps()
             kinds = sorted({step[0] for step in found})
             # a kind first, or the many stale words would be most of what happens
-            kind = chance.choice([kind for kind in kinds for _ in range(WEIGHTS.get(kind, 1))])
-            step = chance.choice([step for step in found if step[0] == kind])
+            kind = rng.choice([kind for kind in kinds for _ in range(WEIGHTS.get(kind, 1))])
+            step = rng.choice([step for step in found if step[0] == kind])
             course.append(step)
             steps += 1
             try:
--- a/curlewshift/model_checker/world.py
+++ b/curlewshift/model_checker/world.py
@@ -1,6 +1,6 @@
 """One small world: two servers, clients that want one title, and a front that may be killed and started again.
 
-The front is the one that serves but for its sockets: `desk/`, `rules.py`, `state/`, `recovery/` and `retries/` run as
+The front is the one that serves but for its sockets: `session_core/`, `rules.py`, `state/`, `recovery/` and `retries/` run as
 they are. What stands for sockets and servers here does nothing by itself: all that can happen next is told by
 `choices`, and `do` makes one of them happen. The rules' books are kept from what is seen outside the front.
 """
@@ -131,16 +131,16 @@
             further_share=0.0,
             look_back=0,
         )
-        self.desk = world.desk_class(self, terms, ServerList({"r": 1e9}, {"t": SERVERS}))
+        self.session_core = world.session_core_class(self, terms, ServerList({"r": 1e9}, {"t": SERVERS}))
         rows = [
             ServerEntry(place.name, "drain" if place.told_off else "on", SECOND, "z", "r", 1e6, 50, place.name)
             for place in world.places.values()
         ]
-        self.desk.list_full("e", 0, rows, stale=number > 1)
+        self.session_core.list_full("e", 0, rows, stale=number > 1)
         self.generation = 0
         self.book.restore(world.book_log)
         intents = self.intents.restore(world.intents_log, world.clock)
-        self.recovery = recovery_of(self, self.desk, self.name, self.book, intents, mark_of)
+        self.recovery = recovery_of(self, self.session_core, self.name, self.book, intents, mark_of)
         self.recovery.begin()
 
     # ---- the desk's outside
@@ -164,11 +164,11 @@
         attempt.let_go = True
         return True
 
-    def tell(self, errand) -> None:
-        self.world.errands.append((self.name, errand))
+    def tell(self, command) -> None:
+        self.world.commands.append((self.name, command))
 
-    def end_session(self, ending) -> None:
-        self.world.endings.append((self.name, ending))
+    def end_session(self, session_end) -> None:
+        self.world.session_ends.append((self.name, session_end))
 
     def probe(self, server) -> None:
         raise AssertionError("no probes here")
@@ -188,9 +188,11 @@
         self.world.questions.append((self.name, "adopt", server, tuple(paths)))
 
     def taken_up(self, one: StoredSession, server):
-        course = self.desk.handed_over(one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer))
-        self.tokens[course] = one.token
-        return course
+        front_session = self.session_core.handed_over(
+            one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer)
+        )
+        self.tokens[front_session] = one.token
+        return front_session
 
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> str:
         return found.path
@@ -200,13 +202,19 @@
 
 
 class World:
-    """`desk_class`, `steps` and `recovery_off` are for planting faults. `paid` clients' package is paid at set-up; with
+    """`session_core_class`, `steps` and `recovery_off` are for planting faults. `paid` clients' package is paid at set-up; with
     `seats` there is one place for all clients."""
 
     def __init__(
-        self, budgets: Budgets, paid: bool = True, seats: int = 0, clients: int = 1, desk_class=SessionCore, steps=setting_up
+        self,
+        budgets: Budgets,
+        paid: bool = True,
+        seats: int = 0,
+        clients: int = 1,
+        session_core_class=SessionCore,
+        steps=setting_up,
     ):
-        self.budgets, self.desk_class, self.steps = budgets, desk_class, steps
+        self.budgets, self.session_core_class, self.steps = budgets, session_core_class, steps
         self.package = Package("p", 1.0, 4 * SECOND, 6 * SECOND, paid, (100.0, 200.0), 0, 1, seats)
         self.clock = BORN
         self.places = {name: Place(name) for name in SERVERS}
@@ -215,8 +223,8 @@
         # written and perhaps not yet on the disk
         self.behind: list[tuple[str, list]] = []
         self.attempts: list[Attempt] = []
-        self.endings: list[tuple[str, object]] = []
-        self.errands: list[tuple[str, object]] = []
+        self.session_ends: list[tuple[str, object]] = []
+        self.commands: list[tuple[str, object]] = []
         self.questions: list[tuple[str, str, object, tuple]] = []
         self.answers: dict[Request, Answer] = {}
         self.failed_told: set[tuple[str, str]] = set()
@@ -230,18 +238,18 @@
     # ---- what the front does
 
     def goes_out(self, front: Front, tune_in: TuneIn) -> None:
-        course = tune_in.course
+        front_session = tune_in.front_session
         if any(
-            one.life == front.name and one.tune_in.course is course and one.stage != "over" and not one.let_go
+            one.life == front.name and one.tune_in.front_session is front_session and one.stage != "over" and not one.let_go
             for one in self.attempts
         ):
             raise Breach("2: two tune-ins of one viewing are out")
-        client = next(client.name for client in self.clients if client.key == course.held.key)
+        client = next(client.name for client in self.clients if client.key == front_session.held.key)
         attempt = Attempt(
             tune_in,
             front.name,
             client,
-            self.steps(front.desk, tune_in, front.intents, intent_of(tune_in, course.vw.expires)),
+            self.steps(front.session_core, tune_in, front.intents, intent_of(tune_in, front_session.viewing.expires)),
             self.places[tune_in.server.name].boot,
         )
         self.attempts.append(attempt)
@@ -259,14 +267,14 @@
             self._sent(attempt)
 
     def _sent(self, attempt: Attempt) -> None:
-        place, key = self.places[attempt.tune_in.server.name], attempt.tune_in.course.held.key
+        place, key = self.places[attempt.tune_in.server.name], attempt.tune_in.front_session.held.key
         if place.told_off:
             raise Breach(f"3: {attempt.client} is sent to {place.name}, which was told to drain")
         if self.package.paid_at_setup:
             for other in self.attempts:
                 if (
                     other is not attempt
-                    and other.tune_in.course.held.key == key
+                    and other.tune_in.front_session.held.key == key
                     and not other.never_ran
                     and (other.stage != "write")
                 ):
@@ -278,7 +286,7 @@
         if not self.package.seats or self.front is None:
             return
         out = sum(one.life == self.front.name and one.stage in ("sent", "ran") and not one.let_go for one in self.attempts)
-        held = sum(course.vw.playing for course in self.front.desk.courses.values())
+        held = sum(front_session.viewing.playing for front_session in self.front.session_core.front_sessions.values())
         if out + held > self.package.seats:
             raise Breach(f"5: {held} held and {out} out where there are {self.package.seats} seats")
 
@@ -302,21 +310,23 @@
         if answer.kind is Kind.FAILED:
             self.failed_told.add((client.name, front.name))
         if answer.kind is Kind.PLAYS:
-            course = answer.course
+            front_session = answer.front_session
             # another life may know better: that it failed says that it may have run all the same
             if self.package.paid_at_setup and (client.name, front.name) in self.failed_told:
                 raise Breach(f"2: {request.name} is told that it plays after it was told that it failed")
-            if course not in front.tokens:
-                front.tokens[course] = f"t {course.session}"
-                self.note("book", front.book.began(remembered(course, front.tokens[course], None, course.session)))
+            if front_session not in front.tokens:
+                front.tokens[front_session] = f"t {front_session.session}"
+                self.note(
+                    "book", front.book.began(remembered(front_session, front.tokens[front_session], None, front_session.session))
+                )
 
     def _tell_end(self, attempt: Attempt, outcome: Outcome) -> None:
         front = self.front
         if front is None or front.name != attempt.life:
             return
         if self.package.paid_at_setup:
-            self.note("intents", front.intents.ended(attempt.tune_in.course.held.key, outcome))
-        front.desk.failed(attempt.tune_in, outcome)
+            self.note("intents", front.intents.ended(attempt.tune_in.front_session.held.key, outcome))
+        front.session_core.failed(attempt.tune_in, outcome)
 
     # ---- lives
 
@@ -328,7 +338,7 @@
         """Whatever the disk has not got yet may be there or not; what was flushed is."""
         self._flush(() if behind_lost else self.behind)
         self.front = None
-        self.endings, self.errands, self.questions = [], [], []
+        self.session_ends, self.commands, self.questions = [], [], []
         for attempt in self.attempts:
             attempt.let_go = True
             if attempt.stage == "write":
@@ -344,7 +354,7 @@
         client.lives.append(self.front.name)
         # an answer may come before this returns
         client.asks.append(None)
-        client.asks[-1] = self.front.desk.asked(name, "p", "t", None, 0, client.key, Offer(client.name))
+        client.asks[-1] = self.front.session_core.asked(name, "p", "t", None, 0, client.key, Offer(client.name))
 
     # ---- what can happen next
 
@@ -354,7 +364,7 @@
         budgets = self.budgets
         for number, attempt in enumerate(self.attempts):
             found += self._of_attempt(number, attempt)
-        if self.endings:
+        if self.session_ends:
             found.append(("an ending is done",))
             if budgets.losses:
                 found.append(("an ending's answer is lost",))
@@ -417,17 +427,17 @@
         cut_off = (waits and not here) or last.gone
         if self.budgets.again and (cut_off or (last.answer is not None and last.answer.kind is not Kind.PLAYS)):
             found.append(("a client comes again", number))
-        if self._course(client) is not None:
+        if self._front_session(client) is not None:
             found.append(("a client leaves", number))
         return found
 
     def _alive(self, attempt: Attempt) -> bool:
         return self.front is not None and self.front.name == attempt.life
 
-    def _course(self, client: Client):
-        for course in self.front.desk.courses.values():
-            if course.vw.playing and course.held is not None and course.held.key == client.key:
-                return course
+    def _front_session(self, client: Client):
+        for front_session in self.front.session_core.front_sessions.values():
+            if front_session.viewing.playing and front_session.held is not None and front_session.held.key == client.key:
+                return front_session
         return None
 
     # ---- and happens
@@ -448,7 +458,7 @@
 
     def _the_server_runs_it(self, number: int) -> None:
         attempt = self.attempts[number]
-        place, key = self.places[attempt.tune_in.server.name], attempt.tune_in.course.held.key
+        place, key = self.places[attempt.tune_in.server.name], attempt.tune_in.front_session.held.key
         self.paths += 1
         attempt.stage = "ran"
         attempt.session = place.sessions[f"/{self.paths}"] = Session(
@@ -479,7 +489,7 @@
     def _its_answer_arrives(self, number: int) -> None:
         attempt = self.attempts[number]
         attempt.stage = "over"
-        self.front.desk.played(attempt.tune_in, attempt.session.path)
+        self.front.session_core.played(attempt.tune_in, attempt.session.path)
 
     def _nobody_takes_its_answer(self, number: int) -> None:
         """The server sees that nobody is there, and ends what it has set up; not if its front was killed meanwhile, as
@@ -496,15 +506,15 @@
         self._tell_end(attempt, Outcome.BROKEN)
 
     def _an_ending_is_done(self) -> None:
-        _, ending = self.endings.pop(0)
-        self.places[ending.server.name].sessions.pop(ending.session, None)
-        self.front.desk.session_ended(ending, True)
+        _, session_end = self.session_ends.pop(0)
+        self.places[session_end.server.name].sessions.pop(session_end.session, None)
+        self.front.session_core.session_ended(session_end, True)
 
     def _an_endings_answer_is_lost(self) -> None:
         self.budgets.losses -= 1
-        _, ending = self.endings.pop(0)
-        self.places[ending.server.name].sessions.pop(ending.session, None)
-        self.front.desk.session_ended(ending, False)
+        _, session_end = self.session_ends.pop(0)
+        self.places[session_end.server.name].sessions.pop(session_end.session, None)
+        self.front.session_core.session_ended(session_end, False)
 
     def _a_question_is_answered(self) -> None:
         _, what, server, paths = self.questions.pop(0)
@@ -533,14 +543,14 @@
 
     def _a_client_hangs_up(self, number: int) -> None:
         self.budgets.hang_ups -= 1
-        self.front.desk.hung_up(self.clients[number].asks[-1])
+        self.front.session_core.hung_up(self.clients[number].asks[-1])
 
     def _a_client_comes_again(self, number: int) -> None:
         self.budgets.again -= 1
         self.ask(self.clients[number])
 
     def _a_client_leaves(self, number: int) -> None:
-        self.front.desk.closed(self._course(self.clients[number]))
+        self.front.session_core.closed(self._front_session(self.clients[number]))
 
     def _the_front_starts(self) -> None:
         self.start()
@@ -563,7 +573,7 @@
         place.told_off = True
         front = self.front
         front.generation += 1
-        front.desk.list_change(
+        front.session_core.list_change(
             "e", front.generation - 1, front.generation, [ServerEntry("s1", "drain", SECOND, "z", "r", 1e6, 50, "s1")]
         )
 
@@ -579,7 +589,7 @@
             if not attempt.let_go:
                 self._tell_end(attempt, Outcome.BROKEN)
         if self.front is not None:
-            self.front.desk.restarted(self.front.desk.roster.servers[name])
+            self.front.session_core.restarted(self.front.session_core.server_list.servers[name])
 
     # ---- time, and the end of things
 
@@ -593,7 +603,7 @@
             and (self._events() == before)
         ):
             self.clock, self.front.wake_at = max(self.clock, self.front.wake_at), None
-            self.front.desk.time()
+            self.front.session_core.time()
             self.front.recovery.time()
             self._look()
         if self._events() == before:
@@ -607,21 +617,23 @@
         return (
             len(self.answers),
             len(self.attempts),
-            len(self.endings),
+            len(self.session_ends),
             len(self.questions),
             sum(attempt.let_go for attempt in self.attempts),
         )
 
     def _look(self) -> None:
         """After each step: rungs that were told are taken at once, and nobody is kept waiting."""
-        while self.errands:
-            _name, errand = self.errands.pop(0)
+        while self.commands:
+            _name, command = self.commands.pop(0)
             session = (
-                self.places[errand.course.vw.server.name].sessions.get(errand.course.session) if errand.course.vw.server else None
+                self.places[command.front_session.viewing.server.name].sessions.get(command.front_session.session)
+                if command.front_session.viewing.server
+                else None
             )
-            if session is not None and errand.rung is not None:
-                session.rung = errand.rung
-            self.front.desk.told_server(errand, Result.DONE)
+            if session is not None and command.rung is not None:
+                session.rung = command.rung
+            self.front.session_core.told_server(command, Result.DONE)
         for client in self.clients:
             for life, request in zip(client.lives, client.asks):
                 if (
@@ -663,7 +675,11 @@
             else:
                 self.rest()
                 self._look()
-        held = {course.session for course in self.front.desk.courses.values() if course.vw.playing}
+        held = {
+            front_session.session
+            for front_session in self.front.session_core.front_sessions.values()
+            if front_session.viewing.playing
+        }
         for place in self.places.values():
             for path, session in place.sessions.items():
                 # servers that were silent all along end by themselves what is a front's that they do not hear of
@@ -690,23 +706,23 @@
                     front.wake_at,
                     [
                         (
-                            course.vw.title,
-                            course.vw.playing,
-                            course.vw.over,
-                            course.vw.tune_ins,
-                            course.vw.server and course.vw.server.name,
-                            course.vw.rung,
-                            course.vw.expires,
-                            course.session,
-                            course.answer and course.answer.kind.value,
+                            front_session.viewing.title,
+                            front_session.viewing.playing,
+                            front_session.viewing.over,
+                            front_session.viewing.tune_ins,
+                            front_session.viewing.server and front_session.viewing.server.name,
+                            front_session.viewing.rung,
+                            front_session.viewing.expires,
+                            front_session.session,
+                            front_session.answer and front_session.answer.kind.value,
                         )
-                        for course in front.desk.courses.values()
+                        for front_session in front.session_core.front_sessions.values()
                     ],
                     [
-                        (key, held.until, held.course.answer and held.course.answer.kind.value)
-                        for key, held in front.desk.keys.held.items()
+                        (key, held.until, held.front_session.answer and held.front_session.answer.kind.value)
+                        for key, held in front.session_core.keys.held.items()
                     ],
-                    sorted(front.desk.doubts),
+                    sorted(front.session_core.doubts),
                     front.recovery.over,
                     [(at.server.name, at.out, at.done, at.tries, at.adopting is not None) for at in front.recovery.at.values()],
                     [
@@ -721,9 +737,9 @@
                             server.cold_until,
                             len(server.sent),
                         )
-                        for server in front.desk.rules.servers
+                        for server in front.session_core.rules.servers
                     ],
-                    len(front.desk.endings),
+                    len(front.session_core.session_ends),
                     sorted(front.intents.open),
                     sorted(front.book.open),
                 )
@@ -755,7 +771,7 @@
                     )
                     for one in self.attempts
                 ],
-                [ending.session for _, ending in self.endings],
+                [session_end.session for _, session_end in self.session_ends],
                 [(what, server.name, paths) for _, what, server, paths in self.questions],
                 [
                     [
--- a/curlewshift/node/buffered_connection.py
+++ b/curlewshift/node/buffered_connection.py
@@ -173,11 +173,11 @@
 
     # ---- what goes out
 
-    def send(self, data: bytes, errand: PendingWrite | None = None) -> bool:
+    def send(self, data: bytes, pending_write: PendingWrite | None = None) -> bool:
         """False if it cannot go out here."""
         if not self.open:
             return False
-        self.waiting.append([data, errand, False])
+        self.waiting.append([data, pending_write, False])
         self.size += len(data)
         if self.size > MOST_WAITING:
             self.drop()
@@ -188,9 +188,9 @@
             self.tasks.start_soon(self._write)
         return True
 
-    def withdraw(self, errand: PendingWrite) -> None:
+    def withdraw(self, pending_write: PendingWrite) -> None:
         """What was to be sent for this, if nothing of it has left."""
-        self.waiting = deque(entry for entry in self.waiting if entry[1] is not errand or entry[2])
+        self.waiting = deque(entry for entry in self.waiting if entry[1] is not pending_write or entry[2])
         self.size = sum(len(data) for data, _, _ in self.waiting)
 
     async def _write(self) -> None:
@@ -215,8 +215,8 @@
         """Asks all that is about to leave, and may put something else in its place or end the connection."""
         asked, self.waiting = self.waiting, deque()
         for entry in asked:
-            errand = entry[1]
-            if entry[2] or errand is None or errand.leaves():
+            pending_write = entry[1]
+            if entry[2] or pending_write is None or pending_write.leaves():
                 self.waiting.append(entry)
         self.size = sum(len(data) for data, _, _ in self.waiting)
 
@@ -229,16 +229,16 @@
         self.size -= sent
         while sent:
             entry = self.waiting[0]
-            data, errand, _ = entry
-            if errand is not None:
-                errand.handed = True
+            data, pending_write, _ = entry
+            if pending_write is not None:
+                pending_write.handed = True
             if len(data) > sent:
                 entry[0], entry[2] = data[sent:], True
                 break
             sent -= len(data)
             self.waiting.popleft()
-            if errand is not None:
-                errand.out()
+            if pending_write is not None:
+                pending_write.out()
         return True
 
     # ---- what comes in
--- a/curlewshift/node/client_listener.py
+++ b/curlewshift/node/client_listener.py
@@ -67,9 +67,9 @@
     """One session by its viewer's id: asked for, or standing."""
 
     name: str
-    line: ClientConnection | None
+    connection: ClientConnection | None
     request: Request | None = None
-    course: FrontSession | None = None
+    front_session: FrontSession | None = None
 
 
 @dataclass(eq=False, slots=True)
@@ -78,13 +78,13 @@
 
     name: str
     cause: int
-    line: ClientConnection | None = None
+    connection: ClientConnection | None = None
     handed: bool = False
 
     def leaves(self) -> bool:
         """Not on a connection that its viewer has closed, though nobody has read that yet: then it goes out on another."""
-        if self.line is not None and self.line.wire.peer_closed():
-            self.line = None
+        if self.connection is not None and self.connection.wire.peer_closed():
+            self.connection = None
             return False
         return True
 
@@ -152,7 +152,7 @@
         self.cells, self.tops = cells, tops
         self.opened = 0
         self.asked: dict[str, Asked] = {}
-        self.lines: dict[ClientConnection, bool] = {}
+        self.connections: dict[ClientConnection, bool] = {}
         # releases of which nothing has left yet
         self.pending_releases: dict[str, Owed] = {}
         self.torn_down: OrderedDict[str, int] = OrderedDict()
@@ -170,80 +170,83 @@
     async def _run(self, sock) -> None:
         wire = BufferedConnection(sock, self.tasks)
         self.opened += 1
-        line = ClientConnection(wire, self.node.now(), self.opened)
-        self.lines[line] = True
-        self.gate.opened(line)
+        connection = ClientConnection(wire, self.node.now(), self.opened)
+        self.connections[connection] = True
+        self.gate.opened(connection)
         try:
             # waiting to be readable again, who sends without end is read in turn with the others
             while data := await wire.receive():
-                self._read(line, data)
+                self._read(connection, data)
             # whoever closes has gone: nothing of his may be begun while this connection is being closed
-            self._left(line)
-            await self._end_unread(line)
+            self._left(connection)
+            await self._end_unread(connection)
         except Exception as fault:
             self.log.error("fault", what="a connection from viewers", cause=repr(fault), exc_info=fault)
         finally:
-            self._left(line)
+            self._left(connection)
             await wire.close()
-            self.gate.closed(line)
+            self.gate.closed(connection)
 
-    def _left(self, line: ClientConnection) -> None:
-        self.lines.pop(line, None)
-        if self.last_good is line:
+    def _left(self, connection: ClientConnection) -> None:
+        self.connections.pop(connection, None)
+        if self.last_good is connection:
             self.last_good = None
-        if line.waiting:
+        if connection.waiting:
             self.log.info(
-                "client-closed", connection=line.number, by_client=line.wire.ended_by_peer, waiting=list(line.waiting)[:8]
+                "client-closed",
+                connection=connection.number,
+                by_client=connection.wire.ended_by_peer,
+                waiting=list(connection.waiting)[:8],
             )
-        for asked in list(line.waiting.values()):
+        for asked in list(connection.waiting.values()):
             try:
                 self._give_up(asked)
             except Exception as fault:
                 # one viewing's, and not that of the others on its connection
                 self.log.error("fault", what="a viewer who left", session=asked.name, cause=repr(fault), exc_info=fault)
-        line.after_reading.clear()
-        self.trail.ended(line)
+        connection.after_reading.clear()
+        self.trail.ended(connection)
         for owed in self.pending_releases.values():
-            if owed.line is line:
-                owed.line = None
+            if owed.connection is connection:
+                owed.connection = None
 
-    async def _end_unread(self, line: ClientConnection) -> None:
+    async def _end_unread(self, connection: ClientConnection) -> None:
         """Its client has closed it: what it has not read is told elsewhere, and sessions whose answers it has not read are
         over."""
         since = self.node.now() - RESET_WITHIN
-        answered = [asked for at, asked in line.answered if at >= since]
-        told = [owed for at, owed in line.told if at >= since]
-        if not (answered or told) or not line.wire.ended_by_peer or line.wire.ended_here:
+        answered = [asked for at, asked in connection.answered if at >= since]
+        told = [owed for at, owed in connection.told if at >= since]
+        if not (answered or told) or not connection.wire.ended_by_peer or connection.wire.ended_here:
             return
-        if not await line.wire.was_reset(RESET_FOLLOWS_WITHIN):
+        if not await connection.wire.was_reset(RESET_FOLLOWS_WITHIN):
             return
         for owed in told:
-            self.log.info("release-unread", session=owed.name, connection=line.number)
+            self.log.info("release-unread", session=owed.name, connection=connection.number)
             self._owe(owed.name, owed.cause, None)
         for asked in answered:
             if self.asked.get(asked.name) is asked:
-                self.log.info("answer-unread", session=asked.name, connection=line.number)
+                self.log.info("answer-unread", session=asked.name, connection=connection.number)
                 self._forget(asked)
-                self.node.released(asked.course, 0)
+                self.node.released(asked.front_session, 0)
                 self._owe(asked.name, UNREAD_CAUSE, None)
 
-    def _read(self, line: ClientConnection, data: bytes) -> None:
-        if not line.spoilt:
+    def _read(self, connection: ClientConnection, data: bytes) -> None:
+        if not connection.spoilt:
             now = self.node.now()
-            messages, wrong = line.intake.feed(data, now)
-            line.spoke = line.spoke or bool(messages)
-            if line.intake.partial:
+            messages, wrong = connection.intake.feed(data, now)
+            connection.spoke = connection.spoke or bool(messages)
+            if connection.intake.partial:
                 # as long as its pieces come it does not rest
-                line.rested_at = now / NS
+                connection.rested_at = now / NS
             for message in messages:
                 # a set-up that crosses the close comes again on another connection, the end of a session does not
-                if line.wire.open or message.method == "TEARDOWN":
-                    self._take(line, message, now)
+                if connection.wire.open or message.method == "TEARDOWN":
+                    self._take(connection, message, now)
             if wrong is not None:
                 self.log.info("malformed", what="viewers", cause=str(wrong))
-                line.wire.send(rtsp.answer(wrong.status, "1", ""))
-                line.spoil()
-        then, line.after_reading = line.after_reading, []
+                connection.wire.send(rtsp.answer(wrong.status, "1", ""))
+                connection.spoil()
+        then, connection.after_reading = connection.after_reading, []
         for call in then:
             call()
 
@@ -251,9 +254,9 @@
         """Whether the viewer who asked for this has sent something, or closed, that nobody has read yet: it may say that he
         has gone. Then `then` is called once it has been read, unless he has."""
         asked = self.asked.get(name)
-        if asked is None or asked.line is None or not asked.line.wire.unread():
+        if asked is None or asked.connection is None or not asked.connection.wire.unread():
             return False
-        asked.line.after_reading.append(then)
+        asked.connection.after_reading.append(then)
         return True
 
     async def finish(self, answered_by: float, closed_by: float) -> None:
@@ -267,32 +270,32 @@
             pass
         self.listener.close()
         await anyio.sleep(0)
-        while any(line.wire.open for line in self.lines) and anyio.current_time() < answered_by:
-            for line in self.lines:
-                if not (line.at_work or line.asking or self.pending_releases):
-                    line.wire.end()
+        while any(connection.wire.open for connection in self.connections) and anyio.current_time() < answered_by:
+            for connection in self.connections:
+                if not (connection.at_work or connection.asking or self.pending_releases):
+                    connection.wire.end()
             await anyio.sleep(0.005)
         self.node.end_waiting()
-        for line in list(self.lines):
-            line.wire.end()
-        while self.lines and anyio.current_time() < closed_by:
+        for connection in list(self.connections):
+            connection.wire.end()
+        while self.connections and anyio.current_time() < closed_by:
             await anyio.sleep(0.005)
 
     def sweep(self) -> None:
         """Connections that say nothing, or half of something, are closed in time."""
         now = self.node.now()
-        for line in list(self.lines):
-            since = now - line.opened_at
-            silent = not line.spoke and since > (WHOLE_WITHIN if line.intake.partial else BEGUN_WITHIN)
-            stuck = line.intake.stuck(now, WHOLE_WITHIN, PAUSE_WITHIN)
-            if (silent or stuck) and not line.spoilt and not line.wire.unread():
-                line.spoil()
-            line.end_if_done()
-            for asked in list(line.waiting.values()):
+        for connection in list(self.connections):
+            since = now - connection.opened_at
+            silent = not connection.spoke and since > (WHOLE_WITHIN if connection.intake.partial else BEGUN_WITHIN)
+            stuck = connection.intake.stuck(now, WHOLE_WITHIN, PAUSE_WITHIN)
+            if (silent or stuck) and not connection.spoilt and not connection.wire.unread():
+                connection.spoil()
+            connection.end_if_done()
+            for asked in list(connection.waiting.values()):
                 if asked.request is not None and now > asked.request.expires + OVERDUE:
                     # nothing should come to this; if something does, it is told, and the viewer is not kept waiting for ever
                     self.log.error("unanswered", session=asked.name, cause="its time is over, and nobody has said so")
-                    line.wire.send(rtsp.answer(FAILED, "1", asked.name))
+                    connection.wire.send(rtsp.answer(FAILED, "1", asked.name))
                     self._give_up(asked)
         if self.gate.crowded:
             self.gate.make_room(needed=False)
@@ -301,7 +304,7 @@
 
     # ---- messages
 
-    def _take(self, line: ClientConnection, message: rtsp.Message, now: int) -> None:
+    def _take(self, connection: ClientConnection, message: rtsp.Message, now: int) -> None:
         number = message.fields.get("cseq", "1")[:16]
         name = message.fields.get("session", "")
         if message.status:
@@ -313,28 +316,30 @@
                 number = "1"
                 raise RequestError("no number")
             if message.method == "OPTIONS":
-                line.wire.send(rtsp.answer(200 if self.node.ready else 503, number, name if SESSION.fullmatch(name) else ""))
+                connection.wire.send(
+                    rtsp.answer(200 if self.node.ready else 503, number, name if SESSION.fullmatch(name) else "")
+                )
                 return
             if not SESSION.fullmatch(name):
                 raise RequestError("no session's id")
             if message.method == "SETUP":
-                self._set_up(line, name, message, now)
+                self._set_up(connection, name, message, now)
             elif message.method == "TEARDOWN":
-                self._torn_down(line, name, number, message)
+                self._torn_down(connection, name, number, message)
             elif message.method not in ("ANNOUNCE", "REDIRECT", "SET_PARAMETER"):
                 raise RequestError(f"nothing is known of {message.method}", 501)
         except (RequestError, InvalidRequest) as wrong:
             self.log.info("wrong", what=message.method, session=name[:16], cause=str(wrong))
             # under an id that is open, or cannot be told, its error could be read as the answer to another
             named = SESSION.fullmatch(name) and not message.doubled and getattr(wrong, "named", True)
-            line.wire.send(rtsp.answer(getattr(wrong, "status", BAD), number, name if named else ""))
+            connection.wire.send(rtsp.answer(getattr(wrong, "status", BAD), number, name if named else ""))
         except Exception as fault:
             # one viewing's, and not that of the others on its connection
             self.log.error("fault", what=message.method, session=name[:16], cause=repr(fault), exc_info=fault)
             if message.method == "SETUP" and SESSION.fullmatch(name):
-                line.wire.send(rtsp.answer(FAILED, number, name))
+                connection.wire.send(rtsp.answer(FAILED, number, name))
 
-    def _set_up(self, line: ClientConnection, name: str, message: rtsp.Message, now: int) -> None:
+    def _set_up(self, connection: ClientConnection, name: str, message: rtsp.Message, now: int) -> None:
         fields = message.fields
         title = TITLE.fullmatch(message.address)
         if not title:
@@ -356,23 +361,23 @@
         expected = round(float(hint) * MS) if hint is not None else 0
         package, viewer = fields.get("x-cos", ""), int(viewer, 16)
         if "at" in legs:
-            line.good = True
+            connection.good = True
             if name in self.asked or not AT.fullmatch(legs["at"]):
                 return
             over = self.node.over_at(name, legs["at"], self.torn_down.pop(name, None))
             if over is None:
-                course = self.node.plays_at(name, package, title[1], base, span, top, viewer, expected, legs["at"])
-                self._stands(Asked(name, line, course=course))
+                front_session = self.node.plays_at(name, package, title[1], base, span, top, viewer, expected, legs["at"])
+                self._stands(Asked(name, connection, front_session=front_session))
             elif over:
-                self._owe(name, over, line)
+                self._owe(name, over, connection)
             return
         if name in self.asked:
             raise RequestError("this session is open already", 455, named=False)
         if self.torn_down.pop(name, None) is not None:
             raise RequestError("its end came first, on another connection", 454)
-        asked = self.asked[name] = Asked(name, line)
-        line.waiting[name] = asked
-        self.trail.taken(name, line)
+        asked = self.asked[name] = Asked(name, connection)
+        connection.waiting[name] = asked
+        self.trail.taken(name, connection)
         try:
             asked.request = self.node.asked(
                 name,
@@ -392,25 +397,25 @@
             self._forget(asked)
             raise
 
-    def _torn_down(self, line: ClientConnection, name: str, number: str, message: rtsp.Message) -> None:
+    def _torn_down(self, connection: ClientConnection, name: str, number: str, message: rtsp.Message) -> None:
         asked = self.asked.get(name)
         found = CAUSE.fullmatch(message.fields.get("reason", ""))
         cause = min(int(found[1]), 127) if found else 0
         if asked is None:
             owed = self.pending_releases.pop(name, None)
-            if owed is not None and owed.line is not None:
-                owed.line.wire.withdraw(owed)
+            if owed is not None and owed.connection is not None:
+                owed.connection.wire.withdraw(owed)
             elif owed is None:
                 self.torn_down[name] = cause
                 if len(self.torn_down) > MOST_TORN_DOWN:
                     self.torn_down.popitem(last=False)
             raise RequestError("no such session is open", 454)
-        line.wire.send(rtsp.answer(200, number, name))
-        if asked.course is None:
+        connection.wire.send(rtsp.answer(200, number, name))
+        if asked.front_session is None:
             self._give_up(asked)
             return
         self._forget(asked)
-        self.node.released(asked.course, cause)
+        self.node.released(asked.front_session, cause)
 
     def _give_up(self, asked: Asked) -> None:
         self.trail.note(asked.name, "given up")
@@ -420,38 +425,38 @@
 
     def _forget(self, asked: Asked) -> None:
         self.asked.pop(asked.name, None)
-        if asked.line is not None:
-            if asked.line.waiting.pop(asked.name, None) is not None:
-                asked.line.rested_at = self.node.now() / NS
-            elif asked.course is not None:
-                asked.line.standing -= 1
+        if asked.connection is not None:
+            if asked.connection.waiting.pop(asked.name, None) is not None:
+                asked.connection.rested_at = self.node.now() / NS
+            elif asked.front_session is not None:
+                asked.connection.standing -= 1
 
     def _stands(self, asked: Asked) -> None:
         self.asked[asked.name] = asked
-        asked.line.standing += 1
+        asked.connection.standing += 1
 
     # ---- what goes back
 
     def answer(self, asked: Asked, answer: Answer, description: bytes = b"") -> None:
-        line = asked.line
+        connection = asked.connection
         if self.asked.get(asked.name) is not asked:
             return
         self._forget(asked)
         queued = self.trail.answered(asked.name, asked.request is not None and self.node.now() > asked.request.expires + OVERDUE)
         if answer.kind is Kind.PLAYS:
-            asked.course = answer.course
+            asked.front_session = answer.front_session
             self._stands(asked)
-            if line.wire.peer_closed():
+            if connection.wire.peer_closed():
                 self.node.later(lambda: self._nobody_has(asked))
                 return
-            line.wire.send(rtsp.answer(200, "1", asked.name, description), queued)
-            line.good, self.last_good = True, line
-            self._note(line.answered, asked)
+            connection.wire.send(rtsp.answer(200, "1", asked.name, description), queued)
+            connection.good, self.last_good = True, connection
+            self._note(connection.answered, asked)
         elif answer.kind is Kind.REFUSED:
             pause = f"X-Pause: {answer.wait // MS}\r\n" if answer.wait else ""
-            line.wire.send(rtsp.answer(LEAVING if self.node.draining else NO_ROOM, "1", asked.name, fields=pause), queued)
+            connection.wire.send(rtsp.answer(LEAVING if self.node.draining else NO_ROOM, "1", asked.name, fields=pause), queued)
         else:
-            line.wire.send(rtsp.answer(FAILED, "1", asked.name), queued)
+            connection.wire.send(rtsp.answer(FAILED, "1", asked.name), queued)
 
     def _note(self, recent: deque[tuple[int, object]], what: object) -> None:
         """Keeps what a reset may show to be unread."""
@@ -464,14 +469,14 @@
         """Its client had closed before the answer came, though nobody had read that."""
         if self.asked.get(asked.name) is asked:
             self._forget(asked)
-            self.node.released(asked.course, 0)
+            self.node.released(asked.front_session, 0)
 
     def release(self, asked: Asked, cause: int | None) -> None:
         """The session is over; no cause for one of which its viewer is to hear nothing."""
         if self.asked.get(asked.name) is asked:
             self._forget(asked)
             if cause is not None:
-                self._owe(asked.name, cause, asked.line)
+                self._owe(asked.name, cause, asked.connection)
 
     def _owe(self, name: str, cause: int, own: ClientConnection | None) -> None:
         self.pending_releases[name] = Owed(name, cause)
@@ -484,18 +489,20 @@
         owed until they have left: what waits on a connection that ends goes out on another."""
         for owed in [owed for owed in self.pending_releases.values() if owed.handed]:
             del self.pending_releases[owed.name]
-        line = own if own is not None and own.wire.open else self._good()
-        if line is None:
+        connection = own if own is not None and own.wire.open else self._good()
+        if connection is None:
             return
         for owed in self.pending_releases.values():
-            if owed.line is None or not owed.line.wire.open:
-                owed.line = line
-                self._note(line.told, owed)
-                line.wire.send(rtsp.release(owed.name, owed.cause), owed)
+            if owed.connection is None or not owed.connection.wire.open:
+                owed.connection = connection
+                self._note(connection.told, owed)
+                connection.wire.send(rtsp.release(owed.name, owed.cause), owed)
 
     def _good(self) -> ClientConnection | None:
         if self.last_good is None or not self.last_good.wire.open:
-            self.last_good = next((line for line in reversed(self.lines) if line.good and line.wire.open), None)
+            self.last_good = next(
+                (connection for connection in reversed(self.connections) if connection.good and connection.wire.open), None
+            )
         return self.last_good
 
 
--- a/curlewshift/node/connections.py
+++ b/curlewshift/node/connections.py
@@ -28,7 +28,7 @@
     cause: int = isup.OVER
     since: int = 0
     # its new rungs go out on one connection while that is sound, as two would not keep their order
-    line: ServerConnection | None = None
+    connection: ServerConnection | None = None
     # its server tells its end here, while this connection is open
     set_up_on: ServerConnection | None = None
     # that connection was closed from here and its server may not know: its word may go there for good
@@ -41,8 +41,8 @@
 
     tune_in: TuneIn
     id: bytes
-    reach: ServerPool
-    line: ServerConnection | None = None
+    server_pool: ServerPool
+    connection: ServerConnection | None = None
     queued: bool = False
     handed: bool = False
     moves: int = 0
@@ -52,7 +52,7 @@
 
     def leaves(self) -> bool:
         """Asked as its first byte is about to go out."""
-        self.queued = self.reach.leaves(self)
+        self.queued = self.server_pool.leaves(self)
         return self.queued
 
 
@@ -73,7 +73,7 @@
         self.retired = False
         # nothing new goes out on it
         self.doubtful = False
-        self.opened_at = self.heard_at = self.used_at = endpoint.reach.now()
+        self.opened_at = self.heard_at = self.used_at = endpoint.server_pool.now()
         # when it was last asked for a sign, 0 once it has given one
         self.asked_at = 0
         self.intake = Intake(isup.Reader(), isup.Malformed, self.opened_at)
@@ -87,14 +87,14 @@
         """It is up, or may come up yet."""
         return self.wire is None or not self.wire.gone
 
-    def send(self, data: bytes, errand: PendingWrite | None = None) -> int:
+    def send(self, data: bytes, pending_write: PendingWrite | None = None) -> int:
         """The message's place on this connection."""
-        self.used_at = self.endpoint.reach.now()
+        self.used_at = self.endpoint.server_pool.now()
         self.sent += 1
         if self.wire is None:
-            self.unsent.append((data, errand))
+            self.unsent.append((data, pending_write))
         else:
-            self.wire.send(data, errand)
+            self.wire.send(data, pending_write)
         return self.sent
 
     def probe(self) -> None:
@@ -111,11 +111,11 @@
 class Endpoint:
     """One media server as this node reaches it."""
 
-    def __init__(self, reach: ServerPool, server: Server, address: tuple[str, int]):
-        self.reach, self.server, self.address = reach, server, address
-        self.lines: list[ServerConnection] = []
+    def __init__(self, server_pool: ServerPool, server: Server, address: tuple[str, int]):
+        self.server_pool, self.server, self.address = server_pool, server, address
+        self.connections: list[ServerConnection] = []
         self.standing: dict[bytes, FrontSession] = {}
-        self.heard_at = reach.now()
+        self.heard_at = server_pool.now()
         # the server that stands at its address now
         self.successor: Endpoint | None = None
         # connections in a row that did not come up while nothing was heard on others, and since when
@@ -130,4 +130,4 @@
     @property
     def up(self) -> bool:
         """A connection to it is up."""
-        return any(line.up for line in self.lines)
+        return any(connection.up for connection in self.connections)
--- a/curlewshift/node/node.py
+++ b/curlewshift/node/node.py
@@ -68,13 +68,13 @@
         # what has happened since it was logged last
         self.counts: Counter[str] = Counter()
         self.waking = WakeupTimer(self.clock, self._time)
-        self.desk = SessionCore(self, terms_of(settings, self.clock.now(), posting.seed), self.fleet)
+        self.session_core = SessionCore(self, terms_of(settings, self.clock.now(), posting.seed), self.fleet)
         extra = settings.get("extra") or {}
         for_servers = int(posting.descriptors * SERVERS_PART)
         gate = DescriptorGate(
             posting.descriptors, lambda: self.now() / NS, for_servers + OTHERS, IDLE_FOR, AT_ONCE, lambda line: line.spared
         )
-        self.door = ClientListener(self, gate, log, len(self.fleet.cells), len(extra.get("rung_kb") or [0]) - 1)
+        self.listener = ClientListener(self, gate, log, len(self.fleet.cells), len(extra.get("rung_kb") or [0]) - 1)
         self.for_servers = for_servers
 
     async def run(self) -> None:
@@ -85,8 +85,8 @@
                 def ns(owner, name, default):
                     return round((owner.get(name) or default) * MS)
 
-                self.reach = ServerPool(
-                    self.desk,
+                self.server_pool = ServerPool(
+                    self.session_core,
                     self.clock.now,
                     self.tasks,
                     self.log,
@@ -107,7 +107,7 @@
                 self.tasks.start_soon(self.waking.run)
                 self.tasks.start_soon(self._sweep)
                 self.tasks.start_soon(self.follower.run)
-                self.tasks.start_soon(self.door.serve, listener, self.tasks)
+                self.tasks.start_soon(self.listener.serve, listener, self.tasks)
                 # what is there now stays: collections need not look at it again
                 gc.collect()
                 gc.freeze()
@@ -143,27 +143,29 @@
     async def _end(self) -> None:
         """New requests are refused, those taken are answered, and what plays is looked after while there is time."""
         self.draining, self.ready = True, False
-        self.log.info("drain", list=self.follower.last, waiting=self.desk.waiting, playing=len(self.desk.courses))
-        self.desk.drain()
+        self.log.info(
+            "drain", list=self.follower.last, waiting=self.session_core.waiting, playing=len(self.session_core.front_sessions)
+        )
+        self.session_core.drain()
         closed_by = anyio.current_time() + self._longest_deadline() + KILLED_AFTER - ENDS_BEFORE
         answered_by = closed_by - CLOSING_TAKES
         with anyio.move_on_at(answered_by - ANSWERING_TAKES):
             await anyio.sleep(STILL_COME)
-            while self.desk.courses or self.desk.waiting or self.door.pending_releases:
+            while self.session_core.front_sessions or self.session_core.waiting or self.listener.pending_releases:
                 await anyio.sleep(0.05)
         left = anyio.current_time() + FINISH_WITHIN
-        await self.door.finish(min(answered_by, left), min(closed_by, left + CLOSING_TAKES))
-        await self.reach.finish(min(closed_by + TELLING_TAKES, anyio.current_time() + FINISH_WITHIN))
+        await self.listener.finish(min(answered_by, left), min(closed_by, left + CLOSING_TAKES))
+        await self.server_pool.finish(min(closed_by + TELLING_TAKES, anyio.current_time() + FINISH_WITHIN))
         self._tell_counts()
-        self.log.info("ended", playing=len(self.desk.courses))
+        self.log.info("ended", playing=len(self.session_core.front_sessions))
         self.tasks.cancel_scope.cancel()
 
     def _longest_deadline(self) -> float:
-        deadlines = [package.patience for package in self.desk.packages.values()]
+        deadlines = [package.patience for package in self.session_core.packages.values()]
         return min(LONGEST_COUNTED, max(deadlines) / NS) if all(deadlines) else LONGEST_COUNTED
 
     def end_waiting(self) -> None:
-        self.desk.end_waiting()
+        self.session_core.end_waiting()
 
     def _tell_counts(self) -> None:
         """What has happened since this was told last, by kind and cause."""
@@ -178,7 +180,7 @@
             if self.now() - told_at > COUNTS_EVERY:
                 told_at = self.now()
                 self._tell_counts()
-            for what, sweep in (("door", self.door.sweep), ("reach", self.reach.sweep)):
+            for what, sweep in (("door", self.listener.sweep), ("reach", self.server_pool.sweep)):
                 try:
                     sweep()
                 except Exception as fault:
@@ -186,7 +188,7 @@
 
     def _time(self) -> None:
         try:
-            self.desk.time()
+            self.session_core.time()
         except Exception as fault:
             # it costs the viewing whose time it was, and no other
             self.log.error("fault", what="something due", cause=repr(fault), exc_info=fault)
@@ -206,9 +208,9 @@
             if state == discovery.GONE:
                 self.fleet.unlisted(server)
             else:
-                self.reach.listed(server, address)
-            if started > server.started and self.reach.stands(server):
-                self.reach.restarted(server, started)
+                self.server_pool.listed(server, address)
+            if started > server.started and self.server_pool.stands(server):
+                self.server_pool.restarted(server, started)
             lines.append(Listed(server, state == discovery.READY, started))
 
         rows(told)
@@ -218,7 +220,7 @@
                     self.fleet.unlisted(server)
                     lines.append(Listed(server, False, server.started))
         self.log.info("list", version=version, servers=len(named), whole=full, open=sum(line.open for line in lines))
-        self.desk.lines_told(lines, stale)
+        self.session_core.lines_told(lines, stale)
 
     # ---- the door's side
 
@@ -237,7 +239,7 @@
         arrived: int,
         description: bytes,
     ) -> Request:
-        return self.desk.asked(
+        return self.session_core.asked(
             name,
             package,
             title,
@@ -255,51 +257,51 @@
         self, name: str, package: str, title: str, base: int, span: int, top: int, mark: int, expected: int, at: str
     ) -> FrontSession:
         server = self.fleet.servers[at]
-        course = self.desk.plays_at(
+        front_session = self.session_core.plays_at(
             package, title, top, server, Session(bytes.fromhex(name), server), self.fleet.holders(base, span), mark, expected
         )
-        self.reach.plays_at(course)
-        return course
+        self.server_pool.plays_at(front_session)
+        return front_session
 
     def over_at(self, name: str, at: str, torn_down: int | None) -> int | None:
         """Of a session that is handed over: None if it stands; else the cause that its viewer is to be told, 0 for nothing.
         `torn_down` is the cause with which its viewer has ended it already."""
         server, id = self.fleet.servers.get(at), bytes.fromhex(name)
-        if server is None or server not in self.reach.endpoints:
+        if server is None or server not in self.server_pool.endpoints:
             # the list has it no more: what was there is over, and only this node is left to say so
             return isup.RESET if torn_down is None else 0
         if torn_down is not None:
-            self.desk.orphaned(server, Session(id, server, cause=torn_down or isup.OVER))
+            self.session_core.orphaned(server, Session(id, server, cause=torn_down or isup.OVER))
             return 0
-        over = self.reach.over_before(server, id)
+        over = self.server_pool.over_before(server, id)
         return 0 if over == isup.CANCELLED else over
 
     def later(self, call) -> None:
         """Not from within a call of the desk's."""
-        self.desk.timers.at(self.now(), call)
+        self.session_core.timers.at(self.now(), call)
 
     def gave_up(self, request: Request) -> None:
-        self.desk.gave_up(request)
+        self.session_core.gave_up(request)
 
-    def released(self, course: FrontSession, cause: int) -> None:
+    def released(self, front_session: FrontSession, cause: int) -> None:
         """Its viewer has ended it; 0 for no cause said."""
         if cause:
-            course.session.cause = cause
-        self.reach.closed(course)
-        self.desk.closed(course)
+            front_session.session.cause = cause
+        self.server_pool.closed(front_session)
+        self.session_core.closed(front_session)
 
     # ---- reach's side
 
     def read_first(self, tune_in: TuneIn, then) -> bool:
         """Whether its viewer may have gone, and nobody has read that yet; if he has not, `then` is called."""
-        return self.door.read_first(tune_in.course.offer.name, then)
+        return self.listener.read_first(tune_in.front_session.offer.name, then)
 
-    def ended(self, course: FrontSession, outcome: Outcome, cause: int | None) -> None:
+    def ended(self, front_session: FrontSession, outcome: Outcome, cause: int | None) -> None:
         """It has ended at its server."""
-        self.desk.lost(course, outcome)
-        asked = self.door.asked.get(course.session.id.hex())
-        if asked is not None and asked.course is course:
-            self.door.release(asked, cause)
+        self.session_core.lost(front_session, outcome)
+        asked = self.listener.asked.get(front_session.session.id.hex())
+        if asked is not None and asked.front_session is front_session:
+            self.listener.release(asked, cause)
 
     # ---- the desk's outside, see curlewshift/session_core/driver.py
 
@@ -313,34 +315,34 @@
         self.waking.at(at)
 
     def tune_in(self, tune_in: TuneIn) -> None:
-        self.door.trail.note(tune_in.course.offer.name, f"attempt {tune_in.number} at {tune_in.server.name}")
+        self.listener.trail.note(tune_in.front_session.offer.name, f"attempt {tune_in.number} at {tune_in.server.name}")
         if tune_in.number > 1:
             self.log.info(
                 "further-attempt",
-                session=tune_in.course.offer.name,
+                session=tune_in.front_session.offer.name,
                 number=tune_in.number,
                 server=tune_in.server.name,
                 rung=tune_in.rung,
                 lasts_ms=(tune_in.until - self.now()) // MS,
             )
-        self.reach.tune_in(tune_in)
+        self.server_pool.tune_in(tune_in)
 
     def withdraw(self, tune_in: TuneIn) -> bool:
-        return self.reach.withdraw(tune_in)
+        return self.server_pool.withdraw(tune_in)
 
-    def tell(self, errand: ServerCommand) -> None:
-        self.reach.rung(errand.course, errand.rung)
+    def tell(self, command: ServerCommand) -> None:
+        self.server_pool.rung(command.front_session, command.rung)
         # it wants no answer, and the desk is not told from within its call
-        self.desk.timers.at(self.now(), lambda: self.desk.told_server(errand, Result.DONE))
+        self.session_core.timers.at(self.now(), lambda: self.session_core.told_server(command, Result.DONE))
 
-    def end_session(self, ending: SessionEnd) -> None:
-        self.reach.end_session(ending)
+    def end_session(self, session_end: SessionEnd) -> None:
+        self.server_pool.end_session(session_end)
 
     def probe(self, server: Server) -> None:
-        self.reach.probe(server)
+        self.server_pool.probe(server)
 
     def answer(self, request: Request, answer: Answer) -> None:
-        course = request.course
+        front_session = request.front_session
         self.counts[f"answer-{answer.kind.value}"] += 1
         self.log.info(
             "answer",
@@ -348,17 +350,17 @@
             answer=answer.kind.value,
             wait_ms=answer.wait // MS,
             after_ms=(self.now() - request.arrived) // MS,
-            tries=course.vw.tune_ins if course else 0,
+            tries=front_session.viewing.tune_ins if front_session else 0,
             cause=answer.cause,
-            server=course.vw.server.name if course and course.vw.server else "",
+            server=front_session.viewing.server.name if front_session and front_session.viewing.server else "",
         )
-        asked = self.door.asked.get(request.name)
+        asked = self.listener.asked.get(request.name)
         if asked is None:
             return
         description = b""
         if answer.kind is Kind.PLAYS:
-            description, course.session.description = course.session.description, b""
-        self.door.answer(asked, answer, description)
+            description, front_session.session.description = front_session.session.description, b""
+        self.listener.answer(asked, answer, description)
 
     def whole_list(self) -> None:
         """The bulletin's events follow on one another by their numbers; see the follower."""
