--- a/curlewshift/node/server_pool.py
+++ b/curlewshift/node/server_pool.py
@@ -54,27 +54,34 @@
 
 
 class ServerPool:
-    """`ended(course, outcome, cause)` is told of sessions that have ended at their server, and `read_first(tune_in, then)`
+    """`ended(front_session, outcome, cause)` is told of sessions that have ended at their server, and `read_first(tune_in, then)`
     asked before a set-up leaves; see the node. Times are ns."""
 
     def __init__(
         self,
-        desk,
+        session_core,
         clock,
         tasks,
         log,
         counts,
         ended,
         read_first,
-        most_lines: int,
+        most_connections: int,
         streams: int,
         connect_within: int,
         told_every: int,
         idle_close: int,
     ):
-        self.desk, self.now, self.tasks, self.log, self.counts, self.ended = desk, clock, tasks, log, counts, ended
+        self.session_core, self.now, self.tasks, self.log, self.counts, self.ended = (
+            session_core,
+            clock,
+            tasks,
+            log,
+            counts,
+            ended,
+        )
         self.read_first = read_first
-        self.most_lines, self.streams = most_lines, streams
+        self.most_connections, self.streams = most_connections, streams
         self.connect_within = connect_within / NS
         self.silent_for = min(max(SILENT_FOR, int(told_every * SILENT_GAPS)), LONGEST_SILENT)
         self.idle_for = int(idle_close * IDLE_PART)
@@ -101,24 +108,24 @@
                 other.address = None
         if endpoint.address != address:
             endpoint.address = address
-            for line in list(endpoint.lines):
-                self._break(line, "it has another address now")
+            for connection in list(endpoint.connections):
+                self._break(connection, "it has another address now")
 
     def restarted(self, server: Server, at: int) -> None:
         """It has started anew at this time: what it set up before is over, whether it gets to say so or not."""
-        self.desk.timers.at(self.now() + TOLD_WITHIN, lambda: self._over_since(server, at))
+        self.session_core.timers.at(self.now() + TOLD_WITHIN, lambda: self._over_since(server, at))
 
     def _over_since(self, server: Server, at: int) -> None:
         endpoint = self.endpoints.get(server)
         self.pending.server_gone(server, before=at)
-        for id, course in list(endpoint.standing.items()) if endpoint is not None else ():
-            if course.session.since < at:
+        for id, front_session in list(endpoint.standing.items()) if endpoint is not None else ():
+            if front_session.session.since < at:
                 del endpoint.standing[id]
-                self.ended(course, Outcome.BROKEN, isup.RESET)
+                self.ended(front_session, Outcome.BROKEN, isup.RESET)
 
-    def plays_at(self, course: FrontSession) -> None:
-        endpoint = self.endpoints[course.session.server]
-        endpoint.standing[course.session.id] = course
+    def plays_at(self, front_session: FrontSession) -> None:
+        endpoint = self.endpoints[front_session.session.server]
+        endpoint.standing[front_session.session.id] = front_session
         self._keep_open(endpoint)
 
     def over_before(self, server: Server, id: bytes) -> int | None:
@@ -131,29 +138,34 @@
     # ---- what goes out
 
     def tune_in(self, tune_in: TuneIn) -> None:
-        attempt = self.attempts[tune_in] = Attempt(tune_in, bytes.fromhex(tune_in.course.offer.name), self)
+        attempt = self.attempts[tune_in] = Attempt(tune_in, bytes.fromhex(tune_in.front_session.offer.name), self)
         self._assign(attempt)
 
     def _assign(self, attempt: Attempt) -> None:
         tune_in = attempt.tune_in
         endpoint = self.endpoints[tune_in.server]
-        line = self._line(endpoint, attempt.id)
-        attempt.line = line
-        line.attempts[attempt.id] = attempt
-        self._write(line, attempt)
+        connection = self._connection(endpoint, attempt.id)
+        attempt.connection = connection
+        connection.attempts[attempt.id] = attempt
+        self._write(connection, attempt)
 
-    def _write(self, line: ServerConnection, attempt: Attempt) -> None:
+    def _write(self, connection: ServerConnection, attempt: Attempt) -> None:
         attempt.queued = True
-        if line.wire is None:
+        if connection.wire is None:
             # how long its viewer still waits is written when it goes out
-            line.unsent.append((b"", attempt))
+            connection.unsent.append((b"", attempt))
             return
-        vw = attempt.tune_in.course.vw
+        viewing = attempt.tune_in.front_session.viewing
         attempt.sent_at = self.now()
         wait = max(1, (attempt.tune_in.until - self.now()) // MS)
-        attempt.number = line.send(
+        attempt.number = connection.send(
             isup.set_up(
-                attempt.id, vw.package.name, vw.title, wait, attempt.tune_in.rung, attempt.tune_in.course.offer.description
+                attempt.id,
+                viewing.package.name,
+                viewing.title,
+                wait,
+                attempt.tune_in.rung,
+                attempt.tune_in.front_session.offer.description,
             ),
             attempt,
         )
@@ -161,23 +173,23 @@
     def leaves(self, attempt: Attempt) -> bool:
         """Whether this set-up goes out now, on its connection. Not if its viewer may have gone and nobody has read that yet;
         nor if the list, the time or the connection's own end has overtaken it since it was queued."""
-        line = attempt.line
+        connection = attempt.connection
         if self.attempts.get(attempt.tune_in) is not attempt:
             return False
-        if not self.desk.stands(attempt.tune_in):
+        if not self.session_core.stands(attempt.tune_in):
             self._later(lambda: self._overtaken(attempt))
             return False
-        if line.wire.peer_closed():
+        if connection.wire.peer_closed():
             # its server has closed it: what goes out now would be in doubt
-            line.wire.ended_by_peer = True
-            self._later(lambda: self._break(line, "its server has closed it"))
+            connection.wire.ended_by_peer = True
+            self._later(lambda: self._break(connection, "its server has closed it"))
             return False
         if self._waits_for_a_release(attempt):
             return False
         if self.read_first(attempt.tune_in, lambda: self._go_on(attempt)):
             return False
-        self.teardowns.set_up_again(line, attempt)
-        self.desk.sent(attempt.tune_in)
+        self.teardowns.set_up_again(connection, attempt)
+        self.session_core.sent(attempt.tune_in)
         return True
 
     def _waits_for_a_release(self, attempt: Attempt) -> bool:
@@ -190,7 +202,7 @@
         if isinstance(before, Copy):
             cause = "a release is not confirmed" if before.written else "a release is not written"
             if not before.written:
-                self.desk.timers.at(self.now() + RELEASE_WRITTEN_WITHIN, lambda: self._reset_unless_written(before))
+                self.session_core.timers.at(self.now() + RELEASE_WRITTEN_WITHIN, lambda: self._reset_unless_written(before))
         else:
             cause = "a release has not been sent"
             self._later(lambda: self.teardowns.hurry(before))
@@ -210,155 +222,158 @@
 
     def _go_on(self, attempt: Attempt) -> None:
         if self.attempts.get(attempt.tune_in) is attempt and not attempt.queued:
-            self._write(attempt.line, attempt)
+            self._write(attempt.connection, attempt)
 
     def withdraw(self, tune_in: TuneIn) -> bool:
         attempt = self.attempts.pop(tune_in, None)
         if attempt is None:
             return False
-        line = attempt.line
-        if line.attempts.get(attempt.id) is attempt:
-            del line.attempts[attempt.id]
+        connection = attempt.connection
+        if connection.attempts.get(attempt.id) is attempt:
+            del connection.attempts[attempt.id]
         self._log_end(attempt, "timed out" if self.now() >= tune_in.until else "client left")
         if not attempt.handed:
-            line.withdraw(attempt)
+            connection.withdraw(attempt)
             return False
-        self.teardowns.attempt_given_up(line, attempt)
-        if line.heard_at < attempt.sent_at and self.now() >= tune_in.until:
-            line.doubtful = True
+        self.teardowns.attempt_given_up(connection, attempt)
+        if connection.heard_at < attempt.sent_at and self.now() >= tune_in.until:
+            connection.doubtful = True
         self.given_up[tune_in.server, attempt.id] = tune_in
         if len(self.given_up) > MOST_GIVEN_UP:
             self.given_up.popitem(last=False)
         return True
 
-    def rung(self, course: FrontSession, rung: int) -> None:
-        session = course.session
-        line = session.line
-        if line is None or line not in line.endpoint.lines or line.doubtful or not line.up:
-            line = session.line = self._some_line(self.endpoints[session.server])
-        line.send(isup.rung(session.id, rung))
+    def rung(self, front_session: FrontSession, rung: int) -> None:
+        session = front_session.session
+        connection = session.connection
+        if connection is None or connection not in connection.endpoint.connections or connection.doubtful or not connection.up:
+            connection = session.connection = self._some_connection(self.endpoints[session.server])
+        connection.send(isup.rung(session.id, rung))
 
-    def end_session(self, ending: SessionEnd) -> None:
+    def end_session(self, session_end: SessionEnd) -> None:
         """From now on it is seen to here: the desk need not try again."""
-        endpoint = self.endpoints.get(ending.server)
+        endpoint = self.endpoints.get(session_end.server)
         if endpoint is not None:
-            self.teardowns.session_over(endpoint, ending.session)
-        self._later(lambda: self.desk.session_ended(ending, True))
+            self.teardowns.session_over(endpoint, session_end.session)
+        self._later(lambda: self.session_core.session_ended(session_end, True))
 
     def probe(self, server: Server) -> None:
         endpoint = self.endpoints.get(server)
         if endpoint is not None:
-            self._probe(endpoint, self._some_line(endpoint))
+            self._probe(endpoint, self._some_connection(endpoint))
 
-    def _probe(self, endpoint: Endpoint, line: ServerConnection) -> None:
+    def _probe(self, endpoint: Endpoint, connection: ServerConnection) -> None:
         self.counts["probe-sent"] += 1
-        line.probe()
-        self.pending.tested(line)
+        connection.probe()
+        self.pending.tested(connection)
 
     def _later(self, call) -> None:
         """The desk is never told from within its own call."""
-        self.desk.timers.at(self.now(), call)
+        self.session_core.timers.at(self.now(), call)
 
     # ---- connections
 
-    def _line(self, endpoint: Endpoint, id: bytes) -> ServerConnection:
+    def _connection(self, endpoint: Endpoint, id: bytes) -> ServerConnection:
         """One that is idle, else a new one while there may be more, else that with least out on it."""
         sound = [
-            line
-            for line in endpoint.lines
-            if line.usable and not line.doubtful and id not in line.attempts and len(line.attempts) < self.streams
+            connection
+            for connection in endpoint.connections
+            if connection.usable
+            and not connection.doubtful
+            and id not in connection.attempts
+            and len(connection.attempts) < self.streams
         ]
-        idle = next((line for line in sound if line.up and not line.attempts), None)
+        idle = next((connection for connection in sound if connection.up and not connection.attempts), None)
         if idle is not None:
             return idle
-        if not sound or (self.count < self.most_lines and len(endpoint.lines) < self._share()):
+        if not sound or (self.count < self.most_connections and len(endpoint.connections) < self._share()):
             return self.open_connection(endpoint)
-        return min(sound, key=lambda line: (len(line.attempts), line.wire is None))
+        return min(sound, key=lambda connection: (len(connection.attempts), connection.wire is None))
 
     def _share(self) -> int:
-        return max(2, self.most_lines // max(1, len(self.endpoints)))
+        return max(2, self.most_connections // max(1, len(self.endpoints)))
 
-    def _some_line(self, endpoint: Endpoint) -> ServerConnection:
-        lines = [line for line in endpoint.lines if line.usable]
-        if not lines:
+    def _some_connection(self, endpoint: Endpoint) -> ServerConnection:
+        connections = [connection for connection in endpoint.connections if connection.usable]
+        if not connections:
             return self.open_connection(endpoint)
-        return max(lines, key=lambda line: (not line.doubtful, line.up, line.heard_at))
+        return max(connections, key=lambda connection: (not connection.doubtful, connection.up, connection.heard_at))
 
     def _keep_open(self, endpoint: Endpoint) -> None:
-        if not endpoint.lines:
+        if not endpoint.connections:
             self.open_connection(endpoint)
 
     def open_connection(self, endpoint: Endpoint) -> ServerConnection:
         self.opened += 1
-        line = ServerConnection(endpoint, self.opened)
-        endpoint.lines.append(line)
+        connection = ServerConnection(endpoint, self.opened)
+        endpoint.connections.append(connection)
         self.count += 1
-        self.tasks.start_soon(self._run, line)
-        return line
+        self.tasks.start_soon(self._run, connection)
+        return connection
 
-    async def _run(self, line: ServerConnection) -> None:
-        endpoint = line.endpoint
+    async def _run(self, connection: ServerConnection) -> None:
+        endpoint = connection.endpoint
         try:
             if endpoint.address is None:
-                self._not_up(line, ConnectionRefusedError("its address is another server's by now"))
+                self._not_up(connection, ConnectionRefusedError("its address is another server's by now"))
                 return
             try:
                 sock = await dial(endpoint.address, self.connect_within)
             except OSError as wrong:
-                self._not_up(line, wrong)
+                self._not_up(connection, wrong)
                 return
             if sock is None:
-                self._not_up(line, None)
+                self._not_up(connection, None)
                 return
-            if line.over:
+            if connection.over:
                 sock.close()
                 return
             endpoint.never_up, endpoint.was_reset = 0, False
-            line.wire = BufferedConnection(sock, self.tasks)
-            self.teardowns.connection_up(line)
-            self._take_off(line)
-            while data := await line.wire.receive():
-                self._read(line, data)
+            connection.wire = BufferedConnection(sock, self.tasks)
+            self.teardowns.connection_up(connection)
+            self._take_off(connection)
+            while data := await connection.wire.receive():
+                self._read(connection, data)
         except Exception as fault:
             self.log.error(
                 "fault", what="a connection to a media server", server=endpoint.server.name, cause=repr(fault), exc_info=fault
             )
         finally:
-            self._break(line, "it has ended")
-            if line.wire is not None:
-                await line.wire.close()
+            self._break(connection, "it has ended")
+            if connection.wire is not None:
+                await connection.wire.close()
 
-    def _take_off(self, line: ServerConnection) -> None:
+    def _take_off(self, connection: ServerConnection) -> None:
         """What waited for the connection goes out on it."""
-        unsent, line.unsent = line.unsent, []
-        for data, errand in unsent:
-            if isinstance(errand, Attempt):
-                self._write(line, errand)
+        unsent, connection.unsent = connection.unsent, []
+        for data, pending_write in unsent:
+            if isinstance(pending_write, Attempt):
+                self._write(connection, pending_write)
             else:
-                line.send(data, errand)
+                connection.send(data, pending_write)
 
-    def _not_up(self, line: ServerConnection, wrong: OSError | None) -> None:
+    def _not_up(self, connection: ServerConnection, wrong: OSError | None) -> None:
         """It did not come up; of one that nobody wants any more nothing is learnt."""
-        endpoint = line.endpoint
-        if line.over:
+        endpoint = connection.endpoint
+        if connection.over:
             return
         # no descriptor left is nothing that the server has done
         own = wrong is not None and wrong.errno in (23, 24)
         if not own:
             if not endpoint.never_up:
-                endpoint.failing_since = line.opened_at
+                endpoint.failing_since = connection.opened_at
             endpoint.never_up += 1
         self.log.info(
             "not-up",
             server=endpoint.server.name,
-            connection=line.number,
+            connection=connection.number,
             cause=repr(wrong) if wrong is not None else "not up in time",
         )
-        self._gone(line)
-        for attempt in list(line.attempts.values()):
+        self._gone(connection)
+        for attempt in list(connection.attempts.values()):
             self._end(attempt, Outcome.UNSENT if own else Outcome.UNREACHED)
-        if line.probes and not endpoint.up:
-            self.desk.probed(endpoint.server, Outcome.UNREACHED)
+        if connection.probes and not endpoint.up:
+            self.session_core.probed(endpoint.server, Outcome.UNREACHED)
         if wrong is not None and not own and not endpoint.up and self._has_died(endpoint):
             self.pending.server_gone(endpoint.server)
             if endpoint.standing:
@@ -370,65 +385,65 @@
 
     def _is_listed(self, endpoint: Endpoint) -> bool:
         """Whether discovery says that it is there, ready or draining."""
-        return self.desk.roster.lists(endpoint.server)
+        return self.session_core.server_list.lists(endpoint.server)
 
-    def _gone(self, line: ServerConnection) -> None:
-        if not line.over:
-            line.over = True
-            if line in line.endpoint.lines:
-                line.endpoint.lines.remove(line)
+    def _gone(self, connection: ServerConnection) -> None:
+        if not connection.over:
+            connection.over = True
+            if connection in connection.endpoint.connections:
+                connection.endpoint.connections.remove(connection)
             self.count -= 1
 
-    def _retire(self, line: ServerConnection) -> None:
+    def _retire(self, connection: ServerConnection) -> None:
         """Closed in peace: nothing more goes out on it, and what its server has said meanwhile is still read."""
-        line.endpoint.lines.remove(line)
-        line.retired = True
-        line.wire.end()
+        connection.endpoint.connections.remove(connection)
+        connection.retired = True
+        connection.wire.end()
 
-    def _break(self, line: ServerConnection, why: str) -> None:
+    def _break(self, connection: ServerConnection, why: str) -> None:
         """The connection is of no more use: what was out on it may have run, what had not left is sent on another."""
-        if line.over:
+        if connection.over:
             return
-        self._gone(line)
-        if line.wire is not None:
-            line.wire.drop()
-        endpoint = line.endpoint
-        by_peer = line.wire is not None and line.wire.ended_by_peer
-        reset = line.wire is not None and line.wire.reset_by_peer
-        self._log_close(line, "its server has closed it" if by_peer else why)
+        self._gone(connection)
+        if connection.wire is not None:
+            connection.wire.drop()
+        endpoint = connection.endpoint
+        by_peer = connection.wire is not None and connection.wire.ended_by_peer
+        reset = connection.wire is not None and connection.wire.reset_by_peer
+        self._log_close(connection, "its server has closed it" if by_peer else why)
         if reset:
             endpoint.was_reset = True
         if not by_peer:
-            self._note_unheard(line)
-        for attempt in list(line.attempts.values()):
+            self._note_unheard(connection)
+        for attempt in list(connection.attempts.values()):
             if attempt.handed:
-                self.teardowns.attempt_broken(line, attempt, by_peer)
+                self.teardowns.attempt_broken(connection, attempt, by_peer)
                 self._end(attempt, Outcome.BROKEN)
-            elif attempt.moves >= MOST_MOVES or not self.desk.stands(attempt.tune_in):
+            elif attempt.moves >= MOST_MOVES or not self.session_core.stands(attempt.tune_in):
                 self._end(attempt, Outcome.UNSENT)
             else:
                 attempt.moves += 1
-                line.attempts.pop(attempt.id)
+                connection.attempts.pop(attempt.id)
                 self._assign(attempt)
-        self.pending.connection_ended(line, by_peer)
+        self.pending.connection_ended(connection, by_peer)
         if reset and not self._is_listed(endpoint) and not endpoint.up:
             # something may stand before its address that takes connections and resets them; should it live, it is told
             self._lost(endpoint, "gone by the list, and reset", cut_off=True)
 
-    def _note_unheard(self, line: ServerConnection) -> None:
+    def _note_unheard(self, connection: ServerConnection) -> None:
         """Its server may not know that it is closed, and say the ends of sessions there, unheard."""
-        endpoint = line.endpoint
-        for course in endpoint.standing.values():
-            if course.session.set_up_on is line:
-                course.session.unheard = endpoint.words_lost = True
+        endpoint = connection.endpoint
+        for front_session in endpoint.standing.values():
+            if front_session.session.set_up_on is connection:
+                front_session.session.unheard = endpoint.words_lost = True
                 endpoint.unheard_since = self.now()
 
     def _end(self, attempt: Attempt, outcome: Outcome, report: dict[str, float] | None = None) -> None:
         self.attempts.pop(attempt.tune_in, None)
-        if attempt.line is not None and attempt.line.attempts.get(attempt.id) is attempt:
-            del attempt.line.attempts[attempt.id]
+        if attempt.connection is not None and attempt.connection.attempts.get(attempt.id) is attempt:
+            del attempt.connection.attempts[attempt.id]
         self._log_end(attempt, outcome.value)
-        self.desk.failed(attempt.tune_in, outcome, report)
+        self.session_core.failed(attempt.tune_in, outcome, report)
 
     def _log_end(self, attempt: Attempt, outcome: str) -> None:
         """Of an attempt that has set nothing up."""
@@ -438,59 +453,59 @@
             session=attempt.id.hex(),
             number=attempt.tune_in.number,
             server=attempt.tune_in.server.name,
-            connection=attempt.line.number if attempt.line is not None else 0,
+            connection=attempt.connection.number if attempt.connection is not None else 0,
             outcome=outcome,
             left=attempt.handed,
             after_ms=(self.now() - attempt.sent_at) // MS if attempt.sent_at else 0,
         )
 
-    def _log_close(self, line: ServerConnection, cause: str) -> None:
+    def _log_close(self, connection: ServerConnection, cause: str) -> None:
         self.counts["connection-closed"] += 1
         self.log.info(
             "connection-closed",
-            server=line.endpoint.server.name,
-            connection=line.number,
+            server=connection.endpoint.server.name,
+            connection=connection.number,
             cause=cause,
-            out=len(line.attempts),
-            open_ms=(self.now() - line.opened_at) // MS,
+            out=len(connection.attempts),
+            open_ms=(self.now() - connection.opened_at) // MS,
         )
 
     # ---- what comes in
 
-    def _read(self, line: ServerConnection, data: bytes) -> None:
+    def _read(self, connection: ServerConnection, data: bytes) -> None:
         now = self.now()
-        line.heard_at = line.endpoint.heard_at = now
-        line.endpoint.never_up = 0
-        messages, wrong = line.intake.feed(data, now)
+        connection.heard_at = connection.endpoint.heard_at = now
+        connection.endpoint.never_up = 0
+        messages, wrong = connection.intake.feed(data, now)
         try:
             for kind, id, parameters in messages:
-                if line.over:
+                if connection.over:
                     return
-                self._take(line, kind, id, parameters)
+                self._take(connection, kind, id, parameters)
         except isup.Malformed as caught:
             wrong = caught
         if wrong is not None:
-            self.log.info("malformed", what="media server", server=line.endpoint.server.name, cause=str(wrong))
-            self._break(line, str(wrong))
+            self.log.info("malformed", what="media server", server=connection.endpoint.server.name, cause=str(wrong))
+            self._break(connection, str(wrong))
 
-    def _take(self, line: ServerConnection, kind: int, id: bytes, parameters: dict[int, bytes]) -> None:
-        endpoint = line.endpoint
+    def _take(self, connection: ServerConnection, kind: int, id: bytes, parameters: dict[int, bytes]) -> None:
+        endpoint = connection.endpoint
         if kind == isup.ANSWER:
-            self._answered(line, id, parameters)
+            self._answered(connection, id, parameters)
         elif kind == isup.RELEASE:
-            self._released(line, id, isup.cause_of(parameters), self._report(parameters))
+            self._released(connection, id, isup.cause_of(parameters), self._report(parameters))
         elif kind == isup.RELEASED:
-            self.pending.heard(endpoint.server, id, line)
+            self.pending.heard(endpoint.server, id, connection)
         elif kind == isup.NOTE:
             self._note(endpoint, id, isup.text_of(parameters, isup.KIND), isup.text_of(parameters, isup.FIGURE))
         elif kind == isup.PROBED:
-            number = line.probes.pop(id, None)
+            number = connection.probes.pop(id, None)
             if number is not None:
-                self.pending.answered(line, number)
+                self.pending.answered(connection, number)
                 passed = isup.cause_of(parameters) == 1
-                self.desk.probed(endpoint.server, Outcome.PLAYED if passed else Outcome.ERROR, self._report(parameters))
+                self.session_core.probed(endpoint.server, Outcome.PLAYED if passed else Outcome.ERROR, self._report(parameters))
         elif kind == isup.PROBE:
-            line.send(isup.probed(id, True))
+            connection.send(isup.probed(id, True))
         elif kind in (isup.SET_UP, isup.RUNG):
             raise isup.Malformed(f"a message of type {kind} from a media server")
 
@@ -499,72 +514,72 @@
         link, uplink = use_of(isup.report_of(parameters))
         return {name: use for name, use in (("link", link), ("uplink", uplink)) if use is not None}
 
-    def _answered(self, line: ServerConnection, id: bytes, parameters: dict[int, bytes]) -> None:
-        endpoint = line.endpoint
+    def _answered(self, connection: ServerConnection, id: bytes, parameters: dict[int, bytes]) -> None:
+        endpoint = connection.endpoint
         description = parameters.get(isup.DESCRIPTION)
         if description is None:
             raise isup.Malformed("an answer without a description")
         session = Session(id, endpoint.server, description, since=self.now())
-        attempt = line.attempts.get(id)
+        attempt = connection.attempts.get(id)
         if attempt is None:
             late = self.given_up.pop((endpoint.server, id), None)
             if late is not None and id not in endpoint.standing:
                 # it crossed its giving up
-                self.desk.played(late, session)
+                self.session_core.played(late, session)
             return
         if not attempt.handed:
             # ahead of its set-up: it belongs to something else
             return
-        del line.attempts[id]
+        del connection.attempts[id]
         self.attempts.pop(attempt.tune_in, None)
-        self.pending.answered(line, attempt.number)
-        course = attempt.tune_in.course
-        self.desk.played(attempt.tune_in, session, self._report(parameters))
-        if course.session is session and course.vw.playing:
-            session.line = session.set_up_on = line
-            endpoint.standing[id] = course
-
-    def _released(self, line: ServerConnection, id: bytes, cause: int, report: dict[str, float]) -> None:
-        endpoint = line.endpoint
-        attempt = line.attempts.get(id)
+        self.pending.answered(connection, attempt.number)
+        front_session = attempt.tune_in.front_session
+        self.session_core.played(attempt.tune_in, session, self._report(parameters))
+        if front_session.session is session and front_session.viewing.playing:
+            session.connection = session.set_up_on = connection
+            endpoint.standing[id] = front_session
+
+    def _released(self, connection: ServerConnection, id: bytes, cause: int, report: dict[str, float]) -> None:
+        endpoint = connection.endpoint
+        attempt = connection.attempts.get(id)
         if attempt is not None:
-            self.pending.answered(line, attempt.number)
+            self.pending.answered(connection, attempt.number)
             self._end(attempt, BEFORE.get(cause, Outcome.BROKEN), report)
             return
         given_up = self.given_up.pop((endpoint.server, id), None)
         self.pending.over(endpoint.server, id)
         if report:
-            self.desk.told(endpoint.server, report)
-        course = endpoint.standing.pop(id, None)
-        if course is None and given_up is None:
+            self.session_core.told(endpoint.server, report)
+        front_session = endpoint.standing.pop(id, None)
+        if front_session is None and given_up is None:
             # it may be handed over only after its end
             self.over[endpoint.server, id] = cause
             if len(self.over) > MOST_OVER:
                 self.over.popitem(last=False)
-        if course is not None:
-            line.send(isup.released(id))
-            self.ended(course, AFTER.get(cause, Outcome.BROKEN), None if cause == isup.CANCELLED else cause)
+        if front_session is not None:
+            connection.send(isup.released(id))
+            self.ended(front_session, AFTER.get(cause, Outcome.BROKEN), None if cause == isup.CANCELLED else cause)
 
     def _note(self, endpoint: Endpoint, id: bytes, name: str, figure: str) -> None:
         try:
             figure = float(figure)
         except ValueError:
             raise isup.Malformed(f"a note with the figure {figure!r}") from None
-        course = endpoint.standing.get(id)
+        front_session = endpoint.standing.get(id)
         if name == "kept_up" and 0 <= figure < 1e6:
-            self.desk.delivered(endpoint.server, figure)
-        elif name == "tier" and course is not None and 0 <= figure < 1e3:
-            self.desk.rung_found(course, int(figure))
+            self.session_core.delivered(endpoint.server, figure)
+        elif name == "tier" and front_session is not None and 0 <= figure < 1e3:
+            self.session_core.rung_found(front_session, int(figure))
         elif name == "wire":
-            self.desk.told(endpoint.server, {"link": figure})
+            self.session_core.told(endpoint.server, {"link": figure})
         elif name == "trunk":
-            self.desk.told(endpoint.server, {"uplink": figure})
+            self.session_core.told(endpoint.server, {"uplink": figure})
 
     # ---- endings that this side has made
 
-    def closed(self, course: FrontSession) -> None:
+    def closed(self, front_session: FrontSession) -> None:
         """Ended by its viewer: the server is told by the desk's endings."""
-        self.endpoints[course.session.server].standing.pop(course.session.id, None)
+        self.endpoints[front_session.session.server].standing.pop(front_session.session.id, None)
 
     def _lost(self, endpoint: Endpoint, why: str, cut_off: bool = False) -> None:
         """The server is not there any more; what played on it is over. One that may only be `cut_off` plays on, for
@@ -572,14 +587,14 @@
         if endpoint.standing:
             self.log.warning("server-lost", server=endpoint.server.name, cause=why, standing=len(endpoint.standing))
         standing, endpoint.standing = endpoint.standing, {}
-        for course in standing.values():
-            self.ended(course, Outcome.BROKEN, isup.RESET)
+        for front_session in standing.values():
+            self.ended(front_session, Outcome.BROKEN, isup.RESET)
             if cut_off:
-                self.desk.orphaned(endpoint.server, course.session)
+                self.session_core.orphaned(endpoint.server, front_session.session)
             elif endpoint.successor is not None:
-                self.teardowns.session_over(endpoint.successor, Session(course.session.id, endpoint.successor.server))
-        for line in list(endpoint.lines):
-            self._break(line, why)
+                self.teardowns.session_over(endpoint.successor, Session(front_session.session.id, endpoint.successor.server))
+        for connection in list(endpoint.connections):
+            self._break(connection, why)
 
     # ---- looked after
 
@@ -590,7 +605,11 @@
             await anyio.sleep(0.005)
 
     def _something_waits(self) -> bool:
-        return any(line.up and line.wire.waiting for endpoint in self.endpoints.values() for line in endpoint.lines)
+        return any(
+            connection.up and connection.wire.waiting
+            for endpoint in self.endpoints.values()
+            for connection in endpoint.connections
+        )
 
     def sweep(self) -> None:
         now = self.now()
@@ -598,30 +617,30 @@
         while self.given_up and next(iter(self.given_up.values())).until < now - GIVEN_UP_FOR:
             self.given_up.popitem(last=False)
         for endpoint in list(self.endpoints.values()):
-            for line in list(endpoint.lines):
-                self._look_after(line, now)
+            for connection in list(endpoint.connections):
+                self._look_after(connection, now)
             if endpoint.server in self.pending.at:
                 self.teardowns.look_after(endpoint)
             if endpoint.standing:
                 self._keep_open(endpoint)
                 self._ask_for_sign(endpoint, now)
-            elif not endpoint.lines and self._is_forgotten(endpoint) and not self.pending.of(endpoint.server):
+            elif not endpoint.connections and self._is_forgotten(endpoint) and not self.pending.of(endpoint.server):
                 del self.endpoints[endpoint.server]
 
     def _is_forgotten(self, endpoint: Endpoint) -> bool:
-        return self.desk.roster.servers.get(endpoint.server.name) is not endpoint.server
+        return self.session_core.server_list.servers.get(endpoint.server.name) is not endpoint.server
 
-    def _look_after(self, line: ServerConnection, now: int) -> None:
-        if line.intake.stuck(now, WHOLE_WITHIN, WHOLE_WITHIN):
-            self._break(line, "half a message and no more")
+    def _look_after(self, connection: ServerConnection, now: int) -> None:
+        if connection.intake.stuck(now, WHOLE_WITHIN, WHOLE_WITHIN):
+            self._break(connection, "half a message and no more")
             return
-        spare = len(line.endpoint.lines) > 1 or not line.endpoint.standing
-        if not spare or not line.up or line.attempts:
+        spare = len(connection.endpoint.connections) > 1 or not connection.endpoint.standing
+        if not spare or not connection.up or connection.attempts:
             return
-        idle_for = self.idle_for if self.count < self.most_lines else min(IDLE_FOR, self.idle_for)
-        idle = now - line.used_at > idle_for and not self.teardowns.unconfirmed_on(line)
-        if line.doubtful or idle:
-            self._retire(line)
+        idle_for = self.idle_for if self.count < self.most_connections else min(IDLE_FOR, self.idle_for)
+        idle = now - connection.used_at > idle_for and not self.teardowns.unconfirmed_on(connection)
+        if connection.doubtful or idle:
+            self._retire(connection)
 
     def _ask_for_sign(self, endpoint: Endpoint, now: int) -> None:
         """A machine that has vanished says nothing, and its connections stay open: only a new one tells."""
@@ -634,50 +653,61 @@
         if (endpoint.never_up or endpoint.words_lost or silent) and self._needs_another(endpoint, now):
             self._retire_one(endpoint)
             self._probe(endpoint, self.open_connection(endpoint))
-        for line in list(endpoint.lines):
-            if now - line.heard_at > self.silent_for:
-                self._ask_line_for_sign(line, now)
+        for connection in list(endpoint.connections):
+            if now - connection.heard_at > self.silent_for:
+                self._ask_connection_for_sign(connection, now)
             else:
-                line.asked_at = 0
+                connection.asked_at = 0
 
     def _needs_another(self, endpoint: Endpoint, now: int) -> bool:
         """Whether what the server has to say may have been lost with the connections that there were."""
-        lines = endpoint.lines
-        if not all(line.up for line in lines):
+        connections = endpoint.connections
+        if not all(connection.up for connection in connections):
             return False
-        newest = max(line.opened_at for line in lines)
+        newest = max(connection.opened_at for connection in connections)
         if endpoint.never_up or newest < endpoint.unheard_since:
             return True
         if endpoint.words_lost and now - newest > REOPENED_AFTER:
-            endpoint.words_lost = any(course.session.unheard for course in endpoint.standing.values())
+            endpoint.words_lost = any(front_session.session.unheard for front_session in endpoint.standing.values())
             return endpoint.words_lost
-        return all(line.doubtful and now - max(line.heard_at, newest) > self.silent_for for line in lines)
+        return all(connection.doubtful and now - max(connection.heard_at, newest) > self.silent_for for connection in connections)
 
     def _retire_one(self, endpoint: Endpoint) -> None:
         """An idle connection makes room for a new one."""
-        idle = [line for line in endpoint.lines if line.up and not line.attempts and not self.teardowns.unconfirmed_on(line)]
+        idle = [
+            connection
+            for connection in endpoint.connections
+            if connection.up and not connection.attempts and not self.teardowns.unconfirmed_on(connection)
+        ]
         if len(idle) > 1:
-            self._retire(min(idle, key=lambda line: line.heard_at))
+            self._retire(min(idle, key=lambda connection: connection.heard_at))
 
-    def _ask_line_for_sign(self, line: ServerConnection, now: int) -> None:
+    def _ask_connection_for_sign(self, connection: ServerConnection, now: int) -> None:
         """A connection may lose its server's words while others to the same server go on. The server says them again on the next
         one that is opened."""
-        endpoint = line.endpoint
-        if line.doubtful or not line.up or (endpoint.heard_at > line.heard_at and now - line.heard_at <= LONGEST_SILENT):
+        endpoint = connection.endpoint
+        if (
+            connection.doubtful
+            or not connection.up
+            or (endpoint.heard_at > connection.heard_at and now - connection.heard_at <= LONGEST_SILENT)
+        ):
             return
-        if not line.asked_at:
-            if self._may_carry_an_end(line):
-                line.asked_at = now
-                self._probe(endpoint, line)
-        elif now - line.asked_at > SIGN_WITHIN:
+        if not connection.asked_at:
+            if self._may_carry_an_end(connection):
+                connection.asked_at = now
+                self._probe(endpoint, connection)
+        elif now - connection.asked_at > SIGN_WITHIN:
             self.log.info(
-                "connection-silent", server=endpoint.server.name, connection=line.number, silent_ms=(now - line.heard_at) // MS
+                "connection-silent",
+                server=endpoint.server.name,
+                connection=connection.number,
+                silent_ms=(now - connection.heard_at) // MS,
             )
-            line.doubtful = True
-            if not any(other.opened_at >= line.asked_at for other in endpoint.lines):
+            connection.doubtful = True
+            if not any(other.opened_at >= connection.asked_at for other in endpoint.connections):
                 self._probe(endpoint, self.open_connection(endpoint))
 
-    def _may_carry_an_end(self, line: ServerConnection) -> bool:
+    def _may_carry_an_end(self, connection: ServerConnection) -> bool:
         """A server tells the end of a session on the connection of its set-up, or, if that is closed, on any."""
-        used = {course.session.set_up_on for course in line.endpoint.standing.values()}
-        return line in used or any(one not in line.endpoint.lines for one in used)
+        used = {front_session.session.set_up_on for front_session in connection.endpoint.standing.values()}
+        return connection in used or any(one not in connection.endpoint.connections for one in used)
--- a/curlewshift/node/trace.py
+++ b/curlewshift/node/trace.py
@@ -18,7 +18,7 @@
 class Untrodden:
     """The trail when it is off."""
 
-    def taken(self, name: str, line: object) -> None:
+    def taken(self, name: str, connection: object) -> None:
         pass
 
     def note(self, name: str, step: str) -> None:
@@ -27,7 +27,7 @@
     def answered(self, name: str, late: bool) -> PendingWrite | None:
         """What goes with the answer on its wire."""
 
-    def ended(self, line: object) -> None:
+    def ended(self, connection: object) -> None:
         pass
 
 
@@ -49,10 +49,10 @@
         # by session, the connection it was asked for on, and its steps
         self.trodden: OrderedDict[str, tuple[object, list[str]]] = OrderedDict()
 
-    def taken(self, name: str, line: object) -> None:
+    def taken(self, name: str, connection: object) -> None:
         if len(self.trodden) >= MOST:
             self.trodden.popitem(last=False)
-        self.trodden[name] = (line, [])
+        self.trodden[name] = (connection, [])
         self.note(name, "taken")
 
     def note(self, name: str, step: str) -> None:
@@ -67,8 +67,8 @@
             self._tell(name, "answered past its time")
         return Queued(self, name)
 
-    def ended(self, line: object) -> None:
-        for name in [name for name, (its, _) in self.trodden.items() if its is line]:
+    def ended(self, connection: object) -> None:
+        for name in [name for name, (its, _) in self.trodden.items() if its is connection]:
             self._tell(name, "its connection ended before its answer was out")
             del self.trodden[name]
 
--- a/curlewshift/overload/overload.py
+++ b/curlewshift/overload/overload.py
@@ -50,11 +50,11 @@
 
     order_class, level_class = SheddingOrder, Level
 
-    def __init__(self, outside: Driver, me: str, packages: Iterable[Package], terms: OverloadTerms, chance: Random):
-        self.outside, self.me, self.terms = outside, me, terms
+    def __init__(self, driver: Driver, me: str, packages: Iterable[Package], terms: OverloadTerms, rng: Random):
+        self.driver, self.me, self.terms = driver, me, terms
         self.order = self.order_class(packages, terms.floor)
-        now = outside.now()
-        self.advice = RetryAdvice(terms, now, chance)
+        now = driver.now()
+        self.advice = RetryAdvice(terms, now, rng)
         self.again = RetryBudget(terms, now)
         self.levels: dict[str, Level] = {}
         self.since: dict[str, int] = {}
@@ -75,9 +75,9 @@
 
     def asked(self, package: Package, holders: Iterable[Server], who: str) -> int:
         """How long who asks has to stay away (ns); 0: it is let in."""
-        now, zones = self.outside.now(), self._zones(holders)
+        now, zones = self.driver.now(), self._zones(holders)
         back = now - self.played.get(who, -CAME_BACK_WITHIN) < CAME_BACK_WITHIN
-        rank = self.order.rank(package, who, self.outside.wall(), back)
+        rank = self.order.rank(package, who, self.driver.wall(), back)
         for zone in zones:
             seen = self.rounds.setdefault(zone, Round())
             seen.asks[rank] = seen.asks.get(rank, 0.0) + 1 / len(zones)
@@ -98,7 +98,7 @@
 
     def began(self, holders: Iterable[Server], who: str, late: bool) -> None:
         """It plays; `late` if that took longer than its join target: then the work in hand is too much."""
-        now = self.outside.now()
+        now = self.driver.now()
         self.again.succeeded(now)
         self.advice.began(now)
         self.played.pop(who, None)
@@ -122,11 +122,11 @@
     # ---- each round
 
     def time(self) -> None:
-        now = self.outside.now()
+        now = self.driver.now()
         self._look()
-        turned = self.outside.turned_off()
+        turned = self.driver.turned_off()
         more, self.turned = turned - self.turned, turned
-        everyone = [*self.outside.members(), self.me]
+        everyone = [*self.driver.members(), self.me]
         for zone in sorted(self.full.keys() | self.rounds.keys()):
             seen = self.rounds.pop(zone, Round())
             seen.short += more / max(1, len(self.full))
@@ -140,7 +140,7 @@
                 self._heard(self.me, 0, now, zone, seen, now)
                 self.told[zone] = now, *self._added_up(zone, now)
             else:
-                self.outside.tell_round(adder, zone, self._few(seen), round(seen.begun, 2), round(seen.short, 2))
+                self.driver.tell_round(adder, zone, self._few(seen), round(seen.begun, 2), round(seen.short, 2))
                 self.words.pop(zone, None)
                 self.fleet.pop(zone, None)
             self._follow(zone, level, seen, now)
@@ -165,12 +165,12 @@
     def _look(self) -> None:
         """How much of each zone has no room left, by what this front knows of its links."""
         sizes: dict[str, list[float]] = {}
-        for server in self.outside.servers():
+        for server in self.driver.servers():
             if server.open:
                 row = sizes.setdefault(server.zone, [0.0, 0.0])
                 size = min(server.link.size, 1e12)
                 row[0] += size
-                row[1] += 0.0 if self.outside.takes(server) else size
+                row[1] += 0.0 if self.driver.takes(server) else size
         self.full = {zone: none / size for zone, (size, none) in sizes.items() if size > 0}
         for zone in [zone for zone in self.levels if zone not in self.full and zone not in self.rounds]:
             # nothing is left there to be short of
@@ -187,18 +187,18 @@
         if zone not in self.full:
             # no server of that zone is open here: nobody who knows one would ask this front
             return
-        now = self.outside.now()
+        now = self.driver.now()
         seen = Round({rank: count for rank, count in asks if 0 <= rank < self.order.top}, begun, short)
         if self._heard(by, life, number, zone, seen, now):
             cut, why = self._level_of(zone)
-            self.outside.tell_level(by, zone, cut, why)
+            self.driver.tell_level(by, zone, cut, why)
 
     def level_told(self, zone: str, cut: int, why: str) -> None:
         """Followed at once, a step a round: until the round after it, a front let in whom the others shed by then, and refused
         whom they let in."""
         if zone not in self.full:
             return
-        now, level = self.outside.now(), self.levels.get(zone)
+        now, level = self.driver.now(), self.levels.get(zone)
         _, told, why = self.told[zone] = now, max(0, min(self.order.top, cut)), why
         if level is not None and zone not in self.met and self._justified(zone, level, told):
             self.met.add(zone)
@@ -213,7 +213,7 @@
         if level.cut != before:
             if not before or not level.cut:
                 self.since[zone] = now
-            self.outside.level_changed(zone, level.cut, before, level.why)
+            self.driver.level_changed(zone, level.cut, before, level.why)
 
     def _heard(self, by: str, life: int, number: int, zone: str, seen: Round, now: int) -> bool:
         words = self.words.setdefault(zone, {})
@@ -265,7 +265,7 @@
 
     def show(self) -> dict:
         """Plain data: the level of each zone, since when (s ago), why, and who is shed by it."""
-        now, rows = self.outside.now(), []
+        now, rows = self.driver.now(), []
         ranked = sorted(self.order.base, key=self.order.base.get)
         for zone, level in sorted(self.levels.items()):
             shed = {}
--- a/curlewshift/overload/retry_budget.py
+++ b/curlewshift/overload/retry_budget.py
@@ -65,8 +65,8 @@
 class RetryAdvice:
     """How long who is refused is to stay away."""
 
-    def __init__(self, terms: OverloadTerms, now: int, chance: Random):
-        self.terms, self.chance, self.at = terms, chance, now
+    def __init__(self, terms: OverloadTerms, now: int, rng: Random):
+        self.terms, self.rng, self.at = terms, rng, now
         self.refused = self.begun = 0.0
         # who was told to stay away until when, and how often it did not
         self.told: OrderedDict[str, list[int]] = OrderedDict()
@@ -92,7 +92,7 @@
         line = int(self.refused / max(self.begun, 1.0) * LATELY)
         longest = min(self.terms.longest_wait, max(SHORTEST_LONG, lasts))
         span = max(2 * LEAST, min(longest, line), int(longest * behind))
-        wait = min(longest, max(LEAST, int(span * self.chance.uniform(0.4, 1.0))) << strikes)
+        wait = min(longest, max(LEAST, int(span * self.rng.uniform(0.4, 1.0))) << strikes)
         self.told[who] = [now + wait, strikes]
         while len(self.told) > MOST_KNOWN:
             self.told.popitem(last=False)
--- a/curlewshift/peaks/peaks.py
+++ b/curlewshift/peaks/peaks.py
@@ -74,13 +74,13 @@
             self.weighed[package] /= 2
             self.wanted[package] = {server: part / 2 for server, part in wanted.items() if part > 0.02}
 
-    def started(self, vw: Viewing, now: int) -> None:
-        self.began[vw] = now
+    def started(self, viewing: Viewing, now: int) -> None:
+        self.began[viewing] = now
 
-    def ended(self, vw: Viewing, now: int) -> None:
-        began = self.began.pop(vw, None)
+    def ended(self, viewing: Viewing, now: int) -> None:
+        began = self.began.pop(viewing, None)
         if began is not None:
-            self.seen[vw.package].lasted(now - began)
+            self.seen[viewing.package].lasted(now - began)
 
     def planned(self, package: Package, part: float, until: int) -> None:
         """Somebody divides the hold by where its peak is asked for: this is what falls to this front, for so long."""
@@ -179,7 +179,7 @@
             # where not even one would fit over its floor, room helps nobody
             if room < package.rates[package.floor]:
                 continue
-            used = sum(vw.held_rate for vw in link.playing if vw.package is package)
+            used = sum(viewing.held_rate for viewing in link.playing if viewing.package is package)
             if room / one_of > used:
                 link.holds[package] = room / one_of - used
                 self.held.add(link)
@@ -199,13 +199,13 @@
         sooner, but only where there are rungs to step."""
         lengths = [seen.length for other, seen in self.seen.items() if other is not package and seen.lengths]
         usual = sum(lengths) / len(lengths) if lengths else LASTS
-        playing = [vw for server in servers for vw in server.link.playing if vw.package is not package]
-        low = sum(vw.rung <= vw.package.floor for vw in playing) / len(playing) if playing else 0.0
+        playing = [viewing for server in servers for viewing in server.link.playing if viewing.package is not package]
+        low = sum(viewing.rung <= viewing.package.floor for viewing in playing) / len(playing) if playing else 0.0
         return int(min(MOST_LEAD, max(LEAST_LEAD, usual * (0.25 + 0.45 * low))))
 
     @staticmethod
     def _likely_rate(package: Package, servers: list[Server]) -> float:
         """The rate at which its viewings play here, or a rung over the floor where too few do."""
-        rates = [vw.held_rate for server in servers for vw in server.link.playing if vw.package is package]
+        rates = [viewing.held_rate for server in servers for viewing in server.link.playing if viewing.package is package]
         modest = package.rates[min(package.floor + 1, package.top)]
         return max(modest, sum(rates) / len(rates)) if len(rates) >= FEW else modest
--- a/curlewshift/peering/channel.py
+++ b/curlewshift/peering/channel.py
@@ -58,9 +58,9 @@
         address: tuple[str, int],
         life: int,
         seeds: list[tuple[str, int]],
-        manners: MembershipTerms,
+        membership_terms: MembershipTerms,
         most_bytes: int,
-        chance: Random,
+        rng: Random,
         membership: type[Membership] = Membership,
     ):
         self.host, self.site = host, site
@@ -74,7 +74,7 @@
         self.carried: dict[int, Callable[[Member, bytes], None]] = {}
         # what rides on probes and their answers, and who hears it: with nothing registered they are what they were
         self.riding: tuple[Callable[[], bytes], Callable[[Member, bytes], None]] | None = None
-        self.membership = membership(self, name, address, life, seeds, manners, chance)
+        self.membership = membership(self, name, address, life, seeds, membership_terms, rng)
 
     # ---- what happens
 
@@ -126,7 +126,7 @@
             held = members.get(frame.name)
             raise Refused("old-life" if held is not None and frame.life < held.life else "unknown")
         if window is None or window.life != frame.life:
-            if len(self.windows) > 2 * self.membership.manners.most_members:
+            if len(self.windows) > 2 * self.membership.membership_terms.most_members:
                 self.windows = {name: kept for name, kept in self.windows.items() if name in members}
             window = self.windows[frame.name] = Window(frame.life)
             window.take(frame.number)
@@ -197,7 +197,7 @@
     def pieces(self, address: tuple[str, int], claims: list[Claim]) -> None:
         """In datagrams as full as they may be; what the allowance does not bear waits for the next comparison, which begins
         elsewhere."""
-        start = self.membership.chance.randrange(len(claims)) if claims else 0
+        start = self.membership.rng.randrange(len(claims)) if claims else 0
         piece, room = [], MOST_BYTES - PLAIN
         for claim in claims[start:] + claims[:start]:
             if claim.size() > room:
--- a/curlewshift/peering/distributed.py
+++ b/curlewshift/peering/distributed.py
@@ -172,12 +172,12 @@
         fence: Callable[[], int],
         clock,
         log,
-        chance: Random,
+        rng: Random,
         copy: bytes | None,
         vote: bytes | None,
     ):
         self.channel, self.host, self.me, self.places, self.terms = channel, host, me, places, terms
-        self.fence, self.clock, self.log, self.chance = fence, clock, log, chance
+        self.fence, self.clock, self.log, self.rng = fence, clock, log, rng
         self.region, self.zone = places.get(me, ("", ""))
         self.neighbours = [
             name for name, (_, zone) in places.items() if zone == self.zone and name != me and name not in terms.stores
@@ -194,10 +194,10 @@
         self.tellings_left = 0
         self.waiting: dict[Version, tuple[str, object]] = {}
         self.library = self.library_class()
-        self.store = self.store_class(self, vote, chance) if me in terms.stores else None
+        self.store = self.store_class(self, vote, rng) if me in terms.stores else None
         self.writer = self.writer_class(self, me, channel.membership.me.life, terms) if me in terms.stores else None
         self.giver = self.giver_class(self, self.library, terms, me in terms.stores)
-        self.fetch = self.fetch_class(self, self.library, terms, chance)
+        self.fetch = self.fetch_class(self, self.library, terms, rng)
         self.reporter = self.reporter_class(self, me, self.zone, terms)
         self.fleet = Fleet(self)
         if self.store is not None and self.store.content:
@@ -283,7 +283,7 @@
             ]
         )
         if near:
-            self._say(self.chance.choice(near), Tell(tuple(NONE), True))
+            self._say(self.rng.choice(near), Tell(tuple(NONE), True))
 
     # ---- words
 
@@ -416,7 +416,7 @@
         if self.tellings_left > 0 and self.copy.held != NONE:
             self.tellings_left -= 1
             body = ENCODER.encode(Tell(tuple(self.copy.held), False))
-            for member in spread(self.channel.membership.ring, self.terms.news_to, self.chance):
+            for member in spread(self.channel.membership.ring, self.terms.news_to, self.rng):
                 self.channel.say(member, KIND, body)
 
     # ---- contents
--- a/curlewshift/peering/leased.py
+++ b/curlewshift/peering/leased.py
@@ -53,16 +53,16 @@
         front,
         order: list[str],
         me: int,
-        keepers: list[str],
+        acceptors: list[str],
         terms: LeaseTerms,
         shards: int,
         probe_each: int,
         log,
-        chance: Random,
+        rng: Random,
         named: tuple[str, ...] = ("probe",),
         orphans_after: int = 15 * NS,
     ):
-        super().__init__(channel, front.clock, order, me, keepers, terms, log, chance)
+        super().__init__(channel, front.clock, order, me, acceptors, terms, log, rng)
         self.front = front
         self.listing, self.planning = ListReading(self), Planning(self, order[me])
         tasks = {
@@ -75,16 +75,16 @@
             )
         }
         self.named = named
-        self.tasks = Tasks(order[me], self.asker, [tasks[name] for name in named], self.members)
+        self.tasks = Tasks(order[me], self.proposer, [tasks[name] for name in named], self.members)
         channel.carries(KIND_OF_TASKS, self.heard_of_task)
         self.plan_due = 0
 
     async def run(self) -> None:
-        every = self.asker.terms.every / NS
+        every = self.proposer.terms.every / NS
         while True:
             try:
-                if self.keeper is not None:
-                    self.keeper.time()
+                if self.acceptor is not None:
+                    self.acceptor.time()
                 self.tasks.time()
                 self._to_itself()
                 self._as_one_of_the_others()
@@ -115,7 +115,7 @@
             self.listing.told(word.number, *word.list_at, word.news)
         if word.asked is not None:
             self.planning.asked_told(sender.name, word.asked)
-        if word.package and word.package in self.front.desk.packages:
+        if word.package and word.package in self.front.session_core.packages:
             self.planning.plan_told(word.number, word.package, word.parts)
 
     def _tell_all(self, word: TaskWord) -> bool:
@@ -142,21 +142,21 @@
         return [member.name for member in self.channel.membership.ring if member.name in self.number_of]
 
     def servers(self):
-        return list(self.front.desk.rules.servers)
+        return list(self.front.session_core.rules.servers)
 
     def probe_for_all(self, server, lease: str, number: int) -> None:
-        self.front.reach.probe(server, f"{lease};{number}", self._found)
+        self.front.server_pool.probe(server, f"{lease};{number}", self._found)
 
     def _found(self, server, report: dict[str, float]) -> None:
         if self.front.shared is not None and "link" in report:
             self.front.shared.sharing.found_for_all(server, report["link"])
 
     def look_for_orphans(self, server, away: int, lease: str, number: int) -> None:
-        self.front.reach.end_orphans(server, away, f"{lease};{number}")
+        self.front.server_pool.end_orphans(server, away, f"{lease};{number}")
 
     def list_held(self) -> tuple[str, int]:
-        roster = self.front.desk.roster
-        return roster.epoch, roster.generation
+        server_list = self.front.session_core.server_list
+        return server_list.epoch, server_list.generation
 
     def tell_list(self, number: int, epoch: str, generation: int, news: ListNews | None) -> None:
         if not self._tell_all(TaskWord(number, list_at=(epoch, generation), news=news)):
@@ -180,7 +180,7 @@
         return self.order
 
     def asked_for(self) -> dict[str, float]:
-        return self.front.desk.peaks.asked_for(self.now())
+        return self.front.session_core.peaks.asked_for(self.now())
 
     def tell_asked(self, to: str, asked: dict[str, float]) -> None:
         member = self.channel.membership.members.get(to)
@@ -193,7 +193,7 @@
             self._tell_all(TaskWord(number, package=package, parts={name: parts[name] for name in names[at : at + MOST_PARTS]}))
 
     def planned(self, package: str, part: float, until: int) -> None:
-        self.front.desk.planned(package, part, until)
+        self.front.session_core.planned(package, part, until)
 
     # ---- for people
 
@@ -202,15 +202,16 @@
         for task in self.tasks.tasks.values():
             for shard in range(task.shards):
                 lease = f"{task.name}/{shard}"
-                held = self.asker.tries.get(lease)
-                kept = self.keeper.leases.get(lease) if self.keeper is not None else None
+                held = self.proposer.tries.get(lease)
+                kept = self.acceptor.leases.get(lease) if self.acceptor is not None else None
                 mine = held is not None and held.until > now
                 why = ""
                 if not mine and held is not None and held.wanted:
                     why = (
                         "keepers name " + self.order[held.holder]
                         if 0 <= held.holder < len(self.order) and held.holder != self.me
-                        else f"{len(held.promised)} of {len(self.asker.keepers)} keepers answered, {self.asker.majority} needed"
+                        else f"{len(held.promised)} of {len(self.proposer.acceptors)} keepers answered, "
+                        f"{self.proposer.majority} needed"
                     )
                 rows.append(
                     {
@@ -226,7 +227,7 @@
                 )
         return {
             "me": self.order[self.me],
-            "keeper": self.keeper is not None,
-            "silent": self.keeper.silent() if self.keeper is not None else False,
+            "keeper": self.acceptor is not None,
+            "silent": self.acceptor.silent() if self.acceptor is not None else False,
             "leases": rows,
         }
--- a/curlewshift/peering/leasing.py
+++ b/curlewshift/peering/leasing.py
@@ -39,21 +39,21 @@
 
 
 class LeaseWords:
-    """Outside of the asker and the keeper. `order` are the names of all who ask or keep, as in the settings, and `keepers` those
-    that keep."""
+    """Outside of the asker and the keeper. `order` are the names of all who ask or keep, as in the settings, and `acceptors`
+    those that keep."""
 
-    asker_class, keeper_class = LeaseProposer, LeaseAcceptor
+    proposer_class, acceptor_class = LeaseProposer, LeaseAcceptor
 
     def __init__(
-        self, channel: Channel, clock, order: list[str], me: int, keepers: list[str], terms: LeaseTerms, log, chance: Random
+        self, channel: Channel, clock, order: list[str], me: int, acceptors: list[str], terms: LeaseTerms, log, rng: Random
     ):
         self.channel, self.clock, self.log, self.order, self.me = channel, clock, log, order, me
         self.number_of = {name: number for number, name in enumerate(order)}
-        numbers = [self.number_of[name] for name in keepers]
+        numbers = [self.number_of[name] for name in acceptors]
         self.own: list[Body] = []
         self.malformed = 0
-        self.keeper = self.keeper_class(self, terms) if me in numbers else None
-        self.asker = self.asker_class(self, me, channel.membership.me.life, numbers, terms, chance)
+        self.acceptor = self.acceptor_class(self, terms) if me in numbers else None
+        self.proposer = self.proposer_class(self, me, channel.membership.me.life, numbers, terms, rng)
         channel.carries(KIND, self.heard)
 
     def heard(self, sender: Member, data: bytes) -> None:
@@ -70,19 +70,19 @@
     def _take(self, by: int, body: Body) -> None:
         ballot, other = Ballot(*body.ballot), Ballot(*body.other)
         if body.what == PROMISE:
-            self.asker.promise(by, body.lease, ballot, body.holder, other, body.fence)
+            self.proposer.promise(by, body.lease, ballot, body.holder, other, body.fence)
         elif body.what == ACCEPT:
-            self.asker.accepted(by, body.lease, ballot)
+            self.proposer.accepted(by, body.lease, ballot)
         elif body.what == OUTBID:
-            self.asker.outbid(by, body.lease, ballot, other)
-        elif self.keeper is None:
+            self.proposer.outbid(by, body.lease, ballot, other)
+        elif self.acceptor is None:
             return
         elif body.what == PREPARE:
-            self.keeper.prepare(by, body.lease, ballot)
+            self.acceptor.prepare(by, body.lease, ballot)
         elif body.what == PROPOSE:
-            self.keeper.propose(by, body.lease, ballot, body.fence)
+            self.acceptor.propose(by, body.lease, ballot, body.fence)
         else:
-            self.keeper.released(by, body.lease, ballot)
+            self.acceptor.released(by, body.lease, ballot)
 
     def _to_itself(self) -> None:
         while self.own:
@@ -104,14 +104,14 @@
     def wall(self) -> int:
         return self.clock.wall()
 
-    def prepare(self, keeper: int, lease: str, ballot: Ballot) -> None:
-        self._say(keeper, Body(PREPARE, lease, tuple(ballot)))
+    def prepare(self, acceptor: int, lease: str, ballot: Ballot) -> None:
+        self._say(acceptor, Body(PREPARE, lease, tuple(ballot)))
 
-    def propose(self, keeper: int, lease: str, ballot: Ballot, fence: int) -> None:
-        self._say(keeper, Body(PROPOSE, lease, tuple(ballot), fence))
+    def propose(self, acceptor: int, lease: str, ballot: Ballot, fence: int) -> None:
+        self._say(acceptor, Body(PROPOSE, lease, tuple(ballot), fence))
 
-    def release(self, keeper: int, lease: str, ballot: Ballot) -> None:
-        self._say(keeper, Body(RELEASE, lease, tuple(ballot)))
+    def release(self, acceptor: int, lease: str, ballot: Ballot) -> None:
+        self._say(acceptor, Body(RELEASE, lease, tuple(ballot)))
 
     def begins(self, lease: str, fence: int) -> None:
         self.log.info("lease-begins", lease=lease, number=fence)
@@ -121,11 +121,11 @@
 
     # ---- the keeper's outside
 
-    def promise(self, asker: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None:
-        self._say(asker, Body(PROMISE, lease, tuple(ballot), fence, holder, tuple(of)))
+    def promise(self, proposer: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None:
+        self._say(proposer, Body(PROMISE, lease, tuple(ballot), fence, holder, tuple(of)))
 
-    def accept(self, asker: int, lease: str, ballot: Ballot) -> None:
-        self._say(asker, Body(ACCEPT, lease, tuple(ballot)))
+    def accept(self, proposer: int, lease: str, ballot: Ballot) -> None:
+        self._say(proposer, Body(ACCEPT, lease, tuple(ballot)))
 
-    def outbid(self, asker: int, lease: str, ballot: Ballot, by: Ballot) -> None:
-        self._say(asker, Body(OUTBID, lease, tuple(ballot), other=tuple(by)))
+    def outbid(self, proposer: int, lease: str, ballot: Ballot, by: Ballot) -> None:
+        self._say(proposer, Body(OUTBID, lease, tuple(ballot), other=tuple(by)))
--- a/curlewshift/peering/overloaded.py
+++ b/curlewshift/peering/overloaded.py
@@ -45,12 +45,12 @@
 
     overload_class = Overload
 
-    def __init__(self, channel, front, me: str, names: frozenset[str], terms: OverloadTerms, log, chance: Random):
-        super().__init__(lambda: front.desk, front.site.packages)
+    def __init__(self, channel, front, me: str, names: frozenset[str], terms: OverloadTerms, log, rng: Random):
+        super().__init__(lambda: front.session_core, front.site.packages)
         self.channel, self.front, self.names, self.log = channel, front, names, log
         self.life = channel.membership.me.life if channel is not None else 0
         self.numbers = self.malformed = 0
-        self.overload = self.overload_class(self, me, front.site.packages, terms, chance)
+        self.overload = self.overload_class(self, me, front.site.packages, terms, rng)
         if channel is not None:
             channel.carries(KIND, self.heard)
 
--- a/curlewshift/peering/shared.py
+++ b/curlewshift/peering/shared.py
@@ -49,14 +49,14 @@
 
 
 class SharedWire:
-    """Sharing's outside on a channel. `desk` is this front's; `order` are the fronts' names as in the settings."""
+    """Sharing's outside on a channel. `session_core` is this front's; `order` are the fronts' names as in the settings."""
 
     sharing_class = Sharing
 
     def __init__(
         self,
         channel: Channel,
-        desk: SessionCore,
+        session_core: SessionCore,
         order: list[str],
         me: int,
         terms: SharingTerms,
@@ -64,9 +64,9 @@
         warm_within: int,
         now,
         log,
-        chance: Random,
+        rng: Random,
     ):
-        self.channel, self.desk, self.log, self.now = channel, desk, log, now
+        self.channel, self.session_core, self.log, self.now = channel, session_core, log, now
         self.numbers, self.malformed = 0, 0
         # control machines are in as well, and share nothing
         self.names = frozenset(order)
@@ -77,11 +77,11 @@
             channel.membership.me.life,
             terms,
             warm_within,
-            chance,
-            together.patient(lambda name: desk.packages[name].patience),
+            rng,
+            together.patient(lambda name: session_core.packages[name].patience),
         )
         channel.carries(KIND, self.heard)
-        desk.share_rights()
+        session_core.share_rights()
 
     async def run(self) -> None:
         every = self.sharing.terms.every / NS
@@ -136,10 +136,10 @@
     # ---- sharing's outside
 
     def servers(self):
-        return list(self.desk.rules.servers)
+        return list(self.session_core.rules.servers)
 
     def rights_of(self, server: Server) -> int:
-        return self.desk.rules.rights_of(server)
+        return self.session_core.rules.rights_of(server)
 
     def members(self) -> list[str]:
         return [member.name for member in self.channel.membership.ring if member.name in self.names]
@@ -163,13 +163,13 @@
         self._say(to, REPORT, uses=rows)
 
     def link_reported(self, server: Server, use: float) -> None:
-        self.desk.link_reported(server, use)
+        self.session_core.link_reported(server, use)
 
     def tell_seen(self, to: str, rows: list[tuple[str, float, float, int]]) -> None:
         self._say(to, SEEN, seen=rows)
 
     def rights_held(self, server: Server, rights: list) -> None:
-        self.desk.rights_held(server, rights)
+        self.session_core.rights_held(server, rights)
 
     def doubted(self, server: Server, doubted: bool) -> None:
         why = [row for row in self.sharing.evidence.why(server.name, self.sharing.steady.last) if row[0] != self.sharing.name]
@@ -178,40 +178,40 @@
             server=server.name,
             cause="; ".join(f"{front} {good:.1f} well {bad:.1f} ill, weight {weight:.2f}" for front, good, bad, weight in why),
         )
-        self.desk.doubted(server, doubted)
+        self.session_core.doubted(server, doubted)
 
     def counted(self, server: Server, use: float, age: int) -> None:
-        self.desk.counted(server, use, age)
+        self.session_core.counted(server, use, age)
 
     def seen_warm(self, server: Server) -> None:
         self.log.info("seen-warm", server=server.name, cause="others have used it for longer than it takes to get warm")
-        self.desk.seen_warm(server)
+        self.session_core.seen_warm(server)
 
     def ask_what_is_known(self, to: str) -> None:
         self._say(to, KNOWN)
 
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
-        self.desk.uplink_counted(server, use, age)
+        self.session_core.uplink_counted(server, use, age)
 
     def further_wanted_at(self) -> int:
-        return self.desk.rules.further_wanted_at
+        return self.session_core.rules.further_wanted_at
 
     def further_held(self, rights: list) -> None:
-        self.desk.further_held(rights)
+        self.session_core.further_held(rights)
 
     def seats_wanted_at(self) -> dict[tuple[str, str], int]:
-        return {(package.name, title): at for (title, package), at in self.desk.rules.seat_wanted_at.items()}
+        return {(package.name, title): at for (title, package), at in self.session_core.rules.seat_wanted_at.items()}
 
     def seats_in_use(self, package: str, title: str) -> int:
-        return self.desk.rules.seats.get((title, self.desk.packages[package]), 0)
+        return self.session_core.rules.seats.get((title, self.session_core.packages[package]), 0)
 
     def seats_ending(self, package: str, title: str) -> bool:
         """Whether a server of this title may not have heard yet that something there is over."""
-        held = self.desk.roster.titles.get(title)
-        return held is not None and any(server in self.desk.endings.servers for server in held.holders)
+        held = self.session_core.server_list.titles.get(title)
+        return held is not None and any(server in self.session_core.session_ends.servers for server in held.holders)
 
     def seats_held(self, package: str, title: str, rights: list) -> None:
-        self.desk.seats_held(package, title, rights)
+        self.session_core.seats_held(package, title, rights)
 
     def seats_over(self, package: str, title: str, count: int) -> None:
         self.log.warning(
@@ -222,7 +222,7 @@
             cause="they were lent, and are no longer: nobody who lent them was to be heard in time, or this "
             "front's clock is doubted or was set back",
         )
-        self.desk.seats_over(package, title, count)
+        self.session_core.seats_over(package, title, count)
 
     def clock_off(self, by: float, out: bool) -> None:
         if out:
--- a/curlewshift/peering/wire.py
+++ b/curlewshift/peering/wire.py
@@ -33,7 +33,7 @@
 
     membership_class = Membership
 
-    def __init__(self, site: str, door: ListenAddress, peers: Peers, clock: Clock, log, chance: Random):
+    def __init__(self, site: str, door: ListenAddress, peers: Peers, clock: Clock, log, rng: Random):
         self.clock, self.log = clock, log
         family = socket.AF_INET6 if ":" in door.peers_listen[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_DGRAM)
@@ -46,8 +46,8 @@
         self.unsent = 0
         self.deadline: float | None = None
         self.woken = anyio.Event()
-        self.longest = peers.manners.period / NS
-        life = clock.wall() // 1_000_000 * 1024 + chance.getrandbits(10)
+        self.longest = peers.membership_terms.period / NS
+        life = clock.wall() // 1_000_000 * 1024 + rng.getrandbits(10)
         self.channel = Channel(
             self,
             site,
@@ -55,9 +55,9 @@
             door.peers_reach,
             life,
             peers.seeds,
-            peers.manners,
+            peers.membership_terms,
             peers.most_bytes,
-            chance,
+            rng,
             self.membership_class,
         )
 
--- a/curlewshift/recovery/recovery.py
+++ b/curlewshift/recovery/recovery.py
@@ -81,17 +81,17 @@
 
 
 def recovery_of(
-    outside: Driver, desk: SessionCore, life: str, book: SessionRegistry, intents: list[Intent], mark: Callable[[str], str]
+    driver: Driver, session_core: SessionCore, life: str, book: SessionRegistry, intents: list[Intent], mark: Callable[[str], str]
 ) -> Recovery:
     """What a front that starts makes of what its disk has, not begun yet. `mark(key)` is how servers know a paid
     request; its client waits from now on for what becomes of the doubt."""
-    clocks = desk.outside
+    clocks = session_core.driver
     doubts = [
         InterruptedSetup(intent.key, mark(intent.key), intent.server, Offer(intent.offer, way=intent.way)) for intent in intents
     ]
-    recovery = Recovery(outside, desk, life, list(book.open.values()), dict(book.boots), doubts)
+    recovery = Recovery(driver, session_core, life, list(book.open.values()), dict(book.boots), doubts)
     for intent, doubt in zip(intents, doubts):
-        desk.interrupted(
+        session_core.interrupted(
             intent.key,
             doubt.offer,
             intent.package,
@@ -107,7 +107,7 @@
     """What is to be found out at one server."""
 
     server: Server
-    courses: dict[str, FrontSession] = field(default_factory=dict)
+    front_sessions: dict[str, FrontSession] = field(default_factory=dict)
     adopting: dict[str, ListedSession] | None = None
     out: bool = False
     done: bool = False
@@ -120,15 +120,15 @@
 
     def __init__(
         self,
-        outside: Driver,
-        desk: SessionCore,
+        driver: Driver,
+        session_core: SessionCore,
         life: str,
         remembered: list[StoredSession],
         boots: dict[str, str],
         doubts: list[InterruptedSetup],
     ):
-        self.outside, self.desk, self.life, self.boots = outside, desk, life, boots
-        self.began = desk.outside.now()
+        self.driver, self.session_core, self.life, self.boots = driver, session_core, life, boots
+        self.began = session_core.driver.now()
         self.pending: dict[str, list[StoredSession]] = {}
         for one in remembered:
             self.pending.setdefault(one.server, []).append(one)
@@ -151,7 +151,7 @@
         """There may be servers now that were not known before. Those that play something come first."""
         if self.over:
             return
-        known = self.desk.roster.servers
+        known = self.session_core.server_list.servers
         fresh = [server for server in known.values() if server not in self.at]
         doubtful = {doubt.server for doubt in self.doubts.values()}
         fresh.sort(key=lambda server: (server.name not in self.pending, server.name not in doubtful))
@@ -171,18 +171,18 @@
         if before != boot:
             # nothing that was remembered can be there, and the machine may be cold; what this life has set up there
             # since plays all the same
-            self.desk.came_back(server)
+            self.session_core.came_back(server)
         there = {row.path: row for row in rows if row.life != self.life}
-        for path, course in list(at.courses.items()):
+        for path, front_session in list(at.front_sessions.items()):
             if path not in there:
-                self._gone(at, path, course)
+                self._gone(at, path, front_session)
         adopting = {}
         for path, row in there.items():
-            if (path in at.courses and at.courses[path].vw.playing) or (
+            if (path in at.front_sessions and at.front_sessions[path].viewing.playing) or (
                 row.doubt in self.doubts and (self.doubts[row.doubt].server == server.name)
             ):
                 adopting[path] = row
-            elif path not in at.courses:
+            elif path not in at.front_sessions:
                 self._orphan(server, row)
         if adopting:
             at.adopting = adopting
@@ -196,15 +196,15 @@
         if at is None or at.adopting is None:
             return
         for path, row in at.adopting.items():
-            course = at.courses.get(path)
+            front_session = at.front_sessions.get(path)
             if path not in paths:
-                if course is not None:
-                    self._gone(at, path, course)
-            elif course is not None:
+                if front_session is not None:
+                    self._gone(at, path, front_session)
+            elif front_session is not None:
                 self.kept += 1
-                if course.vw.playing and course.vw.rung != row.rung:
+                if front_session.viewing.playing and front_session.viewing.rung != row.rung:
                     # the last rung told may not have been kept: the server's word stands
-                    self.desk.rung_found(course, row.rung)
+                    self.session_core.rung_found(front_session, row.rung)
             else:
                 self._find(server, row)
         self._settled(at)
@@ -214,7 +214,7 @@
         at = self._back(server)
         if at is None:
             return
-        now = self.desk.outside.now()
+        now = self.session_core.driver.now()
         at.tries += 1
         at.not_before = now + min(LONGEST_PAUSE, FIRST_PAUSE << min(at.tries - 1, 10))
         self.waiting.append(at)
@@ -224,7 +224,7 @@
         """Call now and then until `over`."""
         if self.over:
             return
-        if self.desk.outside.now() >= self.began + TRIED_FOR:
+        if self.session_core.driver.now() >= self.began + TRIED_FOR:
             self._give_up()
         else:
             self._go_on()
@@ -233,19 +233,19 @@
 
     def _take_up(self, one: StoredSession, at: AtServer) -> None:
         try:
-            at.courses[one.path] = self.outside.taken_up(one, at.server)
+            at.front_sessions[one.path] = self.driver.taken_up(one, at.server)
         except InvalidRequest:
             # the settings have its title or package no more, or its seat is taken: its server is asked to end it, as an
             # orphan
-            self.outside.forgotten(one)
+            self.driver.forgotten(one)
 
     def _go_on(self) -> None:
-        now = self.desk.outside.now()
+        now = self.session_core.driver.now()
         for _ in range(len(self.waiting)):
             at = self.waiting.popleft()
             if at.done:
                 continue
-            if at.server not in self.desk.roster.shelf_of:
+            if at.server not in self.session_core.server_list.shelf_of:
                 # the list has dropped it meanwhile, and the desk has ended what played there
                 self._settled(at, go_on=False)
             elif self.out < MOST_OUT and now >= at.not_before:
@@ -258,9 +258,9 @@
         at.out = True
         self.out += 1
         if at.adopting is None:
-            self.outside.ask_sessions(at.server)
+            self.driver.ask_sessions(at.server)
         else:
-            self.outside.adopt(at.server, list(at.adopting))
+            self.driver.adopt(at.server, list(at.adopting))
 
     def _back(self, server: Server) -> AtServer | None:
         at = self.at.get(server)
@@ -270,24 +270,24 @@
         self.out -= 1
         return None if at.done else at
 
-    def _gone(self, at: AtServer, path: str, course: FrontSession) -> None:
-        del at.courses[path]
+    def _gone(self, at: AtServer, path: str, front_session: FrontSession) -> None:
+        del at.front_sessions[path]
         self.ended += 1
-        self.desk.lost(course, Outcome.PLAYED)
+        self.session_core.lost(front_session, Outcome.PLAYED)
 
     def _orphan(self, server: Server, row: ListedSession) -> None:
         self.orphans += 1
-        self.desk.orphaned(server, self.outside.session_of(row, None))
+        self.session_core.orphaned(server, self.driver.session_of(row, None))
 
     def _find(self, server: Server, row: ListedSession) -> None:
         doubt = self.doubts.pop(row.doubt, None)
-        session = self.outside.session_of(row, doubt)
-        if doubt is not None and self.desk.found(doubt.key, server, session, row.rung) is not None:
+        session = self.driver.session_of(row, doubt)
+        if doubt is not None and self.session_core.found(doubt.key, server, session, row.rung) is not None:
             self.found += 1
         else:
             # its client has been told that it failed: that must stay true
             self.orphans += 1
-            self.desk.orphaned(server, session)
+            self.session_core.orphaned(server, session)
 
     def _settled(self, at: AtServer, go_on: bool = True) -> None:
         """Nothing more is to be asked here: paid set-ups in doubt that were not found here did not come about, or have
@@ -296,7 +296,7 @@
         for mark, doubt in list(self.doubts.items()):
             if doubt.server == at.server.name:
                 del self.doubts[mark]
-                self.desk.not_found(doubt.key)
+                self.session_core.not_found(doubt.key)
         if go_on:
             self._go_on()
 
@@ -305,19 +305,19 @@
             if not at.done:
                 at.done = True
                 self.silent.append(at.server)
-                for course in at.courses.values():
-                    if course.vw.playing:
+                for front_session in at.front_sessions.values():
+                    if front_session.viewing.playing:
                         self.given_up += 1
-                        session = course.session
-                        self.desk.lost(course, Outcome.BROKEN)
-                        self.desk.orphaned(at.server, session)
+                        session = front_session.session
+                        self.session_core.lost(front_session, Outcome.BROKEN)
+                        self.session_core.orphaned(at.server, session)
         for waiting in self.pending.values():
             for one in waiting:
                 self.given_up += 1
-                self.outside.forgotten(one)
+                self.driver.forgotten(one)
         self.pending.clear()
         for doubt in self.doubts.values():
-            self.desk.not_found(doubt.key)
+            self.session_core.not_found(doubt.key)
         self.doubts.clear()
         self.over = True
 
--- a/curlewshift/retries/keys.py
+++ b/curlewshift/retries/keys.py
@@ -22,12 +22,12 @@
 
 
 class Held:
-    """One key. `mark` tells what was asked under it, `course` what came of that; `until` is 0 while in work."""
+    """One key. `mark` tells what was asked under it, `front_session` what came of that; `until` is 0 while in work."""
 
-    __slots__ = ("course", "key", "mark", "until")
+    __slots__ = ("front_session", "key", "mark", "until")
 
-    def __init__(self, key: str, mark: Any, course: Any):
-        self.key, self.mark, self.course, self.until = key, mark, course, 0
+    def __init__(self, key: str, mark: Any, front_session: Any):
+        self.key, self.mark, self.front_session, self.until = key, mark, front_session, 0
 
 
 class KeyTable:
@@ -54,10 +54,10 @@
             return None
         return held
 
-    def hold(self, key: str, mark: Any, course: Any) -> Held:
+    def hold(self, key: str, mark: Any, front_session: Any) -> Held:
         """From now until `ended` or `forget`. The key must be free."""
         assert key not in self.held, "a key is held once"
-        held = self.held[key] = Held(key, mark, course)
+        held = self.held[key] = Held(key, mark, front_session)
         return held
 
     def ended(self, held: Held, until: int) -> None:
--- a/curlewshift/retries/session_ends.py
+++ b/curlewshift/retries/session_ends.py
@@ -50,7 +50,7 @@
 
 
 class SessionEnds:
-    """`send(ending)` begins one try; `at(time, call)` calls later. `done` counts what servers have confirmed."""
+    """`send(session_end)` begins one try; `at(time, call)` calls later. `done` counts what servers have confirmed."""
 
     def __init__(self, now: Callable[[], int], send: Callable[[SessionEnd], None], at: Callable[[int, Callable], None]):
         self.now, self.send, self.at = now, send, at
@@ -68,28 +68,28 @@
             self.given_up += 1
         self._go_on(server, here)
 
-    def answered(self, ending: SessionEnd) -> None:
+    def answered(self, session_end: SessionEnd) -> None:
         """The server says that it is over, or that it knows nothing of it."""
-        here = self._back(ending)
+        here = self._back(session_end)
         if here is not None:
             here.silent, here.rests_until = 0, 0
             self.done += 1
-            self._go_on(ending.server, here)
+            self._go_on(session_end.server, here)
 
-    def unanswered(self, ending: SessionEnd) -> None:
+    def unanswered(self, session_end: SessionEnd) -> None:
         """Nobody answered, or with an error of the server's own."""
-        here = self._back(ending)
+        here = self._back(session_end)
         if here is None:
             return
         now = self.now()
-        if now - ending.since >= TRIED_FOR:
+        if now - session_end.since >= TRIED_FOR:
             self.given_up += 1
         else:
             # behind the others: one that nobody answers must not hold them up
-            here.waiting.append(ending)
+            here.waiting.append(session_end)
         here.silent += 1
         here.rests_until = now + min(LONGEST_PAUSE, FIRST_PAUSE << min(here.silent - 1, 10))
-        self._go_on(ending.server, here)
+        self._go_on(session_end.server, here)
 
     def server_gone(self, server: Server) -> None:
         """It has restarted or left: nothing of what it played is there any more."""
@@ -97,8 +97,8 @@
         if here is not None:
             self.done += len(here.waiting) + here.out
 
-    def _back(self, ending: SessionEnd) -> AtServer | None:
-        here = self.servers.get(ending.server)
+    def _back(self, session_end: SessionEnd) -> AtServer | None:
+        here = self.servers.get(session_end.server)
         if here is not None and here.out:
             here.out -= 1
             return here
@@ -107,13 +107,13 @@
     def _go_on(self, server: Server, here: AtServer) -> None:
         now = self.now()
         while here.waiting and now >= here.rests_until and here.out < (1 if here.silent else MOST_OUT):
-            ending = here.waiting.popleft()
-            if ending.tries and now - ending.since >= TRIED_FOR:
+            session_end = here.waiting.popleft()
+            if session_end.tries and now - session_end.since >= TRIED_FOR:
                 self.given_up += 1
                 continue
-            ending.tries += 1
+            session_end.tries += 1
             here.out += 1
-            self.send(ending)
+            self.send(session_end)
         if here.waiting and not here.out and not here.looks:
             here.looks = True
             self.at(here.rests_until, lambda: self._look(server, here))
--- a/curlewshift/rules.py
+++ b/curlewshift/rules.py
@@ -86,10 +86,10 @@
     return value * exp(-age / lasts)
 
 
-def shared_order(vw: Viewing, server: Server) -> int:
+def shared_order(viewing: Viewing, server: Server) -> int:
     """A number by which all fronts order servers alike for one viewer."""
     # mixed down to the last bit, as marks may share their leading bits
-    return (vw.mark ^ server.mark) * MIX % 2**64
+    return (viewing.mark ^ server.mark) * MIX % 2**64
 
 
 class Rules:
@@ -161,102 +161,102 @@
 
     # ---- viewings
 
-    def handed_over(self, vw: Viewing, server: Server) -> None:
-        self._attach(vw, server)
-        self._start(vw)
+    def handed_over(self, viewing: Viewing, server: Server) -> None:
+        self._attach(viewing, server)
+        self._start(viewing)
 
-    def rung_told(self, vw: Viewing, rung: int) -> None:
-        if vw.server is not None:
-            self._rate(vw, rung)
+    def rung_told(self, viewing: Viewing, rung: int) -> None:
+        if viewing.server is not None:
+            self._rate(viewing, rung)
 
-    def wanted(self, vw: Viewing) -> None:
+    def wanted(self, viewing: Viewing) -> None:
         self.taken.append(self.host.now())
         # a probe may stay unanswered until the tick after next: who leaves before is not kept waiting
-        if not self.probes or vw.expires - vw.asked_at <= 2 * TICK or not self._ask(vw):
-            self._place(vw)
+        if not self.probes or viewing.expires - viewing.asked_at <= 2 * TICK or not self._ask(viewing):
+            self._place(viewing)
 
-    def begun(self, vw: Viewing) -> None:
-        server = vw.server
-        if server is None or vw.playing:
+    def begun(self, viewing: Viewing) -> None:
+        server = viewing.server
+        if server is None or viewing.playing:
             return
         server.out -= 1
         self._answered(server)
-        vw.changed_at = self.host.now()
-        self._start(vw)
+        viewing.changed_at = self.host.now()
+        self._start(viewing)
 
-    def ended(self, vw: Viewing, outcome: Outcome, closed: bool) -> None:
-        server, played = vw.server, vw.playing
+    def ended(self, viewing: Viewing, outcome: Outcome, closed: bool) -> None:
+        server, played = viewing.server, viewing.playing
         if server is not None:
-            self._detach(vw)
+            self._detach(viewing)
             if not played:
                 server.out -= 1
             # an error on a title that never played here tells of the title: viewers who ask for what is
             # not there had every server held for sick
-            if outcome is not Outcome.ERROR or vw.title in self.titles:
+            if outcome is not Outcome.ERROR or viewing.title in self.titles:
                 self._judge(server, outcome)
-        vw.may_have_run |= outcome not in NEVER_RAN
-        if closed or vw.over or played:
-            vw.over = True
-        elif vw.package.paid_at_setup and vw.may_have_run:
+        viewing.may_have_run |= outcome not in NEVER_RAN
+        if closed or viewing.over or played:
+            viewing.over = True
+        elif viewing.package.paid_at_setup and viewing.may_have_run:
             # it is never sent again, and a block would invite the same
-            vw.over = True
-            self.host.abort(vw)
-        elif self.host.now() >= vw.asked_at + vw.package.join_target:
-            self._block(vw)
+            viewing.over = True
+            self.host.abort(viewing)
+        elif self.host.now() >= viewing.asked_at + viewing.package.join_target:
+            self._block(viewing)
         else:
-            self._place(vw)
+            self._place(viewing)
 
-    def left(self, vw: Viewing) -> None:
-        vw.over = True
+    def left(self, viewing: Viewing) -> None:
+        viewing.over = True
 
     # ---- placing
 
-    def _ask(self, vw: Viewing) -> int:
+    def _ask(self, viewing: Viewing) -> int:
         """Against fronts so many that each hears of few servers, and fills links that are short already."""
         unheard = [
             server
-            for server in self._open_to(vw)
+            for server in self._open_to(viewing)
             if self.host.now() - server.link.told_at > NEWS_FRESH and not self._sick(server)
         ]
-        unheard.sort(key=lambda server: (self._room(server), shared_order(vw, server)), reverse=True)
+        unheard.sort(key=lambda server: (self._room(server), shared_order(viewing, server)), reverse=True)
         for server in unheard[:PROBES]:
             if not server.asking:
                 self.host.probe(server)
-            server.asking.append(vw)
-            vw.asked += 1
-        return vw.asked
+            server.asking.append(viewing)
+            viewing.asked += 1
+        return viewing.asked
 
     def probed(self, server: Server, outcome: Outcome) -> None:
         if outcome in FAILURES:
             self._judge(server, outcome)
         asking, server.asking = server.asking, []
-        for vw in asking:
-            vw.asked -= 1
-            if not vw.asked and not vw.over:
-                self._place(vw)
+        for viewing in asking:
+            viewing.asked -= 1
+            if not viewing.asked and not viewing.over:
+                self._place(viewing)
 
-    def _budget_left(self, vw: Viewing) -> bool:
+    def _budget_left(self, viewing: Viewing) -> bool:
         since = self.host.now() - self.look_back
         for times in (self.taken, self.further):
             while times and times[0] <= since:
                 times.popleft()
         free = self.free_further if self.further_rights is None else self._in_hand(self.further_rights)
-        left = not vw.tune_ins or (
+        left = not viewing.tune_ins or (
             not self.again_stopped and len(self.further) + 1 <= free + self.further_share * len(self.taken)
         )
         if not left:
             self.further_wanted_at = self.host.now()
         return left
 
-    def attempt_sent(self, vw: Viewing) -> None:
+    def attempt_sent(self, viewing: Viewing) -> None:
         """Its attempt leaves now, maybe later than it was decided: the budget counts it from now on."""
         now = self.host.now()
-        if not vw.further_at or now == vw.further_at:
+        if not viewing.further_at or now == viewing.further_at:
             return
-        if vw.further_at in self.further:
-            self.further.remove(vw.further_at)
+        if viewing.further_at in self.further:
+            self.further.remove(viewing.further_at)
         self.further.append(now)
-        vw.further_at = now
+        viewing.further_at = now
 
     def seat_left(self, title: str, package: Package) -> bool:
         dealt = self.seat_rights.get(package)
@@ -272,71 +272,71 @@
         now = self.host.now()
         return sum(count for since, until, count in rights if since <= now < until)
 
-    def _block(self, vw: Viewing) -> None:
-        vw.over = True
+    def _block(self, viewing: Viewing) -> None:
+        viewing.over = True
         # a crowd blocked together must not come back together
-        self.host.block(vw, int(self.wait * self.chance.uniform(0.6, 1.0)))
+        self.host.block(viewing, int(self.wait * self.chance.uniform(0.6, 1.0)))
 
-    def _place(self, vw: Viewing) -> None:
-        late = vw.tune_ins >= self.max_tune_ins or self.host.now() >= vw.expires
-        if late or not self.seat_left(vw.title, vw.package) or not self._budget_left(vw):
-            self._block(vw)
+    def _place(self, viewing: Viewing) -> None:
+        late = viewing.tune_ins >= self.max_tune_ins or self.host.now() >= viewing.expires
+        if late or not self.seat_left(viewing.title, viewing.package) or not self._budget_left(viewing):
+            self._block(viewing)
             return
-        lowest = vw.package.floor
-        highest = max(lowest, min(vw.ceiling, vw.package.top))
+        lowest = viewing.package.floor
+        highest = max(lowest, min(viewing.ceiling, viewing.package.top))
         # At last nothing is kept free for the lowest rung: who plays wider there steps once it shows. Fronts
         # with nothing of their own to step would block, and nobody tells the others to make room.
         ways = [(rung, BOUND) for rung in range(highest, lowest - 1, -1)] + [(lowest, 0.0)]
         best, best_rank, best_rung = None, (), 0
-        for server in self._open_to(vw):
-            rates = vw.package.rates
-            fits = ((rung, at) for rung, at in ways if self._room(server, rates[rung], at, vw) >= 0)
+        for server in self._open_to(viewing):
+            rates = viewing.package.rates
+            fits = ((rung, at) for rung, at in ways if self._room(server, rates[rung], at, viewing) >= 0)
             rung, bound = next(fits, (None, 0.0))
             sick = self._sick(server)
             # a paid set-up that fails cannot be repaired elsewhere: it never goes to a doubtful server
-            if rung is None or (sick and (vw.package.paid_at_setup or server.out)):
+            if rung is None or (sick and (viewing.package.paid_at_setup or server.out)):
                 continue
             # a set-up waits until an earlier one at the same server has provably ended, which a hung one never says
             rank = (
-                server not in vw.unconfirmed,
+                server not in viewing.unconfirmed,
                 bound,
                 not sick,
                 not self._silent(server),
-                server not in vw.tried,
-                self._room(server, vw=vw) // (ROOM_STEP * server.link.size),
-                shared_order(vw, server),
+                server not in viewing.tried,
+                self._room(server, viewing=viewing) // (ROOM_STEP * server.link.size),
+                shared_order(viewing, server),
             )
             if rank > best_rank:
                 best, best_rank, best_rung = server, rank, rung
         if best is None:
-            self._block(vw)
+            self._block(viewing)
         else:
-            self._tune_in(vw, best, best_rung)
+            self._tune_in(viewing, best, best_rung)
 
-    def _open_to(self, vw: Viewing) -> list[Server]:
-        return [server for server in vw.holders if self._may_send(server)]
+    def _open_to(self, viewing: Viewing) -> list[Server]:
+        return [server for server in viewing.holders if self._may_send(server)]
 
-    def _tune_in(self, vw: Viewing, server: Server, rung: int) -> None:
+    def _tune_in(self, viewing: Viewing, server: Server, rung: int) -> None:
         now = self.host.now()
-        if vw.tune_ins:
+        if viewing.tune_ins:
             self.further.append(now)
-            vw.further_at = now
-        vw.tune_ins += 1
-        vw.tried.append(server)
-        vw.rung = rung
+            viewing.further_at = now
+        viewing.tune_ins += 1
+        viewing.tried.append(server)
+        viewing.rung = rung
         # let go of here too: a server that stays warm is never looked at for what was sent, and kept it all
         server.sent = [at for at in server.sent if at > now - self.warm_within] + [now]
         if now < server.unproven_until:
             self.unproven_left -= 1
         server.out += 1
-        until = vw.expires
-        if not vw.package.paid_at_setup and vw.tune_ins < self.max_tune_ins:
-            left = vw.asked_at + vw.package.join_target - now
+        until = viewing.expires
+        if not viewing.package.paid_at_setup and viewing.tune_ins < self.max_tune_ins:
+            left = viewing.asked_at + viewing.package.join_target - now
             until = min(until, now + max(SHORTEST_TUNE_IN, int(left * TUNE_IN_PART)))
-        self._attach(vw, server)
-        if rung <= vw.ceiling:
-            self.host.set_rung(vw, rung)
-        self.host.tune_in(vw, server, until)
+        self._attach(viewing, server)
+        if rung <= viewing.ceiling:
+            self.host.set_rung(viewing, rung)
+        self.host.tune_in(viewing, server, until)
 
     # ---- guards on what is sent
 
@@ -450,43 +450,43 @@
 
     # ---- the account of a link
 
-    def _attach(self, vw: Viewing, server: Server) -> None:
-        vw.server = server
-        self.seats[vw.title, vw.package] += 1
-        self._rate(vw, vw.rung)
-
-    def _detach(self, vw: Viewing) -> None:
-        self.seats[vw.title, vw.package] -= 1
-        if not self.seats[vw.title, vw.package]:
-            del self.seats[vw.title, vw.package]
-        self._count(vw, 0.0)
-        for link in (vw.server.link, vw.server.rack.link):
-            link.playing.pop(vw, None)
-        vw.server, vw.playing = None, False
-
-    def _start(self, vw: Viewing) -> None:
-        vw.playing = True
-        if vw.title not in self.titles:
+    def _attach(self, viewing: Viewing, server: Server) -> None:
+        viewing.server = server
+        self.seats[viewing.title, viewing.package] += 1
+        self._rate(viewing, viewing.rung)
+
+    def _detach(self, viewing: Viewing) -> None:
+        self.seats[viewing.title, viewing.package] -= 1
+        if not self.seats[viewing.title, viewing.package]:
+            del self.seats[viewing.title, viewing.package]
+        self._count(viewing, 0.0)
+        for link in (viewing.server.link, viewing.server.rack.link):
+            link.playing.pop(viewing, None)
+        viewing.server, viewing.playing = None, False
+
+    def _start(self, viewing: Viewing) -> None:
+        viewing.playing = True
+        if viewing.title not in self.titles:
             if len(self.titles) >= TITLES_KNOWN:
                 del self.titles[next(iter(self.titles))]
-            self.titles[vw.title] = True
-        for link in (vw.server.link, vw.server.rack.link):
-            link.playing[vw] = True
+            self.titles[viewing.title] = True
+        for link in (viewing.server.link, viewing.server.rack.link):
+            link.playing[viewing] = True
 
-    def _rate(self, vw: Viewing, rung: int) -> None:
-        vw.rung = rung
-        self._count(vw, vw.package.rates[rung])
+    def _rate(self, viewing: Viewing, rung: int) -> None:
+        viewing.rung = rung
+        self._count(viewing, viewing.package.rates[rung])
 
-    def _count(self, vw: Viewing, rate: float) -> None:
-        change, squares = rate - vw.held_rate, rate * rate - vw.held_rate * vw.held_rate
+    def _count(self, viewing: Viewing, rate: float) -> None:
+        change, squares = rate - viewing.held_rate, rate * rate - viewing.held_rate * viewing.held_rate
         self.own += change
         self.squares += squares
-        for link in (vw.server.link, vw.server.rack.link):
+        for link in (viewing.server.link, viewing.server.rack.link):
             self._age(link)
             link.own += change
             link.own_squares += squares
             link.fresh += change
-        vw.held_rate = rate
+        viewing.held_rate = rate
 
     def _age(self, link: Link) -> None:
         now = self.host.now()
@@ -507,21 +507,21 @@
         self._age(link)
         return link.own + max(0.0, self._others(link) + link.swing)
 
-    def _held(self, link: Link, vw: Viewing | None) -> float:
+    def _held(self, link: Link, viewing: Viewing | None) -> float:
         """What is kept free here for packages other than this viewing's counts as used."""
-        return sum(room for package, room in link.holds.items() if vw is None or package is not vw.package)
+        return sum(room for package, room in link.holds.items() if viewing is None or package is not viewing.package)
 
-    def _left(self, link: Link, rate: float = 0.0, bound: float = BOUND, vw: Viewing | None = None) -> float:
+    def _left(self, link: Link, rate: float = 0.0, bound: float = BOUND, viewing: Viewing | None = None) -> float:
         if self._short(link):
             return -inf
         # others' viewings vary like this front's: with no spread, links not known looked the roomiest
         typical = self.squares / self.own if self.own > 1 else 0.0
         squares = max(0.0, link.own_squares + self._others(link) * typical + rate * rate)
-        held = self._held(link, vw) if link.holds else 0.0
+        held = self._held(link, viewing) if link.holds else 0.0
         return link.size - self._use(link) - held - rate - bound * self.spread * sqrt(squares)
 
-    def _room(self, server: Server, rate: float = 0.0, bound: float = BOUND, vw: Viewing | None = None) -> float:
-        return min(self._left(server.link, rate, bound, vw), self._left(server.rack.link, rate, bound, vw))
+    def _room(self, server: Server, rate: float = 0.0, bound: float = BOUND, viewing: Viewing | None = None) -> float:
+        return min(self._left(server.link, rate, bound, viewing), self._left(server.rack.link, rate, bound, viewing))
 
     def _short(self, link: Link) -> bool:
         return link.missing > 0 and self.host.now() - link.missing_at < NOTE_LASTS
@@ -618,7 +618,7 @@
     def _by_turn(self, link: Link) -> list[Viewing]:
         # Rounds begin on the highest rung: nobody gives up a lower one before all are down to it. By time or
         # steps taken, newcomers stayed on top of those who had stepped. Within a round, least value first.
-        return sorted(link.playing, key=lambda vw: (-vw.rung, vw.package.value / vw.held_rate, vw.turn))
+        return sorted(link.playing, key=lambda viewing: (-viewing.rung, viewing.package.value / viewing.held_rate, viewing.turn))
 
     def _part(self, link: Link) -> float:
         return link.own / max(link.own, self._use(link), 1e-9)
@@ -640,21 +640,21 @@
         # rounds begin on the highest rung, over all fronts too: who plays wider than usual owes more
         owed *= link.own_squares / link.own / (self.squares / self.own)
         link.swing -= owed * (1 - part) / part
-        for vw in self._by_turn(link):
-            if owed > 0 and vw.rung > vw.package.floor:
-                less = vw.held_rate - vw.package.rates[vw.rung - 1]
+        for viewing in self._by_turn(link):
+            if owed > 0 and viewing.rung > viewing.package.floor:
+                less = viewing.held_rate - viewing.package.rates[viewing.rung - 1]
                 if self.chance.random() >= max(owed / less, part):
                     return
-                self._step(vw, vw.rung - 1)
+                self._step(viewing, viewing.rung - 1)
                 owed -= less
 
     def _make_room(self, link: Link) -> None:
         """Steps that free what is held here and still used; what it is held for steps for no hold."""
         owed = min(self._held(link, None), self._use(link) + self._held(link, None) - link.size)
-        for vw in self._by_turn(link):
-            if owed > 0 and vw.rung > vw.package.floor and vw.package not in link.holds:
-                owed -= vw.held_rate - vw.package.rates[vw.rung - 1]
-                self._step(vw, vw.rung - 1)
+        for viewing in self._by_turn(link):
+            if owed > 0 and viewing.rung > viewing.package.floor and viewing.package not in link.holds:
+                owed -= viewing.held_rate - viewing.package.rates[viewing.rung - 1]
+                self._step(viewing, viewing.rung - 1)
 
     def _climb(self, server: Server) -> None:
         now = self.host.now()
@@ -662,23 +662,23 @@
         # before the first report, full links look empty to a new front
         if any(now < link.climbs_from or not link.told for link in links):
             return
-        for vw in reversed(self._by_turn(server.link)):
-            if vw.rung >= min(vw.ceiling, vw.package.top) or now < vw.changed_at + CLIMB_PACE:
+        for viewing in reversed(self._by_turn(server.link)):
+            if viewing.rung >= min(viewing.ceiling, viewing.package.top) or now < viewing.changed_at + CLIMB_PACE:
                 continue
-            more = vw.package.rates[vw.rung + 1] - vw.package.rates[vw.rung]
-            if self._room(server, more, vw=vw) < 0:
+            more = viewing.package.rates[viewing.rung + 1] - viewing.package.rates[viewing.rung]
+            if self._room(server, more, viewing=viewing) < 0:
                 continue
             # room too is for all who hear of it
             chance = 1.0
             for link in links:
-                part, room = self._part(link), self._left(link, more, vw=vw) + more
+                part, room = self._part(link), self._left(link, more, viewing=viewing) + more
                 chance = min(chance, room * part / more)
                 link.swing += min(room, more / part) * (1 - part)
             if self.chance.random() < chance:
-                self._step(vw, vw.rung + 1)
+                self._step(viewing, viewing.rung + 1)
 
-    def _step(self, vw: Viewing, rung: int) -> None:
-        vw.turn += vw.rung - rung
-        vw.changed_at = self.host.now()
-        self._rate(vw, rung)
-        self.host.set_rung(vw, rung)
+    def _step(self, viewing: Viewing, rung: int) -> None:
+        viewing.turn += viewing.rung - rung
+        viewing.changed_at = self.host.now()
+        self._rate(viewing, rung)
+        self.host.set_rung(viewing, rung)
--- a/curlewshift/scale/fits.py
+++ b/curlewshift/scale/fits.py
@@ -103,10 +103,10 @@
 ) -> tuple[bool, str]:
     noise = max(0.0, noise)
     ratio = 0.0 if size <= floor else found / of / (noise / free) if noise > free * floor * floor else inf
-    chance, part = f_tail(ratio, of, free), size / max(rise, floor, 1e-300)
+    p_value, part = f_tail(ratio, of, free), size / max(rise, floor, 1e-300)
     return (
-        chance < CHANCE and part > BEND,
-        f"{name}: F({of}, {free}) {ratio:.3g}, chance {100 * chance:.2g}%, {100 * part:.1f}% of the rise",
+        p_value < CHANCE and part > BEND,
+        f"{name}: F({of}, {free}) {ratio:.3g}, chance {100 * p_value:.2g}%, {100 * part:.1f}% of the rise",
     )
 
 
--- a/curlewshift/scale/fleet.py
+++ b/curlewshift/scale/fleet.py
@@ -231,9 +231,9 @@
     async def hollow_do(self, do: str, names: set[str] | None = None, empty: bool = False) -> None:
         """`start` or `stop`; all of them where no names are said. `empty`: their disks are lost."""
         for process, here in self.process_of().items():
-            struck = here if names is None else [name for name in here if name in names]
-            if struck:
-                await self.hollow[process].ask({"do": do, "names": struck, "empty": empty})
+            affected = here if names is None else [name for name in here if name in names]
+            if affected:
+                await self.hollow[process].ask({"do": do, "names": affected, "empty": empty})
 
     async def ways(self, **how) -> None:
         for relay in self.relays:
--- a/curlewshift/scale/hollow.py
+++ b/curlewshift/scale/hollow.py
@@ -93,7 +93,7 @@
         for part in node.parts.values():
             known.add(id(part))
         told = {}
-        for name, part in [*node.parts.items(), ("model", node.desk)]:
+        for name, part in [*node.parts.items(), ("model", node.session_core)]:
             told[name] = round(weight(part, known) / 1024, 1)
         return told
 
--- a/curlewshift/scale/judge.py
+++ b/curlewshift/scale/judge.py
@@ -77,7 +77,7 @@
         self.shown: dict[str, list] = {}
         self.running: set[str] = set()
         # when each was struck: from, until
-        self.struck: dict[str, list[list[float]]] = {}
+        self.affected: dict[str, list[list[float]]] = {}
         self.called_gone: dict[tuple[str, int], tuple[str, float]] = {}
         self.versions = VersionsSeen()
 
@@ -86,7 +86,7 @@
     def strikes(self, names: Iterable[str], at: float, down: bool) -> None:
         """They are stopped or killed (`down`), or cut off."""
         for name in names:
-            self.struck.setdefault(name, []).append([at, inf])
+            self.affected.setdefault(name, []).append([at, inf])
             if down:
                 self.running.discard(name)
                 self.shown.pop(name, None)
@@ -94,7 +94,7 @@
 
     def over(self, names: Iterable[str], at: float) -> None:
         for name in names:
-            for span in self.struck.get(name, ())[-1:]:
+            for span in self.affected.get(name, ())[-1:]:
                 span[1] = min(span[1], at)
             self.running.add(name)
 
@@ -134,4 +134,4 @@
         return told
 
     def _befallen(self, name: str, at: float) -> bool:
-        return any(began <= at <= ended + self.shows_on for began, ended in self.struck.get(name, ()))
+        return any(began <= at <= ended + self.shows_on for began, ended in self.affected.get(name, ()))
--- a/curlewshift/scale/node.py
+++ b/curlewshift/scale/node.py
@@ -75,15 +75,15 @@
 class HollowSessionCore:
     """What sharing and leases read of a desk, and write to it. Servers lie in racks; a node plays on some of their links."""
 
-    def __init__(self, load: Load, chance: Random, now):
-        self.load, self.chance, self.now = load, chance, now
+    def __init__(self, load: Load, rng: Random, now):
+        self.load, self.rng, self.now = load, rng, now
         marks = Random("marks")
         racks = [Rack(number, Link(1e6), name=f"rack-{number}") for number in range(-(-load.servers // load.rack))]
         self.servers = [
             Server(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8100", marks.getrandbits(32), "", 40, racks[n // load.rack], Link(1e5))
             for n in range(load.servers)
         ]
-        self.played = chance.sample(self.servers, load.links)
+        self.played = rng.sample(self.servers, load.links)
         self.usual = load.viewings * load.rate / max(1, load.links)
         self.rules = SimpleNamespace(
             servers=self.servers, rights_of=lambda server: 3, further_wanted_at=0, seat_wanted_at={}, seats={}
@@ -95,7 +95,7 @@
         """A round of the load: links that are played on are heard of, and their use moves."""
         for server in self.played:
             server.rack.link.own -= server.link.own
-            server.link.own = self.usual * self.chance.uniform(1 - WANDERS, 1 + WANDERS)
+            server.link.own = self.usual * self.rng.uniform(1 - WANDERS, 1 + WANDERS)
             server.rack.link.own += server.link.own
             server.heard_at = self.now()
 
@@ -128,7 +128,7 @@
         machines = {machine.name: machine for machine in site.control.machines}
         machine = machines.get(place.name)
         self.door = (
-            site.doors[site.door(place.name)]
+            site.front_addresses[site.door(place.name)]
             if machine is None
             else ListenAddress(machine.name, "", 0, machine.peers_listen, machine.peers_reach)
         )
@@ -138,7 +138,7 @@
         # what a disk would keep over its lives, and when each version came into force here
         self.disk: dict[str, bytes] = {}
         self.took: list[tuple[str, float]] = []
-        self.chance = Random(f"{plan.seed} {place.name}")
+        self.rng = Random(f"{plan.seed} {place.name}")
         self.meter = LyingMeter() if f"lies={place.name}" in plan.spoil.split() else Meter()
         self.scope: anyio.CancelScope | None = None
         self.lives = 0
@@ -146,27 +146,27 @@
 
     def _make(self) -> None:
         wire = DeafWire if f"deaf={self.place.name}" in self.plan.spoil.split() else CountedWire
-        self.wire = wire(self.site.name, self.door, self.site.peers, self.clock, self.log, Random(self.chance.random()))
+        self.wire = wire(self.site.name, self.door, self.site.peers, self.clock, self.log, Random(self.rng.random()))
         channel, metered = self.wire.channel, self.meter.metered
         self.wire.meter = self.meter
         self.parts: dict[str, object] = {"membership": channel}
-        self.desk = HollowSessionCore(
-            self.plan.load if self.place.shares else Load(0, 0, 0), Random(self.chance.random()), self.clock.now
+        self.session_core = HollowSessionCore(
+            self.plan.load if self.place.shares else Load(0, 0, 0), Random(self.rng.random()), self.clock.now
         )
         self.shared = self.leased = self.distributed = None
-        order, chance = [door.name for door in self.site.doors], Random(self.chance.random())
+        order, rng = [door.name for door in self.site.front_addresses], Random(self.rng.random())
         if self.place.shares:
             self.shared = SharedWire(
                 channel,
-                self.desk,
+                self.session_core,
                 order,
                 order.index(self.place.name),
                 self.site.sharing,
                 self.site.together,
-                self.site.duties.warm_within,
+                self.site.obligations.warm_within,
                 self.clock.now,
                 self.log,
-                chance,
+                rng,
             )
             self.share = metered("sharing", self.shared.sharing.time)
             self.shared.sharing.time = self._round
@@ -179,7 +179,7 @@
                 self.stores,
                 self.site.control.terms,
                 self.log,
-                chance,
+                rng,
             )
             self.fence = self.leased.fence
         elif self.place.leases:
@@ -194,14 +194,14 @@
                 wants.shards,
                 wants.probe_each,
                 self.log,
-                chance,
+                rng,
                 wants.tasks,
                 wants.orphans_after,
             )
         if self.leased is not None:
             # a control machine's has its own time, a front's that of its tasks
             rounds = self.leased if self.place.kind == "control" else self.leased.tasks
-            for owner, name in ((rounds, "time"), (self.leased.keeper, "time"), (self.leased, "_to_itself")):
+            for owner, name in ((rounds, "time"), (self.leased.acceptor, "time"), (self.leased, "_to_itself")):
                 if owner is not None:
                     setattr(owner, name, metered("leases", getattr(owner, name)))
         if "distribution" in self.plan.parts:
@@ -215,7 +215,7 @@
                 self.fence,
                 self.clock,
                 self.log,
-                chance,
+                rng,
                 self.disk.get("copy"),
                 self.disk.get("vote"),
             )
@@ -230,7 +230,7 @@
         channel.start = metered("membership", channel.start)
 
     def _round(self) -> None:
-        self.desk.live()
+        self.session_core.live()
         self.share()
 
     async def run(self) -> None:
@@ -274,7 +274,7 @@
     # ---- what leases' tasks ask of a front beside its desk: reaching servers is not control, and is left out
 
     @property
-    def reach(self) -> HollowNode:
+    def server_pool(self) -> HollowNode:
         return self
 
     def probe(self, server, mark: str, found) -> None:
--- a/curlewshift/scale/plan.py
+++ b/curlewshift/scale/plan.py
@@ -137,7 +137,7 @@
 
     def lay_out(self) -> None:
         """Nodes in their places, with free ports: real ones in zones in turn, control machines in regions in turn."""
-        chance = Random(f"{self.seed} places")
+        rng = Random(f"{self.seed} places")
         ports = free_udp_ports(self.nodes + CONTROL + self.real)
         self.apart = [ports.pop() for _ in range(self.real)]
         zone_of = [number * self.zones // self.nodes for number in range(self.nodes)]
@@ -158,7 +158,7 @@
         # control machines in a process of their own (0), one node alone (1), the others in turn
         for number, place in enumerate(hollow):
             place.process = 1 if number == 0 else 2 + (number - 1) % self.processes
-        drawn = [hollow[0], *chance.sample(hollow[1:], len(hollow) - 1)]
+        drawn = [hollow[0], *rng.sample(hollow[1:], len(hollow) - 1)]
         for place in drawn[: self.load.sharing]:
             place.shares = True
         for place in drawn[: self.load.leasing]:
--- a/curlewshift/scale/relay.py
+++ b/curlewshift/scale/relay.py
@@ -91,7 +91,7 @@
         row[1] += len(data)
         if self.regions_apart and self.region[sender] != self.region[to]:
             self.cut += 1
-        elif self.loss and self.chance.random() < self.loss:
+        elif self.loss and self.rng.random() < self.loss:
             self.lost += 1
         elif self.zone[sender] == self.zone[to]:
             self._hand_on(to, data, False)
--- a/curlewshift/scale/run.py
+++ b/curlewshift/scale/run.py
@@ -250,13 +250,13 @@
         if not plan.changes:
             return None
         self.progress(f"{plan.changes} changes, each {plan.change_every:g} s, and {plan.changes // 5} restarts")
-        chance = Random(f"{plan.seed} changes")
+        rng = Random(f"{plan.seed} changes")
         fit = [place.name for place in plan.named("hollow") if place.process != 1]
         begun = await self._mark()
         for number in range(plan.changes):
             ends = time.monotonic() + plan.change_every
             if number % 5 == 4:
-                await self._restart(chance.choice(fit))
+                await self._restart(rng.choice(fit))
             await self.versions.change("stretch", everyone)
             await anyio.sleep(max(0.0, ends - time.monotonic()))
         stretch = Stretch(begun, await self._mark())
@@ -283,7 +283,7 @@
 
     async def _befall(self, fault: Fault) -> dict:
         plan = self.plan
-        self.progress(f"{fault.kind}: {len(fault.struck)} nodes")
+        self.progress(f"{fault.kind}: {len(fault.affected)} nodes")
         begun = await self._mark()
         since = time.monotonic()
         await fault.begin(plan.seconds)
@@ -303,8 +303,8 @@
         await anyio.sleep(max(0.0, over + plan.seconds - time.monotonic()))
         ended = await self._mark()
         self.stretches += [(fault.kind, begun.at, middle.at), (f"after {fault.kind}", middle.at, ended.at)]
-        sound = [name for name in self._front_names() if name not in fault.struck or fault.kind == "regions-apart"]
-        told = {"kind": fault.kind, "struck": len(fault.struck), "known_s": known, "converged_s": converged, **told}
+        sound = [name for name in self._front_names() if name not in fault.affected or fault.kind == "regions-apart"]
+        told = {"kind": fault.kind, "struck": len(fault.affected), "known_s": known, "converged_s": converged, **told}
         for key, stretch in (("while", Stretch(begun, middle)), ("after", Stretch(middle, ended))):
             told[key] = {
                 "lasted_s": round(stretch.lasted, 2),
--- a/curlewshift/scale/slopes_asked.py
+++ b/curlewshift/scale/slopes_asked.py
@@ -41,7 +41,7 @@
     def turn(self, now: int) -> None:
         while self.times or self.second <= now:
             if not self.times:
-                self.times = sorted((self.second + self.stands.chance.randrange(NS) for _ in range(self.often)), reverse=True)
+                self.times = sorted((self.second + self.stands.rng.randrange(NS) for _ in range(self.often)), reverse=True)
                 self.second += NS
             while self.times and self.times[-1] <= now:
                 self.times.pop()
@@ -107,7 +107,7 @@
             stands.loop.each_turn.append(tear_down)
             for size in run.sizes:
                 share = _paced(
-                    stands, node, run.lasts, 1.0, size, lambda: crowd.ask(stands.chance.choice(viewers)), crowd.answers.clear
+                    stands, node, run.lasts, 1.0, size, lambda: crowd.ask(stands.rng.choice(viewers)), crowd.answers.clear
                 )
                 done, answers = len(crowd.answers) / run.lasts, list(crowd.answers)
                 stands.loop.until(lambda: not crowd.asked and not crowd.playing, 30, "what was asked is answered and ended")
@@ -135,7 +135,7 @@
     with place(run, MEDIAS, profile=out) as (stands, node, crowd):
         crowd.connected(CONNECTIONS)
         viewers = list(crowd.viewers)
-        pace = Pace(stands, often, lambda: crowd.ask(stands.chance.choice(viewers)))
+        pace = Pace(stands, often, lambda: crowd.ask(stands.rng.choice(viewers)))
         _turns(stands, 1.0)
         told = profile_of(run, stands, node, out, f"{often} set-ups a second")
         pace.stop()
@@ -165,7 +165,7 @@
                 out, waits = {}, []
                 crowd.ended = lambda id: waits.append(time.monotonic_ns() - out.pop(id))
                 left = [(media, id) for media in stands.medias for id in media.sessions]
-                stands.chance.shuffle(left)
+                stands.rng.shuffle(left)
 
                 def release() -> None:
                     if left:
--- a/curlewshift/scale/slopes_control.py
+++ b/curlewshift/scale/slopes_control.py
@@ -8,7 +8,7 @@
 
 from curlewshift.emulator.peers import NS, PeerFleet
 from curlewshift.emulator.sharing_bytes import SECONDS, Among
-from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.terms import default_membership_terms
 from curlewshift.scale.slopes import Run, Slope
 
 # The fleet of the users' size.
@@ -52,7 +52,7 @@
     among = Among(FRONTS, SERVERS)
     for server in among.fleet:
         server.link.own = server.rack.link.own = 0.0
-    for server in among.chance.sample(among.fleet, links):
+    for server in among.rng.sample(among.fleet, links):
         server.link.own = server.rack.link.own = OWN
     return among
 
@@ -84,7 +84,7 @@
 
 def _membership(size: int, seed: int) -> dict[str, float]:
     """Raises `TimeoutError` where the fleet does not agree again."""
-    fleet = PeerFleet(size, seed, usual_manners(NS))
+    fleet = PeerFleet(size, seed, default_membership_terms(NS))
     fleet.start_settled()
     fleet.run(SETTLES)
     told = {"quiet": _bytes(fleet, QUIET, size)}
--- a/curlewshift/scale/slopes_crowd.py
+++ b/curlewshift/scale/slopes_crowd.py
@@ -53,8 +53,8 @@
     """Viewers of the node at `port`. `answers` has (ns waited, status) of each set-up, `released` counts what the node told of
     ends that were not asked for, `dropped` the connections that it closed. Titles have their homes in the first `homes` cells."""
 
-    def __init__(self, loop: Loop, port: int, chance: Random, homes: int = 1):
-        self.loop, self.port, self.chance, self.homes = loop, port, chance, homes
+    def __init__(self, loop: Loop, port: int, rng: Random, homes: int = 1):
+        self.loop, self.port, self.rng, self.homes = loop, port, rng, homes
         self.viewers: dict[Viewer, bool] = {}
         self.asked: dict[str, tuple[Viewer, int]] = {}
         self.playing: dict[str, Viewer] = {}
@@ -74,13 +74,13 @@
         viewer.say(OPTIONS)
 
     def ask(self, viewer: Viewer, again: bool = False) -> str:
-        id = f"{self.chance.getrandbits(64):016x}"
+        id = f"{self.rng.getrandbits(64):016x}"
         body = b"v=0 offer"
         self.asked[id] = viewer, time.monotonic_ns()
         viewer.say(
-            f"SETUP rtsp://media/{self.chance.randrange(1000):016x} RTSP/1.0\r\nCSeq: 1\r\nSession: {id}\r\nX-Cos: lesson\r\n"
-            f"X-Timer-Ms: {PATIENCE}\r\nX-Legs: home:{self.chance.randrange(self.homes)};copies:{COPIES};top:9;"
-            f"viewer:{self.chance.getrandbits(64):016x}"
+            f"SETUP rtsp://media/{self.rng.randrange(1000):016x} RTSP/1.0\r\nCSeq: 1\r\nSession: {id}\r\nX-Cos: lesson\r\n"
+            f"X-Timer-Ms: {PATIENCE}\r\nX-Legs: home:{self.rng.randrange(self.homes)};copies:{COPIES};top:9;"
+            f"viewer:{self.rng.getrandbits(64):016x}"
             f"{';again:1' if again else ''}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
             + body
         )
--- a/curlewshift/scale/slopes_idle.py
+++ b/curlewshift/scale/slopes_idle.py
@@ -105,7 +105,7 @@
     )
     for number in range(run.rounds):
         with place(run) as (stands, node, _):
-            crowd = Returning(stands.loop, node.port, stands.chance)
+            crowd = Returning(stands.loop, node.port, stands.rng)
             for size in run.sizes:
                 _fill(crowd, "connection", size)
                 stands.loop.run(run.rest)
@@ -129,7 +129,7 @@
     """Where the idle time goes at this size, in words."""
     out = run.folder / "profile"
     with place(run, profile=out) as (stands, node, _):
-        crowd = kind(stands.loop, node.port, stands.chance)
+        crowd = kind(stands.loop, node.port, stands.rng)
         run.say(f"profiled at {size}: {BY[by]}")
         _fill(crowd, by, size)
         stands.loop.run(run.rest)
--- a/curlewshift/scale/slopes_stands.py
+++ b/curlewshift/scale/slopes_stands.py
@@ -128,12 +128,12 @@
     """Media servers, the bulletin, and who watches; all closed together."""
 
     def __init__(self, medias: int, seed: int):
-        self.loop, self.chance = Loop(), Random(seed)
+        self.loop, self.rng = Loop(), Random(seed)
         self.medias = [Media(self.loop, f"s-{number + 1:08x}") for number in range(medias)]
         self.bulletin = Bulletin(self.loop)
 
     def crowd(self, port: int) -> Crowd:
-        return Crowd(self.loop, port, self.chance, len(self.medias))
+        return Crowd(self.loop, port, self.rng, len(self.medias))
 
     @property
     def rungs(self) -> int:
--- a/curlewshift/scale/slopes_storm.py
+++ b/curlewshift/scale/slopes_storm.py
@@ -34,7 +34,7 @@
             self.connect_soon()
 
     def at(self, when: int, what) -> None:
-        heapq.heappush(self.later, (when, self.chance.getrandbits(62), what))
+        heapq.heappush(self.later, (when, self.rng.getrandbits(62), what))
 
     def turn(self, now: int) -> None:
         while self.later and self.later[0][0] <= now:
@@ -94,7 +94,7 @@
     for number in range(run.rounds):
         for size in run.sizes:
             with place(run, MEDIAS) as (stands, node, _):
-                storm = Storm(stands.loop, node.port, stands.chance, MEDIAS)
+                storm = Storm(stands.loop, node.port, stands.rng, MEDIAS)
                 before = node.processor_ns()
                 storm.begin(size)
                 stands.loop.until(lambda: len(storm.waits) >= size, STORM_WITHIN, f"a storm of {size}")
--- a/curlewshift/search/search.py
+++ b/curlewshift/search/search.py
@@ -61,7 +61,7 @@
     return Found(script, oracle["service"] - verdict["service"], verdict["service"], tuple(broken))
 
 
-def mutated(script: Script, chance: Random) -> Script:
+def mutated(script: Script, rng: Random) -> Script:
     """Another day near this one."""
     troubles = [replace(trouble) for trouble in script.troubles]
     ways = (
@@ -69,25 +69,25 @@
         + ["drop", "move", "stretch", "widen", "grow"] * bool(troubles)
         + ["seed", "press"]
     )
-    way = chance.choice(ways)
-    one = chance.choice(troubles) if troubles else None
+    way = rng.choice(ways)
+    one = rng.choice(troubles) if troubles else None
     if way == "add":
-        kind = chance.choice(KINDS)
-        troubles.append(usual(kind, round(chance.uniform(1, script.lasts * 0.8), 1)))
+        kind = rng.choice(KINDS)
+        troubles.append(usual(kind, round(rng.uniform(1, script.lasts * 0.8), 1)))
     elif way == "drop":
         troubles.remove(one)
     elif way == "move":
-        one.at = round(min(script.lasts - 1, max(0.5, one.at + chance.gauss(0, 3))), 1)
+        one.at = round(min(script.lasts - 1, max(0.5, one.at + rng.gauss(0, 3))), 1)
     elif way == "stretch":
-        one.lasts = round(max(0.5, min(script.lasts / 2, one.lasts * chance.uniform(0.5, 2))), 1)
+        one.lasts = round(max(0.5, min(script.lasts / 2, one.lasts * rng.uniform(0.5, 2))), 1)
     elif way == "widen":
-        one.part = round(max(0.05, min(0.8, one.part * chance.uniform(0.6, 1.7))), 2)
+        one.part = round(max(0.05, min(0.8, one.part * rng.uniform(0.6, 1.7))), 2)
     elif way == "grow" and one.kind != "neighbour":
-        one.size = round(max(1.0, min(6.0, one.size * chance.uniform(0.7, 1.5))), 2)
+        one.size = round(max(1.0, min(6.0, one.size * rng.uniform(0.7, 1.5))), 2)
     elif way == "press":
-        return replace(script, each_second=round(max(2.0, min(25.0, script.each_second * chance.uniform(0.8, 1.3))), 1))
+        return replace(script, each_second=round(max(2.0, min(25.0, script.each_second * rng.uniform(0.8, 1.3))), 1))
     elif way == "seed":
-        return replace(script, seed=chance.randrange(1, 10**6))
+        return replace(script, seed=rng.randrange(1, 10**6))
     return replace(script, troubles=sorted(troubles, key=lambda trouble: trouble.at))
 
 
@@ -95,12 +95,12 @@
     script: Script, tries: int, seed: int, rules: type[Rules] = Rules, wrong: str = "", progress=lambda done, of, best: None
 ) -> Found:
     """The worst day met in so many."""
-    chance = Random(seed)
+    rng = Random(seed)
     best = look(replace(script, troubles=[]), rules, wrong)
     for number in range(tries):
-        day = look(mutated(best.script, chance), rules, wrong)
+        day = look(mutated(best.script, rng), rules, wrong)
         # now and then a step that makes nothing worse is taken too: a hill may lie behind it
-        if day.badness > best.badness or (day.badness > best.badness - 0.01 and chance.random() < 0.2):
+        if day.badness > best.badness or (day.badness > best.badness - 0.01 and rng.random() < 0.2):
             best = day
         progress(number + 1, tries, best)
         if best.broken or best.runaway:
--- a/curlewshift/search/writing.py
+++ b/curlewshift/search/writing.py
@@ -34,8 +34,14 @@
             "hang-up-and-leave": f"{script.leave:g}",
         },
     )
-    for wish in script.wishes:
-        etree.SubElement(viewers, "wants", package=wish.package, share=f"{wish.share:g}", watches=f"{wish.watches:g}s")
+    for planned_viewing in script.planned_viewings:
+        etree.SubElement(
+            viewers,
+            "wants",
+            package=planned_viewing.package,
+            share=f"{planned_viewing.share:g}",
+            watches=f"{planned_viewing.watches:g}s",
+        )
     for trouble in script.troubles:
         etree.SubElement(
             root,
--- a/curlewshift/session_core/driver.py
+++ b/curlewshift/session_core/driver.py
@@ -30,11 +30,11 @@
     def withdraw(self, tune_in: TuneIn) -> bool:
         """Its time is over: let go of it; what it set up all the same must end. True if the server may have heard."""
 
-    def tell(self, errand: ServerCommand) -> None:
+    def tell(self, command: ServerCommand) -> None:
         """Tell the server that plays this viewing its new rung, or pass its client's patch on; `SessionCore.told_server`
         hears what came of it."""
 
-    def end_session(self, ending: SessionEnd) -> None:
+    def end_session(self, session_end: SessionEnd) -> None:
         """Ask the server to end this session; `SessionCore.session_ended` hears whether it answered."""
 
     def probe(self, server: Server) -> None:
--- a/curlewshift/session_core/front_session.py
+++ b/curlewshift/session_core/front_session.py
@@ -23,7 +23,7 @@
     kind: Kind
     cause: str
     wait: int = 0
-    course: FrontSession | None = None
+    front_session: FrontSession | None = None
 
 
 @dataclass(eq=False, slots=True)
@@ -33,7 +33,7 @@
     name: str
     arrived: int
     expires: int
-    course: FrontSession | None = None
+    front_session: FrontSession | None = None
     answer: Answer | None = None
     # the viewer hung up: nobody is there to be answered
     gone: bool = False
@@ -43,7 +43,7 @@
 class TuneIn:
     """One attempt at one server. `outcome` is set once, by whichever comes first: its answer or its time."""
 
-    course: FrontSession
+    front_session: FrontSession
     server: Server
     number: int
     rung: int
@@ -55,11 +55,11 @@
 class FrontSession:
     """One viewing from its request to its end at this front."""
 
-    vw: Viewing
+    viewing: Viewing
     offer: object
     # its key, while the table has it
     held: Held | None = None
-    errands: CommandQueue | None = None
+    commands: CommandQueue | None = None
     requests: list[Request] = field(default_factory=list)
     tune_in: TuneIn | None = None
     # whatever the outside needs to reach the session at its server
--- a/curlewshift/session_core/server_commands.py
+++ b/curlewshift/session_core/server_commands.py
@@ -34,9 +34,9 @@
 
 @dataclass(eq=False, slots=True)
 class ServerCommand:
-    """`rung` or `patch` is set. `told(errand)` is called once it has come to its end, with `result` and `reply` set."""
+    """`rung` or `patch` is set. `told(command)` is called once it has come to its end, with `result` and `reply` set."""
 
-    course: object
+    front_session: object
     rung: int | None = None
     patch: object = None
     told: Callable[[ServerCommand], None] | None = None
@@ -51,52 +51,52 @@
 
 
 class CommandQueue:
-    """Those of one course. `send(errand)` begins one; its outcome comes back through `answered`."""
+    """Those of one course. `send(command)` begins one; its outcome comes back through `answered`."""
 
     __slots__ = ("out", "over", "send", "waiting")
 
     def __init__(self, send: Callable[[ServerCommand], None]):
         self.send, self.waiting, self.out, self.over = send, deque(), None, False
 
-    def rung(self, course: object, rung: int) -> None:
+    def rung(self, front_session: object, rung: int) -> None:
         if self.over:
             return
-        for errand in self.waiting:
-            if errand.rung is not None:
-                errand.rung = rung
+        for command in self.waiting:
+            if command.rung is not None:
+                command.rung = rung
                 return
-        self.waiting.append(ServerCommand(course, rung=rung))
+        self.waiting.append(ServerCommand(front_session, rung=rung))
         self._next()
 
-    def patch(self, course: object, patch: object, told: Callable[[ServerCommand], None]) -> ServerCommand:
-        errand = ServerCommand(course, patch=patch, told=told)
+    def patch(self, front_session: object, patch: object, told: Callable[[ServerCommand], None]) -> ServerCommand:
+        command = ServerCommand(front_session, patch=patch, told=told)
         if self.over:
-            errand.end(Result.OVER)
+            command.end(Result.OVER)
         elif len(self.waiting) >= MOST_WAITING:
-            errand.end(Result.CROWDED)
+            command.end(Result.CROWDED)
         else:
-            self.waiting.append(errand)
+            self.waiting.append(command)
             self._next()
-        return errand
+        return command
 
-    def answered(self, errand: ServerCommand, result: Result, reply: object = None) -> None:
-        if errand is not self.out:
+    def answered(self, command: ServerCommand, result: Result, reply: object = None) -> None:
+        if command is not self.out:
             return
         self.out = None
-        again = errand.rung is not None and result is Result.UNANSWERED and errand.tries < RUNG_TRIES
+        again = command.rung is not None and result is Result.UNANSWERED and command.tries < RUNG_TRIES
         newer = any(other.rung is not None for other in self.waiting)
         if again and not newer and not self.over:
-            self.waiting.appendleft(errand)
+            self.waiting.appendleft(command)
         else:
-            errand.end(result, reply)
+            command.end(result, reply)
         self._next()
 
     def finish(self) -> None:
         """The viewing is over: what waits is told so. What is out comes to its own end."""
         self.over = True
         waiting, self.waiting = self.waiting, deque()
-        for errand in waiting:
-            errand.end(Result.OVER)
+        for command in waiting:
+            command.end(Result.OVER)
 
     def _next(self) -> None:
         if self.out is None and self.waiting:
--- a/curlewshift/session_core/session_core.py
+++ b/curlewshift/session_core/session_core.py
@@ -49,17 +49,17 @@
 class SessionCore:
     def __init__(
         self,
-        outside: Driver,
+        driver: Driver,
         terms: Terms,
-        roster: ServerList | Fleet,
+        server_list: ServerList | Fleet,
         rules: type[Rules] = Rules,
         most_waiting: int = MOST_WAITING,
         most_keys: int = MOST_ENDED,
         calendar: Calendar | None = None,
     ):
-        self.outside, self.roster = outside, roster
+        self.driver, self.server_list = driver, server_list
         self.packages = {package.name: package for package in terms.packages}
-        self.courses: dict[Viewing, FrontSession] = {}
+        self.front_sessions: dict[Viewing, FrontSession] = {}
         self.keys = KeyTable(terms.now, most_keys)
         # interrupted paid set-ups of which nothing is known yet, by key
         self.doubts: dict[str, FrontSession] = {}
@@ -67,8 +67,8 @@
         self.draining = False
         self.names = 0
         self.longest_wait = terms.longest_wait
-        self.timers = Timers(outside.wake)
-        self.endings = SessionEnds(outside.now, outside.end_session, self.timers.at)
+        self.timers = Timers(driver.wake)
+        self.session_ends = SessionEnds(driver.now, driver.end_session, self.timers.at)
         self.peaks = Peaks(calendar or Calendar(terms.packages), terms.fronts, terms.now)
         self.rules = rules(self, terms)
 
@@ -95,7 +95,7 @@
         request itself says which servers hold its title, they come as `holders`, and its viewer's `mark` with them.
         Raises `InvalidRequest`.
         """
-        now = self.outside.now() if arrived is None else arrived
+        now = self.driver.now() if arrived is None else arrived
         pack = self.packages.get(package)
         if pack is None:
             raise UnknownResource(f"there is no package {package!r}")
@@ -107,7 +107,7 @@
         if before is not None:
             if before.mark != (offer, pack, title):
                 raise KeyReused("this key was used before for another offer, title or package")
-            self._join(before.course, request)
+            self._join(before.front_session, request)
             return request
         if self.draining or self.waiting >= self.most_waiting:
             cause = "this front is going out of service" if self.draining else "too many requests are in work here"
@@ -117,7 +117,7 @@
         if top < pack.floor:
             raise InvalidRequest(f"package {package!r} is not played under rung {pack.floor}, the request allows {top} at most")
         self.names += 1
-        vw = Viewing(
+        viewing = Viewing(
             self.names,
             title,
             mark_of(key or name) if mark is None else mark,
@@ -130,15 +130,15 @@
             came_back=came_back,
         )
         self.peaks.came(pack, now, holders)
-        course = FrontSession(vw, offer, requests=[request], errands=CommandQueue(self.outside.tell))
+        front_session = FrontSession(viewing, offer, requests=[request], commands=CommandQueue(self.driver.tell))
         if key is not None:
-            course.held = self.keys.hold(key, (offer, pack, title), course)
-        self._open(course, request)
+            front_session.held = self.keys.hold(key, (offer, pack, title), front_session)
+        self._open(front_session, request)
         return request
 
     def knows(self, key: str | None) -> bool:
         """Whether a request with this key would join one that is known: it costs no tune-in."""
-        return key is not None and self.keys.find(key, self.outside.now()) is not None
+        return key is not None and self.keys.find(key, self.driver.now()) is not None
 
     def hung_up(self, request: Request) -> None:
         """The viewer gave up on this request before it was answered: nothing is owed to it any more."""
@@ -146,60 +146,60 @@
             return
         request.gone = True
         self.waiting -= 1
-        course = request.course
-        if course.held is not None and self.doubts.get(course.held.key) is course:
+        front_session = request.front_session
+        if front_session.held is not None and self.doubts.get(front_session.held.key) is front_session:
             # it is known by its key until the doubt is over: forgotten, it would be set up again
             return
-        if not course.waiting and course.answer is None:
-            self.rules.left(course.vw)
-            if course.tune_in is None:
-                self._close(course)
+        if not front_session.waiting and front_session.answer is None:
+            self.rules.left(front_session.viewing)
+            if front_session.tune_in is None:
+                self._close(front_session)
 
     def gave_up(self, request: Request) -> None:
         """Its viewer has said that it wants it no more: nobody will come again for what is out for it."""
         self.hung_up(request)
-        course = request.course
-        if course is not None and course.tune_in is not None and not course.waiting:
-            tune_in = course.tune_in
-            self.outside.withdraw(tune_in)
+        front_session = request.front_session
+        if front_session is not None and front_session.tune_in is not None and not front_session.waiting:
+            tune_in = front_session.tune_in
+            self.driver.withdraw(tune_in)
             self.failed(tune_in, Outcome.CANCELLED)
 
-    def closed(self, course: FrontSession) -> None:
+    def closed(self, front_session: FrontSession) -> None:
         """The viewer ends a viewing that plays."""
-        if self.courses.get(course.vw) is course and course.vw.playing:
-            server, session = course.vw.server, course.session
-            self._finish(course, Outcome.PLAYED)
-            self.endings.end(server, session)
+        if self.front_sessions.get(front_session.viewing) is front_session and front_session.viewing.playing:
+            server, session = front_session.viewing.server, front_session.session
+            self._finish(front_session, Outcome.PLAYED)
+            self.session_ends.end(server, session)
 
-    def ceiling_told(self, course: FrontSession, rung: int) -> None:
+    def ceiling_told(self, front_session: FrontSession, rung: int) -> None:
         """The viewer allows no rung above this from now on. Raises `InvalidRequest` under the package's floor."""
-        vw = course.vw
-        if rung < vw.package.floor:
-            raise InvalidRequest(f"package {vw.package.name!r} is not played under rung {vw.package.floor}")
-        vw.ceiling = min(rung, vw.package.top)
-        if vw.playing and vw.rung > vw.ceiling:
-            self.rules.rung_told(vw, vw.ceiling)
-            course.errands.rung(course, vw.ceiling)
-
-    def patched(self, course: FrontSession, patch: object, told) -> None:
-        """The client changes its session; `told(errand)` is called once, with what came of it at its server."""
-        course.errands.patch(course, patch, told)
+        viewing = front_session.viewing
+        if rung < viewing.package.floor:
+            raise InvalidRequest(f"package {viewing.package.name!r} is not played under rung {viewing.package.floor}")
+        viewing.ceiling = min(rung, viewing.package.top)
+        if viewing.playing and viewing.rung > viewing.ceiling:
+            self.rules.rung_told(viewing, viewing.ceiling)
+            front_session.commands.rung(front_session, viewing.ceiling)
+
+    def patched(self, front_session: FrontSession, patch: object, told) -> None:
+        """The client changes its session; `told(command)` is called once, with what came of it at its server."""
+        front_session.commands.patch(front_session, patch, told)
 
     def end_waiting(self) -> None:
         """This front ends now: whoever still waits is answered, and what is out for them is withdrawn."""
-        for course in list(self.courses.values()):
-            if not course.waiting or course.answer is not None:
+        for front_session in list(self.front_sessions.values()):
+            if not front_session.waiting or front_session.answer is not None:
                 continue
-            vw, tune_in = course.vw, course.tune_in
-            self.rules.left(vw)
+            viewing, tune_in = front_session.viewing, front_session.tune_in
+            self.rules.left(viewing)
             if tune_in is not None:
-                tune_in.outcome = Outcome.SILENT if self.outside.withdraw(tune_in) else Outcome.UNSENT
-                course.tune_in = None
-                self.rules.ended(vw, tune_in.outcome, True)
-            if vw.package.paid_at_setup and vw.may_have_run:
-                self.abort(vw)
+                tune_in.outcome = Outcome.SILENT if self.driver.withdraw(tune_in) else Outcome.UNSENT
+                front_session.tune_in = None
+                self.rules.ended(viewing, tune_in.outcome, True)
+            if viewing.package.paid_at_setup and viewing.may_have_run:
+                self.abort(viewing)
             else:
-                self.block(vw, min(SECOND, self.longest_wait))
+                self.block(viewing, min(SECOND, self.longest_wait))
 
     def drain(self) -> None:
         """Take nothing new; what is in work is still answered."""
@@ -209,32 +209,32 @@
 
     def stands(self, tune_in: TuneIn) -> bool:
         """Asked just before the first byte goes out: a list change or the time may have overtaken the pick."""
-        return tune_in.outcome is None and tune_in.server.open and self.outside.now() < tune_in.until
+        return tune_in.outcome is None and tune_in.server.open and self.driver.now() < tune_in.until
 
     def sent(self, tune_in: TuneIn) -> None:
         """Its first byte goes out now."""
-        self.rules.attempt_sent(tune_in.course.vw)
+        self.rules.attempt_sent(tune_in.front_session.viewing)
 
     def played(self, tune_in: TuneIn, session: object, report: dict[str, float] | None = None) -> None:
         """The server has set the session up."""
         if tune_in.outcome is not None:
             # its time came first, or this is said twice: a session of which nobody will hear
-            if tune_in.course.session is not session:
-                self.endings.end(tune_in.server, session)
+            if tune_in.front_session.session is not session:
+                self.session_ends.end(tune_in.server, session)
             return
         self._report(tune_in.server, report)
         tune_in.outcome = Outcome.PLAYED
-        course, vw = tune_in.course, tune_in.course.vw
-        course.tune_in, course.session = None, session
-        self.rules.begun(vw)
-        if not course.waiting:
-            self.rules.ended(vw, Outcome.PLAYED, True)
-            self._close(course)
-            self.endings.end(tune_in.server, session)
+        front_session, viewing = tune_in.front_session, tune_in.front_session.viewing
+        front_session.tune_in, front_session.session = None, session
+        self.rules.begun(viewing)
+        if not front_session.waiting:
+            self.rules.ended(viewing, Outcome.PLAYED, True)
+            self._close(front_session)
+            self.session_ends.end(tune_in.server, session)
             return
-        vw.over = False
-        self.peaks.started(vw, self.outside.now())
-        self._answer_all(course, Answer(Kind.PLAYS, "plays", course=course))
+        viewing.over = False
+        self.peaks.started(viewing, self.driver.now())
+        self._answer_all(front_session, Answer(Kind.PLAYS, "plays", front_session=front_session))
 
     def failed(self, tune_in: TuneIn, outcome: Outcome, report: dict[str, float] | None = None) -> None:
         """The tune-in has ended without a session; the outcome says whether it may have run all the same."""
@@ -242,23 +242,23 @@
             return
         self._report(tune_in.server, report)
         tune_in.outcome = outcome
-        course, vw = tune_in.course, tune_in.course.vw
-        course.tune_in = None
-        left = vw.over
-        self.rules.ended(vw, outcome, left)
+        front_session, viewing = tune_in.front_session, tune_in.front_session.viewing
+        front_session.tune_in = None
+        left = viewing.over
+        self.rules.ended(viewing, outcome, left)
         if left:
-            self._after_leaving(course)
+            self._after_leaving(front_session)
 
-    def lost(self, course: FrontSession, outcome: Outcome = Outcome.BROKEN) -> None:
+    def lost(self, front_session: FrontSession, outcome: Outcome = Outcome.BROKEN) -> None:
         """A viewing that played has ended at its server, by itself (`PLAYED`) or broken."""
-        if self.courses.get(course.vw) is course and course.vw.playing:
-            self._finish(course, outcome)
+        if self.front_sessions.get(front_session.viewing) is front_session and front_session.viewing.playing:
+            self._finish(front_session, outcome)
 
     def server_lost(self, server: Server) -> None:
         """The server has restarted or is gone: nothing of what played there plays any more."""
-        for vw in list(server.link.playing):
-            self.lost(self.courses[vw])
-        self.endings.server_gone(server)
+        for viewing in list(server.link.playing):
+            self.lost(self.front_sessions[viewing])
+        self.session_ends.server_gone(server)
 
     def notes_broke(self, server: Server) -> None:
         """The stream of notes ended by itself: the server may be gone, and may come back cold unannounced."""
@@ -271,7 +271,7 @@
 
     def came_back(self, server: Server) -> None:
         """It is not the process that it was when this front last heard of it: it may be as cold as one that starts now."""
-        self.rules.listed([Listed(server, server.open, max(self.outside.now(), server.started))], False)
+        self.rules.listed([Listed(server, server.open, max(self.driver.now(), server.started))], False)
 
     def plays_at(
         self,
@@ -290,10 +290,10 @@
         if pack is None:
             raise UnknownResource(f"there is no package {package!r}")
         self.names += 1
-        course = self._standing(pack, title, mark, ceiling, holders, session, expected)
-        self.courses[course.vw] = course
-        self.rules.handed_over(course.vw, server)
-        return course
+        front_session = self._standing(pack, title, mark, ceiling, holders, session, expected)
+        self.front_sessions[front_session.viewing] = front_session
+        self.rules.handed_over(front_session.viewing, server)
+        return front_session
 
     def handed_over(
         self,
@@ -307,7 +307,7 @@
         offer: object = None,
     ) -> FrontSession:
         """A viewing that plays already, from before this front started; `key` is its client's. Raises `InvalidRequest`."""
-        pack, held = self.packages.get(package), self.roster.titles.get(title)
+        pack, held = self.packages.get(package), self.server_list.titles.get(title)
         if pack is None or held is None:
             raise UnknownResource(f"there is no package {package!r} or no title {title!r}")
         if not pack.floor <= rung <= pack.top:
@@ -315,52 +315,52 @@
         if not self._seat_left(title, pack):
             raise InvalidRequest(f"all seats of {title!r} are taken in package {package!r}")
         if key in self.doubts:
-            course = self.found(key, server, session, rung)
-            course.vw.ceiling = ceiling
-            return course
+            front_session = self.found(key, server, session, rung)
+            front_session.viewing.ceiling = ceiling
+            return front_session
         self.names += 1
-        course = self._standing(pack, title, mark_of(f"handed over {self.names}"), ceiling, held.holders, session)
-        if key is not None and self.keys.find(key, self.outside.now()) is None:
+        front_session = self._standing(pack, title, mark_of(f"handed over {self.names}"), ceiling, held.holders, session)
+        if key is not None and self.keys.find(key, self.driver.now()) is None:
             # its client may ask again for an answer that it never got
-            course.offer, course.held = offer, self.keys.hold(key, (offer, pack, title), course)
-        self._plays_already(course, server, rung)
-        return course
+            front_session.offer, front_session.held = offer, self.keys.hold(key, (offer, pack, title), front_session)
+        self._plays_already(front_session, server, rung)
+        return front_session
 
     def _standing(
         self, pack: Package, title: str, mark: int, ceiling: int, holders: Iterable, session: object, expected: int = 0
     ) -> FrontSession:
-        now = self.outside.now()
-        vw = Viewing(self.names, title, mark, pack, ceiling, now, now + pack.patience, holders, expected=expected)
-        course = FrontSession(vw, None, session=session, errands=CommandQueue(self.outside.tell))
-        course.answer = Answer(Kind.PLAYS, "handed over", course=course)
-        return course
+        now = self.driver.now()
+        viewing = Viewing(self.names, title, mark, pack, ceiling, now, now + pack.patience, holders, expected=expected)
+        front_session = FrontSession(viewing, None, session=session, commands=CommandQueue(self.driver.tell))
+        front_session.answer = Answer(Kind.PLAYS, "handed over", front_session=front_session)
+        return front_session
 
-    def rung_found(self, course: FrontSession, rung: int) -> None:
+    def rung_found(self, front_session: FrontSession, rung: int) -> None:
         """Its server says that a viewing plays on this rung, whatever it was told to."""
-        vw = course.vw
-        if vw.playing and vw.package.floor <= rung <= vw.package.top:
-            self.rules.rung_told(vw, rung)
+        viewing = front_session.viewing
+        if viewing.playing and viewing.package.floor <= rung <= viewing.package.top:
+            self.rules.rung_told(viewing, rung)
 
     def orphaned(self, server: Server, session: object) -> None:
         """What an earlier life of this front left at the server plays for nobody that is known of."""
-        self.endings.end(server, session)
+        self.session_ends.end(server, session)
 
     def _seat_left(self, title: str, pack: Package) -> bool:
         return self.rules.seat_left(title, pack)
 
-    def _plays_already(self, course: FrontSession, server: Server, rung: int) -> None:
-        self.courses[course.vw] = course
-        self.rules.handed_over(course.vw, server)
-        self.rules.rung_told(course.vw, rung)
+    def _plays_already(self, front_session: FrontSession, server: Server, rung: int) -> None:
+        self.front_sessions[front_session.viewing] = front_session
+        self.rules.handed_over(front_session.viewing, server)
+        self.rules.rung_told(front_session.viewing, rung)
 
-    def told_server(self, errand: ServerCommand, result: Result, reply: object = None) -> None:
-        errand.course.errands.answered(errand, result, reply)
+    def told_server(self, command: ServerCommand, result: Result, reply: object = None) -> None:
+        command.front_session.commands.answered(command, result, reply)
 
-    def session_ended(self, ending: SessionEnd, answered: bool) -> None:
+    def session_ended(self, session_end: SessionEnd, answered: bool) -> None:
         if answered:
-            self.endings.answered(ending)
+            self.session_ends.answered(session_end)
         else:
-            self.endings.unanswered(ending)
+            self.session_ends.unanswered(session_end)
 
     # ---- notes, reports, probes
 
@@ -412,12 +412,12 @@
         """So many seats are in this front's hands no more: the newest viewings on them end."""
         pack = self.packages[package]
         playing = [
-            course
-            for course in self.courses.values()
-            if course.vw.package is pack and course.vw.title == title and course.vw.playing
+            front_session
+            for front_session in self.front_sessions.values()
+            if front_session.viewing.package is pack and front_session.viewing.title == title and front_session.viewing.playing
         ]
-        for course in playing[-count:]:
-            self.closed(course)
+        for front_session in playing[-count:]:
+            self.closed(front_session)
 
     def counted(self, server: Server, use: float, age: int) -> None:
         self.rules.counted(server.link, use, age)
@@ -442,13 +442,13 @@
 
     def list_full(self, epoch: str, generation: int, rows: list[ServerEntry], stale: bool = False) -> None:
         """All servers there are; `stale` for what this front kept from before it started."""
-        self._listed(self.roster.full(epoch, generation, rows), stale)
+        self._listed(self.server_list.full(epoch, generation, rows), stale)
 
     def list_change(self, epoch: str, since: int, generation: int, rows: list[ServerEntry]) -> None:
         try:
-            lines = self.roster.change(epoch, since, generation, rows)
+            lines = self.server_list.change(epoch, since, generation, rows)
         except Gap:
-            self.outside.whole_list()
+            self.driver.whole_list()
             return
         self._listed(lines, False)
 
@@ -456,37 +456,37 @@
         """News of a list whose servers the outside keeps. What plays on one that has gone ends when it is seen to."""
         self.rules.listed(lines, stale)
         for line in lines:
-            if not self.roster.lists(line.server):
+            if not self.server_list.lists(line.server):
                 self._forget_later(line.server)
 
     def _forget_later(self, server: Server) -> None:
-        self.timers.at(self.outside.now() + FORGET_AFTER, lambda: self._forget(server))
+        self.timers.at(self.driver.now() + FORGET_AFTER, lambda: self._forget(server))
 
     def _listed(self, lines: list[Listed] | None, stale: bool) -> None:
         if not lines:
             return
         self.rules.listed(lines, stale)
-        dropped = [line.server for line in lines if not self.roster.lists(line.server)]
+        dropped = [line.server for line in lines if not self.server_list.lists(line.server)]
         for server in dropped:
             # A list that has dropped it will not tell of it again: its seats and claims must not stay for ever.
-            for vw in list(server.link.playing):
-                course = self.courses[vw]
-                session = course.session
-                self.lost(course)
-                self.endings.end(server, session)
+            for viewing in list(server.link.playing):
+                front_session = self.front_sessions[viewing]
+                session = front_session.session
+                self.lost(front_session)
+                self.session_ends.end(server, session)
             self._forget_later(server)
 
     def _forget(self, server: Server) -> None:
-        if self.roster.lists(server) or self.roster.servers.get(server.name) is not server:
+        if self.server_list.lists(server) or self.server_list.servers.get(server.name) is not server:
             return
         if server.out or server.link.playing:
             self._forget_later(server)
             return
-        self.roster.forget(server)
+        self.server_list.forget(server)
         self.rules.forgotten(server)
 
     def _holders(self, title: str) -> Iterable:
-        held = self.roster.titles.get(title)
+        held = self.server_list.titles.get(title)
         if held is None:
             raise UnknownResource(f"there is no title {title!r}")
         return held.holders
@@ -498,52 +498,56 @@
         told that it failed, or waits, while there is `doubt`, for `found` or `not_found` to say what is true. No tune-in
         goes out for it. What the settings have no more cannot be asked for either."""
         pack = self.packages.get(package)
-        if pack is None or title not in self.roster.titles or self.keys.find(key, self.outside.now()) is not None:
+        if pack is None or title not in self.server_list.titles or self.keys.find(key, self.driver.now()) is not None:
             return
         self.names += 1
-        vw = Viewing(self.names, title, mark_of(key), pack, pack.top, self.outside.now(), until, (), over=True, may_have_run=True)
-        course = FrontSession(vw, offer, errands=CommandQueue(self.outside.tell))
-        course.held = self.keys.hold(key, (offer, pack, title), course)
-        self.doubts[key] = course
+        viewing = Viewing(
+            self.names, title, mark_of(key), pack, pack.top, self.driver.now(), until, (), over=True, may_have_run=True
+        )
+        front_session = FrontSession(viewing, offer, commands=CommandQueue(self.driver.tell))
+        front_session.held = self.keys.hold(key, (offer, pack, title), front_session)
+        self.doubts[key] = front_session
         if not doubt:
             self.not_found(key)
 
     def found(self, key: str, server: Server, session: object, rung: int) -> FrontSession | None:
         """An interrupted paid set-up plays at this server. None if its client was told already that it failed, its seat
         is another's by now, or the settings have no such rung any more: then the session has to end."""
-        course = self.doubts.get(key)
-        if course is None:
+        front_session = self.doubts.get(key)
+        if front_session is None:
             return None
-        vw = course.vw
-        if not vw.package.floor <= rung <= vw.package.top or not self._seat_left(vw.title, vw.package):
+        viewing = front_session.viewing
+        if not viewing.package.floor <= rung <= viewing.package.top or not self._seat_left(viewing.title, viewing.package):
             self.not_found(key)
             return None
         del self.doubts[key]
         # how high its viewer allows it to go died with the front: no higher than where it plays
-        vw.over, vw.ceiling, course.session = False, rung, session
-        vw.holders = self.roster.titles[vw.title].holders
-        self._plays_already(course, server, rung)
-        self._answer_all(course, Answer(Kind.PLAYS, "it plays since before the front was restarted", course=course))
-        return course
+        viewing.over, viewing.ceiling, front_session.session = False, rung, session
+        viewing.holders = self.server_list.titles[viewing.title].holders
+        self._plays_already(front_session, server, rung)
+        self._answer_all(
+            front_session, Answer(Kind.PLAYS, "it plays since before the front was restarted", front_session=front_session)
+        )
+        return front_session
 
     def not_found(self, key: str) -> None:
         """It plays nowhere that is known of, and may have run all the same."""
-        course = self.doubts.pop(key, None)
-        if course is not None:
-            self._answer_all(course, Answer(Kind.FAILED, "the front was restarted while it was set up; it may have run"))
-            self.keys.ended(course.held, course.vw.expires)
+        front_session = self.doubts.pop(key, None)
+        if front_session is not None:
+            self._answer_all(front_session, Answer(Kind.FAILED, "the front was restarted while it was set up; it may have run"))
+            self.keys.ended(front_session.held, front_session.viewing.expires)
 
-    def _doubt_lasts(self, course: FrontSession) -> None:
+    def _doubt_lasts(self, front_session: FrontSession) -> None:
         """A client that came again has waited as long as it will, and nothing is known yet: what it is told now stays
         true, whatever is found later."""
-        if course.waiting and course.answer is None and self.doubts.get(course.held.key) is course:
-            self.not_found(course.held.key)
+        if front_session.waiting and front_session.answer is None and self.doubts.get(front_session.held.key) is front_session:
+            self.not_found(front_session.held.key)
 
     # ---- announced peaks
 
     def announce(self, peak: Peak) -> None:
         """Raises `InvalidPeak`."""
-        self.peaks.calendar.announce(peak, self.outside.wall())
+        self.peaks.calendar.announce(peak, self.driver.wall())
 
     def cancel(self, name: str) -> None:
         """Raises `InvalidPeak`."""
@@ -553,31 +557,31 @@
 
     def time(self) -> None:
         """Call when the time asked for by `Driver.wake` has come; calling it early or twice does no harm."""
-        self.timers.run(self.outside.now())
+        self.timers.run(self.driver.now())
 
     # ---- the rules' host, see curlewshift/host.py
 
     def now(self) -> int:
-        return self.outside.now()
+        return self.driver.now()
 
     def wake(self, at: int) -> None:
         self.timers.at(at, self.rules_tick)
 
     def rules_tick(self) -> None:
-        self.peaks.tick(self.outside.now(), self.outside.wall(), self.rules.servers)
+        self.peaks.tick(self.driver.now(), self.driver.wall(), self.rules.servers)
         self.rules.tick()
 
     def tune_in(self, viewing: Viewing, server: Server, until: int) -> None:
-        course = self.courses[viewing]
-        tune_in = TuneIn(course, server, viewing.tune_ins, viewing.rung, until)
-        course.tune_in = tune_in
+        front_session = self.front_sessions[viewing]
+        tune_in = TuneIn(front_session, server, viewing.tune_ins, viewing.rung, until)
+        front_session.tune_in = tune_in
         self.timers.at(until, lambda: self._time_out(tune_in))
-        self.outside.tune_in(tune_in)
+        self.driver.tune_in(tune_in)
 
     def set_rung(self, viewing: Viewing, rung: int) -> None:
         if viewing.playing:
-            course = self.courses[viewing]
-            course.errands.rung(course, rung)
+            front_session = self.front_sessions[viewing]
+            front_session.commands.rung(front_session, rung)
 
     def block(self, viewing: Viewing, wait: int) -> None:
         self._refuse_or_fail(viewing, Answer(Kind.REFUSED, "no server has room for it now", wait))
@@ -586,104 +590,104 @@
         self._refuse_or_fail(viewing, Answer(Kind.FAILED, "its set-up failed and may have run all the same"))
 
     def probe(self, server: Server) -> None:
-        self.outside.probe(server)
+        self.driver.probe(server)
 
     # ---- inside
 
-    def _open(self, course: FrontSession, request: Request) -> None:
-        request.course = course
+    def _open(self, front_session: FrontSession, request: Request) -> None:
+        request.front_session = front_session
         self.waiting += 1
-        self.courses[course.vw] = course
-        vw = course.vw
-        self.timers.at(vw.expires, lambda: self._overdue(course, vw))
-        self.rules.wanted(vw)
-
-    def _join(self, course: FrontSession, request: Request) -> None:
-        request.course = course
-        course.requests = [*course.waiting, request]
+        self.front_sessions[front_session.viewing] = front_session
+        viewing = front_session.viewing
+        self.timers.at(viewing.expires, lambda: self._overdue(front_session, viewing))
+        self.rules.wanted(viewing)
+
+    def _join(self, front_session: FrontSession, request: Request) -> None:
+        request.front_session = front_session
+        front_session.requests = [*front_session.waiting, request]
         self.waiting += 1
-        if course.answer is not None:
-            self._answer(request, course.answer)
-        elif course.held is not None and self.doubts.get(course.held.key) is course:
-            self.timers.at(request.expires, lambda: self._doubt_lasts(course))
+        if front_session.answer is not None:
+            self._answer(request, front_session.answer)
+        elif front_session.held is not None and self.doubts.get(front_session.held.key) is front_session:
+            self.timers.at(request.expires, lambda: self._doubt_lasts(front_session))
 
     def _time_out(self, tune_in: TuneIn) -> None:
         if tune_in.outcome is None:
-            heard = self.outside.withdraw(tune_in)
+            heard = self.driver.withdraw(tune_in)
             self.failed(tune_in, Outcome.SILENT if heard else Outcome.UNREACHED)
 
-    def _overdue(self, course: FrontSession, vw: Viewing) -> None:
+    def _overdue(self, front_session: FrontSession, viewing: Viewing) -> None:
         """Nothing else may have answered, and patience ends now: no request is left without."""
-        if course.vw is not vw or course.answer is not None or vw not in self.courses:
+        if front_session.viewing is not viewing or front_session.answer is not None or viewing not in self.front_sessions:
             return
-        if course.tune_in is not None:
-            self._time_out(course.tune_in)
-        if course.waiting and course.vw is vw and course.answer is None:
-            self.rules.left(vw)
-            self._answer_all(course, Answer(Kind.FAILED, "nothing came of it in the viewer's time"))
-            self._close(course)
-
-    def _after_leaving(self, course: FrontSession) -> None:
+        if front_session.tune_in is not None:
+            self._time_out(front_session.tune_in)
+        if front_session.waiting and front_session.viewing is viewing and front_session.answer is None:
+            self.rules.left(viewing)
+            self._answer_all(front_session, Answer(Kind.FAILED, "nothing came of it in the viewer's time"))
+            self._close(front_session)
+
+    def _after_leaving(self, front_session: FrontSession) -> None:
         """Its viewer had left while a tune-in was out. Whoever came again meanwhile starts where that ended."""
-        old, waiting = course.vw, course.waiting
+        old, waiting = front_session.viewing, front_session.waiting
         if not waiting:
-            self._close(course)
+            self._close(front_session)
         elif old.package.paid_at_setup and old.may_have_run:
             self.abort(old)
         else:
-            self.courses.pop(old)
+            self.front_sessions.pop(old)
             self.names += 1
             expires = min(request.expires for request in waiting)
-            course.vw = Viewing(
+            front_session.viewing = Viewing(
                 self.names,
                 old.title,
                 old.mark,
                 old.package,
                 old.ceiling,
-                self.outside.now(),
+                self.driver.now(),
                 expires,
                 old.holders,
                 came_back=True,
             )
             self.waiting -= 1
-            self._open(course, waiting[0])
+            self._open(front_session, waiting[0])
 
-    def _refuse_or_fail(self, vw: Viewing, answer: Answer) -> None:
-        course = self.courses[vw]
-        self._answer_all(course, answer)
-        self._close(course)
+    def _refuse_or_fail(self, viewing: Viewing, answer: Answer) -> None:
+        front_session = self.front_sessions[viewing]
+        self._answer_all(front_session, answer)
+        self._close(front_session)
 
-    def _answer_all(self, course: FrontSession, answer: Answer) -> None:
-        course.answer = answer
-        for request in course.waiting:
+    def _answer_all(self, front_session: FrontSession, answer: Answer) -> None:
+        front_session.answer = answer
+        for request in front_session.waiting:
             self._answer(request, answer)
-        course.requests = []
+        front_session.requests = []
 
     def _answer(self, request: Request, answer: Answer) -> None:
         assert request.answer is None, "a request is answered once"
         request.answer = answer
-        if request.course is not None:
+        if request.front_session is not None:
             self.waiting -= 1
-        self.outside.answer(request, answer)
-
-    def _finish(self, course: FrontSession, outcome: Outcome) -> None:
-        self.rules.ended(course.vw, outcome, True)
-        self.peaks.ended(course.vw, self.outside.now())
-        course.answer = Answer(Kind.FAILED, "this viewing has ended")
-        self._close(course)
-
-    def _close(self, course: FrontSession) -> None:
-        self.courses.pop(course.vw, None)
-        course.errands.finish()
-        if course.held is None:
+        self.driver.answer(request, answer)
+
+    def _finish(self, front_session: FrontSession, outcome: Outcome) -> None:
+        self.rules.ended(front_session.viewing, outcome, True)
+        self.peaks.ended(front_session.viewing, self.driver.now())
+        front_session.answer = Answer(Kind.FAILED, "this viewing has ended")
+        self._close(front_session)
+
+    def _close(self, front_session: FrontSession) -> None:
+        self.front_sessions.pop(front_session.viewing, None)
+        front_session.commands.finish()
+        if front_session.held is None:
             return
-        if course.answer is None and course.vw.package.paid_at_setup and course.vw.may_have_run:
+        if front_session.answer is None and front_session.viewing.package.paid_at_setup and front_session.viewing.may_have_run:
             # its client hung up; with its key forgotten, one that came again was set up and paid for twice
-            course.answer = Answer(Kind.FAILED, "its set-up may have run for a request that was given up")
-        if course.answer is None:
-            self.keys.forget(course.held)
+            front_session.answer = Answer(Kind.FAILED, "its set-up may have run for a request that was given up")
+        if front_session.answer is None:
+            self.keys.forget(front_session.held)
         else:
             # a client that never got its answer asks for it again within its patience, and one that may have paid
             # must not pay twice for coming a little late
-            late = KEPT_ON if course.vw.package.paid_at_setup and course.vw.may_have_run else 0
-            self.keys.ended(course.held, max(course.vw.expires, self.outside.now() + SECOND) + late)
+            late = KEPT_ON if front_session.viewing.package.paid_at_setup and front_session.viewing.may_have_run else 0
+            self.keys.ended(front_session.held, max(front_session.viewing.expires, self.driver.now() + SECOND) + late)
--- a/curlewshift/sharing/budgets.py
+++ b/curlewshift/sharing/budgets.py
@@ -24,7 +24,7 @@
 
     def __init__(self, sharing, terms: SharingTerms, loans_class: type[Loans] | None = None):
         self.sharing, self.me, self.order = sharing, sharing.me, sharing.order
-        self.loans = (loans_class or self.loans_class)(self, self.me, terms, sharing.chance.getrandbits(40))
+        self.loans = (loans_class or self.loans_class)(self, self.me, terms, sharing.rng.getrandbits(40))
         self.told: dict[str, list] = {}
         # Before anything can be begun or taken up: what nobody told the rules of they hold for this front's own, all of it. A
         # front that started took up what it found remembered, without a right and for as long as its viewers liked.
@@ -97,14 +97,14 @@
         return (FURTHER,)
 
     def wanted_keys(self) -> Iterable[str]:
-        at = self.sharing.outside.further_wanted_at()
+        at = self.sharing.driver.further_wanted_at()
         if at == self.wanted_at:
             return ()
         self.wanted_at = at
         return (FURTHER,)
 
     def tell(self, key: str, rights: list) -> None:
-        self.sharing.outside.further_held(rights)
+        self.sharing.driver.further_held(rights)
 
 
 class Seats(Pool):
@@ -128,7 +128,7 @@
 
     def wanted_keys(self) -> list[str]:
         found = []
-        for (package, title), at in self.sharing.outside.seats_wanted_at().items():
+        for (package, title), at in self.sharing.driver.seats_wanted_at().items():
             key = f"{SEAT}{package} {title}"
             if key in self.named and self.wanted_at.get(key) != at:
                 self.wanted_at[key] = at
@@ -136,16 +136,16 @@
         return found
 
     def in_use(self, key: str) -> int:
-        return self.sharing.outside.seats_in_use(*self.named[key])
+        return self.sharing.driver.seats_in_use(*self.named[key])
 
     def ending(self, key: str) -> bool:
-        return self.sharing.outside.seats_ending(*self.named[key])
+        return self.sharing.driver.seats_ending(*self.named[key])
 
     def end_some(self, key: str, count: int) -> None:
-        self.sharing.outside.seats_over(*self.named[key], count)
+        self.sharing.driver.seats_over(*self.named[key], count)
 
     def tell(self, key: str, rights: list) -> None:
-        self.sharing.outside.seats_held(*self.named[key], rights)
+        self.sharing.driver.seats_held(*self.named[key], rights)
 
 
 @lru_cache(maxsize=1 << 16)
--- a/curlewshift/sharing/loans.py
+++ b/curlewshift/sharing/loans.py
@@ -40,9 +40,9 @@
     """`me` and all other fronts are numbers, the same at every front. Safety rests on what `may_use` tells at the moment of
     use, and on `back_after`; everything else only makes rights go where they are needed."""
 
-    def __init__(self, outside: Driver, me: int, terms: SharingTerms, first_number: int = 0):
-        self.outside, self.me, self.terms = outside, me, terms
-        now = outside.now()
+    def __init__(self, driver: Driver, me: int, terms: SharingTerms, first_number: int = 0):
+        self.driver, self.me, self.terms = driver, me, terms
+        now = driver.now()
         # a lender may take too much time for none, never none for some: steady time only runs short
         self.steady = SteadyClock(now, min(terms.window, 4 * terms.every))
         self.steady.due = now + terms.every
@@ -67,7 +67,7 @@
     def may_use(self, key: str) -> int:
         """How many rights of this budget are in this front's hands now."""
         steady, now = self._read()
-        count = 0 if steady < self.own_from(key) else self.outside.part(key)
+        count = 0 if steady < self.own_from(key) else self.driver.part(key)
         held = self.borrowed.get(key)
         if held:
             for lender in [lender for lender, (until, _, _) in held.items() if now >= until]:
@@ -79,10 +79,10 @@
 
     def in_hand(self, key: str) -> list[tuple[int, int, int]]:
         """What is in this front's hands as the rules have it: from when, until when (ns of the clock), how many."""
-        own, reading = self.own_from(key), self.outside.now()
+        own, reading = self.own_from(key), self.driver.now()
         since = self.steady.reading_of(own) if own > self.steady.last else 0
         return [
-            (since, FOR_EVER, self.outside.part(key)),
+            (since, FOR_EVER, self.driver.part(key)),
             *(
                 (0, self.usable_until(until), count)
                 for until, count, _ in self.borrowed.get(key, {}).values()
@@ -127,14 +127,14 @@
             return
         given = []
         for key in keys[:MOST_KEYS]:
-            count = self.outside.part(key)
+            count = self.driver.part(key)
             if count and self.may_lend(key, borrower, number, life, steady, now):
                 # held for lent before a word of it goes out
                 self.lent[key] = (steady + self.terms.back_after, borrower, number)
                 given.append((key, count))
         if given:
             self.given += len(given)
-            self.outside.lend(borrower, number, given)
+            self.driver.lend(borrower, number, given)
         else:
             self.refused += 1
 
@@ -174,7 +174,7 @@
         for key in self.done:
             # it has done its work, and others wait for it: back before its term
             for lender, (_, _, number) in self.borrowed.pop(key, {}).items():
-                self.outside.give_back(lender, number, key)
+                self.driver.give_back(lender, number, key)
         self.done.clear()
         if not self.wanted or self.withdrawn:
             return
@@ -191,7 +191,7 @@
                 break
             number = next(self.numbers)
             self.out[number] = (lender, now, frozenset(keys))
-            self.outside.ask(lender, number, keys)
+            self.driver.ask(lender, number, keys)
 
     def withdraw(self, out: bool) -> None:
         """Its clock is past the bound: it neither lends nor borrows, and stops at once with what it borrowed."""
@@ -203,7 +203,7 @@
     # ---- time
 
     def _read(self) -> tuple[int, int]:
-        reading = self.outside.now()
+        reading = self.driver.now()
         if reading < self.latest:
             # how long it really was nobody knows
             self.borrowed.clear()
