--- a/curlewshift/sharing/sharing.py
+++ b/curlewshift/sharing/sharing.py
@@ -1,7 +1,7 @@
 """All that one front shares, brought together: loans of rights, counts of use, evidence on servers. Free of I/O.
 
 Held by peering/shared.py on sockets and by the emulator; both call `time` each `every`, hand on what comes, and carry out
-what is asked of `outside`. It reads the rules' own facts of servers and links, and writes facts that they read.
+what is asked of `driver`. It reads the rules' own facts of servers and links, and writes facts that they read.
 """
 
 from __future__ import annotations
@@ -80,20 +80,20 @@
 
     def __init__(
         self,
-        outside: Driver,
+        driver: Driver,
         order: list[str],
         me: int,
         life: int,
         terms: SharingTerms,
         warm_within: int,
-        chance: Random,
+        rng: Random,
         together: SharedBudgets = SharedBudgets(),
     ):
-        self.outside, self.order, self.me, self.life, self.terms = outside, order, me, life, terms
-        self.warm_within, self.chance = warm_within, chance
+        self.driver, self.order, self.me, self.life, self.terms = driver, order, me, life, terms
+        self.warm_within, self.rng = warm_within, rng
         self.number_of = {name: number for number, name in enumerate(order)}
         self.name = order[me]
-        self.loans = self.loans_class(self, me, terms, chance.getrandbits(40))
+        self.loans = self.loans_class(self, me, terms, rng.getrandbits(40))
         self.pools: dict[str, Pool] = {}
         if together.free is not None:
             self.pools[FURTHER] = Further(self, together.further_terms(terms), together.free, self.loans_class)
@@ -102,12 +102,12 @@
         self.counts = Counts(self.name, terms)
         self.evidence = self.evidence_class(self.name, terms)
         self.clocks = ClockWatch(terms.drift)
-        self.steady = SteadyClock(outside.now(), terms.window)
+        self.steady = SteadyClock(driver.now(), terms.window)
         self.born = self.steady.last
         self.watches: dict[Server, Watch] = {}
         self.servers: dict[str, Server] = {}
         self.wanted_at: dict[Server, int] = {}
-        self.turn = chance.randrange(1 << 16)
+        self.turn = rng.randrange(1 << 16)
         self.out = False
         self.reported_at: dict[str, int] = {}
         self.learning_of: set[str] = set()
@@ -117,8 +117,8 @@
 
     def time(self) -> None:
         now = self._now()
-        servers = {server.name: server for server in self.outside.servers()}
-        names = [name for name in self.outside.members() if name in self.number_of and name != self.name]
+        servers = {server.name: server for server in self.driver.servers()}
+        names = [name for name in self.driver.members() if name in self.number_of and name != self.name]
         self._watch_clock(set(names))
         if SEAT in self.pools:
             # nothing that goes wrong further on keeps what has no right from being ended
@@ -137,7 +137,7 @@
             self.out = not self.out
             for loans in (self.loans, *(pool.loans for pool in self.pools.values())):
                 loans.withdraw(self.out)
-            self.outside.clock_off(self.clocks.off(), self.out)
+            self.driver.clock_off(self.clocks.off(), self.out)
 
     # ---- rights
 
@@ -163,21 +163,21 @@
         server, fronts = self.servers.get(key), len(self.order)
         if server is None:
             return []
-        rights = self.outside.rights_of(server)
+        rights = self.driver.rights_of(server)
         owners = [number for number in there if dealt(rights, number, fronts, server.mark)]
         start = (self.turn + server.mark) % len(owners) if owners else 0
         return owners[start:] + owners[:start]
 
     def part(self, key: str) -> int:
         server = self.servers.get(key)
-        return dealt(self.outside.rights_of(server), self.me, len(self.order), server.mark) if server is not None else 0
+        return dealt(self.driver.rights_of(server), self.me, len(self.order), server.mark) if server is not None else 0
 
     def _write_rights(self, servers: Iterable[Server]) -> None:
         """As facts for the rules: how many are in this front's hands, from when and until when."""
         for server in servers:
             rights = self.loans.in_hand(server.name)
             if rights != server.rights:
-                self.outside.rights_held(server, rights)
+                self.driver.rights_held(server, rights)
 
     def sent(self, server: Server, further: bool = False) -> None:
         """A set-up goes to this server now; `further` if it is not the first of its viewing."""
@@ -190,13 +190,13 @@
         return self.pools.get(SEAT if key.startswith(SEAT) else key)
 
     def ask(self, lender: int, number: int, keys: list[str]) -> None:
-        self.outside.ask(self.order[lender], number, keys)
+        self.driver.ask(self.order[lender], number, keys)
 
     def lend(self, borrower: int, number: int, rights: list[tuple[str, int]]) -> None:
-        self.outside.lend(self.order[borrower], number, rights)
+        self.driver.lend(self.order[borrower], number, rights)
 
     def give_back(self, lender: int, number: int, key: str) -> None:
-        self.outside.give_back_to(self.order[lender], number, key)
+        self.driver.give_back_to(self.order[lender], number, key)
 
     def given_back(self, by: str, number: int, key: str) -> None:
         if by in self.number_of:
@@ -204,7 +204,7 @@
             (pool.loans if pool is not None else self.loans).given_back(self.number_of[by], number, key)
 
     def now(self) -> int:
-        return self.outside.now()
+        return self.driver.now()
 
     def asked(self, by: str, life: int, number: int, keys: list[str]) -> None:
         """The keys of one ask are all of one kind."""
@@ -261,25 +261,25 @@
                         now,
                     )
                 else:
-                    self.outside.tell_use(adder, part)
+                    self.driver.tell_use(adder, part)
 
     def use_told(self, by: str, life: int, number: int, rows: list[tuple[str, float]]) -> None:
         """One of the others uses so much; it hears what the rest does."""
         now = self._now()
         self.counts.heard(by, life, number, rows, now)
-        self.outside.tell_sums(by, self.counts.sums(by, [key for key, _ in rows], now))
+        self.driver.tell_sums(by, self.counts.sums(by, [key for key, _ in rows], now))
 
     def sums_told(self, by: str, life: int, number: int, rows: list[tuple[str, float, int, float, int]]) -> None:
         self.counts.told(by, life, number, rows, self._now())
 
     def found_for_all(self, server: Server, use: float) -> None:
         """This front asks that server for all, and was told how full its link is: it goes on with the sums."""
-        names = [name for name in self.outside.members() if name in self.number_of]
+        names = [name for name in self.driver.members() if name in self.number_of]
         adder = picked(server.name, [*{*names, self.name}])
         if adder == self.name:
             self.counts.reported(server.name, use, self._now())
         else:
-            self.outside.tell_report(adder, [(server.name, use)])
+            self.driver.tell_report(adder, [(server.name, use)])
 
     def report_told(self, by: str, rows: list[tuple[str, float]]) -> None:
         now = self._now()
@@ -320,8 +320,8 @@
             start = self.counts.round * (MOST_ROWS - len(bad)) % len(well)
             bad += (well[start:] + well[:start])[: MOST_ROWS - len(bad)]
         if bad and names:
-            for name in self.chance.sample(names, min(TELL_EVIDENCE_TO, len(names))):
-                self.outside.tell_seen(name, bad)
+            for name in self.rng.sample(names, min(TELL_EVIDENCE_TO, len(names))):
+                self.driver.tell_seen(name, bad)
 
     def _seen_here(self, now: int) -> list[tuple[str, float, float, int]]:
         """What this front has seen itself; what the list says of a server's start is every front's to read."""
@@ -336,37 +336,37 @@
         self.evidence.heard(by, life, number, rows, self._now())
 
     def _believe(self, servers: dict[str, Server], now: int) -> None:
-        doubted, reading = self.evidence.doubts(now), self.outside.now()
+        doubted, reading = self.evidence.doubts(now), self.driver.now()
         racks = {server.rack.name: server for server in servers.values() if server.rack.name}
         for name, server in racks.items():
             told = self.counts.of_others(UPLINK + name, now)
             if told is not None:
-                self.outside.uplink_counted(server, *told)
+                self.driver.uplink_counted(server, *told)
         for key, (use, at) in self.counts.found.items():
             if key in servers and at > self.reported_at.get(key, -1):
                 self.reported_at[key] = at
-                self.outside.link_reported(servers[key], use)
+                self.driver.link_reported(servers[key], use)
         for server in servers.values():
             if server.doubted is not (server.name in doubted):
-                self.outside.doubted(server, server.name in doubted)
+                self.driver.doubted(server, server.name in doubted)
             told = self.counts.of_others(server.name, now)
             if told is not None:
-                self.outside.counted(server, *told)
+                self.driver.counted(server, *told)
             if server.unproven_until > reading and self.evidence.warm(server.name, self.warm_within, self.born, now):
-                self.outside.seen_warm(server)
+                self.driver.seen_warm(server)
 
     def clock_told(self, by: str, life: int, reading: int) -> None:
-        self.clocks.heard(by, life, reading, self.outside.now())
+        self.clocks.heard(by, life, reading, self.driver.now())
 
     # ---- a start
 
     def learn(self) -> None:
         """Asks some peers for all that they have seen themselves, as a front that starts does before its door opens."""
-        names = [name for name in self.outside.members() if name in self.number_of and name != self.name]
-        for name in self.chance.sample(names, min(LEARN_OF, len(names))):
+        names = [name for name in self.driver.members() if name in self.number_of and name != self.name]
+        for name in self.rng.sample(names, min(LEARN_OF, len(names))):
             if name not in self.learning_of:
                 self.learning_of.add(name)
-                self.outside.ask_what_is_known(name)
+                self.driver.ask_what_is_known(name)
 
     def learned(self) -> bool:
         """Whether all that were asked have answered."""
@@ -376,7 +376,7 @@
         rows = sorted(self._seen_here(self._now()), key=lambda row: row[2] < 0.5)[:MOST_KNOWN]
         for at in range(0, max(1, len(rows)), MOST_ROWS):
             # one that has seen nothing says so too
-            self.outside.tell_seen(by, rows[at : at + MOST_ROWS])
+            self.driver.tell_seen(by, rows[at : at + MOST_ROWS])
 
     def snapshot(self) -> dict:
         """What is worth knowing after a restart, as plain data with ages (ns): no rights, they are a life's own."""
@@ -404,6 +404,6 @@
     # ---- time
 
     def _now(self) -> int:
-        now = self.steady.read(self.outside.now())
+        now = self.steady.read(self.driver.now())
         self.steady.due = now + self.terms.every
         return now
--- a/curlewshift/sharing/standing.py
+++ b/curlewshift/sharing/standing.py
@@ -39,7 +39,7 @@
         else:
             # what stands here on its own part, borrowed ones set aside, keeps that part from others; so does what servers
             # may not have heard the end of
-            free = not self.outside.in_use(key) and not self.outside.ending(key) and now >= self.wanted.get(key, 0)
+            free = not self.driver.in_use(key) and not self.driver.ending(key) and now >= self.wanted.get(key, 0)
         if free:
             self.lives[key] = life
         return free
@@ -59,7 +59,7 @@
 
     def may_use(self, key: str) -> int:
         steady, now = self._read()
-        count = 0 if steady < self.own_from(key) else self.outside.part(key)
+        count = 0 if steady < self.own_from(key) else self.driver.part(key)
         return count + sum(lent for until, lent, _ in self.borrowed.get(key, {}).values() if now < self.usable_until(until))
 
     def lends(self, lender: int, number: int, rights: list[tuple[str, int]]) -> None:
@@ -81,9 +81,9 @@
             if not held:
                 del self.borrowed[key]
         for key in list(self.stood_on):
-            over = self.outside.in_use(key) - self.may_use(key)
+            over = self.driver.in_use(key) - self.may_use(key)
             if over > 0:
-                self.outside.end_some(key, over)
+                self.driver.end_some(key, over)
             elif key not in self.borrowed:
                 self.stood_on.remove(key)
 
@@ -93,11 +93,11 @@
         _, now = self._read()
         asks: dict[int, list[str]] = {}
         for key, held in list(self.borrowed.items()):
-            needed = self.outside.in_use(key) > (0 if self.steady.last < self.own_from(key) else self.outside.part(key))
+            needed = self.driver.in_use(key) > (0 if self.steady.last < self.own_from(key) else self.driver.part(key))
             for lender, (until, _, number) in list(held.items()):
                 if not needed and key not in self.wanted:
                     del held[lender]
-                    self.outside.give_back(lender, number, key)
+                    self.driver.give_back(lender, number, key)
                 elif now >= until - 2 * self.terms.term // 3:
                     asks.setdefault(lender, []).append(key)
             if not held:
@@ -107,4 +107,4 @@
                 if len(self.out) < MOST_OUT:
                     number = next(self.numbers)
                     self.out[number] = (lender, now, frozenset(keys[at : at + MOST_KEYS]))
-                    self.outside.ask(lender, number, keys[at : at + MOST_KEYS])
+                    self.driver.ask(lender, number, keys[at : at + MOST_KEYS])
--- a/curlewshift/site/changes.py
+++ b/curlewshift/site/changes.py
@@ -17,15 +17,15 @@
 # Lines and words, as in reading.SiteErrors.
 Refusals = list[tuple[int, str]]
 # Fields of Site that a front takes, perhaps by conditions below. The machines are the list's to tell; a front does not use them.
-TAKEN = ("packages", "uplinks", "titles", "duties", "most_waiting", "ice_servers", "limits", "machines")
+TAKEN = ("packages", "uplinks", "titles", "obligations", "most_waiting", "ice_servers", "limits", "machines")
 OF_PACKAGES = ("value", "join_target", "patience", "floor", "top", "seats")
-OF_DUTIES = ("way_back", "longest_wait", "most_tune_ins", "free_further", "further_share", "look_back", "grace")
+OF_OBLIGATIONS = ("way_back", "longest_wait", "most_tune_ins", "free_further", "further_share", "look_back", "grace")
 # What all members have to have alike, or sums and majorities are no sums and majorities: one after another is not enough.
-ALIKE = ("name", "doors", "peers", "sharing", "together", "leases", "control", "configuration")
+ALIKE = ("name", "front_addresses", "peers", "sharing", "together", "leases", "control", "configuration")
 # Where a field is in the file, and what it is called there.
 PLACES = {
     "name": ".",
-    "doors": "fronts/front",
+    "front_addresses": "fronts/front",
     "list_at": "list",
     "most_connections": "fronts",
     "published": "packages",
@@ -54,8 +54,8 @@
         before, after = getattr(running, name), getattr(new, name)
         if name == "packages":
             wrong += _packages(running, new, root)
-        elif name == "duties":
-            wrong += _duties(running, new, root)
+        elif name == "obligations":
+            wrong += _obligations(running, new, root)
         elif name == "limits":
             if (before is None) != (after is None):
                 wrong.append((_line(root, "fronts/limits"), "limits: to begin or to end them needs a restart"))
@@ -118,11 +118,11 @@
                 yield line, f"package {before.name}: seats needs a restart, as fronts share them"
 
 
-def _duties(running: Site, new: Site, root) -> Iterator[tuple[int, str]]:
+def _obligations(running: Site, new: Site, root) -> Iterator[tuple[int, str]]:
     shared = running.together.free is not None
     for field in fields(Obligations):
         name = field.name
-        if getattr(running.duties, name) == getattr(new.duties, name):
+        if getattr(running.obligations, name) == getattr(new.obligations, name):
             continue
         place = (
             "answers"
@@ -136,11 +136,11 @@
             else "cold-servers"
         )
         line = _line(root, f"obligations/{place}")
-        if name not in OF_DUTIES:
+        if name not in OF_OBLIGATIONS:
             yield line, f"{place}: {name.replace('_', '-')} needs a restart"
         elif place == "further-tune-ins" and shared:
             yield line, "further-tune-ins: needs a restart, as fronts share their budget"
-        elif place == "further-tune-ins" and (running.duties.free_further is None) != (new.duties.free_further is None):
+        elif place == "further-tune-ins" and (running.obligations.free_further is None) != (new.obligations.free_further is None):
             yield line, "further-tune-ins: to begin or to end the budget needs a restart"
 
 
--- a/curlewshift/site/site.py
+++ b/curlewshift/site/site.py
@@ -8,7 +8,7 @@
 
 from curlewshift.leases.terms import LeaseTerms
 from curlewshift.limits.admission import Bounds
-from curlewshift.membership.terms import MembershipTerms, usual_manners
+from curlewshift.membership.terms import MembershipTerms, default_membership_terms
 from curlewshift.model import Package, Terms
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
@@ -65,7 +65,7 @@
     """How the fronts of the site know each other. `most_bytes` a second."""
 
     seeds: list[tuple[str, int]]
-    manners: MembershipTerms
+    membership_terms: MembershipTerms
     most_bytes: int
 
 
@@ -107,13 +107,13 @@
 @dataclass(slots=True)
 class Site:
     name: str
-    doors: list[ListenAddress]
+    front_addresses: list[ListenAddress]
     list_at: tuple[str, int]
     packages: list[Package]
     uplinks: dict[str, float]
     machines: list[Machine]
     titles: dict[str, tuple[str, ...]]
-    duties: Obligations
+    obligations: Obligations
     most_waiting: int
     most_connections: int
     # packages whose viewings publish (WHIP) instead of playing (WHEP)
@@ -143,31 +143,31 @@
 
     def door(self, name: str) -> int:
         """The number of the front of that name. Raises `KeyError`."""
-        for number, door in enumerate(self.doors):
+        for number, door in enumerate(self.front_addresses):
             if door.name == name:
                 return number
         raise KeyError(name)
 
     def terms(self, now: int, seed: int, me: int) -> Terms:
-        duties = self.duties
+        obligations = self.obligations
         return Terms(
             now=now,
             seed=seed,
             me=me,
-            fronts=len(self.doors),
+            fronts=len(self.front_addresses),
             packages=self.packages,
-            racks_told=duties.uplinks,
-            told_late=duties.told_late,
-            max_tune_ins=duties.most_tune_ins,
-            probes=duties.probes,
-            longest_wait=duties.longest_wait,
-            warm_within=duties.warm_within,
-            start_capacity=duties.start_capacity,
-            fall_multiple=duties.fall_multiple,
-            fall_within=duties.fall_within,
-            free_further=duties.free_further,
-            further_share=duties.further_share,
-            look_back=duties.look_back,
+            racks_told=obligations.uplinks,
+            told_late=obligations.told_late,
+            max_tune_ins=obligations.most_tune_ins,
+            probes=obligations.probes,
+            longest_wait=obligations.longest_wait,
+            warm_within=obligations.warm_within,
+            start_capacity=obligations.start_capacity,
+            fall_multiple=obligations.fall_multiple,
+            fall_within=obligations.fall_within,
+            free_further=obligations.free_further,
+            further_share=obligations.further_share,
+            look_back=obligations.look_back,
         )
 
 
@@ -227,9 +227,9 @@
         _, port = host_port(element.get("listen") or element.get("address"))
         if not 0 < port < 65536:
             wrong.append((element.sourceline, f"{element.tag}: port {port} is not from 1 to 65535"))
-    duties = _duties(root.find("obligations"), wrong)
+    obligations = _obligations(root.find("obligations"), wrong)
     fronts = root.find("fronts")
-    doors = [
+    front_addresses = [
         ListenAddress(
             front.get("name"),
             *host_port(front.get("listen")),
@@ -239,19 +239,19 @@
         )
         for front in fronts.iterfind("front")
     ]
-    control = _control(root, doors, wrong)
-    peers = _peers(fronts, doors, control, wrong)
-    sharing = _sharing(fronts, duties, wrong)
-    together = _together(fronts, sharing, duties, packages, titles, wrong)
-    leases = _leases(fronts, doors, wrong)
-    overload = _overload(fronts, doors, duties, wrong)
+    control = _control(root, front_addresses, wrong)
+    peers = _peers(fronts, front_addresses, control, wrong)
+    sharing = _sharing(fronts, obligations, wrong)
+    together = _together(fronts, sharing, obligations, packages, titles, wrong)
+    leases = _leases(fronts, front_addresses, wrong)
+    overload = _overload(fronts, front_addresses, obligations, wrong)
     configuration = _configuration(fronts, control, wrong)
     if wrong:
         raise SiteErrors(path, wrong)
     return Site(
         name=root.get("name"),
         list_at=host_port(root.find("list").get("address")),
-        doors=doors,
+        front_addresses=front_addresses,
         peers=peers,
         sharing=sharing,
         together=together,
@@ -262,7 +262,7 @@
         packages=packages,
         machines=machines,
         titles=titles,
-        duties=duties,
+        obligations=obligations,
         uplinks={rack.get("name"): rate(rack.get("uplink")) for rack in root.iterfind("racks/rack")},
         most_waiting=int(fronts.get("most-waiting", "2000")),
         most_connections=int(fronts.get("most-connections-to-a-server", "64")),
@@ -270,7 +270,7 @@
             element.get("name") for element in root.iterfind("packages/package") if element.get("published") in ("true", "1")
         ),
         **_files(Path(path).parent, fronts),
-        limits=_limits(fronts, packages, duties, wrong),
+        limits=_limits(fronts, packages, obligations, wrong),
         ice_servers=tuple(_ice_link(element) for element in fronts.iterfind("ice-server")),
     )
 
@@ -295,11 +295,11 @@
     return listen, reach or listen
 
 
-def _control(root, doors: list[ListenAddress], wrong: list[tuple[int, str]]) -> Control | None:
+def _control(root, front_addresses: list[ListenAddress], wrong: list[tuple[int, str]]) -> Control | None:
     element = root.find("control")
     if element is None:
         return None
-    line, names = element.sourceline, {door.name for door in doors}
+    line, names = element.sourceline, {door.name for door in front_addresses}
     machines = []
     for one in element.iterfind("machine"):
         if one.get("name") in names:
@@ -337,13 +337,13 @@
     return Distributed(give, within)
 
 
-def _peers(fronts, doors: list[ListenAddress], control: Control | None, wrong: list[tuple[int, str]]) -> Peers | None:
+def _peers(fronts, front_addresses: list[ListenAddress], control: Control | None, wrong: list[tuple[int, str]]) -> Peers | None:
     element = fronts.find("peers")
     if element is None:
         return None
     machines = control.machines if control is not None else []
-    line, at = element.sourceline, {one.name: one.peers_reach for one in (*doors, *machines)}
-    for door in doors:
+    line, at = element.sourceline, {one.name: one.peers_reach for one in (*front_addresses, *machines)}
+    for door in front_addresses:
         if door.peers_listen is None:
             wrong.append((line, f"peers: front {door.name} says no peers-listen"))
     seeds = element.get("seeds").split()
@@ -369,7 +369,7 @@
         wrong.append((line, "peers: most-bytes under 4kB/s leaves no room for news"))
     return Peers(
         [at[name] for name in seeds if at.get(name)],
-        usual_manners(period, most_members=int(element.get("most-members", "4096")), **more),
+        default_membership_terms(period, most_members=int(element.get("most-members", "4096")), **more),
         most_bytes,
     )
 
@@ -381,7 +381,7 @@
         wrong.append((line, f"{what}: drift is the part by which a clock may be off, 0.2 at most"))
 
 
-def _sharing(fronts, duties: Obligations, wrong: list[tuple[int, str]]) -> SharingTerms | None:
+def _sharing(fronts, obligations: Obligations, wrong: list[tuple[int, str]]) -> SharingTerms | None:
     element = fronts.find("sharing")
     if element is None:
         return None
@@ -394,18 +394,23 @@
     if term < 2 * every:
         wrong.append((line, "sharing: a term under two rounds is over before it is used"))
     # as long as set-ups at a cold server are counted together; without such a duty a moment
-    return SharingTerms(term, drift, max(duties.fall_within, SECOND // 100), every)
+    return SharingTerms(term, drift, max(obligations.fall_within, SECOND // 100), every)
 
 
 def _together(
-    fronts, sharing: SharingTerms | None, duties: Obligations, packages: list[Package], titles: dict, wrong: list[tuple[int, str]]
+    fronts,
+    sharing: SharingTerms | None,
+    obligations: Obligations,
+    packages: list[Package],
+    titles: dict,
+    wrong: list[tuple[int, str]],
 ) -> SharedBudgets:
     element = fronts.find("sharing")
     named = set(element.get("together", "").split()) if element is not None else set()
     if not named:
         return SharedBudgets()
     line, seats = element.sourceline, {package.name: package.seats for package in packages if package.seats}
-    if "further-tune-ins" in named and duties.free_further is None:
+    if "further-tune-ins" in named and obligations.free_further is None:
         wrong.append((line, "sharing: there is no budget of further tune-ins to have together"))
     if "seats" in named and not seats:
         wrong.append((line, "sharing: no package has seats to have together"))
@@ -415,8 +420,8 @@
     if term < 8 * sharing.every:
         wrong.append((line, "sharing: a seat-term under eight rounds leaves no time to renew"))
     return SharedBudgets(
-        duties.free_further if "further-tune-ins" in named else None,
-        duties.look_back,
+        obligations.free_further if "further-tune-ins" in named else None,
+        obligations.look_back,
         seats if "seats" in named else {},
         list(titles),
         term,
@@ -424,14 +429,14 @@
     )
 
 
-def _leases(fronts, doors: list[ListenAddress], wrong: list[tuple[int, str]]) -> Leases | None:
+def _leases(fronts, front_addresses: list[ListenAddress], wrong: list[tuple[int, str]]) -> Leases | None:
     element = fronts.find("leases")
     if element is None:
         return None
     line = element.sourceline
     if fronts.find("peers") is None:
         wrong.append((line, "leases: there are no peers that could hold them"))
-    keepers, names = element.get("keepers").split(), {door.name for door in doors}
+    keepers, names = element.get("keepers").split(), {door.name for door in front_addresses}
     for name in keepers:
         if name not in names:
             wrong.append((line, f"leases: there is no front {name!r} to be a keeper"))
@@ -456,7 +461,9 @@
     return LeaseTerms(term, drift, every)
 
 
-def _overload(fronts, doors: list[ListenAddress], duties: Obligations, wrong: list[tuple[int, str]]) -> OverloadTerms | None:
+def _overload(
+    fronts, front_addresses: list[ListenAddress], obligations: Obligations, wrong: list[tuple[int, str]]
+) -> OverloadTerms | None:
     element = fronts.find("overload")
     if element is None:
         return None
@@ -469,11 +476,11 @@
     return OverloadTerms(
         every,
         floor,
-        duties.longest_wait,
+        obligations.longest_wait,
         share,
         float(element.get("again-free", "10")),
-        duties.look_back or 10 * SECOND,
-        len(doors),
+        obligations.look_back or 10 * SECOND,
+        len(front_addresses),
         3 * every,
     )
 
@@ -488,7 +495,7 @@
     }
 
 
-def _limits(fronts, packages: list[Package], duties: Obligations, wrong: list[tuple[int, str]]) -> Bounds | None:
+def _limits(fronts, packages: list[Package], obligations: Obligations, wrong: list[tuple[int, str]]) -> Bounds | None:
     element = fronts.find("limits")
     if element is None:
         return None
@@ -502,7 +509,7 @@
         pace("from-build"),
         pace("for-package"),
         span(element.get("burst", "5s")) / SECOND,
-        duties.longest_wait,
+        obligations.longest_wait,
         # two tune-ins have to fit into what is left
         min(package.join_target for package in packages) // 4,
         int(fronts.get("most-waiting", "2000")),
@@ -539,10 +546,10 @@
     )
 
 
-def _duties(element, wrong: list[tuple[int, str]]) -> Obligations:
+def _obligations(element, wrong: list[tuple[int, str]]) -> Obligations:
     answers, drains, cold, news = (element.find(name) for name in ("answers", "drains", "cold-servers", "news"))
     further = element.find("further-tune-ins")
-    duties = Obligations(
+    obligations = Obligations(
         way_back=span(answers.get("way-back")),
         longest_wait=span(answers.get("longest-wait")),
         most_tune_ins=int(answers.get("most-tune-ins")),
@@ -559,6 +566,6 @@
         probes=news.get("probes") in ("true", "1"),
         uplinks=news.get("uplinks") in ("true", "1"),
     )
-    if duties.warm_within and not duties.start_capacity:
+    if obligations.warm_within and not obligations.start_capacity:
         wrong.append((cold.sourceline, "cold-servers: a start-capacity of 0 would never let a server be tried"))
-    return duties
+    return obligations
--- a/curlewshift/soak/clients.py
+++ b/curlewshift/soak/clients.py
@@ -45,15 +45,15 @@
 class Clients:
     """Those of one node, who reach it at `port`."""
 
-    def __init__(self, port: int, plan: Plan, chance: Random):
-        self.port, self.plan, self.chance = port, plan, chance
+    def __init__(self, port: int, plan: Plan, rng: Random):
+        self.port, self.plan, self.rng = port, plan, rng
         self.pool: list[Connection] = []
         self.hurried = False
 
     async def run(self, tasks, until_s: float) -> None:
         self.tasks = tasks
         while anyio.current_time() < until_s:
-            await anyio.sleep(self.chance.expovariate(self.plan.requests_per_node_s))
+            await anyio.sleep(self.rng.expovariate(self.plan.requests_per_node_s))
             tasks.start_soon(self._request)
 
     # ---- connections
@@ -110,8 +110,8 @@
         for connection in list(self.pool):
             if not connection.waiting and now_s - connection.idle_since_s > IDLE_S:
                 self._close(connection)
-        if self.pool and (len(self.pool) >= MOST_POOLED or self.chance.random() < 0.7):
-            return self.chance.choice(self.pool)
+        if self.pool and (len(self.pool) >= MOST_POOLED or self.rng.random() < 0.7):
+            return self.rng.choice(self.pool)
         connection = await self._connect()
         if connection is not None:
             self.pool.append(connection)
@@ -120,11 +120,11 @@
     # ---- requests that follow the protocol
 
     async def _request(self, again: int = 0) -> None:
-        leaves = self.chance.random() < (0.7 if self.hurried else 0.08)
+        leaves = self.rng.random() < (0.7 if self.hurried else 0.08)
         connection = await (self._connect() if leaves else self._pooled())
         if connection is None:
             return
-        id, wait_ms = f"{self.chance.getrandbits(64):016x}", self._wait_ms()
+        id, wait_ms = f"{self.rng.getrandbits(64):016x}", self._wait_ms()
         connection.waiting[id] = answered = anyio.Event()
         if not connection.send(self.set_up(id, self.service_class.name, wait_ms, again)):
             self._close(connection)
@@ -145,8 +145,8 @@
             self.tasks.start_soon(self._request, again + 1)
 
     async def _leave(self, connection: Connection, id: str) -> None:
-        await anyio.sleep(self.chance.choice((0.0, 0.001, self.chance.uniform(0, HURRIED_S))))
-        how = self.chance.choice(WAYS_TO_LEAVE)
+        await anyio.sleep(self.rng.choice((0.0, 0.001, self.rng.uniform(0, HURRIED_S))))
+        how = self.rng.choice(WAYS_TO_LEAVE)
         if how == "cancel":
             connection.send(codec.rtsp_request("TEARDOWN", "rtsp://media/x", 2, id))
             await anyio.sleep(0.3)
@@ -159,7 +159,7 @@
         self._close(connection)
 
     async def _play(self, connection: Connection, id: str) -> None:
-        await anyio.sleep(self.chance.uniform(*LIVES_S))
+        await anyio.sleep(self.rng.uniform(*LIVES_S))
         # a session belongs to no connection: its end may go on any
         ends_on = connection if not connection.closed else next(iter(self.pool), None)
         if ends_on is not None:
@@ -167,19 +167,19 @@
 
     @property
     def service_class(self):
-        return self.chance.choice(self.plan.classes)
+        return self.rng.choice(self.plan.classes)
 
     def _wait_ms(self) -> int:
-        return self.chance.choice((300, 800, 1500, 3000))
+        return self.rng.choice((300, 800, 1500, 3000))
 
     def set_up(self, id: str, name: str, wait_ms: int, again: int = 0, body: bytes = b"") -> bytes:
-        home = self.chance.randrange(self.plan.cells)
+        home = self.rng.randrange(self.plan.cells)
         copies = min(self.plan.copies, self.plan.cells)
         lines = (
             f"X-Cos: {name}\r\nX-Timer-Ms: {wait_ms}\r\nX-Legs: home:{home};copies:{copies};"
             f"top:{len(self.plan.rates_kb) - 1};viewer:{id}{';again:1' if again else ''}\r\n"
         )
-        title = f"{self.chance.randrange(8):016x}"
+        title = f"{self.rng.randrange(8):016x}"
         return codec.rtsp_request("SETUP", f"rtsp://media/{title}", 1, id, lines, body or f"offer {id}".encode())
 
     # ---- those that do not
@@ -210,9 +210,9 @@
 
     async def _say_something_odd(self, kind: str, connection: Connection) -> bool:
         """False once it has nothing more to say."""
-        id = f"{self.chance.getrandbits(64):016x}"
+        id = f"{self.rng.getrandbits(64):016x}"
         if kind == "garbage":
-            connection.send(self.chance.randbytes(200) + b"\r\n\r\n")
+            connection.send(self.rng.randbytes(200) + b"\r\n\r\n")
         elif kind == "double-id":
             one = self.set_up(id, self.service_class.name, 800, body=b"first")
             connection.send(one + self.set_up(id, self.service_class.name, 800, body=b"second"))
@@ -222,7 +222,7 @@
                     return False
                 await anyio.sleep(0.004)
         elif kind == "never-read":
-            many = [f"{self.chance.getrandbits(64):016x}" for _ in range(20)]
+            many = [f"{self.rng.getrandbits(64):016x}" for _ in range(20)]
             connection.send(b"".join(self.set_up(one, "no such class", 800) for one in many))
         await anyio.sleep(0.3)
         return True
--- a/curlewshift/soak/media.py
+++ b/curlewshift/soak/media.py
@@ -71,14 +71,14 @@
         name: str,
         cell: int,
         records: Records,
-        chance: Random,
+        rng: Random,
         origin_of,
         idle_close_s: float,
         says_heard: float,
         started_at_ms: int = 0,
     ):
         """`origin_of(port)` tells the node and connection behind a local port of a proxy."""
-        self.name, self.cell, self.records, self.chance, self.origin_of = name, cell, records, chance, origin_of
+        self.name, self.cell, self.records, self.rng, self.origin_of = name, cell, records, rng, origin_of
         self.idle_close_s, self.says_heard, self.started_at_ms = idle_close_s, says_heard, started_at_ms
         self.behaviour = Behaviour()
         # the newest by id, and releases that are to be said on the next connection of a node
@@ -205,13 +205,13 @@
             held = self.held.get(message.id)
             if held is not None:
                 self._end(held, Ending.GIVEN_UP, now_s)
-            if self.chance.random() < self.says_heard and not self.behaviour.hangs:
+            if self.rng.random() < self.says_heard and not self.behaviour.hangs:
                 self._say(connection, codec.binary(codec.RELEASE_HEARD, message.id))
         elif message.kind == codec.PROBE and not self.behaviour.hangs:
             self._say(connection, codec.binary(codec.PROBED, message.id, (codec.CAUSE, b"\1"), (codec.REPORT, b"x0:0.4")))
 
     async def _set_up(self, held: Held, message: codec.Binary) -> None:
-        await anyio.sleep(self.chance.uniform(*(SLOW_S if self.behaviour.slow else ANSWER_WITHIN_S)))
+        await anyio.sleep(self.rng.uniform(*(SLOW_S if self.behaviour.slow else ANSWER_WITHIN_S)))
         while self.behaviour.hangs and self.alive:
             await self.wakes.wait()
         if held.over or not self.alive:
@@ -228,13 +228,13 @@
         held.seen.body = body
         answer = codec.binary(codec.ANSWER, id, (codec.DESCRIPTION, body), (codec.REPORT, b"x0:0.4"))
         if behaviour.spoils:
-            answer = os.urandom(24) if self.chance.random() < 0.5 else answer[:-7]
+            answer = os.urandom(24) if self.rng.random() < 0.5 else answer[:-7]
         if not behaviour.loses_answers:
             self._say(held.connection, answer + (answer if behaviour.doubles else b""))
         self.tasks.start_soon(self._play, held)
 
     async def _play(self, held: Held) -> None:
-        await anyio.sleep(self.chance.uniform(*LIVES_S))
+        await anyio.sleep(self.rng.uniform(*LIVES_S))
         while self.behaviour.hangs and self.alive:
             await self.wakes.wait()
         if held.over or not self.alive:
@@ -267,7 +267,7 @@
             for connection in list(self.connections):
                 if now_s - connection.used_at_s > self.idle_close_s:
                     self._close(connection)
-            if self.behaviour.hangs or self.chance.random() > 0.25:
+            if self.behaviour.hangs or self.rng.random() > 0.25:
                 continue
             told = set()
             for held in list(self.held.values()):
--- a/curlewshift/soak/plan.py
+++ b/curlewshift/soak/plan.py
@@ -155,58 +155,58 @@
 
 def plan_of(seed: int, seconds: float, only: tuple[str, ...] = ()) -> Plan:
     """The plan of one seed; `only` keeps these kinds of fault and leaves the others out."""
-    chance = Random(seed)
-    names = chance.sample(CLASS_NAMES, chance.choice((2, 2, 3)))
-    classes = [_class(chance, name, number) for number, name in enumerate(names)]
-    slots = chance.choice((3, 4, 6, 8, 13, 20))
+    rng = Random(seed)
+    names = rng.sample(CLASS_NAMES, rng.choice((2, 2, 3)))
+    classes = [_class(rng, name, number) for number, name in enumerate(names)]
+    slots = rng.choice((3, 4, 6, 8, 13, 20))
     plan = Plan(
         seed=seed,
         seconds=seconds,
-        nodes=chance.choice((2, 2, 3, 4, 6)),
+        nodes=rng.choice((2, 2, 3, 4, 6)),
         slots=slots,
-        cells=min(slots, chance.choice((3, 4, 8))),
-        copies=chance.choice((1, 1, 2, 3)),
+        cells=min(slots, rng.choice((3, 4, 8))),
+        copies=rng.choice((1, 1, 2, 3)),
         classes=classes,
-        rates_kb=sorted(chance.sample(range(100, 3000), chance.choice((1, 3, 5)))),
-        requests_per_node_s=chance.choice((8.0, 15.0, 25.0)),
-        descriptors=chance.choice((160, 256, 512)),
-        streams_per_connection=chance.choice((1, 4, 32)),
-        idle_close_ms=chance.choice((1000, 1000, 30_000)),
-        connect_timeout_ms=chance.choice((250, 250, 500)),
-        max_attempts=chance.choice((2, 3, 5, 5)),
-        probes=chance.random() < 0.7,
-        grace_ms=chance.choice((250, 1000, 2000)),
-        warm_within_ms=chance.choice((2000, 5000)),
+        rates_kb=sorted(rng.sample(range(100, 3000), rng.choice((1, 3, 5)))),
+        requests_per_node_s=rng.choice((8.0, 15.0, 25.0)),
+        descriptors=rng.choice((160, 256, 512)),
+        streams_per_connection=rng.choice((1, 4, 32)),
+        idle_close_ms=rng.choice((1000, 1000, 30_000)),
+        connect_timeout_ms=rng.choice((250, 250, 500)),
+        max_attempts=rng.choice((2, 3, 5, 5)),
+        probes=rng.random() < 0.7,
+        grace_ms=rng.choice((250, 1000, 2000)),
+        warm_within_ms=rng.choice((2000, 5000)),
         start_capacity=0.4,
         fall_multiple=4.0,
         fall_ms=2000,
-        streams=chance.choice((12, 12, 30)),
-        budget=chance.choice((None, (3, 0.1, 4000), (10, 0.25, 8000))),
-        skew_s=chance.choice((0.0, 0.02, 0.05, 0.15)),
-        says_heard=chance.choice((0.0, 0.5, 1.0)),
+        streams=rng.choice((12, 12, 30)),
+        budget=rng.choice((None, (3, 0.1, 4000), (10, 0.25, 8000))),
+        skew_s=rng.choice((0.0, 0.02, 0.05, 0.15)),
+        says_heard=rng.choice((0.0, 0.5, 1.0)),
     )
-    plan.faults = [fault for fault in _faults(chance, plan) if not only or fault.kind in only]
+    plan.faults = [fault for fault in _faults(rng, plan) if not only or fault.kind in only]
     return plan
 
 
-def _class(chance: Random, name: str, number: int) -> ServiceClass:
-    effect = ("safe", "unsafe", chance.choice(("safe", "keyed")))[number]
-    deadline = chance.choice((300, 800, 2000, 3000, 5000))
-    aim = min(deadline, chance.choice((200, 800, 800, 1000)))
-    return ServiceClass(name, effect, aim, deadline, floor=0, seats=chance.choice((0, 0, 3)))
+def _class(rng: Random, name: str, number: int) -> ServiceClass:
+    effect = ("safe", "unsafe", rng.choice(("safe", "keyed")))[number]
+    deadline = rng.choice((300, 800, 2000, 3000, 5000))
+    aim = min(deadline, rng.choice((200, 800, 800, 1000)))
+    return ServiceClass(name, effect, aim, deadline, floor=0, seats=rng.choice((0, 0, 3)))
 
 
-def _faults(chance: Random, plan: Plan) -> list[Fault]:
+def _faults(rng: Random, plan: Plan) -> list[Fault]:
     """They overlap; the last seconds are quiet."""
     last_s = plan.seconds * 0.8
     kinds, weights = zip(*FAMILIES)
     faults, restarted = [], {}
     for _ in range(int(plan.seconds * FAULTS_EACH_S)):
-        kind = chance.choice(chance.choices(kinds, weights)[0])
-        at_s, lasts_s = chance.uniform(1.0, last_s), chance.choice((0.3, 1.0, 2.5, 5.0))
+        kind = rng.choice(rng.choices(kinds, weights)[0])
+        at_s, lasts_s = rng.uniform(1.0, last_s), rng.choice((0.3, 1.0, 2.5, 5.0))
         count = plan.nodes if kind in NODE_FAULTS else plan.slots
-        some = max(1, int(count * chance.choice((0.1, 0.3, 0.6))))
-        places = tuple(sorted(chance.sample(range(count), some)))
+        some = max(1, int(count * rng.choice((0.1, 0.3, 0.6))))
+        places = tuple(sorted(rng.sample(range(count), some)))
         if kind in PROCESS_FAULTS:
             # a node is shut down in series, and not again before it has come back
             places = tuple(place for place in places if at_s >= restarted.get(place, 0.0))
--- a/curlewshift/soak/plants.py
+++ b/curlewshift/soak/plants.py
@@ -27,18 +27,18 @@
 class ReleaseElsewhere(teardowns.Teardowns):
     """Gives an attempt up on another connection than its own, and waits for nothing."""
 
-    def attempt_given_up(self, line, attempt):
-        other = next((one for one in line.endpoint.lines if one is not line and one.up), None)
-        (other or self.reach.open_connection(line.endpoint)).send(isup.release(attempt.id, isup.OVER))
+    def attempt_given_up(self, connection, attempt):
+        other = next((one for one in connection.endpoint.connections if one is not connection and one.up), None)
+        (other or self.server_pool.open_connection(connection.endpoint)).send(isup.release(attempt.id, isup.OVER))
 
 
 class SaysOnce(teardowns.Teardowns):
     """Takes each release as heard once it is written."""
 
-    def connection_up(self, line):
-        for record in self.pending.of(line.endpoint.server):
+    def connection_up(self, connection):
+        for record in self.pending.of(connection.endpoint.server):
             if not record.times_said:
-                self._write(line, record)
+                self._write(connection, record)
 
     def look_after(self, endpoint):
         pass
@@ -47,9 +47,9 @@
 class OneEndAtATime(teardowns.Teardowns):
     """Lets the oldest release that is not confirmed hold up all others to its server."""
 
-    def _write(self, line, record):
+    def _write(self, connection, record):
         if record is self.pending.of(record.server)[0]:
-            super()._write(line, record)
+            super()._write(connection, record)
 
     def look_after(self, endpoint):
         head = self.pending.of(endpoint.server)[0]
@@ -59,11 +59,11 @@
 
 class AnswersTwice(ClientListener):
     def answer(self, asked, answer, description=b""):
-        line = asked.line
+        connection = asked.connection
         known = self.asked.get(asked.name) is asked
         super().answer(asked, answer, description)
         if known and int(asked.name, 16) % 50 == 0:
-            line.wire.send(rtsp.answer(500, "1", asked.name))
+            connection.wire.send(rtsp.answer(500, "1", asked.name))
 
 
 class HalfAnswers(ClientListener):
@@ -128,15 +128,15 @@
 class ResendsPaid(Rules):
     """Sends a paid set-up again though it may have run."""
 
-    def ended(self, vw, outcome, closed):
-        if not vw.package.paid_at_setup or closed or vw.playing or vw.over:
-            super().ended(vw, outcome, closed)
+    def ended(self, viewing, outcome, closed):
+        if not viewing.package.paid_at_setup or closed or viewing.playing or viewing.over:
+            super().ended(viewing, outcome, closed)
             return
-        vw.package.paid_at_setup = False
+        viewing.package.paid_at_setup = False
         try:
-            super().ended(vw, outcome, closed)
+            super().ended(viewing, outcome, closed)
         finally:
-            vw.package.paid_at_setup = True
+            viewing.package.paid_at_setup = True
 
 
 class IgnoresList(node.Node):
--- a/curlewshift/soak/trial.py
+++ b/curlewshift/soak/trial.py
@@ -55,7 +55,7 @@
 class Trial:
     def __init__(self, plan: Plan, folder: Path, plant: str = ""):
         self.plan, self.folder, self.plant = plan, folder, plant
-        self.chance = Random(f"trial {plan.seed}")
+        self.rng = Random(f"trial {plan.seed}")
         self.records = Records()
         self.slots = [Slot(number) for number in range(plan.slots)]
         self.names = [f"n{number}" for number in range(plan.nodes)]
@@ -122,7 +122,7 @@
             watches_source=False,
             connected=lambda link: leg.connected(link, anyio.current_time()),
         )
-        self.clients[name] = Clients(proxy.open(), self.plan, Random(self.chance.random()))
+        self.clients[name] = Clients(proxy.open(), self.plan, Random(self.rng.random()))
         self.tasks.start_soon(proxy.run, self.tasks)
         self.addresses[name] = address = Address(self.discovery, name)
         self.tasks.start_soon(address.run, self.tasks)
@@ -131,7 +131,7 @@
         self.origins[link.target.getsockname()[1]] = (name, link.number)
 
     def _shape(self, number: int) -> Shape:
-        return Shape(delay_out_s=self.chance.uniform(0, self.plan.skew_s), delay_back_s=self.chance.uniform(0, self.plan.skew_s))
+        return Shape(delay_out_s=self.rng.uniform(0, self.plan.skew_s), delay_back_s=self.rng.uniform(0, self.plan.skew_s))
 
     def _occupy(self, slot: Slot, started_at_ms: int) -> None:
         self.servers_made += 1
@@ -140,7 +140,7 @@
             name,
             slot.number % self.plan.cells,
             self.records,
-            Random(self.chance.random()),
+            Random(self.rng.random()),
             lambda port: self.origins.get(port, ("", -1)),
             self.plan.idle_close_ms / 1000,
             self.plan.says_heard,
@@ -265,7 +265,7 @@
         self.tasks.start_soon(new.run, self.tasks)
         self._path(node.name).write_text("{ no configuration")
         node.signal(signal.SIGHUP)
-        await anyio.sleep(self.chance.uniform(0, RECONFIGURED_WITHIN_S))
+        await anyio.sleep(self.rng.uniform(0, RECONFIGURED_WITHIN_S))
         self._write_configuration(place, node.name, node.port)
         node.signal(signal.SIGHUP)
         await old.move_away()
@@ -298,7 +298,7 @@
             for proxy in proxies:
                 proxy.break_all()
         elif fault.kind == "accept-late":
-            server.behave(accepts_late_s=self.chance.uniform(*ACCEPTS_LATE_S))
+            server.behave(accepts_late_s=self.rng.uniform(*ACCEPTS_LATE_S))
             await anyio.sleep(fault.lasts_s)
             server.behave(accepts_late_s=0.0)
         elif fault.kind in ("cut", "lost-requests"):
--- a/curlewshift/standins/fleet.py
+++ b/curlewshift/standins/fleet.py
@@ -39,8 +39,8 @@
 class Ports:
     """Loopback ports that can be listened on, beginning at a random one."""
 
-    def __init__(self, chance: Random):
-        self.next = chance.choice(PORTS)
+    def __init__(self, rng: Random):
+        self.next = rng.choice(PORTS)
 
     async def listener(self, host: str = "127.0.0.1"):
         for _ in range(500):
@@ -71,14 +71,14 @@
         self.setup_work = setup_work
         self.site, self.traffic, self.own_ports = site, traffic, own_ports
         # troubles draw from chance of their own: what befalls whom does not hang on what else was drawn
-        self.chance, self.fate = Random(seed), Random(seed + 1)
+        self.rng, self.fate = Random(seed), Random(seed + 1)
         self.ports = Ports(Random())
         self.list = ServerList(Random(seed + 2), traffic)
         self.ladder = {package.name: package.rates for package in site.packages}
         self.uplinks = {name: Uplink(size) for name, size in site.uplinks.items()}
         self.places = []
         for machine in site.machines:
-            link = LinkModel(machine.link * self.chance.uniform(1 - LINK_OFF, 1 + LINK_OFF), self.uplinks[machine.rack])
+            link = LinkModel(machine.link * self.rng.uniform(1 - LINK_OFF, 1 + LINK_OFF), self.uplinks[machine.rack])
             link.uplink.links.append(link)
             self.places.append(Place(machine, link))
 
@@ -110,9 +110,9 @@
             f"{host}:{port}",
             place.link,
             self.ladder,
-            self.site.duties,
+            self.site.obligations,
             born,
-            Random(self.chance.random()),
+            Random(self.rng.random()),
             self.traffic,
             self.setup_work,
         )
@@ -140,26 +140,30 @@
             if trouble.kind not in (*OF_FRONTS, *OF_VIEWERS, *OF_PEERS):
                 self.tasks.start_soon(self._befall, trouble, begins, Random(self.fate.random()))
 
-    async def _befall(self, trouble: Trouble, begins: float, chance: Random) -> None:
+    async def _befall(self, trouble: Trouble, begins: float, rng: Random) -> None:
         await anyio.sleep(max(0.0, begins + trouble.at - time.monotonic()))
-        struck = self._struck(trouble, chance)
+        affected = self._affected(trouble, rng)
         self.traffic.seen(
-            "trouble", kind=trouble.kind, lasts=trouble.lasts, size=trouble.size, servers=[place.server.name for place in struck]
+            "trouble",
+            kind=trouble.kind,
+            lasts=trouble.lasts,
+            size=trouble.size,
+            servers=[place.server.name for place in affected],
         )
-        await getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble, struck, chance)
-        for place in struck:
+        await getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble, affected, rng)
+        for place in affected:
             place.busy = False
 
-    def _struck(self, trouble: Trouble, chance: Random) -> list[Place]:
+    def _affected(self, trouble: Trouble, rng: Random) -> list[Place]:
         """A part of the servers that nothing else has befallen; at least one, if there is one."""
         if trouble.kind in ("list-stuck", "notes-late"):
             return []
         able = [place for place in self.places if not place.busy and not place.server.scope.cancel_called]
         count = min(len(able), max(1, math.floor(trouble.part * len(self.places) + 0.5)))
-        struck = chance.sample(able, count)
-        for place in struck:
+        affected = rng.sample(able, count)
+        for place in affected:
             place.busy = True
-        return struck
+        return affected
 
     async def _gone_and_back(self, place: Place, pause: float) -> None:
         """The list comes to know that the process is gone; it is started again where it was, and comes up cold."""
@@ -168,13 +172,13 @@
         await anyio.sleep(pause)
         await self._start(place, time.monotonic_ns(), old.name)
 
-    async def _crash(self, trouble, struck, chance):
+    async def _crash(self, trouble, affected, rng):
         async with anyio.create_task_group() as tasks:
-            for place in struck:
+            for place in affected:
                 place.server.die()
                 tasks.start_soon(self._gone_and_back, place, trouble.lasts)
 
-    async def _vanish(self, trouble, struck, chance):
+    async def _vanish(self, trouble, affected, rng):
         """No reset and no answer; the list knows that the process is gone. What is left is reset when it comes back."""
 
         async def one(place):
@@ -187,63 +191,63 @@
             await self._start(place, time.monotonic_ns(), old.name)
 
         async with anyio.create_task_group() as tasks:
-            for place in struck:
+            for place in affected:
                 tasks.start_soon(one, place)
 
-    async def _cold_restart(self, trouble, struck, chance):
+    async def _cold_restart(self, trouble, affected, rng):
         """Down and up again at once: whether the list tells the new start, late, is a matter of luck."""
-        for place in struck:
+        for place in affected:
             old = place.server
             old.die()
             await anyio.sleep(0.1)
-            await self._start(place, time.monotonic_ns(), old.name, tell=chance.random() < 0.5)
+            await self._start(place, time.monotonic_ns(), old.name, tell=rng.random() < 0.5)
         await anyio.sleep(trouble.lasts)
 
-    async def _for_a_while(self, trouble, struck, name, value, rest):
-        for place in struck:
+    async def _for_a_while(self, trouble, affected, name, value, rest):
+        for place in affected:
             setattr(place.server, name, value)
         await anyio.sleep(trouble.lasts)
-        for place in struck:
+        for place in affected:
             setattr(place.server, name, rest)
 
-    async def _hang(self, trouble, struck, chance):
-        for place in struck:
+    async def _hang(self, trouble, affected, rng):
+        for place in affected:
             place.server.freeze()
         await anyio.sleep(trouble.lasts)
-        for place in struck:
+        for place in affected:
             place.server.unfreeze()
 
-    async def _slow_accept(self, trouble, struck, chance):
-        for place in struck:
+    async def _slow_accept(self, trouble, affected, rng):
+        for place in affected:
             await place.server.accept_late()
         await anyio.sleep(trouble.lasts)
-        for place in struck:
+        for place in affected:
             place.server.accept_again()
 
-    async def _fast_errors(self, trouble, struck, chance):
-        await self._for_a_while(trouble, struck, "fails_fast", True, False)
+    async def _fast_errors(self, trouble, affected, rng):
+        await self._for_a_while(trouble, affected, "fails_fast", True, False)
 
-    async def _answer_lost(self, trouble, struck, chance):
-        for place in struck:
-            place.server.loses_answers = chance.choice(("silence", "reset"))
+    async def _answer_lost(self, trouble, affected, rng):
+        for place in affected:
+            place.server.loses_answers = rng.choice(("silence", "reset"))
         await anyio.sleep(trouble.lasts)
-        for place in struck:
+        for place in affected:
             place.server.loses_answers = ""
 
-    async def _slow(self, trouble, struck, chance):
-        for place in struck:
+    async def _slow(self, trouble, affected, rng):
+        for place in affected:
             place.link.shrunk = trouble.size
         await anyio.sleep(trouble.lasts)
-        for place in struck:
+        for place in affected:
             place.link.shrunk = 1.0
 
-    async def _neighbour(self, trouble, struck, chance):
+    async def _neighbour(self, trouble, affected, rng):
         ends = time.monotonic() + trouble.lasts
         while time.monotonic() < ends:
-            for place in struck:
-                place.link.taken = trouble.size if chance.random() < 0.6 else 0.0
+            for place in affected:
+                place.link.taken = trouble.size if rng.random() < 0.6 else 0.0
             await anyio.sleep(RIVAL_PACE)
-        for place in struck:
+        for place in affected:
             place.link.taken = 0.0
 
     async def _replace(self, place: Place, drain_for: float) -> None:
@@ -259,25 +263,25 @@
         await anyio.sleep(0.2)
         await self._start(place, time.monotonic_ns())
 
-    async def _deploy(self, trouble, struck, chance):
-        pause = trouble.lasts / max(1, len(struck))
+    async def _deploy(self, trouble, affected, rng):
+        pause = trouble.lasts / max(1, len(affected))
         async with anyio.create_task_group() as tasks:
-            for place in struck:
+            for place in affected:
                 tasks.start_soon(self._replace, place, DRAIN_FOR)
                 await anyio.sleep(pause)
 
-    async def _preempt(self, trouble, struck, chance):
+    async def _preempt(self, trouble, affected, rng):
         async with anyio.create_task_group() as tasks:
-            for place in struck:
+            for place in affected:
                 tasks.start_soon(self._replace, place, PREEMPT_FOR)
         await anyio.sleep(trouble.lasts)
 
-    async def _list_stuck(self, trouble, struck, chance):
+    async def _list_stuck(self, trouble, affected, rng):
         self.list.stuck = True
         await anyio.sleep(trouble.lasts)
         self.list.stuck = False
 
-    async def _notes_late(self, trouble, struck, chance):
+    async def _notes_late(self, trouble, affected, rng):
         servers = [place.server for place in self.places]
         for server in servers:
             server.notes_late = trouble.size
--- a/curlewshift/standins/listing.py
+++ b/curlewshift/standins/listing.py
@@ -21,9 +21,9 @@
 
 
 class ServerList:
-    def __init__(self, chance: Random, traffic: Traffic):
-        self.chance, self.traffic = chance, traffic
-        self.epoch = f"{chance.getrandbits(32):08x}"
+    def __init__(self, rng: Random, traffic: Traffic):
+        self.rng, self.traffic = rng, traffic
+        self.epoch = f"{rng.getrandbits(32):08x}"
         self.generation = 0
         self.rows: dict[str, ListRow] = {}
         self.changes: deque[tuple[int, list[ListRow]]] = deque(maxlen=KEPT)
@@ -37,7 +37,7 @@
 
     def knows(self, row: ListRow) -> None:
         """It has happened; it will be told later, and in order."""
-        due = time.monotonic() + self.chance.uniform(*LATE)
+        due = time.monotonic() + self.rng.uniform(*LATE)
         if self.pending:
             due = max(due, self.pending[-1][0])
         self.pending.append((due, row))
@@ -69,7 +69,7 @@
         front = exchange.query.get("front", "")
         piece = await exchange.start(200, [("content-type", CONTENT_TYPE)])
         at = self._resumed(exchange.headers.get("last-event-id", ""))
-        while not exchange.line.gone:
+        while not exchange.connection.gone:
             news = self.news
             if at is None:
                 at = self.generation
--- a/curlewshift/standins/physics.py
+++ b/curlewshift/standins/physics.py
@@ -55,16 +55,16 @@
     return held
 
 
-def falls_over(arrivals: deque[int], now: int, born: int, streams: int, duties: Obligations) -> bool:
+def falls_over(arrivals: deque[int], now: int, born: int, streams: int, obligations: Obligations) -> bool:
     """Counts one more arrival: a cold machine that is sent more than a multiple of its present pace within the window
     falls over."""
     arrivals.append(now)
-    while arrivals[0] <= now - duties.fall_within:
+    while arrivals[0] <= now - obligations.fall_within:
         arrivals.popleft()
-    if now - born >= duties.warm_within:
+    if now - born >= obligations.warm_within:
         return False
-    pace = streams / duties.warm_within * warmth(now - born, duties.warm_within, duties.start_capacity)
-    return len(arrivals) > max(1.0, duties.fall_multiple * pace * duties.fall_within)
+    pace = streams / obligations.warm_within * warmth(now - born, obligations.warm_within, obligations.start_capacity)
+    return len(arrivals) > max(1.0, obligations.fall_multiple * pace * obligations.fall_within)
 
 
 def warmth(age: int, warm_within: int, start_capacity: float) -> float:
--- a/curlewshift/standins/relay.py
+++ b/curlewshift/standins/relay.py
@@ -33,7 +33,7 @@
         self.names = [name for name, _ in fronts]
         self.port_of = dict(fronts)
         self.name_at = {port: name for name, port in fronts}
-        self.seed, self.chance, self.traffic = seed, Random(f"{seed} relay"), traffic
+        self.seed, self.rng, self.traffic = seed, Random(f"{seed} relay"), traffic
         self.sockets: dict[str, socket.socket] = {}
         # what is in force now
         self.troubles: list[tuple[Trouble, set[str]]] = []
@@ -64,16 +64,16 @@
 
     async def _befall(self, trouble: Trouble, begins: float, machines: list[str]) -> None:
         await anyio.sleep(max(0.0, begins + trouble.at - time.monotonic()))
-        chance = Random(f"{self.seed} {trouble.kind} {trouble.at}")
-        struck = set(chance.sample(self.names, max(1, round(trouble.part * len(self.names)))))
+        rng = Random(f"{self.seed} {trouble.kind} {trouble.at}")
+        affected = set(rng.sample(self.names, max(1, round(trouble.part * len(self.names)))))
         if trouble.kind == "control-cut":
-            struck = set(machines)
-        self.traffic.seen("trouble", kind=trouble.kind, lasts=trouble.lasts, size=trouble.size, fronts=sorted(struck))
-        one = trouble, struck
+            affected = set(machines)
+        self.traffic.seen("trouble", kind=trouble.kind, lasts=trouble.lasts, size=trouble.size, fronts=sorted(affected))
+        one = trouble, affected
         self.troubles.append(one)
         await anyio.sleep(trouble.lasts)
         self.troubles.remove(one)
-        self.traffic.seen("trouble-over", kind=trouble.kind, fronts=sorted(struck))
+        self.traffic.seen("trouble-over", kind=trouble.kind, fronts=sorted(affected))
 
     async def _read(self, to: str) -> None:
         door = self.sockets[to]
@@ -94,17 +94,17 @@
     def _carry(self, sender: str, to: str, data: bytes) -> None:
         self.traffic.seen("peer-said", front=sender, to=to, data=data.hex())
         copies, wait, spoilt, swapped = 1, 0.0, False, False
-        for trouble, struck in self.troubles:
-            kind, drawn = trouble.kind, self.chance.random()
-            between = sender in struck or to in struck
-            if (kind == "cut" and (sender in struck) != (to in struck)) or (kind == "one-way" and sender in struck):
+        for trouble, affected in self.troubles:
+            kind, drawn = trouble.kind, self.rng.random()
+            between = sender in affected or to in affected
+            if (kind == "cut" and (sender in affected) != (to in affected)) or (kind == "one-way" and sender in affected):
                 return
-            if kind == "control-cut" and sender in struck and to in struck:
+            if kind == "control-cut" and sender in affected and to in affected:
                 return
             if kind == "loss" and between and drawn < trouble.size:
                 return
             if kind == "late" and between and drawn < 0.3:
-                wait += self.chance.uniform(0, trouble.size)
+                wait += self.rng.uniform(0, trouble.size)
             elif kind == "doubled" and between and drawn < trouble.size:
                 copies = 2
             elif kind == "reordered" and between and drawn < trouble.size:
@@ -112,11 +112,11 @@
             elif kind == "spoilt" and between and drawn < trouble.size:
                 spoilt = True
         if spoilt:
-            at = self.chance.randrange(len(data))
-            data = data[:at] + bytes((data[at] ^ self.chance.randrange(1, 256),)) + data[at + 1 :]
+            at = self.rng.randrange(len(data))
+            data = data[:at] + bytes((data[at] ^ self.rng.randrange(1, 256),)) + data[at + 1 :]
         for copy in range(copies):
             if wait or copy:
-                self.tasks.start_soon(self._later, wait + copy * self.chance.uniform(0, 0.2), to, data, spoilt)
+                self.tasks.start_soon(self._later, wait + copy * self.rng.uniform(0, 0.2), to, data, spoilt)
             elif swapped:
                 self.held.setdefault(to, []).append(data)
                 self.tasks.start_soon(self._let_go, to, data)
--- a/curlewshift/standins/script.py
+++ b/curlewshift/standins/script.py
@@ -109,7 +109,7 @@
     come_again: float
     hang_up: float
     leave: float
-    wishes: list[PlannedViewing]
+    planned_viewings: list[PlannedViewing]
     troubles: list[Trouble]
     announced: list[Announced]
     # whether servers end by themselves what nobody watches and what a front that is gone has left
@@ -154,12 +154,18 @@
     site = read_site(site_path)
     viewers = root.find("viewers")
     known = {package.name for package in site.packages}
-    wishes = []
-    for wish in viewers.iterfind("wants"):
-        if wish.get("package") not in known:
-            wrong.append((wish.sourceline, f"wants: {site_path.name} has no package {wish.get('package')!r}"))
-        wishes.append(PlannedViewing(wish.get("package"), float(wish.get("share")), span(wish.get("watches")) / NS))
-    if sum(wish.share for wish in wishes) <= 0:
+    planned_viewings = []
+    for planned_viewing in viewers.iterfind("wants"):
+        if planned_viewing.get("package") not in known:
+            wrong.append(
+                (planned_viewing.sourceline, f"wants: {site_path.name} has no package {planned_viewing.get('package')!r}")
+            )
+        planned_viewings.append(
+            PlannedViewing(
+                planned_viewing.get("package"), float(planned_viewing.get("share")), span(planned_viewing.get("watches")) / NS
+            )
+        )
+    if sum(planned_viewing.share for planned_viewing in planned_viewings) <= 0:
         wrong.append((viewers.sourceline, "viewers: the shares of what is wanted come to nothing"))
     lasts = span(root.get("lasts"))
     if lasts > LONGEST_DAY:
@@ -216,7 +222,7 @@
         float(viewers.get("come-again")),
         float(viewers.get("hang-up-and-retry", "0")),
         float(viewers.get("hang-up-and-leave", "0")),
-        wishes,
+        planned_viewings,
         troubles,
         announced,
         root.get("servers-tidy", "true") in ("true", "1"),
--- a/curlewshift/standins/server.py
+++ b/curlewshift/standins/server.py
@@ -113,22 +113,22 @@
         name: str,
         link: LinkModel,
         ladder: dict[str, tuple[float, ...]],
-        duties: Obligations,
+        obligations: Obligations,
         born: int,
-        chance: Random,
+        rng: Random,
         traffic: Traffic,
         setup_work: float = SETUP_WORK,
     ):
         self.machine, self.name, self.link, self.ladder = machine, name, link, ladder
-        self.duties, self.born, self.chance, self.traffic = duties, born, chance, traffic
+        self.obligations, self.born, self.rng, self.traffic = obligations, born, rng, traffic
         self.setup_work = setup_work
-        self.boot = f"{chance.getrandbits(32):08x}"
+        self.boot = f"{rng.getrandbits(32):08x}"
         self.sessions: dict[str, Session] = {}
         # the highest number that each fleet-wide task has come with
         self.fences: dict[str, int] = {}
         self.media: dict[str, Session] = {}
         self.listeners: dict[str, Listener] = {}
-        self.lines: set[HttpConnection] = set()
+        self.connections: set[HttpConnection] = set()
         self.cores = anyio.CapacityLimiter(machine.cores)
         self.queued = 0
         self.arrivals: deque[int] = deque()
@@ -162,8 +162,8 @@
                 if ready is not None:
                     ready()
                 await self._accept(listener, tasks)
-        for line in list(self.lines):
-            line.reset()
+        for connection in list(self.connections):
+            connection.reset()
         self.link.asked = 0.0
         self.traffic.seen("dead", server=self.name, boot=self.boot, playing=len(self.sessions))
 
@@ -179,8 +179,8 @@
 
     def die(self) -> None:
         """At once, with a reset to everyone."""
-        for line in list(self.lines):
-            line.reset()
+        for connection in list(self.connections):
+            connection.reset()
         self.scope.cancel()
 
     def freeze(self) -> None:
@@ -232,14 +232,14 @@
             tasks.start_soon(self._connection, stream)
 
     async def _connection(self, stream) -> None:
-        line = HttpConnection(Arrivals(stream), self._serve)
-        self.lines.add(line)
+        connection = HttpConnection(Arrivals(stream), self._serve)
+        self.connections.add(connection)
         try:
-            await line.run()
+            await connection.run()
         except (PeerDisconnected, AssertionError):
             pass
         finally:
-            self.lines.discard(line)
+            self.connections.discard(connection)
 
     async def _live(self) -> None:
         """What happens by itself: reports, what is short, sessions that nobody watches, fronts that are gone."""
@@ -250,7 +250,7 @@
             self.history.append((now, self.link.use(), self.link.uplink.asked() / self.link.uplink.size, self.link.share()))
             if now / NS - last_report >= REPORT_EVERY:
                 last_report = now / NS
-                noise = self.chance.uniform(1 - NOISE, 1 + NOISE)
+                noise = self.rng.uniform(1 - NOISE, 1 + NOISE)
                 self.report = {
                     "link": self.link.use() * noise,
                     "uplink": self.link.uplink.asked() / self.link.uplink.size * noise,
@@ -274,7 +274,7 @@
     # ---- requests
 
     async def _serve(self, exchange: Exchange) -> None:
-        first_byte = exchange.line.stream.first_byte()
+        first_byte = exchange.connection.stream.first_byte()
         parts = exchange.path.strip("/").split("/")
         if parts[0] in (PLAYS, PUBLISHES) and len(parts) == 3 and exchange.method == "POST":
             await self._setup(exchange, *parts, first_byte)
@@ -329,10 +329,10 @@
             over("dropped")
 
     async def _set_up(self, exchange, way, package, title, layer, facts, over) -> None:
-        if falls_over(self.arrivals, time.monotonic_ns(), self.born, self.machine.streams, self.duties):
+        if falls_over(self.arrivals, time.monotonic_ns(), self.born, self.machine.streams, self.obligations):
             self.fallen.set()
         await self.thaw.wait()
-        if exchange.line.gone and not self.stubborn:
+        if exchange.connection.gone and not self.stubborn:
             raise PeerDisconnected
         rates = self.ladder.get(package)
         try:
@@ -368,7 +368,7 @@
         if self.loses_answers:
             await self._lose(exchange)
             return
-        if exchange.line.gone and not self.stubborn:
+        if exchange.connection.gone and not self.stubborn:
             # whoever asked has gone: no media will ever flow
             raise PeerDisconnected
         session = Session(
@@ -380,7 +380,7 @@
             title,
             layer,
             rates[layer],
-            self.chance.uniform(0.88, 1.12),
+            self.rng.uniform(0.88, 1.12),
             offer.first("ice-ufrag", offer.media[0]),
         )
         self.sessions[session.name] = self.media[session.ufrag] = session
@@ -418,7 +418,7 @@
         raise PeerDisconnected
 
     def _warmth(self) -> float:
-        return warmth(time.monotonic_ns() - self.born, self.duties.warm_within, self.duties.start_capacity)
+        return warmth(time.monotonic_ns() - self.born, self.obligations.warm_within, self.obligations.start_capacity)
 
     async def _layer(self, exchange: Exchange, name: str) -> None:
         session = self.sessions.get(name)
@@ -558,7 +558,7 @@
                 if self.thaw.is_set():
                     await piece(b'{"rung":%d,"share":%.3f}\n' % (session.rung, self.link.share()))
                 await anyio.sleep(MEDIA_EVERY)
-                if exchange.line.gone:
+                if exchange.connection.gone:
                     raise PeerDisconnected
         finally:
             session.watchers -= 1
@@ -581,9 +581,9 @@
             self.traffic.seen("notes-end", server=self.name, boot=self.boot, front=front)
 
     async def _note_loop(self, exchange: Exchange, listener: Listener, piece) -> None:
-        next_short, next_load = _next(SHORT_EVERY), _next(self.duties.told_every / NS)
+        next_short, next_load = _next(SHORT_EVERY), _next(self.obligations.told_every / NS)
         while True:
-            if exchange.line.gone:
+            if exchange.connection.gone:
                 raise PeerDisconnected
             await self.thaw.wait()
             while listener.ended:
@@ -593,10 +593,10 @@
                 next_short = _next(SHORT_EVERY)
                 await self._tell_short(listener, piece)
             if now >= next_load:
-                next_load = _next(self.duties.told_every / NS)
+                next_load = _next(self.obligations.told_every / NS)
                 if self._plays_for(listener):
                     _, link, uplink, _ = self._then()
-                    await piece(_event("load", Note(link=link, uplink=uplink if self.duties.uplinks else None)))
+                    await piece(_event("load", Note(link=link, uplink=uplink if self.obligations.uplinks else None)))
             listener.news = anyio.Event()
             exchange.on_hang_up(listener.news.set)
             with anyio.move_on_after(max(0.01, min(next_short, next_load) - time.monotonic())):
@@ -616,7 +616,7 @@
 
     def _then(self) -> tuple[int, float, float, float]:
         """How it was as long ago as notes are late."""
-        return as_of(self.history, time.monotonic_ns() - self.duties.told_late - int(self.notes_late * NS))
+        return as_of(self.history, time.monotonic_ns() - self.obligations.told_late - int(self.notes_late * NS))
 
 
 def front_of(life: str) -> str:
--- a/curlewshift/standins/viewers.py
+++ b/curlewshift/standins/viewers.py
@@ -49,7 +49,7 @@
 
     def __init__(self, site: Site, script: Script, doors: list[tuple[str, int]], seed: int, traffic: Traffic):
         self.site, self.script, self.doors, self.traffic = site, script, doors, traffic
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.packages = {package.name: package for package in site.packages}
         self.titles = list(site.titles)
         self.names = 0
@@ -62,62 +62,68 @@
             ends = begins + self.script.lasts
             while True:
                 rate, title, package = self._pressure(at - begins)
-                at += self.chance.expovariate(rate)
+                at += self.rng.expovariate(rate)
                 if at >= ends:
                     break
                 await anyio.sleep(max(0.0, at - time.monotonic()))
                 self.names += 1
-                tasks.start_soon(self._view, f"v{self.names}", Random(self.chance.random()), title, package, ends)
+                tasks.start_soon(self._view, f"v{self.names}", Random(self.rng.random()), title, package, ends)
 
     def _pressure(self, now: float) -> tuple[float, str | None, str | None]:
         """Arrivals a second at this moment, and the title of a crowd, or the package of a peak, that the next one
         belongs to."""
         rate, more = pressure(self.script, now, self.titles)
-        return rate + sum(part for part, _, _ in more), *drawn_part(rate, more, self.chance.random())
-
-    async def _view(self, viewing: str, chance: Random, crowd: str | None, peak: str | None, ends: float) -> None:
-        of_peak = [wish for wish in self.script.wishes if wish.package == peak]
-        wish = of_peak[0] if of_peak else chance.choices(self.script.wishes, [wish.share for wish in self.script.wishes])[0]
-        title = crowd or chance.choices(self.titles, [1 / rank for rank in range(1, len(self.titles) + 1)])[0]
-        package = self.packages[wish.package]
-        top = package.top if chance.random() < 0.75 else max(package.floor, package.top - 1)
-        left = chance.expovariate(1 / wish.watches)
-        self.traffic.seen("viewing", viewing=viewing, package=wish.package, title=title)
+        return rate + sum(part for part, _, _ in more), *drawn_part(rate, more, self.rng.random())
+
+    async def _view(self, viewing: str, rng: Random, crowd: str | None, peak: str | None, ends: float) -> None:
+        of_peak = [planned_viewing for planned_viewing in self.script.planned_viewings if planned_viewing.package == peak]
+        planned_viewing = (
+            of_peak[0]
+            if of_peak
+            else rng.choices(
+                self.script.planned_viewings, [planned_viewing.share for planned_viewing in self.script.planned_viewings]
+            )[0]
+        )
+        title = crowd or rng.choices(self.titles, [1 / rank for rank in range(1, len(self.titles) + 1)])[0]
+        package = self.packages[planned_viewing.package]
+        top = package.top if rng.random() < 0.75 else max(package.floor, package.top - 1)
+        left = rng.expovariate(1 / planned_viewing.watches)
+        self.traffic.seen("viewing", viewing=viewing, package=planned_viewing.package, title=title)
         for visit in range(MOST_VISITS):
             began = time.monotonic()
-            how, wait = await self._visit(f"{viewing}.{visit}", viewing, wish, title, top, left, chance)
+            how, wait = await self._visit(f"{viewing}.{visit}", viewing, planned_viewing, title, top, left, rng)
             left -= time.monotonic() - began if how == "broke" else 0
-            again = how in ("refused", "broke", "unreached") and left > 1 and chance.random() < self.script.come_again
-            pause = wait + chance.uniform(0, 0.5) if wait else chance.uniform(*PAUSE)
+            again = how in ("refused", "broke", "unreached") and left > 1 and rng.random() < self.script.come_again
+            pause = wait + rng.uniform(0, 0.5) if wait else rng.uniform(*PAUSE)
             if not again or time.monotonic() > ends or time.monotonic() + pause > ends + LAST_VISIT:
                 # who came so late would still wait when the day is put away, and would be held for lost
                 return
             await anyio.sleep(pause)
 
     async def _visit(
-        self, request: str, viewing: str, wish: PlannedViewing, title: str, top: int, lasts: float, chance: Random
+        self, request: str, viewing: str, planned_viewing: PlannedViewing, title: str, top: int, lasts: float, rng: Random
     ) -> tuple[str, float]:
         """One request, and what comes of it: how it ended, and how long the viewer was told to stay away (s)."""
-        door, package = chance.randrange(len(self.doors)), self.packages[wish.package]
+        door, package = rng.randrange(len(self.doors)), self.packages[planned_viewing.package]
         ufrag, pwd = secrets.token_hex(4), secrets.token_hex(12)
-        way = PUBLISHES if wish.package in self.site.published else PLAYS
+        way = PUBLISHES if planned_viewing.package in self.site.published else PLAYS
         offer = offer_text(ufrag, pwd, FINGERPRINT, way).encode()
         key = f"{request}-{ufrag}"
-        if chance.random() < self.script.leave:
-            lingers = LINGERS if chance.random() < 0.5 else 0.0
-            with anyio.move_on_after(chance.uniform(*LEAVES_AFTER)):
-                await self._ask(request, viewing, door, wish.package, title, top, key, offer, True, lingers)
+        if rng.random() < self.script.leave:
+            lingers = LINGERS if rng.random() < 0.5 else 0.0
+            with anyio.move_on_after(rng.uniform(*LEAVES_AFTER)):
+                await self._ask(request, viewing, door, planned_viewing.package, title, top, key, offer, True, lingers)
             return "left", 0.0
-        if chance.random() < self.script.hang_up:
+        if rng.random() < self.script.hang_up:
             with anyio.move_on_after(HANGS_UP_AFTER):
-                await self._ask(request + "h", viewing, door, wish.package, title, top, key, offer, hangs_up=True)
-        answered = await self._ask(request, viewing, door, wish.package, title, top, key, offer)
+                await self._ask(request + "h", viewing, door, planned_viewing.package, title, top, key, offer, hangs_up=True)
+        answered = await self._ask(request, viewing, door, planned_viewing.package, title, top, key, offer)
         for _ in range(ASKS_ON if package.paid_at_setup else 0):
             if answered is not None:
                 break
             # a paid request that broke off has one honest way on: the same front, with the same key
-            await anyio.sleep(chance.uniform(*PAUSE) / 2)
-            answered = await self._ask(request + "b", viewing, door, wish.package, title, top, key, offer)
+            await anyio.sleep(rng.uniform(*PAUSE) / 2)
+            answered = await self._ask(request + "b", viewing, door, planned_viewing.package, title, top, key, offer)
         if answered is None:
             return "unreached", 0.0
         if answered.status == 201:
@@ -133,7 +139,7 @@
         self, request, viewing, door, package, title, top, key, offer, hangs_up=False, lingers=0.0
     ) -> HttpResponse | None:
         patience = self.packages[package].patience
-        facts = dict(request=request, viewing=viewing, front=self.site.doors[door].name)
+        facts = dict(request=request, viewing=viewing, front=self.site.front_addresses[door].name)
         way = PUBLISHES if package in self.site.published else PLAYS
         call = answered = None
         try:
@@ -192,7 +198,7 @@
                     return "broke"
         finally:
             self.watching -= 1
-        self.traffic.seen("left", how="cancelled", answered=True, request=request, front=self.site.doors[door].name)
+        self.traffic.seen("left", how="cancelled", answered=True, request=request, front=self.site.front_addresses[door].name)
         try:
             gone = await ask(*self.doors[door], "DELETE", answered.headers.get("location", "/"), within=2.0)
             if gone.status == 200:
--- a/curlewshift/state/intents.py
+++ b/curlewshift/state/intents.py
@@ -43,10 +43,18 @@
 def intent_of(tune_in: TuneIn, until: int) -> Intent | None:
     """What has to be known after a kill of this tune-in; None if it costs nothing to set it up again, or nobody can ask
     for it again. `until` is Unix ns."""
-    course, vw = tune_in.course, tune_in.course.vw
-    if not vw.package.paid_at_setup or course.held is None:
+    front_session, viewing = tune_in.front_session, tune_in.front_session.viewing
+    if not viewing.package.paid_at_setup or front_session.held is None:
         return None
-    return Intent(course.held.key, course.offer.identity, course.offer.way, vw.package.name, vw.title, tune_in.server.name, until)
+    return Intent(
+        front_session.held.key,
+        front_session.offer.identity,
+        front_session.offer.way,
+        viewing.package.name,
+        viewing.title,
+        tune_in.server.name,
+        until,
+    )
 
 
 class Intents:
--- a/curlewshift/state/session_registry.py
+++ b/curlewshift/state/session_registry.py
@@ -46,21 +46,21 @@
 
 
 def remembered(
-    course: FrontSession, token: str, holder: str | None, path: str, etag: str = "", ufrag: str = "", answer: str = ""
+    front_session: FrontSession, token: str, holder: str | None, path: str, etag: str = "", ufrag: str = "", answer: str = ""
 ) -> StoredSession:
     """A viewing that plays, as it has to be known after a kill."""
-    vw, offer = course.vw, course.offer
+    viewing, offer = front_session.viewing, front_session.offer
     return StoredSession(
         token,
         holder,
-        course.held.key if course.held is not None else None,
+        front_session.held.key if front_session.held is not None else None,
         offer.identity if offer else "",
         offer.way if offer else "",
-        vw.package.name,
-        vw.title,
-        vw.ceiling,
-        vw.rung,
-        vw.server.name,
+        viewing.package.name,
+        viewing.title,
+        viewing.ceiling,
+        viewing.rung,
+        viewing.server.name,
         path,
         etag,
         ufrag,
--- a/curlewshift/state/setting_up.py
+++ b/curlewshift/state/setting_up.py
@@ -18,7 +18,7 @@
 
 
 def setting_up(
-    desk, tune_in: TuneIn, intents: Intents | None, intent: Intent | None
+    session_core, tune_in: TuneIn, intents: Intents | None, intent: Intent | None
 ) -> Generator[tuple[str, list[Any] | None], bool, Outcome | None]:
     """Yields `(WRITE, record)`, to be flushed and answered with whether it was kept, then `(SEND, None)`, once. If it
     ends before that it returns how the tune-in ended; no byte has gone out then. `intent` is None for what need not be
@@ -26,7 +26,7 @@
     if intents is not None and intent is not None and not (yield WRITE, intents.began(intent)):
         # a paid set-up that could not be known of after a kill is not begun
         return Outcome.UNSENT
-    if not desk.stands(tune_in):
+    if not session_core.stands(tune_in):
         # a list change or the time has overtaken it; nothing has gone out yet, so it can be taken back
         return Outcome.UNSENT
     yield SEND, None
--- a/curlewshift/tasks/listing.py
+++ b/curlewshift/tasks/listing.py
@@ -33,8 +33,8 @@
 class ListReading:
     name, shards = "list", 1
 
-    def __init__(self, outside: Driver):
-        self.outside, self.fences = outside, Fences()
+    def __init__(self, driver: Driver):
+        self.driver, self.fences = driver, Fences()
         self.number = self.due = 0
         self.heard_at = -1
         self.itself = True
@@ -46,10 +46,10 @@
         self._read(True)
 
     def act(self, shard: int, number: int) -> None:
-        now = self.outside.now()
+        now = self.driver.now()
         if now >= self.due:
             self.due = now + EACH
-            self.outside.tell_list(number, *self.outside.list_held(), None)
+            self.driver.tell_list(number, *self.driver.list_held(), None)
 
     def stop(self, shard: int) -> None:
         self.number = 0
@@ -57,18 +57,18 @@
     def read(self, epoch: str, generation: int, news: object) -> None:
         """This front has read news of the list itself."""
         if self.number:
-            self.outside.tell_list(self.number, epoch, generation, news)
+            self.driver.tell_list(self.number, epoch, generation, news)
 
     # ---- as one of the others
 
     def told(self, number: int, epoch: str, generation: int, news: object | None) -> None:
         if self.number or not self.fences.passes(LEASE, number):
             return
-        self.heard_at = self.outside.now()
+        self.heard_at = self.driver.now()
         if news is not None:
-            self.outside.take_news(news)
+            self.driver.take_news(news)
         # behind, ahead or of another life of the list: whatever it is, reading it tells
-        self._read(self.outside.list_held() != (epoch, generation))
+        self._read(self.driver.list_held() != (epoch, generation))
 
     def gap(self) -> None:
         """What was told does not follow on what this front has."""
@@ -76,10 +76,10 @@
 
     def time(self) -> None:
         """Each round of a front."""
-        if not self.number and not self.itself and self.outside.now() - self.heard_at > LATE * EACH:
+        if not self.number and not self.itself and self.driver.now() - self.heard_at > LATE * EACH:
             self._read(True)
 
     def _read(self, itself: bool) -> None:
         if itself is not self.itself:
             self.itself = itself
-            self.outside.read_list(itself)
+            self.driver.read_list(itself)
--- a/curlewshift/tasks/planning.py
+++ b/curlewshift/tasks/planning.py
@@ -33,8 +33,8 @@
 class Planning:
     name, shards = "peaks", 1
 
-    def __init__(self, outside: Driver, me: str):
-        self.outside, self.me, self.fences = outside, me, Fences()
+    def __init__(self, driver: Driver, me: str):
+        self.driver, self.me, self.fences = driver, me, Fences()
         self.heard: dict[str, tuple[int, dict[str, float]]] = {}
         self.due = 0
 
@@ -44,36 +44,34 @@
         self.due = 0
 
     def act(self, shard: int, number: int) -> None:
-        now = self.outside.now()
+        now = self.driver.now()
         if now < self.due:
             return
         self.due = now + EACH
-        self.heard[self.me] = now, self.outside.asked_for()
+        self.heard[self.me] = now, self.driver.asked_for()
         self.heard = {name: told for name, told in self.heard.items() if now - told[0] <= LASTS}
         for package in {package for _, asked in self.heard.values() for package in asked}:
-            parts = divided(
-                self.outside.front_names(), {name: asked.get(package, 0.0) for name, (_, asked) in self.heard.items()}
-            )
-            self.outside.tell_plan(number, package, parts)
+            parts = divided(self.driver.front_names(), {name: asked.get(package, 0.0) for name, (_, asked) in self.heard.items()})
+            self.driver.tell_plan(number, package, parts)
             self.plan_told(number, package, parts)
 
     def stop(self, shard: int) -> None:
         pass
 
     def asked_told(self, by: str, asked: dict[str, float]) -> None:
-        self.heard[by] = self.outside.now(), asked
+        self.heard[by] = self.driver.now(), asked
 
     # ---- as each
 
     def tell(self, planner: str) -> None:
         """Each second, to the one that would plan."""
-        asked = self.outside.asked_for()
+        asked = self.driver.asked_for()
         if asked and planner != self.me:
-            self.outside.tell_asked(planner, asked)
+            self.driver.tell_asked(planner, asked)
 
     def plan_told(self, number: int, package: str, parts: dict[str, float]) -> None:
         if self.me in parts and self.fences.passes(LEASE, number):
-            self.outside.planned(package, parts[self.me], self.outside.now() + LASTS)
+            self.driver.planned(package, parts[self.me], self.driver.now() + LASTS)
 
 
 def divided(names: Iterable[str], asked: dict[str, float]) -> dict[str, float]:
--- a/curlewshift/tasks/servers.py
+++ b/curlewshift/tasks/servers.py
@@ -30,19 +30,19 @@
 
     name = ""
 
-    def __init__(self, outside: Driver, shards: int, each: int):
-        self.outside, self.shards, self.each = outside, shards, each
+    def __init__(self, driver: Driver, shards: int, each: int):
+        self.driver, self.shards, self.each = driver, shards, each
         self.due: dict[int, int] = {}
 
     def begin(self, shard: int, number: int) -> None:
         self.due[shard] = 0
 
     def act(self, shard: int, number: int) -> None:
-        now = self.outside.now()
+        now = self.driver.now()
         if now < self.due.get(shard, 0):
             return
         self.due[shard] = now + self.each
-        for server in self.outside.servers():
+        for server in self.driver.servers():
             if server.open and shard_of(server, self.shards) == shard:
                 self.see_to(server, f"{self.name}/{shard}", number)
 
@@ -59,7 +59,7 @@
     name = "probe"
 
     def see_to(self, server: Server, lease: str, number: int) -> None:
-        self.outside.probe_for_all(server, lease, number)
+        self.driver.probe_for_all(server, lease, number)
 
 
 class Orphans(AtServers):
@@ -68,9 +68,9 @@
 
     name = "orphans"
 
-    def __init__(self, outside: Driver, shards: int, each: int, away: int):
-        super().__init__(outside, shards, each)
+    def __init__(self, driver: Driver, shards: int, each: int, away: int):
+        super().__init__(driver, shards, each)
         self.away = away
 
     def see_to(self, server: Server, lease: str, number: int) -> None:
-        self.outside.look_for_orphans(server, self.away, lease, number)
+        self.driver.look_for_orphans(server, self.away, lease, number)
--- a/curlewshift/tasks/tasks.py
+++ b/curlewshift/tasks/tasks.py
@@ -27,39 +27,39 @@
 class Tasks:
     """`me` is this front's name. `members()` are the names of those that are in, without it."""
 
-    def __init__(self, me: str, asker: LeaseProposer, tasks: list[Task], members):
-        self.me, self.asker, self.members = me, asker, members
+    def __init__(self, me: str, proposer: LeaseProposer, tasks: list[Task], members):
+        self.me, self.proposer, self.members = me, proposer, members
         self.tasks = {task.name: task for task in tasks}
         # leases that an operator had given up here are left alone for a while: until when (ns of the asker's clock)
         self.left_alone: dict[str, int] = {}
 
     def time(self) -> None:
         """Each round."""
-        names, now = [*self.members(), self.me], self.asker.outside.now()
+        names, now = [*self.members(), self.me], self.proposer.driver.now()
         self.left_alone = {lease: until for lease, until in self.left_alone.items() if until > now}
         for task in self.tasks.values():
             for shard in range(task.shards):
                 lease = f"{task.name}/{shard}"
                 if picked(lease, names) == self.me and lease not in self.left_alone:
-                    self.asker.want(lease)
-                elif lease in self.asker.tries:
-                    self.asker.leave(lease)
-        self.asker.time()
+                    self.proposer.want(lease)
+                elif lease in self.proposer.tries:
+                    self.proposer.leave(lease)
+        self.proposer.time()
         for task in self.tasks.values():
             for shard in range(task.shards):
-                number = self.asker.may_act(f"{task.name}/{shard}")
+                number = self.proposer.may_act(f"{task.name}/{shard}")
                 if number:
                     task.act(shard, number)
 
     def release(self, lease: str) -> None:
         """An operator's word: given back, and not asked for again for two terms, so that another can begin."""
-        self.left_alone[lease] = self.asker.outside.now() + 2 * self.asker.terms.term
-        self.asker.leave(lease)
+        self.left_alone[lease] = self.proposer.driver.now() + 2 * self.proposer.terms.term
+        self.proposer.leave(lease)
 
     def drain(self) -> None:
         """Everything is given back before this front goes: the others need not wait for the terms."""
-        for lease in list(self.asker.tries):
-            self.asker.leave(lease)
+        for lease in list(self.proposer.tries):
+            self.proposer.leave(lease)
 
     def begins(self, lease: str, number: int) -> None:
         name, _, shard = lease.rpartition("/")
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -94,13 +94,13 @@
         )
 
     def want(self, **how):
-        vw = self.viewing(**how)
-        self.rules.wanted(vw)
-        return vw
+        viewing = self.viewing(**how)
+        self.rules.wanted(viewing)
+        return viewing
 
     def play(self, **how):
-        vw = self.want(**how)
-        assert vw.server is not None, "the story needs this one to be taken"
+        viewing = self.want(**how)
+        assert viewing.server is not None, "the story needs this one to be taken"
         self.later(50 * MS)
-        self.rules.begun(vw)
-        return vw
+        self.rules.begun(viewing)
+        return viewing
--- a/tests/fake_driver.py
+++ b/tests/fake_driver.py
@@ -21,7 +21,7 @@
     def __init__(self, servers=4, **changed):
         self.clock, self.wake_at = 1000 * SECOND, None
         self.out, self.done, self.answers, self.torn, self.rungs, self.probes = [], [], {}, [], [], []
-        self.errands, self.ending, self.wall_off = [], [], 0
+        self.commands, self.session_end, self.wall_off = [], [], 0
         self.lists_wanted = 0
         # the books: what was sent when, by request; what may have run; who was told what
         self.sent, self.ran, self.taken, self.further, self.cold = [], set(), [], [], {}
@@ -47,19 +47,19 @@
         )
         how = {key: changed.pop(key) for key in ("most_waiting", "most_keys", "calendar") if key in changed}
         titles = {"t1": ("a", "b"), "t2": ("b", "c", "d"), "t3": ("a", "b", "c", "d")}
-        self.desk = SessionCore(self, Terms(**{**facts, **changed}), ServerList({"r": 1e6}, titles), **how)
+        self.session_core = SessionCore(self, Terms(**{**facts, **changed}), ServerList({"r": 1e6}, titles), **how)
         self.generation, self.rows = 0, {}
         for number in range(servers):
             row = self.row(f"s{number}", shelf="abcd"[number])
             self.rows[row.server] = row
-        self.desk.list_full("e", 0, list(self.rows.values()))
+        self.session_core.list_full("e", 0, list(self.rows.values()))
 
     @staticmethod
     def row(server, state="on", shelf="a", started=SECOND, link=4000.0):
         return ServerEntry(server, state, started, "z", "r", link, 20, shelf)
 
     def server(self, name):
-        return self.desk.roster.servers[name]
+        return self.session_core.server_list.servers[name]
 
     # ---- what the desk calls
 
@@ -73,14 +73,14 @@
         self.wake_at = at if self.wake_at is None else min(at, self.wake_at)
 
     def tune_in(self, tune_in):
-        course, server = tune_in.course, tune_in.server
-        if any(other.course is course for other in self.out):
+        front_session, server = tune_in.front_session, tune_in.server
+        if any(other.front_session is front_session for other in self.out):
             self.broken.append("two tune-ins of one viewing are out")
-        if course.vw in self.ran and course.vw.package.paid_at_setup:
+        if front_session.viewing in self.ran and front_session.viewing.package.paid_at_setup:
             self.broken.append("a paid viewing is sent again though it may have run")
         if not server.open:
             self.broken.append("sent to a server told closed")
-        if tune_in.rung < course.vw.package.floor:
+        if tune_in.rung < front_session.viewing.package.floor:
             self.broken.append("under the floor")
         if tune_in.number > 1:
             self.further.append(self.clock)
@@ -98,21 +98,21 @@
     def withdraw(self, tune_in):
         self.out.remove(tune_in)
         self.done.append(tune_in)
-        self.ran.add(tune_in.course.vw)
+        self.ran.add(tune_in.front_session.viewing)
         return True
 
-    def tell(self, errand):
-        self.errands.append(errand)
-        if errand.rung is not None:
-            self.rungs.append((errand.course, errand.rung))
-            if errand.rung < errand.course.vw.package.floor:
+    def tell(self, command):
+        self.commands.append(command)
+        if command.rung is not None:
+            self.rungs.append((command.front_session, command.rung))
+            if command.rung < command.front_session.viewing.package.floor:
                 self.broken.append("stepped under the floor")
-        if not errand.course.vw.playing:
+        if not command.front_session.viewing.playing:
             self.broken.append("told of a viewing that is over")
 
-    def end_session(self, ending):
-        self.ending.append(ending)
-        self.torn.append(ending.session)
+    def end_session(self, session_end):
+        self.session_end.append(session_end)
+        self.torn.append(session_end.session)
 
     def probe(self, server):
         self.probes.append(server)
@@ -124,8 +124,13 @@
             self.broken.append("answered one who had left")
         if self.clock > request.expires:
             self.broken.append("answered too late")
-        course = answer.course or request.course
-        if answer.kind is Kind.REFUSED and course and course.vw in self.ran and course.vw.package.paid_at_setup:
+        front_session = answer.front_session or request.front_session
+        if (
+            answer.kind is Kind.REFUSED
+            and front_session
+            and front_session.viewing in self.ran
+            and front_session.viewing.package.paid_at_setup
+        ):
             self.broken.append("a paid viewing is refused though it may have run")
         self.answers[request] = answer
 
@@ -136,7 +141,7 @@
 
     def ask(self, pack="lesson", title="t3", key=None, offer="offer", **how):
         self.taken.append(self.clock)
-        return self.desk.asked(f"q{len(self.taken)}", pack, title, None, key=key, offer=offer, **how)
+        return self.session_core.asked(f"q{len(self.taken)}", pack, title, None, key=key, offer=offer, **how)
 
     def ends(self, tune_in, outcome, session=None):
         """Its outcome arrives; `session` names what was set up."""
@@ -144,18 +149,18 @@
             self.out.remove(tune_in)
             self.done.append(tune_in)
             if outcome not in NEVER_RAN:
-                self.ran.add(tune_in.course.vw)
+                self.ran.add(tune_in.front_session.viewing)
         if outcome is Outcome.PLAYED:
-            self.desk.played(tune_in, session or object(), {"link": 0.3})
+            self.session_core.played(tune_in, session or object(), {"link": 0.3})
         else:
-            self.desk.failed(tune_in, outcome)
+            self.session_core.failed(tune_in, outcome)
 
     def later(self, span):
         """Time passes; the desk is woken at each moment it asked for."""
         ends = self.clock + span
         while self.wake_at is not None and self.wake_at <= ends:
             self.clock, self.wake_at = max(self.clock, self.wake_at), None
-            self.desk.time()
+            self.session_core.time()
         self.clock = ends
 
     def change(self, *rows, since=None, generation=None):
@@ -167,11 +172,11 @@
             for row in rows:
                 if row.started > 999 * SECOND and row.state == "on":
                     self.cold[row.server] = max(self.cold.get(row.server, 0), row.started + 10 * SECOND)
-        self.desk.list_change("e", since, generation, list(rows))
+        self.session_core.list_change("e", since, generation, list(rows))
 
     def play(self, **how):
         request = self.ask(**how)
         assert self.out, "the story needs this one to be sent"
         tune_in = self.out[-1]
         self.ends(tune_in, Outcome.PLAYED, f"session {len(self.taken)}")
-        return request.course
+        return request.front_session
--- a/tests/node_place.py
+++ b/tests/node_place.py
@@ -24,10 +24,10 @@
 
 
 class Media:
-    """One media server. `does(line, kind, id, parameters)` answers; by default each set-up plays."""
+    """One media server. `does(connection, kind, id, parameters)` answers; by default each set-up plays."""
 
     def __init__(self, name, cell=0):
-        self.name, self.cell, self.heard, self.lines, self.does = name, cell, [], [], self.plays
+        self.name, self.cell, self.heard, self.connections, self.does = name, cell, [], [], self.plays
         self.state, self.started = 0, 0
 
     async def open(self, tasks, port=0):
@@ -46,7 +46,7 @@
 
     async def _line(self, stream):
         reader = isup.Reader()
-        self.lines.append(stream)
+        self.connections.append(stream)
         try:
             async with stream:
                 async for data in stream:
@@ -58,13 +58,13 @@
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         finally:
-            self.lines.remove(stream)
+            self.connections.remove(stream)
 
-    async def plays(self, line, kind, id, parameters):
+    async def plays(self, connection, kind, id, parameters):
         if kind == isup.RELEASE:
-            await line.send(isup.released(id))
+            await connection.send(isup.released(id))
         if kind == isup.SET_UP:
-            await line.send(
+            await connection.send(
                 isup.encode(
                     isup.ANSWER,
                     id,
@@ -73,17 +73,17 @@
                 )
             )
         elif kind == isup.PROBE:
-            await line.send(isup.encode(isup.PROBED, id, (isup.CAUSE, b"\1"), (isup.REPORT, b"x0:0.5")))
+            await connection.send(isup.encode(isup.PROBED, id, (isup.CAUSE, b"\1"), (isup.REPORT, b"x0:0.5")))
 
-    async def silent(self, line, kind, id, parameters):
+    async def silent(self, connection, kind, id, parameters):
         pass
 
     def says(self, data):
         """Each set-up gets these bytes; `ID` in them is its id."""
 
-        async def does(line, kind, id, parameters):
+        async def does(connection, kind, id, parameters):
             if kind == isup.SET_UP:
-                await line.send(data.replace(b"IDIDIDID", id))
+                await connection.send(data.replace(b"IDIDIDID", id))
 
         self.does = does
 
@@ -93,7 +93,7 @@
 
 class Bulletin:
     def __init__(self):
-        self.asked, self.lines = [], []
+        self.asked, self.connections = [], []
 
     async def open(self, tasks, port=0):
         self.listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
@@ -107,11 +107,11 @@
 
     async def _line(self, stream):
         self.asked.append(int.from_bytes(await stream.receive(8), "big"))
-        self.lines.append(stream)
+        self.connections.append(stream)
         with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             async with stream:
                 await stream.receive()
-        self.lines.remove(stream)
+        self.connections.remove(stream)
 
     async def tell(self, number, *medias, kind=2):
         payload = b"".join(
@@ -129,7 +129,7 @@
             )
             for one in medias
         )
-        await self.lines[-1].send(struct.pack(">IQB", 9 + len(payload), number, kind) + payload)
+        await self.connections[-1].send(struct.pack(">IQB", 9 + len(payload), number, kind) + payload)
 
 
 def set_up(id, package=LESSON, body=b"offer", patience=2000, more="", legs=""):
@@ -245,7 +245,7 @@
 
     def __init__(self, medias=1, sockets=256, idle_close_ms=30000, **changed):
         self.medias = [Media(f"s-{number + 1:08x}", number) for number in range(medias)]
-        self.bulletin, self.sockets, self.changed, self.duties = Bulletin(), sockets, changed, {}
+        self.bulletin, self.sockets, self.changed, self.obligations = Bulletin(), sockets, changed, {}
         self.idle_close_ms = idle_close_ms
 
     def told(self):
@@ -285,7 +285,7 @@
                 cells=4, cabinets=1, kb_per_weight=100000, rack_kb=1e6, rung_kb=[100, 200], kind_streams=[100], told_every_ms=1000
             ),
             telemetry=dict(fields=["x0"]),
-            obligations=self.duties,
+            obligations=self.obligations,
         )
         return dict(
             name="n0",
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -52,7 +52,7 @@
 class SmallSite:
     """`servers` stand-ins that hold title t, each on a shelf of its own."""
 
-    def __init__(self, servers=2, patience=2 * SECOND, site=None, **duties):
+    def __init__(self, servers=2, patience=2 * SECOND, site=None, **obligations):
         self.traffic = Seen()
         ports = free_ports(servers + 2, random.Random())
         facts = dict(
@@ -72,7 +72,7 @@
             probes=False,
             uplinks=True,
         )
-        self.duties = Obligations(**{**facts, **duties})
+        self.obligations = Obligations(**{**facts, **obligations})
         self.packages = [
             package(name="clip", join_target=SECOND, patience=patience, floor=1),
             package(name="paid", join_target=SECOND, patience=patience, paid_at_setup=True),
@@ -87,7 +87,7 @@
             {"r": 1e6},
             machines,
             {"t": tuple(machine.shelf for machine in machines)},
-            self.duties,
+            self.obligations,
             100,
             64,
             frozenset({"camera"}),
@@ -112,7 +112,7 @@
             f"127.0.0.1:{machine.port}",
             link,
             {pack.name: pack.rates for pack in self.packages},
-            self.duties,
+            self.obligations,
             born,
             random.Random(len(self.uplink.links)),
             self.traffic,
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -79,8 +79,8 @@
                         if turn == 2 and number == 0:
                             # from here on there is no bulletin for any of them
                             await place.bulletin.listener.aclose()
-                            for line in list(place.bulletin.lines):
-                                await line.aclose()
+                            for connection in list(place.bulletin.connections):
+                                await connection.aclose()
                         held = Plain(life.port)
                         held.ask(f"{number * 10 + turn + 1:016x}", package=CLIP)
                         life.kill()
--- a/tests/test_attempt_order.py
+++ b/tests/test_attempt_order.py
@@ -24,7 +24,7 @@
         self.out, self.most_out, self.set_ups, self.media = Counter(), 0, 0, media
         media.does = self.heard
 
-    async def heard(self, line, kind, id, parameters):
+    async def heard(self, connection, kind, id, parameters):
         if kind == isup.SET_UP:
             self.set_ups += 1
             self.out[id] += 1
@@ -32,7 +32,7 @@
         elif kind == isup.RELEASE and self.out[id]:
             self.out[id] -= 1
         elif kind == isup.PROBE:
-            await line.send(isup.encode(isup.PROBED, id, (isup.CAUSE, b"\1"), (isup.REPORT, b"x0:0.5")))
+            await connection.send(isup.encode(isup.PROBED, id, (isup.CAUSE, b"\1"), (isup.REPORT, b"x0:0.5")))
 
 
 class AtOneServer(unittest.TestCase):
@@ -67,25 +67,25 @@
 
     @story
     async def test_a_server_that_has_heard_the_release_is_tried_again(self):
-        async def hears(line, kind, id, parameters):
+        async def hears(connection, kind, id, parameters):
             if kind == isup.RELEASE:
-                await line.send(isup.released(id))
+                await connection.send(isup.released(id))
 
         self.assertGreaterEqual(await self.set_ups(hears, 2), 2)
 
     @story
     async def test_a_server_that_closes_the_connection_is_tried_again(self):
-        async def closes(line, kind, id, parameters):
+        async def closes(connection, kind, id, parameters):
             if kind == isup.SET_UP:
-                await line.aclose()
+                await connection.aclose()
 
         self.assertGreaterEqual(await self.set_ups(closes, 2), 2)
 
     @story
     async def test_no_second_attempt_follows_a_close_of_our_own_that_the_server_may_not_have_seen(self):
-        async def spoils(line, kind, id, parameters):
+        async def spoils(connection, kind, id, parameters):
             if kind == isup.SET_UP:
-                await line.send(b"\xff" * 64)
+                await connection.send(b"\xff" * 64)
 
         self.assertEqual(await self.set_ups(spoils, 2), 1)
 
@@ -95,10 +95,10 @@
         async with Place().up() as place:
             media, viewer = place.medias[0], Plain(place.port)
 
-            async def hears_late(line, kind, id, parameters):
+            async def hears_late(connection, kind, id, parameters):
                 if kind == isup.RELEASE:
                     await go.wait()
-                await media.plays(line, kind, id, parameters)
+                await media.plays(connection, kind, id, parameters)
 
             media.does = hears_late
             viewer.ask(REQUEST)
@@ -124,7 +124,7 @@
         await until(lambda: any(media.had(isup.SET_UP) for media in place.medias))
         first = next(media for media in place.medias if media.had(isup.SET_UP))
         second = next(media for media in place.medias if media is not first)
-        held = next(iter(place.node.reach.attempts.values())).line.wire
+        held = next(iter(place.node.server_pool.attempts.values())).connection.wire
         push = BufferedConnection._push
 
         def pushed(wire):
@@ -154,7 +154,7 @@
             async with anyio.create_task_group() as tasks:
 
                 async def later():
-                    await until(lambda: any(one.number == 2 for one in place.node.reach.attempts))
+                    await until(lambda: any(one.number == 2 for one in place.node.server_pool.attempts))
                     await anyio.sleep(0.03)
                     self.assertEqual(sum(len(media.had(isup.SET_UP)) for media in place.medias), 1)
                     may_write.append(True)
@@ -169,7 +169,7 @@
             first, _, after_s = await self.first_and_next(place, lambda: False)
             self.assertLess(after_s, 0.15)
             # nothing of the connection that was reset comes through: what there is was said again on another
-            await until(lambda: first.had(isup.RELEASE) and len(first.lines) == 1, 0.5)
+            await until(lambda: first.had(isup.RELEASE) and len(first.connections) == 1, 0.5)
             self.assertEqual(len(first.had(isup.RELEASE)), 1)
 
 
@@ -203,22 +203,22 @@
     @story
     async def test_new_rungs_of_one_session_keep_their_order_whatever_other_connections_hear(self):
         async with Place().up() as place:
-            viewer, reach = Plain(place.port), place.node.reach
+            viewer, server_pool = Plain(place.port), place.node.server_pool
             ids = [f"{number:016x}" for number in range(1, 4)]
             for id in ids:
                 viewer.ask(id)
             for _ in ids:
                 await viewer.hear()
-            course = next(iter(place.node.desk.courses.values()))
-            lines = next(iter(reach.endpoints.values())).lines
-            self.assertGreater(len(lines), 1)
+            front_session = next(iter(place.node.session_core.front_sessions.values()))
+            connections = next(iter(server_pool.endpoints.values())).connections
+            self.assertGreater(len(connections), 1)
             used = set()
             for number in range(6):
-                lines[number % len(lines)].heard_at = reach.now() + number
-                before = {line: line.used_at for line in lines}
+                connections[number % len(connections)].heard_at = server_pool.now() + number
+                before = {connection: connection.used_at for connection in connections}
                 await anyio.sleep(0.002)
-                reach.rung(course, number % 2)
-                used |= {line for line in lines if line.used_at != before[line]}
+                server_pool.rung(front_session, number % 2)
+                used |= {connection for connection in connections if connection.used_at != before[connection]}
             self.assertEqual(len(used), 1)
             viewer.close()
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -124,12 +124,12 @@
 class AtAFront(unittest.TestCase):
     """Viewers leave while the first byte of their attempt waits for something; it is let go 0.15 s later."""
 
-    async def begun(self, hold, package, leaves, desk=None, state=None):
+    async def begun(self, hold, package, leaves, session_core=None, state=None):
         """What the judge says, and how many sessions stand afterwards."""
         go, waits = anyio.Event(), []
         async with SmallSite(servers=2).up(state) as site:
-            if desk is not None:
-                site.front.desk.__class__ = desk
+            if session_core is not None:
+                site.front.session_core.__class__ = session_core
             with hold(go, waits):
                 call = await site.call()
                 site.traffic.seen("ask", request="q", front="f")
@@ -141,11 +141,11 @@
                     await anyio.sleep(0.15)
                     go.set()
                     # what went out would be seen well before its time is over
-                    await until(lambda: not site.front.reach.out)
+                    await until(lambda: not site.front.server_pool.out)
                     await anyio.sleep(0.05)
                     tasks.cancel_scope.cancel()
                 await call.close()
-            return judge_attempts(site.traffic.events), len(site.front.desk.courses)
+            return judge_attempts(site.traffic.events), len(site.front.session_core.front_sessions)
 
     @staticmethod
     async def asks(call, package):
@@ -194,29 +194,29 @@
 
     @story
     async def test_a_front_that_does_not_hear_of_it_is_caught(self):
-        told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), desk=DeafSessionCore)
+        told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), session_core=DeafSessionCore)
         self.assertEqual((told["late"], told["clean"]), (1, False), told)
         self.assertGreater(told["latest_ms"], 140)
 
     @story
     async def test_a_server_that_accepts_late_gets_nothing_for_who_left_meanwhile_unless_the_front_is_deaf(self):
-        for desk, begun in ((None, 0), (DeafSessionCore, 1)):
+        for session_core, begun in ((None, 0), (DeafSessionCore, 1)):
             async with SmallSite(servers=1, patience=4 * 1000 * MS).up() as site:
-                if desk is not None:
-                    site.front.desk.__class__ = desk
+                if session_core is not None:
+                    site.front.session_core.__class__ = session_core
                 [server] = site.servers.values()
                 await server.accept_late()
                 call = await site.call()
                 site.traffic.seen("ask", request="q", front="f")
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self.asks, call, "clip")
-                    await until(lambda: site.front.reach.out)
+                    await until(lambda: site.front.server_pool.out)
                     await anyio.sleep(0.1)
                     call.say_no_more()
                     site.traffic.seen("left", request="q", front="f", how="shut-down", answered=False)
                     await anyio.sleep(0.1)
                     server.accept_again()
-                    await until(lambda: not site.front.reach.out)
+                    await until(lambda: not site.front.server_pool.out)
                     await anyio.sleep(0.05)
                     tasks.cancel_scope.cancel()
                 await call.close()
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -27,50 +27,50 @@
     """A random day of one front, captured. Returns its records and its outside."""
     records = []
     with mock.patch.object(fake_driver, "SessionCore", tapped(SessionCore, records.append)):
-        outside = FakeDriver(calendar=Calendar(PACKAGES), **changed)
-    chance, requests, desk = random.Random(seed), [], outside.desk
+        driver = FakeDriver(calendar=Calendar(PACKAGES), **changed)
+    rng, requests, session_core = random.Random(seed), [], driver.session_core
     for _ in range(steps):
-        what = chance.randrange(14)
-        courses = list(desk.courses.values())
+        what = rng.randrange(14)
+        front_sessions = list(session_core.front_sessions.values())
         if what < 4:
             try:
                 requests.append(
-                    outside.ask(
-                        chance.choice(["clip", "paid", "lesson"]),
-                        chance.choice(["t1", "t2", "t3"]),
-                        chance.choice([None, None, "k1", "k2"]),
-                        chance.choice(["o1", "o1", "o2"]),
+                    driver.ask(
+                        rng.choice(["clip", "paid", "lesson"]),
+                        rng.choice(["t1", "t2", "t3"]),
+                        rng.choice([None, None, "k1", "k2"]),
+                        rng.choice(["o1", "o1", "o2"]),
                     )
                 )
             except KeyReused:
                 pass
-        elif what < 8 and outside.out:
-            outcome = chance.choice(FAILED + [Outcome.PLAYED] * 8)
-            outside.ends(chance.choice(outside.out), outcome)
+        elif what < 8 and driver.out:
+            outcome = rng.choice(FAILED + [Outcome.PLAYED] * 8)
+            driver.ends(rng.choice(driver.out), outcome)
         elif what == 8 and requests:
-            desk.hung_up(chance.choice(requests))
-        elif what == 9 and courses:
-            getattr(desk, chance.choice(["closed", "lost"]))(chance.choice(courses))
+            session_core.hung_up(rng.choice(requests))
+        elif what == 9 and front_sessions:
+            getattr(session_core, rng.choice(["closed", "lost"]))(rng.choice(front_sessions))
         elif what == 10:
-            server = outside.server(f"s{chance.randrange(4)}") if desk.roster.servers else None
+            server = driver.server(f"s{rng.randrange(4)}") if session_core.server_list.servers else None
             if server:
-                desk.told(server, {"link": chance.random() * 1.3, "uplink": chance.random()})
-                if chance.random() < 0.2:
-                    desk.delivered(server, chance.random())
+                session_core.told(server, {"link": rng.random() * 1.3, "uplink": rng.random()})
+                if rng.random() < 0.2:
+                    session_core.delivered(server, rng.random())
         elif what == 11:
-            outside.change(
-                outside.row(
-                    f"s{chance.randrange(4)}",
-                    chance.choice(["on", "on", "fading"]),
-                    "abcd"[chance.randrange(4)],
-                    chance.choice([SECOND, outside.clock]),
+            driver.change(
+                driver.row(
+                    f"s{rng.randrange(4)}",
+                    rng.choice(["on", "on", "fading"]),
+                    "abcd"[rng.randrange(4)],
+                    rng.choice([SECOND, driver.clock]),
                 )
             )
-        elif what == 12 and outside.ending:
-            desk.session_ended(outside.ending.pop(), chance.random() < 0.7)
+        elif what == 12 and driver.session_end:
+            session_core.session_ended(driver.session_end.pop(), rng.random() < 0.7)
         else:
-            outside.later(chance.choice([0, 0, MS, 300 * MS, SECOND, 4 * SECOND]))
-    return records, outside
+            driver.later(rng.choice([0, 0, MS, 300 * MS, SECOND, 4 * SECOND]))
+    return records, driver
 
 
 def logged(records):
@@ -92,27 +92,27 @@
     def test_with_a_peak_on_the_calendar_and_the_wall_set(self):
         records = []
         with mock.patch.object(fake_driver, "SessionCore", tapped(SessionCore, records.append)):
-            outside = FakeDriver(calendar=Calendar(PACKAGES))
+            driver = FakeDriver(calendar=Calendar(PACKAGES))
         from tests.test_peaks import peak
 
-        outside.desk.announce(peak(starts=outside.wall() + SECOND, ends=outside.wall() + 9 * SECOND))
-        outside.later(3 * SECOND)
+        driver.session_core.announce(peak(starts=driver.wall() + SECOND, ends=driver.wall() + 9 * SECOND))
+        driver.later(3 * SECOND)
         for number in range(20):
-            outside.ask(("clip", "lesson")[number % 2], "t3")
-        outside.wall_off = 100 * SECOND
-        outside.later(3 * SECOND)
+            driver.ask(("clip", "lesson")[number % 2], "t3")
+        driver.wall_off = 100 * SECOND
+        driver.later(3 * SECOND)
         self.assertIsNone(Replay(Reading(logged(records))).run().difference)
 
     def test_things_of_one_instant_keep_their_order(self):
-        records, outside = [], None
+        records, driver = [], None
         with mock.patch.object(fake_driver, "SessionCore", tapped(SessionCore, records.append)):
-            outside = FakeDriver()
-        first, second = outside.ask("paid"), outside.ask("paid")
-        tune_in = outside.out[0]
-        outside.clock = tune_in.until
-        outside.ends(tune_in, Outcome.PLAYED, "s")
-        outside.later(0)
-        self.assertNotEqual(outside.answers[first].kind, outside.answers[second].kind)
+            driver = FakeDriver()
+        first, second = driver.ask("paid"), driver.ask("paid")
+        tune_in = driver.out[0]
+        driver.clock = tune_in.until
+        driver.ends(tune_in, Outcome.PLAYED, "s")
+        driver.later(0)
+        self.assertNotEqual(driver.answers[first].kind, driver.answers[second].kind)
         self.assertIsNone(Replay(Reading(logged(records))).run().difference)
 
 
@@ -121,8 +121,8 @@
         records, _ = a_day(1)
 
         class Other(Rules):
-            def _room(self, server, rate=0.0, bound=3.09, vw=None):
-                return -super()._room(server, rate, bound, vw)
+            def _room(self, server, rate=0.0, bound=3.09, viewing=None):
+                return -super()._room(server, rate, bound, viewing)
 
         run = Replay(records, rules=Other).run()
         self.assertIn(run.difference.what, ("tune_in", "answer"))
@@ -203,8 +203,8 @@
 class Damaged(unittest.TestCase):
     def test_a_log_cut_off_anywhere_is_replayed_up_to_there_and_says_so(self):
         raw = logged(a_day(5, steps=60)[0])
-        chance = random.Random(1)
-        for cut in [len(MAGIC), len(raw) - 1, *(chance.randrange(len(MAGIC), len(raw)) for _ in range(40))]:
+        rng = random.Random(1)
+        for cut in [len(MAGIC), len(raw) - 1, *(rng.randrange(len(MAGIC), len(raw)) for _ in range(40))]:
             reading = Reading(raw[:cut], "log")
             records = list(reading)
             if records:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -30,14 +30,14 @@
                     viewer.ask(id)
                 for _ in (FIRST, SECOND):
                     await viewer.hear()
-                endpoint = next(iter(place.node.reach.endpoints.values()))
-                closing, staying = endpoint.lines
+                endpoint = next(iter(place.node.server_pool.endpoints.values()))
+                closing, staying = endpoint.connections
                 staying.used_at += 10**10
                 held.sockets.add(closing.wire.socket)
                 port = closing.wire.socket.getsockname()[1]
-                line = next(one for one in media.lines if one.extra(anyio.abc.SocketAttribute.remote_port) == port)
-                await line.send(isup.release(bytes.fromhex(FIRST), isup.OVER))
-                await until(lambda: closing not in endpoint.lines)
+                connection = next(one for one in media.connections if one.extra(anyio.abc.SocketAttribute.remote_port) == port)
+                await connection.send(isup.release(bytes.fromhex(FIRST), isup.OVER))
+                await until(lambda: closing not in endpoint.connections)
                 held.go.set()
                 told = await viewer.hear(within=1.0)
             self.assertEqual((told.method, told.fields["session"]), ("TEARDOWN", FIRST))
@@ -48,9 +48,9 @@
         async with Place().up() as place:
             media, viewer = place.medias[0], Plain(place.port)
 
-            async def says_no_word_on_releases(line, kind, id, parameters):
+            async def says_no_word_on_releases(connection, kind, id, parameters):
                 if kind != isup.RELEASE:
-                    await media.plays(line, kind, id, parameters)
+                    await media.plays(connection, kind, id, parameters)
 
             media.does = says_no_word_on_releases
             viewer.ask(FIRST)
@@ -58,7 +58,7 @@
             viewer.tear_down(FIRST)
             # by then it is taken as heard
             await anyio.sleep(0.4)
-            await media.lines[0].send(b"\xff" * 32)
+            await media.connections[0].send(b"\xff" * 32)
             await until(lambda: len(media.had(isup.RELEASE)) == 2, 1.0)
             viewer.close()
 
@@ -68,22 +68,22 @@
         async with Place().up() as place:
             media, viewer = place.medias[0], Plain(place.port)
 
-            async def resets_unread(line, kind, id, parameters):
+            async def resets_unread(connection, kind, id, parameters):
                 if kind == isup.RELEASE and len(media.had(isup.RELEASE)) == 1:
                     await go.wait()
-                    sock = line.extra(anyio.abc.SocketAttribute.raw_socket)
+                    sock = connection.extra(anyio.abc.SocketAttribute.raw_socket)
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                    await line.aclose()
+                    await connection.aclose()
                 else:
-                    await media.plays(line, kind, id, parameters)
+                    await media.plays(connection, kind, id, parameters)
 
             media.does = resets_unread
             viewer.ask(FIRST)
             await viewer.hear()
             viewer.tear_down(FIRST)
-            line = next(iter(place.node.reach.endpoints.values())).lines[0]
+            connection = next(iter(place.node.server_pool.endpoints.values())).connections[0]
             await anyio.sleep(0.4)
-            place.node.reach._retire(line)
+            place.node.server_pool._retire(connection)
             await anyio.sleep(0.05)
             go.set()
             await until(lambda: len(media.had(isup.RELEASE)) == 2, 1.0)
@@ -92,13 +92,13 @@
     @story
     async def test_two_ends_of_one_session_on_one_connection_are_both_counted_back(self):
         async with Place().up() as place:
-            viewer, desk = Plain(place.port), place.node.desk
+            viewer, session_core = Plain(place.port), place.node.session_core
             viewer.ask(FIRST)
             await viewer.hear()
-            server = next(iter(place.node.reach.endpoints))
+            server = next(iter(place.node.server_pool.endpoints))
             for _ in range(2):
-                desk.orphaned(server, Session(bytes.fromhex(FIRST), server))
-            await until(lambda: not len(desk.endings), 1.0)
+                session_core.orphaned(server, Session(bytes.fromhex(FIRST), server))
+            await until(lambda: not len(session_core.session_ends), 1.0)
             viewer.close()
 
     @story
@@ -109,7 +109,7 @@
             await viewer.hear()
             new = Media("s-000000aa")
             new.port, new.started = old.port, 1
-            await until(lambda: place.bulletin.lines)
+            await until(lambda: place.bulletin.connections)
             await place.bulletin.tell(2, new)
             # the same process stands for both here: it answers to the new name
             await until(lambda: old.had(isup.RELEASE), 1.0)
@@ -126,15 +126,15 @@
                 media, viewer = place.medias[0], Plain(place.port)
                 go = anyio.Event()
 
-                async def plays_late(line, kind, id, parameters):
+                async def plays_late(connection, kind, id, parameters):
                     if kind == isup.SET_UP:
                         await go.wait()
-                    await media.plays(line, kind, id, parameters)
+                    await media.plays(connection, kind, id, parameters)
 
                 media.does = plays_late
                 viewer.ask(FIRST)
                 await until(lambda: media.had(isup.SET_UP))
-                held.sockets.update(line.wire.socket for line in place.node.door.lines)
+                held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
                 viewer.close()
                 go.set()
                 await until(lambda: media.had(isup.RELEASE), 1.0)
@@ -176,7 +176,7 @@
             await viewer.hear()
             viewer.close()
             await anyio.sleep(0.2)
-            self.assertEqual((len(place.node.desk.courses), media.had(isup.RELEASE)), (1, []))
+            self.assertEqual((len(place.node.session_core.front_sessions), media.had(isup.RELEASE)), (1, []))
 
     @story
     async def test_an_end_that_its_client_closed_without_reading_is_told_on_another_connection(self):
@@ -186,7 +186,7 @@
                 one.ask(id)
                 await one.hear()
             await anyio.sleep(1.1)
-            await media.lines[0].send(isup.release(bytes.fromhex(FIRST), isup.OVER))
+            await media.connections[0].send(isup.release(bytes.fromhex(FIRST), isup.OVER))
             await anyio.wait_readable(viewer.socket)
             viewer.close()
             told = await other.hear(within=1.0)
@@ -201,7 +201,7 @@
             self.assertEqual((await other.hear()).status, 454)
             viewer.ask(FIRST)
             self.assertEqual((await viewer.hear()).status, 454)
-            self.assertEqual((media.had(isup.SET_UP), place.node.desk.courses), ([], {}))
+            self.assertEqual((media.had(isup.SET_UP), place.node.session_core.front_sessions), ([], {}))
             viewer.close()
             other.close()
 
@@ -216,12 +216,12 @@
                 await viewer.hear()
                 await viewer.hear()
                 await anyio.sleep(0.1)
-                line = next(iter(place.node.door.lines))
-                held.sockets.add(line.wire.socket)
+                connection = next(iter(place.node.listener.connections))
+                held.sockets.add(connection.wire.socket)
                 viewer.tear_down(FIRST)
                 viewer.close()
                 for _ in range(3):
-                    line.wire.send(b"RTSP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    connection.wire.send(b"RTSP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")
                     await anyio.sleep(0.02)
                 held.go.set()
                 await until(lambda: media.had(isup.RELEASE), 1.0)
@@ -234,10 +234,10 @@
                 media, viewer = place.medias[0], Plain(place.port)
                 viewer.ask(FIRST)
                 await viewer.hear()
-                line = next(iter(place.node.door.lines))
-                held.sockets.add(line.wire.socket)
+                connection = next(iter(place.node.listener.connections))
+                held.sockets.add(connection.wire.socket)
                 viewer.tear_down(FIRST)
-                line.wire.end()
+                connection.wire.end()
                 held.go.set()
                 await until(lambda: media.had(isup.RELEASE), 1.0)
             viewer.close()
@@ -281,12 +281,12 @@
         async with Place().up() as place:
             media = place.medias[0]
 
-            async def answers_tests_alone(line, kind, id, parameters):
+            async def answers_tests_alone(connection, kind, id, parameters):
                 if kind == isup.PROBE:
-                    await media.plays(line, kind, id, parameters)
+                    await media.plays(connection, kind, id, parameters)
 
             media.does = answers_tests_alone
-            place.node.desk.packages[CLIP].patience = 4 * 10**9
+            place.node.session_core.packages[CLIP].patience = 4 * 10**9
             viewer = Plain(place.port)
             viewer.ask(FIRST, package=CLIP, patience=4000)
             await until(lambda: media.had(isup.SET_UP))
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -11,7 +11,7 @@
 
 from curlewshift.commands.main import main
 from curlewshift.emulator.peers import PeerFleet
-from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.terms import default_membership_terms
 
 ROOT = Path(__file__).resolve().parents[1]
 NODE_ALONE = """
@@ -45,7 +45,7 @@
             return CliRunner().invoke(main, [*words, "--state", "nowhere"])
 
     def test_peers_as_a_table_as_json_and_where_there_are_none(self):
-        fleet = PeerFleet(3, 1, usual_manners(500_000_000))
+        fleet = PeerFleet(3, 1, default_membership_terms(500_000_000))
         fleet.start()
         fleet.until(fleet.agreed, 5)
         fleet.posts[2].kill()
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -75,7 +75,9 @@
             (site.control.terms.term, site.configuration.give_bytes, site.configuration.start_within),
             (2_000_000_000, 16_000, 2_000_000_000),
         )
-        self.assertEqual((site.doors[0].region, site.doors[0].zone, site.doors[1].zone), ("south", "s1", ""))
+        self.assertEqual(
+            (site.front_addresses[0].region, site.front_addresses[0].zone, site.front_addresses[1].zone), ("south", "s1", "")
+        )
         self.path.write_text((EXAMPLES / "fleet-site.xml").read_text())
         site = read_site(self.path)
         self.assertEqual((site.control, site.configuration), (None, None))
@@ -121,7 +123,7 @@
         content = marked(self.path.read_bytes(), 7)
         site = checked(self.path, read_site(self.path), content)
         self.assertEqual({package.patience for package in site.packages}, {5_007_000_000})
-        self.assertEqual((site.duties.longest_wait, site.most_waiting), (1_893_000_000, 507))
+        self.assertEqual((site.obligations.longest_wait, site.most_waiting), (1_893_000_000, 507))
         self.assertEqual([server.count("v7") for server in site.ice_servers], [1, 1])
 
 
@@ -252,10 +254,10 @@
         super().setUp()
         self.path.write_text(SMALL)
         self.front = Front(read_site(self.path), 0, 1, None, mock.Mock())
-        self.front.reach = mock.Mock()
+        self.front.server_pool = mock.Mock()
         self.configured = self.front.configured = Configured(self.front, Begun(self.path, self.front.site), None)
         now = self.front.now()
-        self.front.desk.list_full(
+        self.front.session_core.list_full(
             "e", 1, [ServerEntry(f"h{n}", "on", now - 3600 * SECOND, "z", "r1", 4200.0, 24, f"s{n}") for n in range(1, 13)]
         )
 
@@ -263,22 +265,25 @@
         return self.configured.take_configuration(version, self.site(*changes, text=text))
 
     def state(self):
-        desk = self.front.desk
+        session_core = self.front.session_core
         return (
             self.configured.live(),
-            {name: ([server.name for server in title.holders], title.shelves) for name, title in desk.roster.titles.items()},
-            {shelf: [title.name for title in titles] for shelf, titles in desk.roster.on_shelf.items()},
-            [rack.link.size for rack in desk.roster.racks.values()],
-            desk.rules.wait,
-            desk.rules.free_further,
+            {
+                name: ([server.name for server in title.holders], title.shelves)
+                for name, title in session_core.server_list.titles.items()
+            },
+            {shelf: [title.name for title in titles] for shelf, titles in session_core.server_list.on_shelf.items()},
+            [rack.link.size for rack in session_core.server_list.racks.values()],
+            session_core.rules.wait,
+            session_core.rules.free_further,
             self.front.door.admission.bounds,
-            self.front.site.duties,
+            self.front.site.obligations,
             self.front.site.titles,
         )
 
     def test_what_decides_has_the_new_values_and_the_same_objects(self):
         front = self.front
-        packages, holders = list(front.desk.packages.values()), front.desk.roster.titles["t01"].holders
+        packages, holders = list(front.session_core.packages.values()), front.session_core.server_list.titles["t01"].holders
         # t01 goes to one shelf that it had, t02 away, t99 comes
         shelves = front.site.titles["t01"]
         self.assertIsNone(
@@ -299,45 +304,45 @@
         self.assertEqual(live["packages"]["receipt"]["patience"], 6 * SECOND)
         self.assertEqual((live["longest_wait"], live["most_tune_ins"], live["version"]), (SECOND // 2, 7, "7.1-abc"))
         self.assertEqual(live["limits"], {"source": [10.0, 30.0], "package": [40.0, 120.0]})
-        self.assertEqual((front.desk.rules.wait, front.desk.rules.free_further), (SECOND // 2, 9))
-        self.assertEqual(front.desk.roster.racks["r1"].link.size, 11_000.0)
+        self.assertEqual((front.session_core.rules.wait, front.session_core.rules.free_further), (SECOND // 2, 9))
+        self.assertEqual(front.session_core.server_list.racks["r1"].link.size, 11_000.0)
         # seats are counted by the package, and who waits has the list of holders in hand
-        self.assertEqual([id(package) for package in front.desk.packages.values()], [id(package) for package in packages])
-        self.assertIs(front.desk.roster.titles["t01"].holders, holders)
+        self.assertEqual([id(package) for package in front.session_core.packages.values()], [id(package) for package in packages])
+        self.assertIs(front.session_core.server_list.titles["t01"].holders, holders)
         self.assertEqual([server.name for server in holders], [f"h{shelves[0][1:]}"])
-        self.assertNotIn("t02", front.desk.roster.titles)
+        self.assertNotIn("t02", front.session_core.server_list.titles)
         self.assertEqual(
-            {server.name for server in front.desk.roster.titles["t99"].holders},
+            {server.name for server in front.session_core.server_list.titles["t99"].holders},
             {f"h{shelf[1:]}" for shelf in front.site.titles["t99"]},
         )
         # and the list goes on telling of both
-        front.desk.list_change("e", 1, 2, [ServerEntry(f"h{shelves[0][1:]}", "off")])
+        front.session_core.list_change("e", 1, 2, [ServerEntry(f"h{shelves[0][1:]}", "off")])
         self.assertEqual(holders, [])
 
     def test_who_is_under_way_has_the_patience_and_ceiling_it_came_with(self):
-        desk = self.front.desk
-        title = next(iter(desk.roster.titles))
-        before = desk.asked("a", "receipt", title, patience=0)
+        session_core = self.front.session_core
+        title = next(iter(session_core.server_list.titles))
+        before = session_core.asked("a", "receipt", title, patience=0)
         self.assertIsNone(self.take(('patience="4s" floor="1"', 'patience="9s" floor="0" top="1"')))
-        after = desk.asked("b", "receipt", title, patience=0)
+        after = session_core.asked("b", "receipt", title, patience=0)
         self.assertEqual((before.expires - before.arrived, after.expires - after.arrived), (4 * SECOND, 9 * SECOND))
-        self.assertEqual((before.course.vw.ceiling, after.course.vw.ceiling), (3, 1))
+        self.assertEqual((before.front_session.viewing.ceiling, after.front_session.viewing.ceiling), (3, 1))
 
     def test_who_waits_for_a_title_that_goes_keeps_its_holders_up_to_date(self):
-        desk = self.front.desk
-        waits = desk.asked("a", "receipt", "t02", patience=0)
-        self.assertFalse(waits.course.vw.playing)
+        session_core = self.front.session_core
+        waits = session_core.asked("a", "receipt", "t02", patience=0)
+        self.assertFalse(waits.front_session.viewing.playing)
         self.assertIsNone(self.take(('<title name="t02"', '<title name="t99"')))
-        holders = waits.course.vw.holders
+        holders = waits.front_session.viewing.holders
         gone = holders[0]
-        desk.list_change("e", 1, 2, [ServerEntry(gone.name, "off")])
+        session_core.list_change("e", 1, 2, [ServerEntry(gone.name, "off")])
         self.assertNotIn(gone, holders)
         self.assertTrue(holders)
         # nobody waits for it any more: the next version lets go of it
-        desk.hung_up(waits)
-        desk.courses.clear()
+        session_core.hung_up(waits)
+        session_core.front_sessions.clear()
         self.assertIsNone(self.take(('<title name="t02"', '<title name="t98"'), version="7.2-abc"))
-        self.assertEqual(sum(title.name == "t02" for titles in desk.roster.on_shelf.values() for title in titles), 0)
+        self.assertEqual(sum(title.name == "t02" for titles in session_core.server_list.on_shelf.values() for title in titles), 0)
 
     def test_a_capture_ends_where_a_version_comes_into_force(self):
         capture = self.front.capture = mock.Mock()
@@ -424,8 +429,8 @@
 
     def setUp(self):
         super().setUp()
-        chance = random.Random()
-        tcp, udp = free_ports(2, chance), free_ports(4, chance, socket.SOCK_DGRAM)
+        rng = random.Random()
+        tcp, udp = free_ports(2, rng), free_ports(4, rng, socket.SOCK_DGRAM)
         text = FLEET
         for name in range(3, 9):
             text = "\n".join(line for line in text.splitlines() if f'<front name="f{name}"' not in line)
@@ -494,7 +499,7 @@
                 told = await put(newer)
                 self.assertTrue(told["ok"], told)
                 await until(lambda: front.configured.version == told["version"])
-                self.assertEqual(front.desk.packages["receipt"].patience, 4_700_000_000)
+                self.assertEqual(front.session_core.packages["receipt"].patience, 4_700_000_000)
                 again = await put(self.text)
                 self.assertIn("somebody was quicker", again["wrong"])
                 # what needs a restart is taken by one, if its operator says so, and refused until then
@@ -523,7 +528,8 @@
                 await until(lambda: (state / "configuration-next").exists())
                 told = {"version": front.configured.version}
                 self.assertEqual(
-                    (front.desk.packages["receipt"].floor, front.configured.show()["refused"][0]["version"]), (1, restarted)
+                    (front.session_core.packages["receipt"].floor, front.configured.show()["refused"][0]["version"]),
+                    (1, restarted),
                 )
                 # and whoever made it sees who refuses, and why
                 await until(
@@ -552,7 +558,7 @@
                 writer = next(name for name, machine in machines.items() if machine.leases.fence())
                 second = await put(self.text, at=writer, base=restarted)
                 self.assertTrue(second["ok"], second)
-                await until(lambda: front.desk.packages["receipt"].patience == 4 * SECOND)
+                await until(lambda: front.session_core.packages["receipt"].patience == 4 * SECOND)
                 tasks.cancel_scope.cancel()
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -49,17 +49,17 @@
                 ids = [f"{number:016x}" for number in range(1, 101)]
                 for viewer, id in zip(viewers, ids):
                     viewer.ask(id, package=CLIP)
-                await until(lambda: len(place.node.reach.attempts) == 100)
-                held.sockets.update(line.wire.socket for line in place.node.door.lines)
+                await until(lambda: len(place.node.server_pool.attempts) == 100)
+                held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
                 for viewer, id in zip(viewers, ids):
                     leaves(viewer, id)
                 held.up.set()
-                await until(lambda: place.medias[0].lines)
+                await until(lambda: place.medias[0].connections)
                 await quiet(lambda: len(place.medias[0].had(isup.SET_UP)))
                 held.go.set()
-                await until(lambda: not place.node.door.asked)
+                await until(lambda: not place.node.listener.asked)
             await quiet(lambda: len(place.medias[0].had(isup.SET_UP)))
-            self.assertFalse(place.node.desk.courses or place.node.reach.attempts)
+            self.assertFalse(place.node.session_core.front_sessions or place.node.server_pool.attempts)
             for viewer in viewers:
                 viewer.close()
             return len(place.medias[0].had(isup.SET_UP))
@@ -83,11 +83,11 @@
             with held.all():
                 viewer = Plain(place.port)
                 viewer.ask(A, package=CLIP)
-                await until(lambda: place.node.reach.attempts)
-                held.sockets.update(line.wire.socket for line in place.node.door.lines)
+                await until(lambda: place.node.server_pool.attempts)
+                held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
                 viewer.say(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
                 held.up.set()
-                await until(lambda: place.medias[0].lines)
+                await until(lambda: place.medias[0].connections)
                 await quiet(lambda: len(place.medias[0].had(isup.SET_UP)))
                 held.go.set()
                 heard = [await viewer.hear(), await viewer.hear()]
@@ -106,13 +106,13 @@
                 viewer.ask(A)
                 await until(lambda: any(media.had(isup.SET_UP) for media in place.medias))
                 first = next(media for media in place.medias if media.had(isup.SET_UP))
-                held.sockets.update(line.wire.socket for line in place.node.door.lines)
+                held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
                 leaves(viewer)
                 await ends(first)
-                await until(lambda: any(attempt.tune_in.number == 2 for attempt in place.node.reach.attempts.values()))
+                await until(lambda: any(attempt.tune_in.number == 2 for attempt in place.node.server_pool.attempts.values()))
                 await quiet(lambda: sum(len(media.had(isup.SET_UP)) for media in place.medias))
                 held.go.set()
-                await until(lambda: not place.node.door.asked)
+                await until(lambda: not place.node.listener.asked)
             await quiet(lambda: sum(len(media.had(isup.SET_UP)) for media in place.medias))
             viewer.close()
             return sum(len(media.had(isup.SET_UP)) for media in place.medias)
@@ -120,10 +120,10 @@
     @story
     async def test_no_further_attempt_follows_the_first_ones_end_once_its_viewer_has_closed_or_cancelled(self):
         async def refuses(media):
-            await media.lines[0].send(isup.release(bytes.fromhex(A), isup.FULL))
+            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.FULL))
 
         async def breaks(media):
-            await media.lines[0].aclose()
+            await media.connections[0].aclose()
 
         for leaves in (lambda viewer: viewer.close(), lambda viewer: viewer.tear_down(A)):
             for ends in (refuses, breaks):
@@ -141,41 +141,44 @@
                     await viewer.hear()
                     viewer.tear_down(id)
                     await viewer.hear()
-                endpoint = place.node.reach.endpoints[place.node.fleet.servers[media.name]]
+                endpoint = place.node.server_pool.endpoints[place.node.fleet.servers[media.name]]
                 await until(
-                    lambda: len(endpoint.lines) == 2 and not any(map(place.node.reach.teardowns.unconfirmed_on, endpoint.lines))
+                    lambda: (
+                        len(endpoint.connections) == 2
+                        and not any(map(place.node.server_pool.teardowns.unconfirmed_on, endpoint.connections))
+                    )
                 )
                 with mock.patch.object(BufferedConnection, "_push", lambda wire: False):
                     viewer.ask(C, package=CLIP)
-                    await until(lambda: place.node.reach.attempts)
-                    attempt = next(iter(place.node.reach.attempts.values()))
-                    held.sockets.update(line.wire.socket for line in place.node.door.lines)
+                    await until(lambda: place.node.server_pool.attempts)
+                    attempt = next(iter(place.node.server_pool.attempts.values()))
+                    held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
                     viewer.close()
-                    place.node.reach._break(attempt.line, "a fault of the test")
+                    place.node.server_pool._break(attempt.connection, "a fault of the test")
                     self.assertEqual(attempt.moves, 1)
                 await quiet(lambda: len(media.had(isup.SET_UP)))
                 held.go.set()
-                await until(lambda: not place.node.door.asked)
+                await until(lambda: not place.node.listener.asked)
             self.assertEqual(len(media.had(isup.SET_UP)), 2)
 
     @story
     async def test_one_whose_leaving_fails_inside_keeps_no_other_of_his_connection_waiting(self):
         async with Place().up() as place:
             place.medias[0].does = place.medias[0].silent
-            viewer, gave_up = Plain(place.port), place.node.desk.gave_up
+            viewer, gave_up = Plain(place.port), place.node.session_core.gave_up
             for id in (A, B):
                 viewer.ask(id, package=CLIP)
             await until(lambda: len(place.medias[0].had(isup.SET_UP)) == 2)
 
             def fails_once(request):
-                place.node.desk.gave_up = gave_up
+                place.node.session_core.gave_up = gave_up
                 raise RuntimeError("a fault of the test")
 
-            place.node.desk.gave_up = fails_once
+            place.node.session_core.gave_up = fails_once
             viewer.close()
-            await until(lambda: place.medias[0].had(isup.RELEASE) and not place.node.door.lines)
+            await until(lambda: place.medias[0].had(isup.RELEASE) and not place.node.listener.connections)
             self.assertEqual([call.args for call in place.node.log.error.call_args_list], [("fault",)])
-            self.assertEqual(len(place.node.reach.attempts), 1)
+            self.assertEqual(len(place.node.server_pool.attempts), 1)
             place.node.log.error.reset_mock()
 
 
@@ -183,16 +186,16 @@
     @story
     async def test_an_answer_queued_a_moment_before_the_gate_makes_room_reaches_its_viewer(self):
         async with Place().up() as place:
-            door, answers = place.node.door, []
-            door.gate.idle_for = -1
-            answer = door.answer
+            listener, answers = place.node.listener, []
+            listener.gate.idle_for = -1
+            answer = listener.answer
 
             def and_then_room_is_made(*args):
                 answer(*args)
                 answers.append(args)
-                door.gate.make_room()
+                listener.gate.make_room()
 
-            door.answer = and_then_room_is_made
+            listener.answer = and_then_room_is_made
             viewer = await place.viewer()
             self.assertEqual((await viewer.answer(A)).status, 200)
             self.assertEqual(len(answers), 1)
@@ -201,11 +204,11 @@
     async def test_a_request_that_has_come_to_an_idle_connection_keeps_the_gate_from_closing_it(self):
         async with Place().up() as place:
             viewer = Plain(place.port)
-            await until(lambda: place.node.door.lines)
-            place.node.door.gate.idle_for = -1
+            await until(lambda: place.node.listener.connections)
+            place.node.listener.gate.idle_for = -1
             # it is in the kernel, and nobody has read it
             viewer.ask(A)
-            place.node.door.gate.make_room()
+            place.node.listener.gate.make_room()
             self.assertEqual((await viewer.hear()).status, 200)
             viewer.close()
 
@@ -218,7 +221,7 @@
             viewer.say(set_up(A, package=CLIP) + b"\x91\xf5noise")
             self.assertEqual((await viewer.hear()).status, 400)
             await until(lambda: media.had(isup.SET_UP))
-            await media.lines[0].send(answer_to(A))
+            await media.connections[0].send(answer_to(A))
             heard = await viewer.hear()
             self.assertEqual((heard.status, heard.fields["session"]), (200, A))
             self.assertIsNone(await viewer.hear(1.0))
@@ -229,9 +232,9 @@
         async with Place().up() as place:
             viewer = Plain(place.port)
             viewer.say(b"\x91\xf5noise")
-            await until(lambda: any(not line.wire.open for line in place.node.door.lines))
+            await until(lambda: any(not connection.wire.open for connection in place.node.listener.connections))
             viewer.say(b"more of it" * 1000)
-            await until(lambda: not place.node.door.lines)
+            await until(lambda: not place.node.listener.connections)
             self.assertEqual((await viewer.hear()).status, 400)
             viewer.close()
 
@@ -240,13 +243,13 @@
         async with Place().up() as place:
             deaf, other = Plain(place.port), Plain(place.port)
             with anyio.fail_after(10):
-                while place.node.door.lines:
+                while place.node.listener.connections:
                     try:
                         deaf.say(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n" * 500)
                     except (BlockingIOError, ConnectionError):
                         pass
                     await anyio.sleep(0)
-                    if len(place.node.door.lines) == 1 and place.node.door.gate.lines:
+                    if len(place.node.listener.connections) == 1 and place.node.listener.gate.connections:
                         break
             other.ask(A)
             self.assertEqual((await other.hear()).status, 200)
@@ -261,18 +264,18 @@
             await own.hear()
             other.ask(B)
             await other.hear()
-            line = place.node.door.asked[A].line
-            with mock.patch.object(line.wire, "_push", lambda: False):
-                await media.lines[0].send(isup.release(bytes.fromhex(A), isup.RESET))
-                await until(lambda: line.wire.waiting)
+            connection = place.node.listener.asked[A].connection
+            with mock.patch.object(connection.wire, "_push", lambda: False):
+                await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
+                await until(lambda: connection.wire.waiting)
                 # it is owed for as long as it waits, and queued once
                 for _ in range(3):
-                    place.node.door.sweep()
-                self.assertEqual(len(line.wire.waiting), 1)
+                    place.node.listener.sweep()
+                self.assertEqual(len(connection.wire.waiting), 1)
                 own.close()
                 heard = await other.hear()
             self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", A))
-            await until(lambda: not place.node.door.pending_releases)
+            await until(lambda: not place.node.listener.pending_releases)
             with self.assertRaises(TimeoutError):
                 await other.hear(0.3)
             other.close()
@@ -284,13 +287,13 @@
             for viewer, id in ((own, A), (other, B)):
                 viewer.ask(id)
                 await viewer.hear()
-            await media.lines[0].send(isup.release(bytes.fromhex(A), isup.RESET))
+            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
             self.assertEqual((await own.hear()).method, "TEARDOWN")
             own.close()
-            await until(lambda: len(place.node.door.lines) == 1)
+            await until(lambda: len(place.node.listener.connections) == 1)
             with self.assertRaises(TimeoutError):
                 await other.hear(0.4)
-            self.assertFalse(place.node.door.pending_releases)
+            self.assertFalse(place.node.listener.pending_releases)
             other.close()
 
 
@@ -301,12 +304,12 @@
         viewer.ask(B, package=CLIP)
         for _ in range(2):
             await viewer.hear()
-        line = next(iter(place.node.door.lines))
-        with mock.patch.object(line.wire, "_push", lambda: False):
+        connection = next(iter(place.node.listener.connections))
+        with mock.patch.object(connection.wire, "_push", lambda: False):
             viewer.ask(C)
-            await until(lambda: line.wire.waiting)
+            await until(lambda: connection.wire.waiting)
             ends()
-            await until(lambda: not place.node.door.lines)
+            await until(lambda: not place.node.listener.connections)
         return [call.kwargs for call in place.node.log.warning.call_args_list if call.args == ("trail",)]
 
     @story
@@ -320,7 +323,7 @@
                     [step.split(" ", 1)[1] for step in told["steps"]],
                     ["taken", f"attempt 1 at {place.medias[0].name}", "answer queued"],
                 )
-                self.assertFalse(place.node.door.trail.trodden)
+                self.assertFalse(place.node.listener.trail.trodden)
 
     @story
     async def test_without_the_environments_word_nothing_is_kept(self):
@@ -353,14 +356,16 @@
             self.assertEqual((await viewer.hear()).body, b"plays first")
             viewer.tear_down(A)
             await viewer.hear()
-            await until(lambda: not place.node.desk.courses)
+            await until(lambda: not place.node.session_core.front_sessions)
             viewer.ask(A, body=b"second")
             self.assertEqual((await viewer.hear()).body, b"plays second")
             told = [parameters for _, parameters in media.had(isup.SET_UP)]
             self.assertEqual(
                 [(one[isup.CLASS], one[isup.DESCRIPTION]) for one in told], [(b"clip", b"first"), (b"lesson", b"second")]
             )
-            self.assertEqual([course.vw.expected for course in place.node.desk.courses.values()], [0])
+            self.assertEqual(
+                [front_session.viewing.expected for front_session in place.node.session_core.front_sessions.values()], [0]
+            )
             viewer.close()
 
     @story
@@ -383,11 +388,11 @@
             media, viewer = place.medias[0], Plain(place.port)
             viewer.ask(B)
             await viewer.hear()
-            await media.lines[0].send(isup.release(bytes.fromhex(A), isup.RESET))
-            await until(lambda: place.node.reach.over)
+            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
+            await until(lambda: place.node.server_pool.over)
             heard = await self.told(place, viewer, f";at:{media.name}")
             self.assertEqual((heard.method, heard.fields["session"], heard.fields["reason"]), ("TEARDOWN", A, "cause=41"))
-            self.assertEqual(len(place.node.desk.courses), 1)
+            self.assertEqual(len(place.node.session_core.front_sessions), 1)
             viewer.close()
 
     @story
@@ -396,7 +401,7 @@
             viewer = Plain(place.port)
             heard = await self.told(place, viewer, ";at:s-0000dead")
             self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", A))
-            self.assertFalse(place.node.desk.courses or place.node.door.asked)
+            self.assertFalse(place.node.session_core.front_sessions or place.node.listener.asked)
             viewer.close()
 
     @story
@@ -408,7 +413,7 @@
             first.ask(A, legs=f";at:{media.name}")
             await until(lambda: media.had(isup.RELEASE))
             self.assertEqual(media.had(isup.RELEASE)[0], (bytes.fromhex(A), {isup.CAUSE: b"\x13"}))
-            self.assertFalse(place.node.desk.courses or place.node.door.asked)
+            self.assertFalse(place.node.session_core.front_sessions or place.node.listener.asked)
             for viewer in (first, second):
                 viewer.close()
 
@@ -418,10 +423,10 @@
             media, viewer = place.medias[0], Plain(place.port)
             place.node.ready = False
             viewer.ask(A, legs=f";at:{media.name}")
-            await until(lambda: place.node.desk.courses)
+            await until(lambda: place.node.session_core.front_sessions)
             place.node.ready = True
-            await until(lambda: media.lines)
-            await media.lines[0].send(isup.release(bytes.fromhex(A), isup.OVER))
+            await until(lambda: media.connections)
+            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.OVER))
             self.assertEqual((await viewer.hear()).method, "TEARDOWN")
             viewer.close()
 
@@ -433,9 +438,11 @@
         await viewer.hear()
         viewer.tear_down(A)
         await viewer.hear()
-        line = place.node.reach.endpoints[place.node.fleet.servers[place.medias[0].name]].lines[0]
-        await until(lambda: not place.node.desk.courses and not place.node.reach.teardowns.unconfirmed_on(line))
-        return line
+        connection = place.node.server_pool.endpoints[place.node.fleet.servers[place.medias[0].name]].connections[0]
+        await until(
+            lambda: not place.node.session_core.front_sessions and not place.node.server_pool.teardowns.unconfirmed_on(connection)
+        )
+        return connection
 
     @story
     async def test_an_idle_connection_that_its_server_has_just_closed_gets_no_paid_set_up(self):
@@ -443,13 +450,13 @@
         async with Place().up() as place:
             with held.all():
                 media, viewer = place.medias[0], Plain(place.port)
-                line = await self.played_once(place, viewer)
-                held.sockets.add(line.wire.socket)
+                connection = await self.played_once(place, viewer)
+                held.sockets.add(connection.wire.socket)
                 # its end is in the kernel, and nobody has read that
-                await media.lines[0].aclose()
+                await media.connections[0].aclose()
                 viewer.ask(B, package=CLIP)
                 self.assertEqual((await viewer.hear()).status, 200)
-                self.assertTrue(line.over)
+                self.assertTrue(connection.over)
                 self.assertEqual([id.hex() for id, _ in media.had(isup.SET_UP)], [A, B])
                 held.go.set()
             viewer.close()
@@ -459,13 +466,13 @@
         async with Place().up() as place:
             node, media, viewer = place.node, place.medias[0], Plain(place.port)
             await self.played_once(place, viewer)
-            send = node.reach.tune_in
+            send = node.server_pool.tune_in
 
             def drained_after(tune_in):
                 send(tune_in)
                 tune_in.server.open = False
 
-            node.reach.tune_in = drained_after
+            node.server_pool.tune_in = drained_after
             viewer.ask(B, package=CLIP)
             self.assertEqual((await viewer.hear()).status, 453)
             await quiet(lambda: len(media.had(isup.SET_UP)))
@@ -480,7 +487,7 @@
                 with held.all():
                     viewer = Plain(place.port)
                     viewer.ask(A, package=CLIP, patience=patience)
-                    await until(lambda: place.node.reach.attempts)
+                    await until(lambda: place.node.server_pool.attempts)
                     if cancels:
                         viewer.tear_down(A)
                     heard = await viewer.hear()
@@ -498,14 +505,14 @@
             with held.all():
                 viewer = Plain(place.port)
                 viewer.ask(A, package=CLIP)
-                await until(lambda: node.reach.attempts)
-                attempt = next(iter(node.reach.attempts.values()))
+                await until(lambda: node.server_pool.attempts)
+                attempt = next(iter(node.server_pool.attempts.values()))
                 old = next(media for media in place.medias if media.name == attempt.tune_in.server.name)
                 other = next(media for media in place.medias if media is not old)
-                await until(lambda: place.bulletin.lines)
+                await until(lambda: place.bulletin.connections)
                 other.port, mine = old.port, other.port
                 await place.bulletin.tell(2, other)
-                await until(lambda: node.reach.endpoints[node.fleet.servers[old.name]].address is None)
+                await until(lambda: node.server_pool.endpoints[node.fleet.servers[old.name]].address is None)
                 held.up.set()
                 heard = await viewer.hear()
             # it never ran there: it plays at whoever has the address now, as himself, or is refused
@@ -513,7 +520,7 @@
             self.assertLessEqual(len(old.had(isup.SET_UP)), 1)
             self.assertEqual(other.had(isup.SET_UP), [])
             if heard.status == 200:
-                self.assertEqual(node.door.asked[A].course.vw.server.name, other.name)
+                self.assertEqual(node.listener.asked[A].front_session.viewing.server.name, other.name)
             viewer.close()
             other.port = mine
 
@@ -533,30 +540,30 @@
             media.does = media.silent
             viewer.ask(A, package=CLIP, patience=1500)
             await until(lambda: media.had(isup.SET_UP))
-            tune_in = next(iter(node.reach.attempts))
+            tune_in = next(iter(node.server_pool.attempts))
             server = node.fleet.servers[media.name]
             for event in (first, second):
                 if event == "answer":
-                    await media.lines[0].send(answer_to(A))
+                    await media.connections[0].send(answer_to(A))
                 elif event == "cancel":
                     viewer.tear_down(A)
                 elif event == "drain":
                     server.open = False
                 else:
-                    node.desk._time_out(tune_in)
+                    node.session_core._time_out(tune_in)
             heard = await viewer.hear()
             if heard.fields["cseq"] == "2":
                 # the cancel was heard; what stood for a moment has to end at its server
-                await until(lambda: not node.door.asked and not node.desk.courses)
+                await until(lambda: not node.listener.asked and not node.session_core.front_sessions)
             elif "due" in (first, second) and heard.status == 500:
-                await until(lambda: not node.desk.courses)
+                await until(lambda: not node.session_core.front_sessions)
             else:
                 self.assertEqual(heard.status, 200)
             await anyio.sleep(0.05)
             answers = [heard, *viewer.got]
             self.assertLessEqual(sum(one.fields.get("cseq") == "1" for one in answers), 1)
             self.assertEqual(len(media.had(isup.SET_UP)), 1)
-            self.assertFalse(node.reach.attempts)
+            self.assertFalse(node.server_pool.attempts)
             viewer.close()
 
     @story
@@ -567,10 +574,10 @@
             viewer.ask(A, package=CLIP, patience=150)
             self.assertEqual((await viewer.hear()).status, 500)
             for _ in range(2):
-                await media.lines[0].send(answer_to(A))
+                await media.connections[0].send(answer_to(A))
             await until(lambda: len(media.had(isup.RELEASE)) == 2)
             await quiet(lambda: (viewer.got, len(media.had(isup.SET_UP))))
-            self.assertFalse(place.node.desk.courses)
+            self.assertFalse(place.node.session_core.front_sessions)
             viewer.close()
 
 
@@ -588,12 +595,12 @@
             await early.hear()
             finish, late = ClientListener.finish, []
 
-            async def with_a_late_one(door, *by):
+            async def with_a_late_one(listener, *by):
                 # one connects and asks, one asks on an open connection: both are in the kernel, and nobody has looked
                 late.append(Plain(place.port))
                 late[0].ask(B)
                 early.ask(C)
-                await finish(door, *by)
+                await finish(listener, *by)
 
             with mock.patch.object(ClientListener, "finish", with_a_late_one):
                 os.kill(os.getpid(), signal.SIGTERM)
@@ -620,7 +627,7 @@
             place.path.write_text(json.dumps(place.told()))
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: other.asked == [1])
-            await media.lines[0].send(answer_to(A) + isup.release(bytes.fromhex(A), isup.OVER))
+            await media.connections[0].send(answer_to(A) + isup.release(bytes.fromhex(A), isup.OVER))
             self.assertEqual([(await viewer.hear()).fields["cseq"] for _ in range(2)], ["1", "2"])
             await self.ended(place)
             self.assertEqual([call.args[0] for call in place.node.log.info.call_args_list].count("drain"), 1)
@@ -633,7 +640,7 @@
             with held.all():
                 viewer = Plain(place.port)
                 viewer.ask(A, package=CLIP, patience=700)
-                await until(lambda: place.node.reach.attempts)
+                await until(lambda: place.node.server_pool.attempts)
                 os.kill(os.getpid(), signal.SIGTERM)
                 self.assertEqual((await viewer.hear()).status, 503)
                 held.up.set()
@@ -651,7 +658,7 @@
             os.kill(os.getpid(), signal.SIGTERM)
             await anyio.sleep(1.2)
             self.assertFalse(place.node.tasks.cancel_scope.cancel_called)
-            await media.lines[0].send(answer_to(A))
+            await media.connections[0].send(answer_to(A))
             self.assertEqual((await viewer.hear()).status, 200)
             await quiet(lambda: place.node.tasks.cancel_scope.cancel_called)
             viewer.tear_down(A)
@@ -684,13 +691,13 @@
 
             place.tasks.start_soon(run)
             await until(lambda: node.ready)
-            answer = node.door.answer
+            answer = node.listener.answer
 
             def and_is_cut_short(*args):
                 answer(*args)
                 node.tasks.cancel_scope.cancel()
 
-            node.door.answer = and_is_cut_short
+            node.listener.answer = and_is_cut_short
             viewer = Plain(place.port)
             viewer.ask(A)
             with anyio.fail_after(3):
@@ -706,14 +713,14 @@
             with mock.patch("curlewshift.node.follower.ASK_AGAIN", 0.2):
                 with anyio.fail_after(8):
                     while len(asked) < 4:
-                        if bulletin.lines:
-                            await bulletin.lines[-1].send(struct.pack(">IQB", 9, 5, 0))
+                        if bulletin.connections:
+                            await bulletin.connections[-1].send(struct.pack(">IQB", 9, 5, 0))
                         await anyio.sleep(0.02)
             self.assertEqual(set(asked), {1})
             # and when it tells them at last they are acted on
             one = place.medias[0]
             one.state = 1
-            await until(lambda: bulletin.lines)
+            await until(lambda: bulletin.connections)
             await bulletin.tell(2, one)
             await until(lambda: not place.node.fleet.servers[one.name].open)
 
@@ -731,12 +738,12 @@
             for one in (first, second):
                 await one.open(place.tasks)
             await place.bulletin.listener.aclose()
-            for line in list(place.bulletin.lines):
-                await line.aclose()
+            for connection in list(place.bulletin.connections):
+                await connection.aclose()
             # between two connections: nobody listens, and the pause has grown
             await until(lambda: node.follower.scope is None)
             node.follower.move(("127.0.0.1", first.port))
-            await until(lambda: first.lines, 0.9)
+            await until(lambda: first.connections, 0.9)
             never = await anyio.create_tcp_listener(local_host="127.0.0.1", backlog=1)
             hangs = never.listeners[0].extra(anyio.abc.SocketAttribute.local_port)
             async with anyio.create_task_group() as tasks:
@@ -745,10 +752,10 @@
                 await anyio.sleep(0.05)
                 # under a connection that hangs, and twice in one turn
                 node.follower.move(("127.0.0.1", hangs))
-                await until(lambda: not first.lines)
+                await until(lambda: not first.connections)
                 node.follower.move(("127.0.0.1", first.port))
                 node.follower.move(("127.0.0.1", second.port))
-                await until(lambda: second.lines, 0.9)
+                await until(lambda: second.connections, 0.9)
                 tasks.cancel_scope.cancel()
             self.assertEqual(second.asked, [1])
             await quiet(lambda: (len(first.asked), len(second.asked)))
@@ -759,12 +766,12 @@
         async with Place().up() as place:
             node, other, one = place.node, Bulletin(), place.medias[0]
             await other.open(place.tasks)
-            await until(lambda: place.bulletin.lines)
+            await until(lambda: place.bulletin.connections)
             one.state = 1
             await place.bulletin.tell(2, one)
             # the old one's event is in the kernel as the address changes
             node.follower.move(("127.0.0.1", other.port))
-            await until(lambda: other.lines)
+            await until(lambda: other.connections)
             if other.asked == [1]:
                 await other.tell(2, one)
             one.state = 0
@@ -798,8 +805,8 @@
         with mock.patch("curlewshift.node.follower._socket", only_one):
             async with Place().up() as place:
                 for again in range(3):
-                    await until(lambda: len(place.bulletin.asked) == again + 1 and place.bulletin.lines)
-                    await place.bulletin.lines[0].aclose()
+                    await until(lambda: len(place.bulletin.asked) == again + 1 and place.bulletin.connections)
+                    await place.bulletin.connections[0].aclose()
                 await until(lambda: len(place.bulletin.asked) == 4)
         self.assertGreaterEqual(len(taken), 4)
 
@@ -826,16 +833,16 @@
                 first = Plain(place.port)
                 first.ask(A, package=CLIP)
                 self.assertEqual((await first.hear(5)).status, 200)
-                await until(lambda: place.bulletin.lines)
+                await until(lambda: place.bulletin.connections)
                 await place.bulletin.listener.aclose()
-                for line in list(place.bulletin.lines):
-                    await line.aclose()
+                for connection in list(place.bulletin.connections):
+                    await connection.aclose()
                 idle = [Plain(place.port) for _ in range(100)]
                 await until(lambda: b"bulletin-broke" in b"".join(logged))
                 await anyio.sleep(0.3)
                 back, told = Bulletin(), len(place.bulletin.asked)
                 await back.open(place.tasks, place.bulletin.port)
-                await until(lambda: back.lines, 3)
+                await until(lambda: back.connections, 3)
                 place.medias[0].state = place.medias[1].state = 1
                 await back.tell(2, *place.medias)
                 for media in place.medias:
@@ -848,15 +855,15 @@
                 # the first viewer's connection rested among those that went, and was spared, as its viewing stands: its end is
                 # told there; and where it has gone itself, on the other
                 played = next(media for media in place.medias if bytes.fromhex(A) in dict(media.had(isup.SET_UP)))
-                await played.lines[-1].send(isup.release(bytes.fromhex(A), isup.OVER))
+                await played.connections[-1].send(isup.release(bytes.fromhex(A), isup.OVER))
                 heard = await first.hear()
                 self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", A))
                 first.ask(C, package=CLIP)
                 self.assertEqual((await first.hear(5)).status, 200)
                 first.close()
                 played = next(media for media in place.medias if bytes.fromhex(C) in dict(media.had(isup.SET_UP)))
-                await until(lambda: played.lines)
-                await played.lines[-1].send(isup.release(bytes.fromhex(C), isup.OVER))
+                await until(lambda: played.connections)
+                await played.connections[-1].send(isup.release(bytes.fromhex(C), isup.OVER))
                 heard = await clean.hear()
                 self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", C))
                 self.assertNotIn(b'"event":"fault"', b"".join(logged))
--- a/tests/test_crossings_reloads.py
+++ b/tests/test_crossings_reloads.py
@@ -68,8 +68,8 @@
                 viewer, other = Plain(place.port), Bulletin()
                 await other.open(place.tasks)
                 viewer.ask(A, package=CLIP)
-                await until(lambda: place.node.reach.attempts)
-                picked = next(iter(place.node.reach.attempts)).server.name
+                await until(lambda: place.node.server_pool.attempts)
+                picked = next(iter(place.node.server_pool.attempts)).server.name
                 draining = next(media for media in place.medias if media.name == picked)
                 draining.state = 1
                 moved(place, other, 2, draining)
@@ -87,15 +87,15 @@
             with held.all():
                 node, one, other = place.node, place.medias[0], Bulletin()
                 await other.open(place.tasks)
-                await until(lambda: place.bulletin.lines)
+                await until(lambda: place.bulletin.connections)
                 told = [call for call in node.log.info.call_args_list if call.args == ("list",)]
                 # it says so before it hears of the move, and nobody has read that when the signal comes
                 await place.bulletin.tell(2, one)
                 one.state = 1
                 moved(place, other, 3, *place.medias, full=True)
-                await until(lambda: other.lines and other.asked == [3])
+                await until(lambda: other.connections and other.asked == [3])
                 await until(lambda: not node.fleet.servers[one.name].open)
-                for _line in list(place.bulletin.lines):
+                for _line in list(place.bulletin.connections):
                     await place.bulletin.tell(2, one)
                 await quiet(lambda: node.fleet.servers[one.name].open)
                 self.assertLessEqual(
@@ -112,15 +112,15 @@
             at = next(media for media in place.medias if media.had(isup.SET_UP))
             at.state = 1
             moved(place, other, 2, at)
-            await until(lambda: other.lines)
+            await until(lambda: other.connections)
             viewer.ask(B)
             self.assertEqual((await viewer.hear()).status, 200)
             self.assertEqual([len(ids) for ids in sent(place)], [1, 1])
             at.state = 2
             await other.tell(3, at)
             await until(lambda: place.node.follower.last == 3)
-            await quiet(lambda: len(place.node.desk.courses))
-            await at.lines[0].send(isup.release(bytes.fromhex(A), isup.OVER))
+            await quiet(lambda: len(place.node.session_core.front_sessions))
+            await at.connections[0].send(isup.release(bytes.fromhex(A), isup.OVER))
             heard = await viewer.hear()
             self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", A))
             viewer.close()
@@ -147,8 +147,8 @@
             late = Plain(place.port)
             late.ask(B)
             self.assertEqual((await late.hear()).status, 503)
-            self.assertTrue(place.node.desk.courses and not place.node.tasks.cancel_scope.cancel_called)
-            await media.lines[0].send(isup.release(bytes.fromhex(A), isup.OVER))
+            self.assertTrue(place.node.session_core.front_sessions and not place.node.tasks.cancel_scope.cancel_called)
+            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.OVER))
             self.assertEqual((await viewer.hear()).fields["session"], A)
             await until(lambda: place.node.tasks.cancel_scope.cancel_called, 8)
             for one in (viewer, late):
@@ -181,16 +181,18 @@
     async def stops_inside_an_event(self):
         async with Place(2).up() as place:
             bulletin, one = place.bulletin, place.medias[0]
-            await until(lambda: bulletin.lines)
+            await until(lambda: bulletin.connections)
             for number in (2, 3):
                 await bulletin.tell(number, place.medias[1])
             one.state = 1
             with mock.patch.object(
-                bulletin.lines[0], "send", lambda data: type(bulletin.lines[0]).send(bulletin.lines[0], data[:20])
+                bulletin.connections[0],
+                "send",
+                lambda data: type(bulletin.connections[0]).send(bulletin.connections[0], data[:20]),
             ):
                 await bulletin.tell(4, one)
             await until(lambda: bulletin.asked == [1, 3], 4)
-            await until(lambda: len(bulletin.lines) == 1)
+            await until(lambda: len(bulletin.connections) == 1)
             await bulletin.tell(4, one)
             await until(lambda: not place.node.fleet.servers[one.name].open)
 
@@ -198,8 +200,8 @@
     def silent_for(endpoint, span):
         """As if nothing had been heard of it on any connection for so long."""
         endpoint.heard_at -= span
-        for line in endpoint.lines:
-            line.heard_at -= span
+        for connection in endpoint.connections:
+            connection.heard_at -= span
 
     async def vanished(self, place, media):
         """Its connections stay open and silent, and none comes up any more."""
@@ -209,7 +211,7 @@
         for _ in range(4):
             place.tasks.start_soon(anyio.connect_tcp, "127.0.0.1", port)
         await anyio.sleep(0.05)
-        endpoint = place.node.reach.endpoints[place.node.fleet.servers[media.name]]
+        endpoint = place.node.server_pool.endpoints[place.node.fleet.servers[media.name]]
         endpoint.address = ("127.0.0.1", port)
         return never, endpoint
 
@@ -219,16 +221,20 @@
             viewer, media = Plain(place.port), place.medias[0]
             viewer.ask(A)
             await viewer.hear()
-            endpoint = place.node.reach.endpoints[place.node.fleet.servers[media.name]]
+            endpoint = place.node.server_pool.endpoints[place.node.fleet.servers[media.name]]
             for asked in (1, 2):
                 # time passes in which it has nothing to say: it is asked, and answers
                 self.silent_for(endpoint, 3 * SECOND)
-                await until(lambda: len(media.had(isup.PROBE)) == asked and not any(line.probes for line in endpoint.lines))
+                await until(
+                    lambda: (
+                        len(media.had(isup.PROBE)) == asked and not any(connection.probes for connection in endpoint.connections)
+                    )
+                )
             never, _ = await self.vanished(place, media)
             # two seconds have passed since, of the eight that there are
             self.silent_for(endpoint, 2 * SECOND)
-            for line in endpoint.lines:
-                line.opened_at -= 2 * SECOND
+            for connection in endpoint.connections:
+                connection.opened_at -= 2 * SECOND
             self.assertEqual((await viewer.hear(5.5)).fields["reason"], "cause=41")
             await never.aclose()
             viewer.close()
@@ -250,8 +256,8 @@
                 never, endpoint = await self.vanished(place, media)
                 # five seconds have passed since
                 self.silent_for(endpoint, 5 * SECOND)
-                for line in endpoint.lines:
-                    line.opened_at -= 5 * SECOND
+                for connection in endpoint.connections:
+                    connection.opened_at -= 5 * SECOND
                 self.assertEqual((await viewer.hear(2.5)).fields["reason"], "cause=41")
                 await never.aclose()
                 viewer.close()
@@ -265,18 +271,18 @@
             with held.all():
                 viewer, bulletin = Plain(place.port), place.bulletin
                 viewer.ask(A, package=CLIP)
-                await until(lambda: place.node.reach.attempts and bulletin.lines)
-                picked = next(iter(place.node.reach.attempts)).server.name
+                await until(lambda: place.node.server_pool.attempts and bulletin.connections)
+                picked = next(iter(place.node.server_pool.attempts)).server.name
                 stays = next(media for media in place.medias if media.name != picked)
-                line, pieces = bulletin.lines[0], []
+                connection, pieces = bulletin.connections[0], []
 
                 async def gather(data):
                     pieces.append(data)
 
-                with mock.patch.object(line, "send", gather):
+                with mock.patch.object(connection, "send", gather):
                     await bulletin.tell(9, stays, kind=1)
                 for byte in pieces[0]:
-                    await line.send(bytes([byte]))
+                    await connection.send(bytes([byte]))
                     await anyio.sleep(0)
                 await until(lambda: place.node.follower.last == 9)
                 held.up.set()
@@ -294,17 +300,17 @@
             for media in place.medias:
                 media.does = media.silent
             viewer.ask(B, package=CLIP)
-            await until(lambda: sum(map(len, sent(place))) == 2 and bulletin.lines)
+            await until(lambda: sum(map(len, sent(place))) == 2 and bulletin.connections)
             at = next(media for media in place.medias if B in [id.hex() for id, _ in media.had(isup.SET_UP)])
             for number in (2, 2, 5):
                 await bulletin.tell(number, *place.medias, kind=1)
             await until(lambda: place.node.follower.last == 5)
-            for line in at.lines:
-                await line.send(answer_to(B))
+            for connection in at.connections:
+                await connection.send(answer_to(B))
             heard = await viewer.hear()
             self.assertEqual((heard.status, heard.fields["session"]), (200, B))
-            await quiet(lambda: (len(place.node.desk.courses), viewer.got))
-            self.assertEqual((len(place.node.desk.courses), sum(map(len, sent(place)))), (2, 2))
+            await quiet(lambda: (len(place.node.session_core.front_sessions), viewer.got))
+            self.assertEqual((len(place.node.session_core.front_sessions), sum(map(len, sent(place)))), (2, 2))
             told = [call.kwargs["whole"] for call in place.node.log.info.call_args_list if call.args == ("list",)]
             self.assertEqual(told, [True, True, True])
             viewer.close()
@@ -315,7 +321,7 @@
             viewer, bulletin, one = Plain(place.port), place.bulletin, place.medias[0]
             viewer.ask(A)
             await viewer.hear()
-            await until(lambda: bulletin.lines)
+            await until(lambda: bulletin.connections)
             await bulletin.tell(2, kind=1)
             await until(lambda: place.node.follower.last == 2)
             viewer.ask(B)
@@ -325,16 +331,16 @@
             viewer.ask(C)
             heard = await viewer.hear()
             self.assertEqual((heard.status, heard.fields["session"]), (200, C))
-            self.assertEqual(len(place.node.desk.courses), 2)
+            self.assertEqual(len(place.node.session_core.front_sessions), 2)
             viewer.close()
 
     @story
     async def test_after_a_break_it_comes_instead_of_the_changes_that_were_missed_and_a_drain_in_it_is_obeyed(self):
         async with Place(2).up() as place:
             viewer, bulletin, one = Plain(place.port), place.bulletin, place.medias[0]
-            await until(lambda: bulletin.lines)
-            await bulletin.lines[0].aclose()
-            await until(lambda: len(bulletin.asked) == 2 and bulletin.lines)
+            await until(lambda: bulletin.connections)
+            await bulletin.connections[0].aclose()
+            await until(lambda: len(bulletin.asked) == 2 and bulletin.connections)
             one.state = 1
             await bulletin.tell(7, *place.medias, kind=1)
             await until(lambda: not place.node.fleet.servers[one.name].open)
@@ -352,8 +358,8 @@
     async def killed(self, media):
         """Its listener is gone, and each connection that it had taken is reset."""
         await media.listener.aclose()
-        for line in list(media.lines):
-            await reset(line)
+        for connection in list(media.connections):
+            await reset(connection)
 
     @story
     async def test_a_set_up_for_a_process_killed_right_after_it_took_the_connection_has_left_for_nowhere(self):
@@ -362,10 +368,10 @@
             with held.all():
                 viewer = Plain(place.port)
                 viewer.ask(A, package=CLIP)
-                await until(lambda: place.node.reach.attempts)
-                picked = next(iter(place.node.reach.attempts)).server.name
+                await until(lambda: place.node.server_pool.attempts)
+                picked = next(iter(place.node.server_pool.attempts)).server.name
                 media = next(media for media in place.medias if media.name == picked)
-                await until(lambda: media.lines)
+                await until(lambda: media.connections)
                 await self.killed(media)
                 # the node learns only now that the connection was taken
                 held.up.set()
@@ -380,9 +386,9 @@
         async with Place(2).up() as place:
             viewer = Plain(place.port)
 
-            async def dies(line, kind, id, parameters):
+            async def dies(connection, kind, id, parameters):
                 if kind == isup.SET_UP:
-                    await reset(line)
+                    await reset(connection)
 
             for media in place.medias:
                 media.does = dies
@@ -402,7 +408,7 @@
                 await viewer.hear()
             again, taken = await anyio.create_tcp_listener(local_host="127.0.0.1"), []
             port = again.listeners[0].extra(anyio.abc.SocketAttribute.local_port)
-            endpoint = place.node.reach.endpoints[place.node.fleet.servers[media.name]]
+            endpoint = place.node.server_pool.endpoints[place.node.fleet.servers[media.name]]
 
             async def takes_one():
                 taken.append(await again.listeners[0].accept())
@@ -413,8 +419,8 @@
                 tasks.start_soon(takes_one)
                 await media.listener.aclose()
                 endpoint.address = ("127.0.0.1", port)
-                for line in list(media.lines):
-                    await reset(line)
+                for connection in list(media.connections):
+                    await reset(connection)
                 began = anyio.current_time()
                 heard = [await viewer.hear(), await viewer.hear()]
             self.assertEqual({(one.method, one.fields["session"]) for one in heard}, {("TEARDOWN", A), ("TEARDOWN", B)})
@@ -428,12 +434,12 @@
             viewer = Plain(place.port)
             first = []
 
-            async def silent_if_first(media, line, kind, id, parameters):
+            async def silent_if_first(media, connection, kind, id, parameters):
                 if kind == isup.SET_UP and not first:
                     first.append(media)
                 if first and first[0] is media:
                     return
-                await media.plays(line, kind, id, parameters)
+                await media.plays(connection, kind, id, parameters)
 
             for media in place.medias:
                 media.does = lambda *told, media=media: silent_if_first(media, *told)
@@ -454,18 +460,20 @@
                 viewer.ask(id, package=CLIP)
             for _ in ids:
                 self.assertEqual((await viewer.hear()).status, 200)
-            endpoint = place.node.reach.endpoints[place.node.fleet.servers[media.name]]
-            self.assertGreater(len(endpoint.lines), 1)
-            first = endpoint.lines[0]
+            endpoint = place.node.server_pool.endpoints[place.node.fleet.servers[media.name]]
+            self.assertGreater(len(endpoint.connections), 1)
+            first = endpoint.connections[0]
             at = first.wire.socket.getsockname()[1]
-            [stream] = [line for line in media.lines if line.extra(anyio.abc.SocketAttribute.remote_port) == at]
+            [stream] = [
+                connection for connection in media.connections if connection.extra(anyio.abc.SocketAttribute.remote_port) == at
+            ]
             await stream.send(isup.encode(isup.PROBED, b"a" * 8, (isup.CAUSE, b"\1")))
-            await until(lambda: max(endpoint.lines, key=lambda line: line.heard_at) is first)
+            await until(lambda: max(endpoint.connections, key=lambda connection: connection.heard_at) is first)
             for id in ids:
                 viewer.tear_down(id)
             await until(lambda: len(media.had(isup.RELEASE)) == len(ids))
-            await until(lambda: not len(place.node.desk.endings))
-            self.assertEqual(place.node.desk.endings.done, len(ids))
+            await until(lambda: not len(place.node.session_core.session_ends))
+            self.assertEqual(place.node.session_core.session_ends.done, len(ids))
             viewer.close()
 
 
