--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -28,7 +28,7 @@
 from curlewshift.emulator.version_figures import changes
 from curlewshift.emulator.version_histories import FAULTS, NS, VersionHistory, histories, planted
 from curlewshift.emulator.versions import VersionFleet, site_file
-from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.terms import default_membership_terms
 from curlewshift.model_checker.version_checker import long_courses, walk_versions
 from curlewshift.peering.distributed import DistributionWire
 from curlewshift.peering.frames import ACK, PING, decode
@@ -488,7 +488,7 @@
 
 class OnTheChannel(unittest.TestCase):
     def frames(self, ride):
-        fleet = PeerFleet(3, 1, usual_manners(NS))
+        fleet = PeerFleet(3, 1, default_membership_terms(NS))
         seen = []
         carry = fleet.carry
         fleet.carry = lambda sender, address, data: (seen.append(decode(data, "emulated")), carry(sender, address, data))
@@ -523,10 +523,10 @@
 
     def test_garbage_is_counted_and_dropped(self):
         wire: DistributionWire = VersionHistory(3, nodes=3, troubled=False).processes["n0"].wire
-        member, chance = wire.channel.members["n1"], Random(1)
+        member, rng = wire.channel.members["n1"], Random(1)
         for _ in range(200):
-            wire.heard(member, chance.randbytes(chance.randrange(60)))
-            wire._ride_heard(member, chance.randbytes(chance.randrange(60)))
+            wire.heard(member, rng.randbytes(rng.randrange(60)))
+            wire._ride_heard(member, rng.randbytes(rng.randrange(60)))
         self.assertGreater(wire.malformed, 390)
         self.assertEqual(wire.version, "file")
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -111,16 +111,16 @@
     def test_buckets_and_heap_tell_the_same_in_the_same_order(self):
         told = []
         for queue in (Buckets(), Heap()):
-            chance, order = Random(3), []
+            rng, order = Random(3), []
 
-            def happens(number, queue=queue, chance=chance, order=order):
+            def happens(number, queue=queue, rng=rng, order=order):
                 order.append((queue.now, number))
                 if len(order) < 3000:
-                    for _ in range(chance.choice((0, 1, 1, 2))):
-                        queue.at(queue.now + chance.choice((0, 1, 10**5, 10**6, 3 * 10**8)), happens, len(order))
+                    for _ in range(rng.choice((0, 1, 1, 2))):
+                        queue.at(queue.now + rng.choice((0, 1, 10**5, 10**6, 3 * 10**8)), happens, len(order))
 
             for number in range(50):
-                queue.at(chance.randrange(10**9), happens, number)
+                queue.at(rng.randrange(10**9), happens, number)
             queue.run(10**10)
             told.append(order)
         self.assertEqual(told[0], told[1])
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -42,10 +42,10 @@
             await stream.send(isup.encode(isup.NOTE, id, (isup.KIND, b"wire"), (isup.FIGURE, b"0.4")))
 
     async def ends(self, id):
-        over, known = isup.release(id, isup.OVER), set(self.media.lines)
+        over, known = isup.release(id, isup.OVER), set(self.media.connections)
         await self.stream_of[id].send(over)
         while True:
-            for stream in set(self.media.lines) - known:
+            for stream in set(self.media.connections) - known:
                 known.add(stream)
                 await stream.send(over)
             await anyio.sleep(0.01)
@@ -89,7 +89,7 @@
             first = bytes.fromhex(FIRST)
             place.link_of(server.stream_of[first]).lost_out = True
             await server.stream_of[first].send(b"\xff" * 32)
-            await until(lambda: len(place.medias[0].lines) == 2)
+            await until(lambda: len(place.medias[0].connections) == 2)
             await anyio.sleep(0.5)
             place.tasks.start_soon(server.ends, first)
             told = await viewer.hear(within=OVER_WITHIN_S)
@@ -104,7 +104,7 @@
             media, viewer = place.medias[0], Plain(place.port)
             viewer.ask(FIRST)
             await viewer.hear()
-            await until(lambda: place.bulletin.lines)
+            await until(lambda: place.bulletin.connections)
             media.state = 2
             await place.bulletin.tell(2, media)
             await media.close()
@@ -117,8 +117,8 @@
 class Holding:
     """A media server that answers a little later, and knows what stands there."""
 
-    def __init__(self, media, chance):
-        self.media, self.chance, self.held, self.set_up = media, chance, set(), 0
+    def __init__(self, media, rng):
+        self.media, self.rng, self.held, self.set_up = media, rng, set(), 0
         media.does = self.heard
 
     async def heard(self, stream, kind, id, parameters):
@@ -131,7 +131,7 @@
 
     async def answer(self, stream, id, parameters):
         self.held.add(id)
-        await anyio.sleep(self.chance.uniform(0.01, 0.02))
+        await anyio.sleep(self.rng.uniform(0.01, 0.02))
         if id in self.held:
             self.set_up += 1
             await self.media.plays(stream, isup.SET_UP, id, parameters)
@@ -140,12 +140,12 @@
 class ClientsThatLeaveAsTheirAnswersCome(unittest.TestCase):
     WAYS = ("cancel and close", "close", "reset", "half-close and close")
 
-    async def leaves(self, place, id, chance):
+    async def leaves(self, place, id, rng):
         """Asks on a connection of its own and leaves it unread."""
         viewer = Plain(place.port)
         viewer.ask(id)
-        await anyio.sleep(chance.uniform(0.008, 0.024))
-        how = chance.choice(self.WAYS)
+        await anyio.sleep(rng.uniform(0.008, 0.024))
+        how = rng.choice(self.WAYS)
         if how == "cancel and close":
             viewer.tear_down(id)
         elif how == "reset":
@@ -157,12 +157,12 @@
 
     @story
     async def test_nothing_stands_for_clients_that_left_in_the_moment_of_their_answers(self):
-        chance = Random(45)
+        rng = Random(45)
         async with Proxied(1).process() as place:
-            server = Holding(place.medias[0], chance)
+            server = Holding(place.medias[0], rng)
             async with anyio.create_task_group() as clients:
                 for number in range(400):
-                    clients.start_soon(self.leaves, place, f"{number + 1:016x}", chance)
+                    clients.start_soon(self.leaves, place, f"{number + 1:016x}", rng)
                     await anyio.sleep(0.004)
             await until(lambda: not server.held, OVER_WITHIN_S)
             # some left before their answers, and some after
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -170,9 +170,9 @@
     def test_milder_days_are_milder(self):
         import random
 
-        day, chance = self.base, random.Random(2)
+        day, rng = self.base, random.Random(2)
         for _ in range(40):
-            day = mutated(day, chance)
+            day = mutated(day, rng)
         self.assertTrue(day.troubles)
         self.assertTrue(all(0 < trouble.at < day.lasts and trouble.part <= 1 for trouble in day.troubles))
         for milder in milder_days(day):
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -39,7 +39,7 @@
             await until(lambda: site.traffic.all("session-end"))
             self.assertTrue(call.again())
             self.assertEqual((await call.ask("DELETE", answered.headers["location"])).status, 404)
-            self.assertFalse(site.front.desk.courses)
+            self.assertFalse(site.front.session_core.front_sessions)
             await call.close()
 
     @story
@@ -76,7 +76,7 @@
                 tasks.start_soon(ask)
                 await until(lambda: site.traffic.all("setup"))
                 tasks.start_soon(ask)
-                await until(lambda: site.front.desk.waiting == 2)
+                await until(lambda: site.front.session_core.waiting == 2)
                 site.servers["s0"].unfreeze()
             self.assertEqual([answered.status for answered in answers], [201, 201])
             self.assertEqual(answers[0].headers["location"], answers[1].headers["location"])
@@ -90,11 +90,11 @@
             site.servers["s0"].freeze()
             with anyio.move_on_after(0.1):
                 await site.ask()
-            await until(lambda: site.front.desk.waiting == 0)
+            await until(lambda: site.front.session_core.waiting == 0)
             site.servers["s0"].unfreeze()
             await until(lambda: site.traffic.all("setup-over"))
-            await until(lambda: not site.servers["s0"].sessions and not site.front.desk.courses)
-            self.assertEqual(site.front.desk.roster.servers[site.servers["s0"].name].out, 0)
+            await until(lambda: not site.servers["s0"].sessions and not site.front.session_core.front_sessions)
+            self.assertEqual(site.front.session_core.server_list.servers[site.servers["s0"].name].out, 0)
 
     @story
     async def test_a_reset_after_the_request_was_written_fails_a_paid_viewing_and_moves_another(self):
@@ -157,7 +157,7 @@
             first = site.site.machines[0]
             site.list.knows(site.row(first, "fading"))
             name = site.servers["s0"].name
-            await until(lambda: not site.front.desk.roster.servers[name].open)
+            await until(lambda: not site.front.session_core.server_list.servers[name].open)
             for _ in range(5):
                 self.assertEqual((await site.ask()).status, 201)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
@@ -170,8 +170,8 @@
             await until(lambda: site.traffic.all("dead"))
             await site.start_server(site.site.machines[0], cold=True)
             await until(lambda: len(site.traffic.all("notes-open")) == 2)
-            await until(lambda: not site.front.desk.courses)
-            server = site.front.desk.roster.servers[site.servers["s0"].name]
+            await until(lambda: not site.front.session_core.front_sessions)
+            server = site.front.session_core.server_list.servers[site.servers["s0"].name]
             self.assertGreater(server.cold_until, site.front.now())
 
     @story
@@ -180,13 +180,13 @@
             rows = list(site.list.rows.values())
             site.front.lists.stream.call.cut()
             site.list._publish([rows[0]])
-            await until(lambda: site.front.desk.roster.generation == 1)
+            await until(lambda: site.front.session_core.server_list.generation == 1)
             self.assertEqual(len(site.traffic.all("told-all")), 1)
             # two generations that nobody kept: the next change does not follow on what is held
             site.list.generation += 2
             site.list.changes.clear()
             site.list._publish([rows[1]])
-            await until(lambda: site.front.desk.roster.generation == 4)
+            await until(lambda: site.front.session_core.server_list.generation == 4)
             await until(lambda: len(site.traffic.all("told-all")) == 2)
 
     @story
@@ -198,7 +198,7 @@
                 names = {server.name for server in site.servers.values()}
             again = SmallSite(servers=0)
             async with again.up(Path(folder), follow=False) as site:
-                servers = site.front.desk.roster.servers
+                servers = site.front.session_core.server_list.servers
                 self.assertLessEqual(names, set(servers))
                 self.assertTrue(all(server.unproven_until for server in servers.values() if server.name in names))
 
@@ -208,7 +208,7 @@
             await site.ask()
             server = site.servers["s0"]
             server._end(next(iter(server.sessions.values())), "a story's end")
-            await until(lambda: not site.front.desk.courses)
+            await until(lambda: not site.front.session_core.front_sessions)
 
 
 class Life(unittest.TestCase):
@@ -225,7 +225,7 @@
                 tasks.start_soon(ask)
                 await until(lambda: site.traffic.all("setup"))
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: site.front.desk.draining)
+                await until(lambda: site.front.session_core.draining)
                 late = await site.ask()
                 site.servers["s0"].unfreeze()
             self.assertEqual((late.status, answers), (503, [201]))
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -72,29 +72,29 @@
 
 
 class Bytes(unittest.TestCase):
-    def garbled(self, chance):
+    def garbled(self, rng):
         """A request that is cut, doubled, flipped, filled or without its middle; none is whole."""
         offer = an_offer()
         raw = bytearray(REQUEST % len(offer) + offer)
-        how = chance.randrange(6)
-        at = chance.randrange(len(raw))
+        how = rng.randrange(6)
+        at = rng.randrange(len(raw))
         if how == 0:
             return bytes(raw[:at])
         if how == 1:
-            return bytes(raw[:at] + raw[at + chance.randrange(1, 60) :])
+            return bytes(raw[:at] + raw[at + rng.randrange(1, 60) :])
         if how == 2:
-            for _ in range(chance.randrange(1, 30)):
-                raw[chance.randrange(len(raw))] = chance.randrange(256)
+            for _ in range(rng.randrange(1, 30)):
+                raw[rng.randrange(len(raw))] = rng.randrange(256)
             return bytes(raw)
         if how == 3:
             return bytes(raw[:at] + raw[:at] + raw[at:])
         if how == 4:
-            return bytes(raw[:at]) + chance.randbytes(chance.randrange(1, 3000))
-        return chance.randbytes(chance.randrange(1, 400))
+            return bytes(raw[:at]) + rng.randbytes(rng.randrange(1, 3000))
+        return rng.randbytes(rng.randrange(1, 400))
 
     @story
     async def test_bytes_that_mean_nothing(self):
-        chance, faults = random.Random(7), []
+        rng, faults = random.Random(7), []
         async with SmallSite(servers=1).up() as site:
             site.front._door_fault = faults.append
             statuses = []
@@ -108,7 +108,7 @@
                 slots = anyio.CapacityLimiter(40)
                 for _ in range(400):
 
-                    async def slot(data=self.garbled(chance)):
+                    async def slot(data=self.garbled(rng)):
                         async with slots:
                             await one(data)
 
@@ -116,22 +116,22 @@
             self.assertEqual(faults, [])
             self.assertEqual([status for status in statuses if status >= 500 and status != 503], [])
             self.assertGreater(sum(400 <= status < 500 for status in statuses), 100)
-            await until(lambda: site.front.door.busy == 0 and site.front.desk.waiting == 0)
+            await until(lambda: site.front.door.busy == 0 and site.front.session_core.waiting == 0)
             self.assertEqual((await site.ask()).status, 201)
 
     @story
     async def test_whole_requests_of_odd_parts(self):
-        chance, faults = random.Random(8), []
+        rng, faults = random.Random(8), []
         words = ["whep", "whip", "session", "layer", "events", "clip", "paid", "t", "..", "%2e", "x" * 300, "", "ä", "?", "*"]
         async with SmallSite(servers=1).up() as site:
             site.front._door_fault = faults.append
             statuses = []
             for _ in range(150):
-                method = chance.choice(["GET", "POST", "PATCH", "DELETE", "OPTIONS", "HEAD", "PUT", "BREW"])
-                path = "/" + "/".join(chance.choice(words) for _ in range(chance.randrange(4)))
+                method = rng.choice(["GET", "POST", "PATCH", "DELETE", "OPTIONS", "HEAD", "PUT", "BREW"])
+                path = "/" + "/".join(rng.choice(words) for _ in range(rng.randrange(4)))
                 headers = [
-                    (name, chance.choice(["", "1", '"x"', "application/sdp", "wait=9", "Bearer x", "*"]))
-                    for name in chance.sample(
+                    (name, rng.choice(["", "1", '"x"', "application/sdp", "wait=9", "Bearer x", "*"]))
+                    for name in rng.sample(
                         [
                             "content-type",
                             "if-match",
@@ -145,7 +145,7 @@
                         3,
                     )
                 ]
-                body = chance.choice([b"", b"{}", b"[1]", b"v=0", b"\xff\xfe", b"a" * 5000])
+                body = rng.choice([b"", b"{}", b"[1]", b"v=0", b"\xff\xfe", b"a" * 5000])
                 head = f"{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n"
                 head += "".join(f"{name}: {value}\r\n" for name, value in headers)
                 got = await site.raw(f"{head}content-length: {len(body)}\r\n\r\n".encode() + body)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -18,7 +18,7 @@
     """Five fronts, three of them keepers, one lease, words that arrive; what befalls them is the test's to say."""
 
     def __init__(self, seed=1, fronts=5):
-        super().__init__(seed, fronts=fronts, keepers=3, leases=1, troubled=False)
+        super().__init__(seed, fronts=fronts, acceptors=3, leases=1, troubled=False)
         self.loss, self.doubled, self.late = 0.0, 0.0, 5 * MS
         for front in self.fronts:
             front.rate = 1.0
@@ -33,7 +33,8 @@
 
     def holder(self):
         return next(
-            (front for front in self.fronts if front.alive and front.paused_until <= self.now and front.asker.may_act("l0")), None
+            (front for front in self.fronts if front.alive and front.paused_until <= self.now and front.proposer.may_act("l0")),
+            None,
         )
 
 
@@ -51,9 +52,9 @@
 
     def test_a_holder_renews_and_goes_on_with_one_number(self):
         calm, holder = self.held()
-        number = holder.asker.may_act("l0")
+        number = holder.proposer.may_act("l0")
         calm.run(calm.now + 20 * SECOND)
-        self.assertEqual((calm.holder(), calm.tenures, holder.asker.may_act("l0")), (holder, 1, number))
+        self.assertEqual((calm.holder(), calm.tenures, holder.proposer.may_act("l0")), (holder, 1, number))
 
     def test_killed_another_begins_within_a_term_and_a_half_and_the_margin(self):
         calm, holder = self.held()
@@ -64,30 +65,30 @@
 
     def test_stopped_in_the_middle_it_finds_its_term_over_before_it_acts(self):
         calm, holder = self.held()
-        number = holder.asker.may_act("l0")
+        number = holder.proposer.may_act("l0")
         holder.paused_until = calm.now + 20 * SECOND
         calm.until(lambda: calm.holder() is not None, 12)
-        self.assertGreater(calm.holder().asker.may_act("l0"), number)
-        self.assertEqual(holder.asker.may_act("l0"), 0)
+        self.assertGreater(calm.holder().proposer.may_act("l0"), number)
+        self.assertEqual(holder.proposer.may_act("l0"), 0)
 
     def test_what_was_accepted_for_a_tenure_that_never_was_is_let_go_of(self):
         # two that proposed at once left the lease without a holder for 2.7 terms: some keepers had accepted each
         calm = Calm()
-        said, asker = [], calm.fronts[4].asker
+        said, proposer = [], calm.fronts[4].proposer
         calm.say = lambda sender, to, part, what, words: said.append((to, what, words))
-        asker._ask("l0", asker.tries["l0"], asker._now())
-        ballot = asker.tries["l0"].ballot
-        for keeper in (0, 1):
-            asker.promise(keeper, "l0", ballot, -1, NONE, 0)
-        self.assertTrue(asker.tries["l0"].proposing)
+        proposer._ask("l0", proposer.tries["l0"], proposer._now())
+        ballot = proposer.tries["l0"].ballot
+        for acceptor in (0, 1):
+            proposer.promise(acceptor, "l0", ballot, -1, NONE, 0)
+        self.assertTrue(proposer.tries["l0"].proposing)
         said.clear()
-        asker.outbid(2, "l0", ballot, Ballot(99, 3, 1))
-        self.assertEqual([(to, what) for to, what, _ in said], [(keeper, "released") for keeper in range(3)])
-        self.assertEqual(asker.may_act("l0"), 0)
+        proposer.outbid(2, "l0", ballot, Ballot(99, 3, 1))
+        self.assertEqual([(to, what) for to, what, _ in said], [(acceptor, "released") for acceptor in range(3)])
+        self.assertEqual(proposer.may_act("l0"), 0)
 
     def test_given_back_in_words_another_need_not_wait_for_the_term(self):
         calm, holder = self.held()
-        holder.asker.leave("l0")
+        holder.proposer.leave("l0")
         before = calm.now
         calm.until(lambda: calm.holder() is not None, 5)
         self.assertLess(calm.now - before, TERMS.term)
@@ -105,7 +106,7 @@
     def test_a_clock_that_goes_back_ends_all_that_is_held_and_one_that_jumps_ahead_frees_nothing_at_a_keeper(self):
         calm, holder = self.held()
         holder.offset -= 5 * SECOND
-        self.assertEqual(holder.asker.may_act("l0"), 0)
+        self.assertEqual(holder.proposer.may_act("l0"), 0)
         calm, holder = self.held()
         for front in calm.fronts[:3]:
             if front is not holder:
@@ -115,24 +116,24 @@
 
     def test_numbers_rise_over_a_restart_of_all_keepers(self):
         calm, holder = self.held()
-        number = holder.asker.may_act("l0")
+        number = holder.proposer.may_act("l0")
         for front in calm.fronts:
             front.start()
         calm.until(lambda: calm.holder() is not None, 15)
-        self.assertGreater(calm.holder().asker.may_act("l0"), number)
+        self.assertGreater(calm.holder().proposer.may_act("l0"), number)
 
 
 class AcceptorAlone(unittest.TestCase):
-    def keeper(self):
+    def acceptor(self):
         self.clock, self.said = 10**12, []
-        keeper = LeaseAcceptor(self, LeaseTerms(2 * SECOND, 0.01, SECOND // 5))
-        self.later(keeper, 4)
-        return keeper
+        acceptor = LeaseAcceptor(self, LeaseTerms(2 * SECOND, 0.01, SECOND // 5))
+        self.later(acceptor, 4)
+        return acceptor
 
-    def later(self, keeper, seconds):
+    def later(self, acceptor, seconds):
         for _ in range(round(seconds * 5)):
             self.clock += SECOND // 5
-            keeper.time()
+            acceptor.time()
 
     def now(self):
         return self.clock
@@ -147,19 +148,19 @@
         self.said.append(("outbid", *said))
 
     def test_a_lower_ballot_is_outbid_and_late_words_on_an_earlier_one_free_nothing(self):
-        keeper, low, high = self.keeper(), Ballot(1, 0, 1), Ballot(2, 1, 1)
-        keeper.prepare(0, "l", low)
-        keeper.propose(0, "l", low, 7)
-        keeper.prepare(1, "l", high)
+        acceptor, low, high = self.acceptor(), Ballot(1, 0, 1), Ballot(2, 1, 1)
+        acceptor.prepare(0, "l", low)
+        acceptor.propose(0, "l", low, 7)
+        acceptor.prepare(1, "l", high)
         self.assertEqual(self.said[-1], ("promise", 1, "l", high, 0, low, 7))
-        keeper.propose(0, "l", low, 7)
+        acceptor.propose(0, "l", low, 7)
         self.assertEqual(self.said[-1], ("outbid", 0, "l", low, high))
-        self.later(keeper, 4)
-        keeper.prepare(1, "l", high)
+        self.later(acceptor, 4)
+        acceptor.prepare(1, "l", high)
         self.assertEqual(self.said[-1], ("promise", 1, "l", high, -1, NONE, 7))
-        keeper.propose(1, "l", high, 8)
-        keeper.released(0, "l", low)
-        keeper.prepare(0, "l", Ballot(3, 0, 1))
+        acceptor.propose(1, "l", high, 8)
+        acceptor.released(0, "l", low)
+        acceptor.prepare(0, "l", Ballot(3, 0, 1))
         self.assertEqual(self.said[-1][4:], (1, high, 8))
 
 
@@ -178,7 +179,7 @@
         self.assertEqual(world.state(), before)
 
     def test_each_planted_fault_has_a_shortest_course(self):
-        for name, (rates, depth, keepers) in {
+        for name, (rates, depth, acceptors) in {
             "no-silence-after-start": ((3, 4, 5), 3, 3),
             "drift-ignored": ((3, 4, 5), 4, 3),
             "majority-of-two": ((3, 4, 5), 2, 5),
@@ -186,7 +187,7 @@
             "fence-not-raised": ((3, 4, 5), 3, 3),
             "act-without-look": ((3, 4, 5), 3, 3),
         }.items():
-            done = walk_rounds(depth, rates, keepers=keepers, **FAULTS[name])
+            done = walk_rounds(depth, rates, acceptors=acceptors, **FAULTS[name])
             self.assertEqual((bool(done.breach), len(done.course)), (True, depth), name)
 
 
@@ -203,7 +204,7 @@
             self.assertTrue(next((seed for seed in range(300) if broken(range(seed, seed + 1), **how)), None) is not None, name)
 
     def test_five_keepers_and_fifty_leases(self):
-        history = LeaseHistory(7, fronts=8, keepers=5, leases=50)
+        history = LeaseHistory(7, fronts=8, acceptors=5, leases=50)
         history.run(LASTS // 3)
         self.assertGreater(history.tenures, 50)
 
@@ -213,7 +214,7 @@
 
     class Willing:
         def __init__(self):
-            self.tries, self.terms, self.clock, self.outside = {}, TERMS, 0, self
+            self.tries, self.terms, self.clock, self.driver = {}, TERMS, 0, self
 
         def now(self):
             return self.clock
@@ -231,9 +232,9 @@
             pass
 
     def front(self, me, names):
-        asker = self.Willing()
+        proposer = self.Willing()
         probing = Probing(self, 16, SECOND)
-        tasks = Tasks(me, asker, [probing], lambda: [name for name in names if name != me])
+        tasks = Tasks(me, proposer, [probing], lambda: [name for name in names if name != me])
         tasks.time()
         return tasks
 
@@ -247,9 +248,9 @@
 
     def test_each_shard_is_wanted_by_one_and_few_move_when_one_goes(self):
         names = [f"f{n}" for n in range(8)]
-        before = {name: set(self.front(name, names).asker.tries) for name in names}
+        before = {name: set(self.front(name, names).proposer.tries) for name in names}
         self.assertEqual(sorted(lease for held in before.values() for lease in held), sorted(f"probe/{n}" for n in range(16)))
-        after = {name: set(self.front(name, names[:-1]).asker.tries) for name in names[:-1]}
+        after = {name: set(self.front(name, names[:-1]).proposer.tries) for name in names[:-1]}
         for name in names[:-1]:
             self.assertTrue(before[name] <= after[name])
 
@@ -257,12 +258,12 @@
         tasks = self.front("f0", ["f0"])
         tasks.release("probe/3")
         tasks.time()
-        self.assertNotIn("probe/3", tasks.asker.tries)
-        tasks.asker.clock = 2 * TERMS.term + 1
+        self.assertNotIn("probe/3", tasks.proposer.tries)
+        tasks.proposer.clock = 2 * TERMS.term + 1
         tasks.time()
-        self.assertIn("probe/3", tasks.asker.tries)
+        self.assertIn("probe/3", tasks.proposer.tries)
         tasks.drain()
-        self.assertEqual(tasks.asker.tries, {})
+        self.assertEqual(tasks.proposer.tries, {})
 
 
 class Judging(unittest.TestCase):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -61,8 +61,8 @@
 
 class ByPrefix(unittest.TestCase):
     def test_a_flooder_that_changes_its_address_is_one_source(self):
-        prefixes, chance = Prefixes(2.0, 0), random.Random(1)
-        named = {prefixes.source(f"2001:db8:1:2:{chance.randrange(65536):x}::1", 0) for _ in range(50)}
+        prefixes, rng = Prefixes(2.0, 0), random.Random(1)
+        named = {prefixes.source(f"2001:db8:1:2:{rng.randrange(65536):x}::1", 0) for _ in range(50)}
         self.assertEqual(named, {"2001:db8:1:2::/64"})
         named = collections.Counter(prefixes.source(f"2001:db8:7:{n:x}::1", 0) for n in range(4000))
         self.assertIn("2001:db8:7::/48", named)
@@ -76,9 +76,9 @@
         self.assertEqual(prefixes.source("no address", 0), "no address")
 
     def test_memory_is_bounded_and_what_is_quiet_is_let_go(self):
-        prefixes, chance = Prefixes(2.0, 0, most=1000), random.Random(1)
+        prefixes, rng = Prefixes(2.0, 0, most=1000), random.Random(1)
         for number in range(20_000):
-            prefixes.source(f"2001:{chance.randrange(65536):x}:{chance.randrange(65536):x}::1", number * MS)
+            prefixes.source(f"2001:{rng.randrange(65536):x}:{rng.randrange(65536):x}::1", number * MS)
         self.assertLessEqual(len(prefixes), 1000 + 4)
 
     def test_a_flood_is_forgotten(self):
@@ -90,9 +90,9 @@
 
 class Heaviest(unittest.TestCase):
     def test_whoever_asks_for_more_than_its_part_is_found_and_errors_are_bounded(self):
-        heavy, exact, chance = HeavyHitters(0, places=64), collections.Counter(), random.Random(2)
+        heavy, exact, rng = HeavyHitters(0, places=64), collections.Counter(), random.Random(2)
         for _ in range(20_000):
-            key = f"h{chance.randrange(5)}" if chance.random() < 0.4 else f"one-off {chance.random()}"
+            key = f"h{rng.randrange(5)}" if rng.random() < 0.4 else f"one-off {rng.random()}"
             exact[key] += 1
             heavy.add(key, 0)
         top = heavy.top(64)
@@ -214,18 +214,18 @@
         self.assertIn(stranger.state, ("in", "no"))
 
     def test_each_ticket_that_waits_is_told_once(self):
-        admission, chance, now, waiting = self.admission(most=4, in_line=SECOND // 2), random.Random(4), 0, []
+        admission, rng, now, waiting = self.admission(most=4, in_line=SECOND // 2), random.Random(4), 0, []
         inside = []
         for _ in range(3000):
-            now += chance.randrange(1, 30) * MS
-            if waiting and chance.random() < 0.1:
-                one = chance.choice(waiting)
+            now += rng.randrange(1, 30) * MS
+            if waiting and rng.random() < 0.1:
+                one = rng.choice(waiting)
                 admission.gave_up(one, now)
                 waiting.remove(one)
-            ticket = admission.asked(f"192.0.2.{chance.randrange(6)}", None, "x", "p", now)
+            ticket = admission.asked(f"192.0.2.{rng.randrange(6)}", None, "x", "p", now)
             (inside if ticket.state == "in" else waiting).append(ticket) if ticket.state != "no" else None
-            if inside and chance.random() < 0.6:
-                admission.answered(inside.pop(0), now, chance.random() < 0.8)
+            if inside and rng.random() < 0.6:
+                admission.answered(inside.pop(0), now, rng.random() < 0.8)
             admission.tick(now)
             for told in self.told:
                 self.assertIn(told.state, ("in", "no"))
@@ -287,11 +287,11 @@
 class Descriptors(unittest.TestCase):
     def test_idle_connections_make_room_and_those_at_work_do_not(self):
         gate = DescriptorGate(64, lambda: 100.0)
-        lines = [Connection(90.0 + number, at_work=number % 2 == 0) for number in range(10)]
-        for line in lines:
-            gate.opened(line)
+        connections = [Connection(90.0 + number, at_work=number % 2 == 0) for number in range(10)]
+        for connection in connections:
+            gate.opened(connection)
         gate.make_room()
-        self.assertEqual([line.gone for line in lines], [number % 2 == 1 for number in range(10)])
+        self.assertEqual([connection.gone for connection in connections], [number % 2 == 1 for number in range(10)])
 
     def test_an_accept_that_found_none_left_makes_the_gate_narrower_but_not_shut(self):
         gate = DescriptorGate(100, lambda: 0.0)
@@ -355,9 +355,9 @@
         async with SmallSite().up() as site:
             site.front.gate.most = 4
             idle = [await connect("127.0.0.1", site.port, 2.0) for _ in range(4)]
-            await until(lambda: len(site.front.gate.lines) == 4)
-            for line in site.front.gate.lines:
-                line.rested_at -= 10
+            await until(lambda: len(site.front.gate.connections) == 4)
+            for connection in site.front.gate.connections:
+                connection.rested_at -= 10
             self.assertEqual((await site.ask()).status, 201)
             self.assertGreater(site.front.gate.dropped, 0)
             for call in idle:
--- a/tests/test_model_checker.py
+++ b/tests/test_model_checker.py
@@ -53,8 +53,8 @@
             here.settle()
 
     def test_an_intent_written_after_the_act(self):
-        def after(desk, tune_in, intents, intent):
-            if not desk.stands(tune_in):
+        def after(session_core, tune_in, intents, intent):
+            if not session_core.stands(tune_in):
                 return Outcome.UNSENT
             yield SEND, None
             if intent is not None:
@@ -65,34 +65,34 @@
 
     def test_a_paid_key_forgotten_when_its_client_hangs_up(self):
         class Forgets(SessionCore):
-            def _close(self, course):
-                if course.answer is None and course.held is not None:
-                    self.keys.forget(course.held)
-                super()._close(course)
+            def _close(self, front_session):
+                if front_session.answer is None and front_session.held is not None:
+                    self.keys.forget(front_session.held)
+                super()._close(front_session)
 
-        self.caught(world(desk_class=Forgets), 4, "2: c1 is sent again")
+        self.caught(world(session_core_class=Forgets), 4, "2: c1 is sent again")
 
     def test_a_failed_set_up_that_is_refused(self):
         class Refuses(SessionCore):
             def abort(self, viewing):
                 self.block(viewing, 0)
 
-        self.caught(world(desk_class=Refuses), 3, "2: c1.0 is refused")
+        self.caught(world(session_core_class=Refuses), 3, "2: c1.0 is refused")
 
     def test_sessions_for_nobody_that_are_not_torn_down(self):
         class Leaves(SessionCore):
             def __init__(self, *args, **how):
                 super().__init__(*args, **how)
-                self.endings.end = lambda server, session: None
+                self.session_ends.end = lambda server, session: None
 
-        self.caught(world(False, desk_class=Leaves), 3, "an orphan is left", settle_all=True)
+        self.caught(world(False, session_core_class=Leaves), 3, "an orphan is left", settle_all=True)
 
     def test_a_front_that_sends_where_it_was_told_not_to(self):
         class Deaf(SessionCore):
             def stands(self, tune_in):
                 return tune_in.outcome is None
 
-        self.caught(world(desk_class=Deaf), 2, "3: c1 is sent to s1")
+        self.caught(world(session_core_class=Deaf), 2, "3: c1 is sent to s1")
 
     def test_an_answer_that_is_not_given(self):
         class Silent(SessionCore):
@@ -102,7 +102,7 @@
                     return
                 super()._answer(request, answer)
 
-        self.caught(world(False, desk_class=Silent), 3, "1: c1.0 got no answer", settle_all=True)
+        self.caught(world(False, session_core_class=Silent), 3, "1: c1.0 got no answer", settle_all=True)
 
     def test_a_paid_set_up_found_again_whose_seat_is_another_viewers(self):
         class Crowds(SessionCore):
@@ -116,7 +116,7 @@
             ("the front starts",),
             ("a client comes again", 1),
         ]
-        here = done_again(world(seats=1, clients=2, desk_class=Crowds), course)
+        here = done_again(world(seats=1, clients=2, session_core_class=Crowds), course)
         with self.assertRaises(Breach) as caught:
             here.settle()
         self.assertTrue(str(caught.exception).startswith("5: 2 held"), str(caught.exception))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -37,7 +37,7 @@
             await viewer.tear_down(A, "Reason: cause=19\r\n")
             await until(lambda: media.had(isup.RELEASE))
             self.assertEqual(media.had(isup.RELEASE), [(bytes.fromhex(A), {isup.CAUSE: b"\x13"})])
-            self.assertFalse(place.node.desk.courses or place.node.door.asked)
+            self.assertFalse(place.node.session_core.front_sessions or place.node.listener.asked)
 
     @story
     async def test_its_servers_release_reaches_it_on_another_connection_if_its_own_has_gone(self):
@@ -46,9 +46,9 @@
             await first.answer(A)
             await second.answer(B)
             await first.stream.aclose()
-            await until(lambda: len(place.node.door.lines) == 1)
+            await until(lambda: len(place.node.listener.connections) == 1)
             media = place.medias[0]
-            await media.lines[0].send(isup.release(bytes.fromhex(A), isup.RESET))
+            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
             release = await second.hear()
             self.assertEqual((release.method, release.fields["session"], release.fields["reason"]), ("TEARDOWN", A, "cause=41"))
             await until(lambda: media.had(isup.RELEASED))
@@ -59,11 +59,11 @@
             viewer, media = await place.viewer(), place.medias[0]
             await viewer.ask(A, legs=f";at:{media.name}")
             await viewer.ask(A, legs=f";at:{media.name}")
-            await until(lambda: media.lines)
+            await until(lambda: media.connections)
             server = place.node.fleet.servers[media.name]
             self.assertEqual((server.link.own, len(server.link.playing)), (100, 1))
             note = isup.encode(isup.NOTE, bytes.fromhex(A), (isup.KIND, b"tier"), (isup.FIGURE, b"1"))
-            await media.lines[0].send(note + isup.release(bytes.fromhex(A), isup.OVER))
+            await media.connections[0].send(note + isup.release(bytes.fromhex(A), isup.OVER))
             self.assertEqual((await viewer.hear()).method, "TEARDOWN")
             self.assertEqual(server.link.own, 0)
 
@@ -101,8 +101,8 @@
 
     @story
     async def test_a_connection_that_ends_under_it_may_have_run_it(self):
-        async def hangs_up(line, kind, id, parameters):
-            await line.aclose()
+        async def hangs_up(connection, kind, id, parameters):
+            await connection.aclose()
 
         async with Place(2).up() as place:
             answer, sent = await self.paid(place, hangs_up, hangs_up)
@@ -132,11 +132,11 @@
                 await viewer.ask(id, package=CLIP)
             await until(lambda: len(media.had(isup.SET_UP)) == 3)
             shared = max(
-                media.lines,
-                key=lambda line: sum(
-                    attempt.line.wire is not None
-                    and attempt.line.wire.socket.getsockname()[1] == line.extra(anyio.abc.SocketAttribute.remote_port)
-                    for attempt in place.node.reach.attempts.values()
+                media.connections,
+                key=lambda connection: sum(
+                    attempt.connection.wire is not None
+                    and attempt.connection.wire.socket.getsockname()[1] == connection.extra(anyio.abc.SocketAttribute.remote_port)
+                    for attempt in place.node.server_pool.attempts.values()
                 ),
             )
             await shared.send(b"\0\2no")
@@ -151,14 +151,14 @@
             await until(lambda: media.had(isup.SET_UP))
             await viewer.tear_down(A)
             await until(lambda: media.had(isup.RELEASE))
-            await media.lines[0].send(ANSWER.replace(b"IDIDIDID", bytes.fromhex(A)))
+            await media.connections[0].send(ANSWER.replace(b"IDIDIDID", bytes.fromhex(A)))
             await until(lambda: len(media.had(isup.RELEASE)) == 2)
             media.says(ANSWER * 2 + ANSWER.replace(b"IDIDIDID", b"nobody's"))
             await viewer.hear()
             self.assertEqual((await viewer.answer(B)).status, 200)
             await viewer.answer(C)
             self.assertEqual(len(media.had(isup.RELEASE)), 2)
-            self.assertEqual(len(place.node.desk.courses), 2)
+            self.assertEqual(len(place.node.session_core.front_sessions), 2)
 
 
 class Forgotten(unittest.TestCase):
@@ -167,14 +167,16 @@
         async with Place().up() as place:
             place.medias[0].does = place.medias[0].silent
             with (
-                mock.patch.object(place.node.desk.timers, "run", lambda now: None),
-                mock.patch.object(place.node.door.log, "error") as told,
+                mock.patch.object(place.node.session_core.timers, "run", lambda now: None),
+                mock.patch.object(place.node.listener.log, "error") as told,
             ):
                 viewer = await place.viewer()
                 answer = await viewer.answer(A, package=CLIP, patience=300)
             self.assertEqual((answer.status, told.call_args.args), (500, ("unanswered",)))
-            self.assertFalse(place.node.door.asked or any(line.waiting for line in place.node.door.lines))
-            place.node.desk.time()
+            self.assertFalse(
+                place.node.listener.asked or any(connection.waiting for connection in place.node.listener.connections)
+            )
+            place.node.session_core.time()
             # a second answer would come first
             self.assertEqual((await viewer.answer(B)).fields["session"], B)
 
@@ -210,7 +212,7 @@
             async with anyio.create_task_group() as tasks:
                 for _ in range(4):
                     tasks.start_soon(anyio.connect_tcp, "127.0.0.1", port)
-                endpoint = place.node.reach.endpoints[place.node.fleet.servers[media.name]]
+                endpoint = place.node.server_pool.endpoints[place.node.fleet.servers[media.name]]
                 endpoint.address = ("127.0.0.1", port)
                 release = await viewer.hear(7.5)
                 tasks.cancel_scope.cancel()
@@ -226,7 +228,7 @@
             with self.assertRaises(TimeoutError):
                 await viewer.hear(4.5)
             self.assertTrue(media.had(isup.PROBE))
-            self.assertLess(len(place.node.reach.endpoints[place.node.fleet.servers[media.name]].lines), 4)
+            self.assertLess(len(place.node.server_pool.endpoints[place.node.fleet.servers[media.name]].connections), 4)
 
     @story
     async def test_a_new_server_at_an_old_address_has_nothing_of_the_one_that_has_gone(self):
@@ -236,21 +238,21 @@
             before = place.node.fleet.servers[old.name]
             new = Media("s-000000ff", 0)
             new.port, new.started, old.state = old.port, int(place.node.now() / 1e6), 2
-            await until(lambda: place.bulletin.lines)
+            await until(lambda: place.bulletin.connections)
             await place.bulletin.tell(2, old, new)
             self.assertEqual((await viewer.hear()).fields["session"], A)
             now = place.node.fleet.servers[new.name]
-            self.assertIsNot(place.node.reach.endpoints[now], place.node.reach.endpoints.get(before))
+            self.assertIsNot(place.node.server_pool.endpoints[now], place.node.server_pool.endpoints.get(before))
             self.assertFalse(before.open)
             self.assertEqual((now.started, now.link.own), (new.started * 1_000_000, 0))
             self.assertEqual((await viewer.answer(B)).status, 200)
-            self.assertIs(place.node.door.asked[B].course.vw.server, now)
+            self.assertIs(place.node.listener.asked[B].front_session.viewing.server, now)
 
     @story
     async def test_a_drain_told_between_pick_and_send_is_obeyed(self):
         async with Place(2).up() as place:
             node, picked = place.node, []
-            send = node.reach.tune_in
+            send = node.server_pool.tune_in
 
             def drained_first(tune_in):
                 picked.append(tune_in.server)
@@ -258,7 +260,7 @@
                 if len(picked) == 1:
                     tune_in.server.open = False
 
-            node.reach.tune_in = drained_first
+            node.server_pool.tune_in = drained_first
             viewer = await place.viewer()
             self.assertEqual((await viewer.answer(A, package=CLIP)).status, 200)
             self.assertEqual([len(media.had(isup.SET_UP)) for media in place.medias if media.name == picked[0].name], [0])
@@ -269,15 +271,15 @@
     async def test_doubled_events_are_dropped_and_after_a_break_the_last_number_is_asked_from(self):
         async with Place(2).up() as place:
             bulletin, one = place.bulletin, place.medias[0]
-            await until(lambda: bulletin.lines)
+            await until(lambda: bulletin.connections)
             one.state = 1
             await bulletin.tell(2, one)
             await until(lambda: not place.node.fleet.servers[one.name].open)
             one.state = 0
             await bulletin.tell(2, one)
-            await bulletin.lines[0].send(b"\0\0\0\x0ahalf")
-            await bulletin.lines[0].aclose()
-            await until(lambda: len(bulletin.asked) == 2 and bulletin.lines)
+            await bulletin.connections[0].send(b"\0\0\0\x0ahalf")
+            await bulletin.connections[0].aclose()
+            await until(lambda: len(bulletin.asked) == 2 and bulletin.connections)
             self.assertEqual((bulletin.asked, place.node.fleet.servers[one.name].open), ([1, 2], False))
             await bulletin.tell(4, one)
             await until(lambda: len(bulletin.asked) == 3)
@@ -289,17 +291,17 @@
             one = place.medias[0]
             one.state = 1
 
-            async def answers_late(line):
+            async def answers_late(connection):
                 await anyio.sleep(2.0)
-                if line in place.bulletin.lines:
+                if connection in place.bulletin.connections:
                     await place.bulletin.tell(2, one)
 
             seen = []
             with anyio.fail_after(6):
                 while place.node.fleet.servers[one.name].open:
-                    for line in [line for line in place.bulletin.lines if line not in seen]:
-                        seen.append(line)
-                        place.tasks.start_soon(answers_late, line)
+                    for connection in [connection for connection in place.bulletin.connections if connection not in seen]:
+                        seen.append(connection)
+                        place.tasks.start_soon(answers_late, connection)
                     await anyio.sleep(0.01)
 
     @story
@@ -323,7 +325,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: other.asked == [1])
             self.assertEqual((await viewer.answer(B)).status, 200)
-            self.assertEqual(len(place.node.desk.courses), 2)
+            self.assertEqual(len(place.node.session_core.front_sessions), 2)
 
 
 class Life(unittest.TestCase):
@@ -339,10 +341,10 @@
             await until(lambda: place.node.draining)
             late = await (await place.viewer()).answer(C)
             self.assertEqual((late.status, int(late.fields["x-pause"]) > 0), (503, True))
-            await media.lines[0].send(ANSWER.replace(b"IDIDIDID", media.had(isup.SET_UP)[1][0]))
-            await media.lines[-1].send(ANSWER.replace(b"IDIDIDID", media.had(isup.SET_UP)[1][0]))
+            await media.connections[0].send(ANSWER.replace(b"IDIDIDID", media.had(isup.SET_UP)[1][0]))
+            await media.connections[-1].send(ANSWER.replace(b"IDIDIDID", media.had(isup.SET_UP)[1][0]))
             self.assertEqual((await viewer.hear()).status, 200)
-            await media.lines[0].send(isup.release(bytes.fromhex(A), 16) + isup.release(bytes.fromhex(B), 16))
+            await media.connections[0].send(isup.release(bytes.fromhex(A), 16) + isup.release(bytes.fromhex(B), 16))
             self.assertEqual({(await viewer.hear()).method for _ in range(2)}, {"TEARDOWN"})
             await until(lambda: place.node.tasks.cancel_scope.cancel_called)
 
@@ -430,19 +432,19 @@
             for number, old in enumerate(olds):
                 old.state, old.does = 2, old.plays
                 news[number].port, news[number].started = olds[number - 1].port, int(place.node.now() / 1e6) - 60_000
-            await until(lambda: place.bulletin.lines)
+            await until(lambda: place.bulletin.connections)
             await place.bulletin.tell(2, *olds, *news)
             # what played is released, what may have run has failed; each is told once
             ends = {message.fields["session"]: message for message in (await viewer.hear(), await viewer.hear())}
             self.assertEqual((ends[A].method, ends[B].status), ("TEARDOWN", 500))
             self.assertEqual((await viewer.answer(C)).status, 200)
-            self.assertIn(place.node.door.asked[C].course.vw.server.name, [new.name for new in news])
-            self.assertEqual((len(place.node.desk.courses), viewer.got), (1, []))
+            self.assertIn(place.node.listener.asked[C].front_session.viewing.server.name, [new.name for new in news])
+            self.assertEqual((len(place.node.session_core.front_sessions), viewer.got), (1, []))
 
     @story
     async def test_a_zone_that_is_cut_off_and_comes_back_cold_costs_no_answer_resends_nothing_paid_and_is_not_pushed_over(self):
         place, arrivals = Place(3), {}
-        place.duties = dict(warm_within_ms=4000, start_capacity=0.1, fall_multiple=2.0, fall_ms=1000)
+        place.obligations = dict(warm_within_ms=4000, start_capacity=0.1, fall_multiple=2.0, fall_ms=1000)
         async with place.up():
             viewer, zone, other = await place.viewer(), place.medias[:2], place.medias[2]
             for media in zone:
@@ -463,27 +465,27 @@
                 self.assertLessEqual(sent.count(bytes.fromhex(id)), 1, id)
                 self.assertEqual(told[id], 453 if bytes.fromhex(id) not in sent else 500 if bytes.fromhex(id) in cut else 200)
             self.assertIn(500, told.values())
-            await until(lambda: place.bulletin.lines)
+            await until(lambda: place.bulletin.connections)
             for media in zone:
                 media.state = 2
             await place.bulletin.tell(2, *zone)
             # it is back where it was, and has just come up
             for media in zone:
-                for line in list(media.lines):
-                    await line.aclose()
+                for connection in list(media.connections):
+                    await connection.aclose()
                 media.state, media.started = 0, int(place.node.now() / 1e6)
 
-                async def noted(line, kind, id, parameters, media=media):
+                async def noted(connection, kind, id, parameters, media=media):
                     if kind == isup.SET_UP:
                         arrivals.setdefault(media.name, []).append(anyio.current_time())
-                    await media.plays(line, kind, id, parameters)
+                    await media.plays(connection, kind, id, parameters)
 
                 media.does = noted
             await place.bulletin.tell(3, *zone)
             servers = place.node.fleet.servers
             await until(lambda: all(servers[media.name].cold_until for media in zone))
             # in its first window a front sends less, as an earlier life of its own may have sent too
-            await until(lambda: place.node.now() > place.node.desk.rules.born + SECOND)
+            await until(lambda: place.node.now() > place.node.session_core.rules.born + SECOND)
             crowd = [f"{number:016x}" for number in range(100, 140)]
             for id in crowd:
                 await viewer.ask(id, patience=2000)
@@ -520,7 +522,7 @@
             self.assertEqual({(one.fields["session"], one.status) for one in heard}, {(A, 200), (B, 200)})
             self.assertEqual([id.hex() for id, _ in media.had(isup.SET_UP)], [A, B])
             await until(lambda: [id.hex() for id, _ in media.had(isup.RELEASE)] == [A])
-            self.assertEqual((len(place.node.desk.courses), viewer.got), (1, []))
+            self.assertEqual((len(place.node.session_core.front_sessions), viewer.got), (1, []))
 
     @story
     async def test_no_file_at_sighup_leaves_the_old_one_in_force_and_one_line_says_so(self):
@@ -538,43 +540,45 @@
         """The connection on which a viewing has been played and ended."""
         await viewer.answer(id)
         await viewer.tear_down(id)
-        line = next(iter(place.node.reach.endpoints.values())).lines[0]
-        await until(lambda: not place.node.desk.courses and not place.node.reach.teardowns.unconfirmed_on(line))
-        return line
+        connection = next(iter(place.node.server_pool.endpoints.values())).connections[0]
+        await until(
+            lambda: not place.node.session_core.front_sessions and not place.node.server_pool.teardowns.unconfirmed_on(connection)
+        )
+        return connection
 
     @story
     async def test_an_unused_one_is_kept_while_its_server_keeps_it_unless_all_there_may_be_are_open(self):
         async with Place().up() as place:
-            viewer, reach = await place.viewer(), place.node.reach
-            line = await self.unused(place, viewer, A)
-            reach._look_after(line, line.used_at + 10 * SECOND)
-            self.assertFalse(line.over)
-            self.assertIs(await self.unused(place, viewer, B), line)
-            reach.most_lines = 1
-            reach._look_after(line, line.used_at + 10 * SECOND)
-            self.assertNotIn(line, line.endpoint.lines)
-            await until(lambda: line.over, 1.0)
+            viewer, server_pool = await place.viewer(), place.node.server_pool
+            connection = await self.unused(place, viewer, A)
+            server_pool._look_after(connection, connection.used_at + 10 * SECOND)
+            self.assertFalse(connection.over)
+            self.assertIs(await self.unused(place, viewer, B), connection)
+            server_pool.most_connections = 1
+            server_pool._look_after(connection, connection.used_at + 10 * SECOND)
+            self.assertNotIn(connection, connection.endpoint.connections)
+            await until(lambda: connection.over, 1.0)
 
     @story
     async def test_it_goes_before_its_server_would_close_it_under_a_set_up(self):
         async with Place().up() as place:
-            line = await self.unused(place, await place.viewer(), A)
-            place.node.reach._look_after(line, line.used_at + 25 * SECOND)
-            self.assertNotIn(line, line.endpoint.lines)
-            await until(lambda: line.over, 1.0)
+            connection = await self.unused(place, await place.viewer(), A)
+            place.node.server_pool._look_after(connection, connection.used_at + 25 * SECOND)
+            self.assertNotIn(connection, connection.endpoint.connections)
+            await until(lambda: connection.over, 1.0)
 
 
 class BadClients(unittest.TestCase):
     @story
     async def test_full_of_idle_connections_it_drops_those_and_takes_who_comes(self):
         async with Place(sockets=120).up() as place:
-            held, most = [], place.node.door.gate.most
+            held, most = [], place.node.listener.gate.most
             with anyio.fail_after(8):
                 for _ in range(4 * most):
                     held.append(await place.viewer())
                     await held[-1].stream.send(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
                     self.assertEqual((await held[-1].hear(1.0)).status, 200)
-            self.assertLessEqual(len(place.node.door.lines), most)
+            self.assertLessEqual(len(place.node.listener.connections), most)
             self.assertEqual((await (await place.viewer()).answer(A)).status, 200)
 
     @story
@@ -613,7 +617,7 @@
             ):
                 await told(bad)
             self.assertEqual(len(media.had(isup.SET_UP)), 1)
-            await media.lines[0].send(ANSWER.replace(b"IDIDIDID", bytes.fromhex(A)))
+            await media.connections[0].send(ANSWER.replace(b"IDIDIDID", bytes.fromhex(A)))
             self.assertEqual((await usual.hear()).body, b"late")
             for half in (b"", b"SETUP rtsp://media/"):
                 await told(half)
@@ -628,8 +632,8 @@
                 await viewer.ask(f"{number:016x}", package=CLIP)
             for number in range(300):
                 await viewer.tear_down(f"{number:016x}")
-            await until(lambda: not place.node.desk.waiting and not place.node.door.asked)
-            self.assertFalse(place.node.reach.attempts or place.node.desk.courses)
+            await until(lambda: not place.node.session_core.waiting and not place.node.listener.asked)
+            self.assertFalse(place.node.server_pool.attempts or place.node.session_core.front_sessions)
             self.assertEqual(place.node.fleet.servers[media.name].link.own, 0)
 
 
--- a/tests/test_node_crowds.py
+++ b/tests/test_node_crowds.py
@@ -41,18 +41,18 @@
     @story
     async def test_it_is_they_who_go_and_not_those_whose_viewings_stand_and_ends_are_told_at_once(self):
         async with Place(sockets=120).up() as place:
-            media, viewers, most = place.medias[0], [Plain(place.port) for _ in range(3)], place.node.door.gate.most
+            media, viewers, most = place.medias[0], [Plain(place.port) for _ in range(3)], place.node.listener.gate.most
             for viewer, id in zip(viewers, (A, B, C)):
                 viewer.ask(id)
                 await viewer.hear()
             held = await self.crowd(place, 3 * most)
-            self.assertGreater(place.node.door.gate.dropped, most)
+            self.assertGreater(place.node.listener.gate.dropped, most)
             for viewer, id in zip(viewers, (A, B, C)):
-                await media.lines[0].send(isup.release(bytes.fromhex(id), isup.OVER))
+                await media.connections[0].send(isup.release(bytes.fromhex(id), isup.OVER))
                 heard = await viewer.hear(0.5)
                 self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", id))
             # nothing stands there any more: they are as others now
-            self.assertEqual([line.standing for line in place.node.door.lines if line.standing], [])
+            self.assertEqual([connection.standing for connection in place.node.listener.connections if connection.standing], [])
             held += await self.crowd(place, 2 * most)
             for viewer in viewers:
                 self.assertIsNone(await viewer.hear(0.5))
@@ -62,14 +62,14 @@
     @story
     async def test_where_viewings_stand_on_all_of_them_the_longest_idle_goes_and_who_comes_is_taken(self):
         async with Place(sockets=60).up() as place:
-            media, most, held = place.medias[0], place.node.door.gate.most, []
+            media, most, held = place.medias[0], place.node.listener.gate.most, []
             with anyio.fail_after(8):
                 for number in range(1, 2 * most):
                     held.append(Plain(place.port))
                     held[-1].ask(f"{number:016x}")
                     self.assertEqual((await held[-1].hear(2)).status, 200)
             self.assertIsNone(await held[0].hear())
-            await media.lines[0].send(isup.release(bytes.fromhex(f"{1:016x}"), isup.OVER))
+            await media.connections[0].send(isup.release(bytes.fromhex(f"{1:016x}"), isup.OVER))
             heard = await held[-1].hear()
             self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", f"{1:016x}"))
             for viewer in held:
@@ -84,15 +84,15 @@
                 for viewer, id in ((own, A), (other, B)):
                     viewer.ask(id)
                     await viewer.hear()
-                held.sockets.add(place.node.door.asked[A].line.wire.socket)
+                held.sockets.add(place.node.listener.asked[A].connection.wire.socket)
                 own.close()
-                await media.lines[0].send(isup.release(bytes.fromhex(A), isup.RESET))
-                await until(lambda: place.node.door.pending_releases)
+                await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
+                await until(lambda: place.node.listener.pending_releases)
                 await quiet(lambda: len(other.got))
                 held.go.set()
                 heard = await other.hear(0.5)
             self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", A))
-            await until(lambda: not place.node.door.pending_releases)
+            await until(lambda: not place.node.listener.pending_releases)
             other.close()
 
 
@@ -101,18 +101,18 @@
 
     async def byte_by_byte(self, place, viewer, data):
         """Each byte is read by itself before the next is said."""
-        line = list(place.node.door.lines)[-1]
+        connection = list(place.node.listener.connections)[-1]
         for byte in data:
             viewer.say(bytes([byte]))
             with anyio.fail_after(3):
-                while line.wire.unread():
+                while connection.wire.unread():
                     await anyio.sleep(0)
 
     @story
     async def test_three_requests_in_single_bytes_are_taken_with_their_last_and_carry_what_they_said(self):
         async with Place().up() as place:
             media, viewer = place.medias[0], Plain(place.port)
-            await until(lambda: place.node.door.lines)
+            await until(lambda: place.node.listener.connections)
             whole = set_up(A, package=CLIP, body=b"\r\n\r\nSETUP one")
             await self.byte_by_byte(place, viewer, whole[:-1])
             await quiet(lambda: len(media.had(isup.SET_UP)))
@@ -132,17 +132,17 @@
     async def begun(self, place, viewer, data):
         """The connection on which this much has come and been read."""
         viewer.say(data)
-        await until(lambda: any(line.intake.reader.partial for line in place.node.door.lines))
-        return next(line for line in place.node.door.lines if line.intake.reader.partial)
+        await until(lambda: any(connection.intake.reader.partial for connection in place.node.listener.connections))
+        return next(connection for connection in place.node.listener.connections if connection.intake.reader.partial)
 
     @story
     async def test_one_that_takes_two_seconds_to_come_is_served(self):
         async with Place().up() as place:
             viewer, data = Plain(place.port), set_up(A)
-            line = await self.begun(place, viewer, data[:100])
+            connection = await self.begun(place, viewer, data[:100])
             # so long ago it has begun, and more of it has come just now
-            line.opened_at -= 2 * SECOND
-            line.intake.began_at -= 2 * SECOND
+            connection.opened_at -= 2 * SECOND
+            connection.intake.began_at -= 2 * SECOND
             viewer.say(data[100:-1])
             await anyio.sleep(0.25)
             viewer.say(data[-1:])
@@ -154,23 +154,23 @@
         async with Place().up() as place:
             for opened, began, fed in ((1.0, 1.0, 1.0), (2.5, 2.5, 0.0), (2.5, 1.0, 0.0)):
                 viewer = Plain(place.port)
-                line = await self.begun(place, viewer, b"SETUP rtsp://media/a")
-                line.opened_at -= int(opened * SECOND)
-                line.intake.began_at -= int(began * SECOND)
-                line.intake.fed_at -= int(fed * SECOND)
+                connection = await self.begun(place, viewer, b"SETUP rtsp://media/a")
+                connection.opened_at -= int(opened * SECOND)
+                connection.intake.began_at -= int(began * SECOND)
+                connection.intake.fed_at -= int(fed * SECOND)
                 self.assertIsNone(await viewer.hear(0.4))
                 viewer.close()
-                await until(lambda: not place.node.door.lines)
+                await until(lambda: not place.node.listener.connections)
 
     @story
     async def test_the_gate_makes_no_room_by_closing_a_connection_on_which_a_request_is_coming_in_pieces(self):
         async with Place().up() as place:
             viewer, stops, data = Plain(place.port), Plain(place.port), set_up(A)
-            await until(lambda: len(place.node.door.lines) == 2)
-            for line in place.node.door.lines:
-                line.rested_at -= 10
-            line = await self.begun(place, viewer, data[:100])
-            place.node.door.gate.make_room()
+            await until(lambda: len(place.node.listener.connections) == 2)
+            for connection in place.node.listener.connections:
+                connection.rested_at -= 10
+            connection = await self.begun(place, viewer, data[:100])
+            place.node.listener.gate.make_room()
             # who says nothing goes, who is in the middle of saying something stays
             self.assertIsNone(await stops.hear())
             viewer.say(data[100:])
@@ -179,8 +179,8 @@
             self.assertEqual((await viewer.hear()).status, 200)
             # and half a request of which nothing more comes rests like any other
             await self.begun(place, viewer, data[:100])
-            line.rested_at -= 10
-            place.node.door.gate.make_room()
+            connection.rested_at -= 10
+            place.node.listener.gate.make_room()
             self.assertIsNone(await viewer.hear(0.5))
             for one in (viewer, stops):
                 one.close()
@@ -189,17 +189,20 @@
     async def test_one_whose_last_byte_comes_as_the_node_ends_is_answered(self):
         async with Place().up() as place:
             viewer, data = Plain(place.port), set_up(A)
-            await until(lambda: place.node.door.lines)
-            finish = place.node.door.finish
+            await until(lambda: place.node.listener.connections)
+            finish = place.node.listener.finish
 
             async def with_the_rest(*by):
                 await self.begun(place, viewer, data[:100])
                 place.tasks.start_soon(finish, *by)
                 await anyio.sleep(0.2)
                 viewer.say(data[100:])
-                await until(lambda: not place.node.door.lines)
+                await until(lambda: not place.node.listener.connections)
 
-            with mock.patch.object(place.node.door, "finish", with_the_rest), mock.patch("curlewshift.node.node.STILL_COME", 0.2):
+            with (
+                mock.patch.object(place.node.listener, "finish", with_the_rest),
+                mock.patch("curlewshift.node.node.STILL_COME", 0.2),
+            ):
                 os.kill(os.getpid(), signal.SIGTERM)
                 heard = await viewer.hear()
                 self.assertEqual((heard.status, heard.fields["session"]), (503, A))
@@ -231,14 +234,14 @@
     @story
     async def test_thirty_that_see_little_each_do_not_push_a_cold_server_over_together_and_answer_each_request_once(self):
         place, arrivals = Place(2), []
-        place.duties = dict(warm_within_ms=8000, start_capacity=0.1, fall_multiple=2.0, fall_ms=1000)
+        place.obligations = dict(warm_within_ms=8000, start_capacity=0.1, fall_multiple=2.0, fall_ms=1000)
         async with place.around():
             cold = place.medias[0]
 
-            async def noted(line, kind, id, parameters):
+            async def noted(connection, kind, id, parameters):
                 if kind == isup.SET_UP:
                     arrivals.append(anyio.current_time())
-                await cold.plays(line, kind, id, parameters)
+                await cold.plays(connection, kind, id, parameters)
 
             cold.does = noted
             async with self.nodes(place, 30) as nodes:
@@ -306,13 +309,13 @@
     @story
     async def test_it_costs_little_connects_to_nobody_follows_a_reload_and_ends_at_once_when_told(self):
         async with Place(4).around() as place, self.started(place) as process:
-            await until(lambda: place.bulletin.lines)
+            await until(lambda: place.bulletin.connections)
             before, opened = self.used(process)
             await anyio.sleep(1.0)
             after, open_then = self.used(process)
             self.assertLess(after - before, 0.1)
             self.assertLessEqual(open_then, opened)
-            self.assertEqual([media.lines for media in place.medias], [[], [], [], []])
+            self.assertEqual([media.connections for media in place.medias], [[], [], [], []])
             other = Bulletin()
             await other.open(place.tasks)
             place.bulletin.port = other.port
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -396,7 +396,7 @@
     def world(self, how, times=8.0, overload=Overload, **more):
         script = made_up(8, 24, 700, 20, 1.0, 1, troubles=more.pop("troubles", ()))
         script.each_second *= times
-        script.site.duties.longest_wait = 15 * SECOND
+        script.site.obligations.longest_wait = 15 * SECOND
         terms = OverloadTerms(longest_wait=15 * SECOND, fronts=8)
         traffic = []
         world = World(script, 1, traffic, shedding=Shedding(terms, together=how == "one", overload=overload) if how else None)
@@ -472,7 +472,7 @@
             spent = site.front.sheds.overload.again.spent
             await site.ask()
             self.assertEqual((spent, site.front.sheds.overload.again.spent), (1, 1))
-            self.assertTrue(site.front.desk.rules.again_stopped)
+            self.assertTrue(site.front.session_core.rules.again_stopped)
 
 
 FIGURES = Figures(
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -96,162 +96,168 @@
 
     def setUp(self):
         self.calendar = Calendar(PACKAGES)
-        self.outside = FakeDriver(calendar=self.calendar, free_further=None)
-        self.desk = self.outside.desk
+        self.driver = FakeDriver(calendar=self.calendar, free_further=None)
+        self.session_core = self.driver.session_core
         self.clip, self.lesson = PACKAGES[0], PACKAGES[2]
 
     def announce(self, starts_in, length=30 * SECOND, **changed):
-        starts = self.outside.wall() + starts_in
-        self.calendar.announce(peak(starts=starts, ends=starts + length, **changed), self.outside.wall())
+        starts = self.driver.wall() + starts_in
+        self.calendar.announce(peak(starts=starts, ends=starts + length, **changed), self.driver.wall())
 
     def held(self, pack=None):
-        return sum(server.link.holds.get(pack or self.clip, 0.0) for server in self.desk.rules.servers)
+        return sum(server.link.holds.get(pack or self.clip, 0.0) for server in self.session_core.rules.servers)
 
     def test_room_is_made_ahead_used_by_its_package_and_given_back(self):
         self.announce(60 * SECOND)
-        self.outside.later(5 * SECOND)
+        self.driver.later(5 * SECOND)
         self.assertEqual(self.held(), 0.0)
-        self.outside.later(54 * SECOND)
+        self.driver.later(54 * SECOND)
         # 5 a second for 10 s at the rung over the floor, 400 kB/s: more than half of the links, so half of them
         self.assertAlmostEqual(self.held(), 8000.0)
-        self.outside.later(2 * SECOND)
-        course = self.outside.play(pack="clip", title="t3")
-        self.outside.later(SECOND)
-        self.assertLess(self.held(), 8000.0 - course.vw.held_rate + 1)
-        self.outside.later(40 * SECOND)
+        self.driver.later(2 * SECOND)
+        front_session = self.driver.play(pack="clip", title="t3")
+        self.driver.later(SECOND)
+        self.assertLess(self.held(), 8000.0 - front_session.viewing.held_rate + 1)
+        self.driver.later(40 * SECOND)
         self.assertEqual((self.held(), self.calendar.peaks), (0.0, {}))
 
     def test_others_are_kept_out_of_what_is_held_and_those_it_is_for_are_not(self):
         self.announce(2 * SECOND, most=0.8)
-        for server in list(self.desk.rules.servers):
-            self.desk.told(server, {"link": 0.15, "uplink": 0.0})
-        self.outside.later(SECOND)
-        lesson, clip = self.outside.ask("lesson", "t1"), self.outside.ask("clip", "t1")
-        rungs = {tune_in.course.vw.package.name: tune_in.rung for tune_in in self.outside.out}
+        for server in list(self.session_core.rules.servers):
+            self.session_core.told(server, {"link": 0.15, "uplink": 0.0})
+        self.driver.later(SECOND)
+        lesson, clip = self.driver.ask("lesson", "t1"), self.driver.ask("clip", "t1")
+        rungs = {tune_in.front_session.viewing.package.name: tune_in.rung for tune_in in self.driver.out}
         self.assertEqual(rungs.get("clip"), 2)
         self.assertLess(rungs.get("lesson", -1), 2)
-        self.assertNotIn(clip, self.outside.answers)
-        self.assertTrue(lesson in self.outside.answers or rungs["lesson"] < 2)
+        self.assertNotIn(clip, self.driver.answers)
+        self.assertTrue(lesson in self.driver.answers or rungs["lesson"] < 2)
 
     def test_steps_make_room_from_others_and_never_from_those_it_is_held_for(self):
-        lessons = [self.outside.play(pack="lesson", title="t1") for _ in range(12)]
-        clips = [self.outside.play(pack="clip", title="t1") for _ in range(2)]
-        self.outside.later(SECOND)
-        before = [course.vw.rung for course in clips]
+        lessons = [self.driver.play(pack="lesson", title="t1") for _ in range(12)]
+        clips = [self.driver.play(pack="clip", title="t1") for _ in range(2)]
+        self.driver.later(SECOND)
+        before = [front_session.viewing.rung for front_session in clips]
         self.announce(2 * SECOND, most=0.8, rate=50.0)
-        self.outside.later(3 * SECOND)
-        self.assertLess(sum(course.vw.rung for course in lessons), 24)
-        self.assertEqual([course.vw.rung for course in clips], before)
+        self.driver.later(3 * SECOND)
+        self.assertLess(sum(front_session.viewing.rung for front_session in lessons), 24)
+        self.assertEqual([front_session.viewing.rung for front_session in clips], before)
 
     def test_a_peak_that_starts_early_is_held_for_at_once(self):
         self.announce(20 * SECOND, length=60 * SECOND, rate=4.0)
         self.assertEqual(self.held(), 0.0)
         for _ in range(12):
-            self.outside.ask("clip", "t3")
-            self.outside.later(SECOND // 4)
-        self.outside.later(SECOND)
+            self.driver.ask("clip", "t3")
+            self.driver.later(SECOND // 4)
+        self.driver.later(SECOND)
         self.assertGreater(self.held(), 0.0)
-        self.assertEqual(self.desk.peaks.holding["month-end"].phase, "on")
+        self.assertEqual(self.session_core.peaks.holding["month-end"].phase, "on")
 
     def test_a_peak_that_never_comes_is_let_go(self):
         self.announce(SECOND, rate=1.0)
-        self.outside.later(3 * SECOND)
+        self.driver.later(3 * SECOND)
         first = self.held()
-        self.outside.later(20 * SECOND)
+        self.driver.later(20 * SECOND)
         self.assertLess(self.held(), first / 3)
 
     def test_a_peak_twice_as_high_is_followed_up_to_what_was_announced_as_the_most(self):
         self.announce(SECOND, rate=0.4, most=0.5)
-        self.outside.later(2 * SECOND)
+        self.driver.later(2 * SECOND)
         first = self.held()
         for _ in range(40):
-            self.outside.ask("clip", "t3")
-            self.outside.later(SECOND // 8)
-        used = sum(course.vw.held_rate for course in self.desk.courses.values() if course.vw.package is self.clip)
+            self.driver.ask("clip", "t3")
+            self.driver.later(SECOND // 8)
+        used = sum(
+            front_session.viewing.held_rate
+            for front_session in self.session_core.front_sessions.values()
+            if front_session.viewing.package is self.clip
+        )
         self.assertGreater(self.held() + used, first)
         self.assertLessEqual(self.held(), 8000.0)
 
     def test_a_hold_shrinks_with_the_servers_and_is_never_on_one_that_drains(self):
         self.announce(SECOND, rate=1.0)
-        self.outside.later(2 * SECOND)
+        self.driver.later(2 * SECOND)
         before = self.held()
-        self.outside.change(self.outside.row("s0", "fading"), self.outside.row("s1", "off", "b"))
-        gone = self.outside.server("s0")
-        self.outside.later(SECOND)
+        self.driver.change(self.driver.row("s0", "fading"), self.driver.row("s1", "off", "b"))
+        gone = self.driver.server("s0")
+        self.driver.later(SECOND)
         self.assertAlmostEqual(self.held() / before, 0.5, delta=0.1)
         self.assertFalse(gone.link.holds)
 
     def test_a_replacement_that_comes_cold_is_sent_no_more_for_a_hold(self):
         self.announce(SECOND, rate=20.0)
-        started = self.outside.clock
-        self.outside.change(self.outside.row("s0", "off"), self.outside.row("s9", "on", "a", started))
-        self.outside.later(2 * SECOND)
+        started = self.driver.clock
+        self.driver.change(self.driver.row("s0", "off"), self.driver.row("s9", "on", "a", started))
+        self.driver.later(2 * SECOND)
         for _ in range(60):
-            self.outside.ask("clip", "t1")
-        self.assertEqual(self.outside.broken, [])
+            self.driver.ask("clip", "t1")
+        self.assertEqual(self.driver.broken, [])
 
     def test_two_peaks_that_overlap_hold_for_both_and_one_package_twice_holds_once(self):
         self.announce(SECOND, most=0.4)
         self.announce(SECOND, name="other", package="lesson", most=0.4)
-        self.outside.later(2 * SECOND)
+        self.driver.later(2 * SECOND)
         self.assertGreater(min(self.held(), self.held(self.lesson)), 0)
         self.calendar.cancel("other")
         self.announce(SECOND, name="again", most=0.4)
         one = self.held()
-        self.outside.later(SECOND)
+        self.driver.later(SECOND)
         self.assertAlmostEqual(self.held(), one, delta=0.1 * one)
         self.assertEqual(self.held(self.lesson), 0.0)
 
     def test_a_cancelled_peak_is_given_back_at_the_next_second(self):
         self.announce(SECOND)
-        self.outside.later(2 * SECOND)
+        self.driver.later(2 * SECOND)
         self.assertGreater(self.held(), 0)
         self.calendar.cancel("month-end")
-        self.outside.later(SECOND)
+        self.driver.later(SECOND)
         self.assertEqual(self.held(), 0.0)
 
     def test_the_walls_clock_set_back_or_forward_moves_the_peak_and_breaks_nothing(self):
         self.announce(100 * SECOND)
-        self.outside.wall_off = 101 * SECOND
-        self.outside.later(SECOND)
+        self.driver.wall_off = 101 * SECOND
+        self.driver.later(SECOND)
         self.assertGreater(self.held(), 0)
-        self.outside.wall_off = 0
-        self.outside.later(SECOND)
+        self.driver.wall_off = 0
+        self.driver.later(SECOND)
         self.assertEqual(self.held(), 0.0)
-        self.outside.wall_off = 1000 * SECOND
-        self.outside.later(SECOND)
+        self.driver.wall_off = 1000 * SECOND
+        self.driver.later(SECOND)
         self.assertEqual((self.held(), self.calendar.peaks), (0.0, {}))
 
     def test_where_not_one_would_fit_over_its_floor_nothing_is_held(self):
-        rows = [replace(row, link=300.0) for row in self.outside.rows.values()]
-        self.outside.change(*rows)
+        rows = [replace(row, link=300.0) for row in self.driver.rows.values()]
+        self.driver.change(*rows)
         self.announce(SECOND)
-        self.outside.later(2 * SECOND)
+        self.driver.later(2 * SECOND)
         self.assertEqual(self.held(), 0.0)
 
     def test_room_is_held_where_its_titles_are_asked_for(self):
         for _ in range(60):
-            self.outside.ask("clip", "t1")
-            self.outside.later(SECOND // 10)
-        self.outside.later(10 * SECOND)
+            self.driver.ask("clip", "t1")
+            self.driver.later(SECOND // 10)
+        self.driver.later(10 * SECOND)
         self.announce(SECOND, rate=0.5, most=0.8)
-        self.outside.later(2 * SECOND)
+        self.driver.later(2 * SECOND)
         holds = {
             server.name: server.link.holds.get(self.clip, 0.0)
-            + sum(vw.held_rate for vw in server.link.playing if vw.package is self.clip)
-            for server in self.desk.rules.servers
+            + sum(viewing.held_rate for viewing in server.link.playing if viewing.package is self.clip)
+            for server in self.session_core.rules.servers
         }
         self.assertGreater(holds["s0"] + holds["s1"], 2 * (holds["s2"] + holds["s3"]))
 
     def test_without_a_calendar_no_link_is_looked_at(self):
-        self.desk.peaks._links = None
-        self.outside.later(5 * SECOND)
+        self.session_core.peaks._links = None
+        self.driver.later(5 * SECOND)
 
     def test_a_hold_is_one_fronts_part(self):
         three = FakeDriver(calendar=Calendar(PACKAGES), fronts=3)
-        three.desk.peaks.calendar.announce(peak(starts=three.wall() + SECOND, ends=three.wall() + 30 * SECOND), three.wall())
+        three.session_core.peaks.calendar.announce(
+            peak(starts=three.wall() + SECOND, ends=three.wall() + 30 * SECOND), three.wall()
+        )
         three.later(2 * SECOND)
-        held = sum(sum(server.link.holds.values()) for server in three.desk.rules.servers)
+        held = sum(sum(server.link.holds.values()) for server in three.session_core.rules.servers)
         self.assertAlmostEqual(held, 8000.0 / 3, delta=1)
 
 
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -14,7 +14,7 @@
 
 from curlewshift.fault_injection.processes import free_ports
 from curlewshift.membership.member import Rank
-from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.terms import default_membership_terms
 from curlewshift.peering.wire import PeerWire
 from curlewshift.schedule.clock import SkewedClock
 from curlewshift.site.site import ListenAddress, Peers
@@ -29,9 +29,9 @@
     @story
     async def test_a_flood_of_garbage_at_the_peers_port_costs_no_viewing(self):
         ports = free_ports(2, Random(), socket.SOCK_DGRAM)
-        peers = Peers([("127.0.0.1", ports[0])], usual_manners(200 * MS), 64_000)
+        peers = Peers([("127.0.0.1", ports[0])], default_membership_terms(200 * MS), 64_000)
         small = SmallSite(site={"peers": peers})
-        small.site.doors[0].peers_listen = small.site.doors[0].peers_reach = ("127.0.0.1", ports[0])
+        small.site.front_addresses[0].peers_listen = small.site.front_addresses[0].peers_reach = ("127.0.0.1", ports[0])
         async with small.up() as site:
             other = PeerWire(
                 "test",
@@ -44,11 +44,11 @@
             site.tasks.start_soon(other.run)
             known, channel = site.front.peers.channel.membership, site.front.peers.channel
             await until(lambda: known.size == 2 and other.channel.membership.size == 2)
-            flood, chance = socket.socket(socket.AF_INET, socket.SOCK_DGRAM), Random(2)
+            flood, rng = socket.socket(socket.AF_INET, socket.SOCK_DGRAM), Random(2)
             with flood:
                 for number in range(30):
                     for _ in range(300):
-                        data = chance.choice((b"", b"CWP\x01", b"CWP\x02")) + chance.randbytes(chance.choice((0, 40, 1300)))
+                        data = rng.choice((b"", b"CWP\x01", b"CWP\x02")) + rng.randbytes(rng.choice((0, 40, 1300)))
                         flood.sendto(data, ("127.0.0.1", ports[0]))
                     answered = await site.ask()
                     self.assertEqual(answered.status, 201, number)
@@ -67,12 +67,12 @@
     @story
     async def test_a_server_refuses_an_act_of_an_earlier_tenure_and_the_front_judges_nobody_by_it(self):
         async with SmallSite(servers=1).up() as site:
-            server = next(iter(site.front.desk.rules.servers))
+            server = next(iter(site.front.session_core.rules.servers))
             for number, passes in ((7, True), (5, False), (7, True), (8, True)):
-                site.front.reach.probe(server, f"probe/1;{number}")
+                site.front.server_pool.probe(server, f"probe/1;{number}")
                 await until(lambda: site.traffic.all("act") and site.traffic.all("act")[-1]["number"] == number)
                 self.assertEqual(site.traffic.all("act")[-1]["accepted"], passes, number)
-            site.front.reach.probe(server, "probe/2;1")
+            site.front.server_pool.probe(server, "probe/2;1")
             await until(lambda: len(site.traffic.all("act")) == 5)
             self.assertEqual((site.traffic.all("act")[-1]["accepted"], server.trouble), (True, 0.0))
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from curlewshift.emulator.peer_histories import PERIOD, History, manners
+from curlewshift.emulator.peer_histories import PERIOD, History, membership_terms
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet
 from curlewshift.front.planted_faults import DeafIncarnation
 from curlewshift.membership.member import Claim, Rank
 from curlewshift.membership.membership import Probe
-from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.terms import default_membership_terms
 from curlewshift.membership.updates import News
 from curlewshift.membership.views import Views
 from curlewshift.peering.frames import MOST_BYTES, Frame, Refused, Window, decode, encode
@@ -26,7 +26,7 @@
 
 
 def fleet(size, seed=1, links=None, **more):
-    made = PeerFleet(size, seed, manners(**more), links=links)
+    made = PeerFleet(size, seed, membership_terms(**more), links=links)
     made.start()
     assert made.until(made.agreed, 10) is not None
     return made
@@ -66,7 +66,7 @@
         some.lists(some.tuples(some.integers(1, 3), some.integers(0, 3), some.integers(0, 3)), min_size=1, max_size=8),
         some.randoms(use_true_random=False),
     )
-    def test_views_merge_to_the_same_in_any_order_and_however_often(self, told, chance):
+    def test_views_merge_to_the_same_in_any_order_and_however_often(self, told, rng):
         claims = [
             Claim("x", "10.9.9.9", 1, life, incarnation, rank, ("a",) if rank == 1 else ()) for life, incarnation, rank in told
         ]
@@ -74,8 +74,8 @@
         ends = set()
         for _ in range(2):
             order = claims * 2
-            chance.shuffle(order)
-            made = PeerFleet(1, 1, manners())
+            rng.shuffle(order)
+            made = PeerFleet(1, 1, membership_terms())
             made.start()
             known = made.posts[0].channel.membership
             known.told([first], "x")
@@ -116,8 +116,8 @@
             made = fleet(8)
             made.links.parted = lambda a, b: (a in side) != (b in side)
             made.run(20 * PERIOD / NS)
-            outside = next(number for number in range(8) if number not in side)
-            self.assertEqual(ranks(made, outside, f"f{min(side)}"), Rank.GONE)
+            driver = next(number for number in range(8) if number not in side)
+            self.assertEqual(ranks(made, driver, f"f{min(side)}"), Rank.GONE)
             made.links.parted = lambda a, b: False
             self.assertLess(made.until(made.agreed, 20), 10 * PERIOD / NS, side)
 
@@ -142,7 +142,7 @@
         self.assertGreater(made.posts[0].channel.membership.members["f1"].incarnation, 0)
 
     def test_that_it_contradicts_is_what_brings_it_back(self):
-        made = PeerFleet(6, 1, manners(), membership=DeafIncarnation)
+        made = PeerFleet(6, 1, membership_terms(), membership=DeafIncarnation)
         made.start()
         made.until(made.agreed, 10)
         made.posts[1].pause()
@@ -202,7 +202,7 @@
         self.assertIsNotNone(made.until(made.agreed, 10))
 
     def test_a_seed_that_is_down_at_the_start_hinders_nobody_and_is_found_later(self):
-        made = PeerFleet(5, 1, manners())
+        made = PeerFleet(5, 1, membership_terms())
         made.start([1, 2, 3, 4])
         self.assertLess(made.until(made.agreed, 10), 3)
         made.posts[0].start()
@@ -319,7 +319,7 @@
     @settings(max_examples=200, deadline=None)
     @given(some.binary(max_size=1500))
     def test_nothing_that_comes_is_raised(self, data):
-        made = PeerFleet(1, 1, manners())
+        made = PeerFleet(1, 1, membership_terms())
         made.start()
         channel = made.posts[0].channel
         body = b"CWP\x01" + data
@@ -344,10 +344,10 @@
 
 class Bounds(unittest.TestCase):
     def test_an_allowance_is_not_passed_and_what_does_not_go_is_not_owed(self):
-        allowance, chance, now, went = Allowance(1000, 0), random.Random(1), 0, 0
+        allowance, rng, now, went = Allowance(1000, 0), random.Random(1), 0, 0
         for _ in range(5000):
-            now += chance.randrange(10 * MS)
-            size = chance.randrange(1, 300)
+            now += rng.randrange(10 * MS)
+            size = rng.randrange(1, 300)
             went += size if allowance.take(now, size) else 0
         self.assertLessEqual(went, 1000 + now / NS * 1000)
         self.assertGreater(went, 0.9 * now / NS * 1000)
@@ -358,7 +358,7 @@
         self.assertAlmostEqual(spent.read(10 * NS), 1000 / 2.718281828, delta=1)
 
     def test_pieces_keep_to_the_allowance_and_the_rest_comes_later(self):
-        made = PeerFleet(300, 1, usual_manners(NS), seeds=1, most_bytes=4_000)
+        made = PeerFleet(300, 1, default_membership_terms(NS), seeds=1, most_bytes=4_000)
         made.start_settled()
         made.run(3)
         late = type(made.posts[0])(made, 300)
--- a/tests/test_pending_releases.py
+++ b/tests/test_pending_releases.py
@@ -310,10 +310,10 @@
 class Histories(unittest.TestCase):
     def play(self, seed, steps=120):
         """A random course; then the network heals, and the server reads what comes on a connection that is new."""
-        chance, world = Random(seed), World()
+        rng, world = Random(seed), World()
         world.CONNECTIONS = world.ATTEMPTS = 1_000
         for _ in range(steps):
-            world.do(chance.choice(list(world.actions())))
+            world.do(rng.choice(list(world.actions())))
             if world.wrong:
                 return world, -1
         if world.out_on is not None:
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -74,9 +74,9 @@
                 if self.told is not None and self.now < story.hears_at:
                     continue
                 # its set-ups are answered at once, so that nothing but the pace holds it back
-                while (vw := story.want(ceiling=0)).server is not None:
+                while (viewing := story.want(ceiling=0)).server is not None:
                     self.sent.append(story.host.clock - self.apart[me])
-                    story.rules.begun(vw)
+                    story.rules.begun(viewing)
         return self
 
     def most(self):
@@ -109,16 +109,16 @@
     def test_of_a_server_told_cold_the_sum_of_all_fronts_is_its_pace_in_every_window(self):
         for fronts in FRONTS:
             for budget in BUDGETS:
-                self.check(budget + 1e-9, fronts, budget, told=lambda chance: 0)
+                self.check(budget + 1e-9, fronts, budget, told=lambda rng: 0)
 
     def test_told_at_different_times_too(self):
         for fronts in FRONTS:
-            self.check(4.5, fronts, 4.5, told=lambda chance: chance.randrange(4 * SECOND))
+            self.check(4.5, fronts, 4.5, told=lambda rng: rng.randrange(4 * SECOND))
 
     def test_fronts_that_restart_and_forget_what_they_sent_add_no_more_than_chance_does(self):
         for fronts in FRONTS:
             for budget in BUDGETS:
-                self.check(bound(budget), fronts, budget, told=lambda chance: 0, restarts=0.1)
+                self.check(bound(budget), fronts, budget, told=lambda rng: 0, restarts=0.1)
 
     def test_of_a_server_not_proven_warm_the_sum_stays_within_chance_though_half_restart(self):
         for fronts in FRONTS:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -50,10 +50,10 @@
 
     def __init__(self, sessions=(), boots=None, doubts=(), **how):
         self.fake = FakeDriver(**how)
-        self.asked, self.adopting, self.courses, self.forgot = [], [], {}, []
+        self.asked, self.adopting, self.front_sessions, self.forgot = [], [], {}, []
         for doubt in doubts:
-            self.fake.desk.interrupted(doubt.key, doubt.offer, "paid", "t1", self.fake.clock + 60 * SECOND, doubt=True)
-        self.recovery = Recovery(self, self.fake.desk, OWN, list(sessions), boots or {}, list(doubts))
+            self.fake.session_core.interrupted(doubt.key, doubt.offer, "paid", "t1", self.fake.clock + 60 * SECOND, doubt=True)
+        self.recovery = Recovery(self, self.fake.session_core, OWN, list(sessions), boots or {}, list(doubts))
         self.recovery.begin()
 
     def ask_sessions(self, server):
@@ -63,10 +63,10 @@
         self.adopting.append((server.name, paths))
 
     def taken_up(self, one, server):
-        course = self.courses[one.token] = self.fake.desk.handed_over(
+        front_session = self.front_sessions[one.token] = self.fake.session_core.handed_over(
             one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, one.offer
         )
-        return course
+        return front_session
 
     def session_of(self, found, doubt):
         return found.path
@@ -97,9 +97,9 @@
 class Deciding(unittest.TestCase):
     def test_what_is_remembered_counts_before_anyone_was_asked(self):
         day = Restart([remembered(token=f"t{n}", path=f"/session/{n}", pack="clip", key=f"k{n}") for n in range(2)])
-        rules = day.fake.desk.rules
-        course = day.courses["t0"]
-        self.assertEqual(rules.seats["t1", course.vw.package], 2)
+        rules = day.fake.session_core.rules
+        front_session = day.front_sessions["t0"]
+        self.assertEqual(rules.seats["t1", front_session.viewing.package], 2)
         self.assertGreater(day.fake.server("s0").link.own, 0)
         # both seats of the title are taken: a third viewing is refused, on whichever server
         third = day.fake.ask("clip", "t1", key="new")
@@ -110,9 +110,9 @@
         day.tells("s0", ("/session/1", BEFORE, 1, ""), ("/session/3", BEFORE, 0, ""), ("/session/4", OWN, 0, ""))
         self.assertEqual(day.adopting, [("s0", ["/session/1"])])
         self.assertEqual(day.fake.torn, ["/session/3"], "only what nobody knows is torn down, and nothing of this life")
-        self.assertFalse(day.courses["gone"].vw.playing)
+        self.assertFalse(day.front_sessions["gone"].viewing.playing)
         day.takes("s0", "/session/1")
-        self.assertTrue(day.courses["kept"].vw.playing)
+        self.assertTrue(day.front_sessions["kept"].viewing.playing)
         for server in ("s1", "s2", "s3"):
             day.tells(server)
         recovery = day.recovery
@@ -121,19 +121,19 @@
     def test_its_client_comes_again_for_an_answer_and_gets_it(self):
         day = Restart([remembered(key="k")])
         request = day.fake.ask("lesson", "t1", key="k", offer="offer")
-        self.assertEqual((request.answer.kind, request.answer.course), (Kind.PLAYS, day.courses["tk"]))
+        self.assertEqual((request.answer.kind, request.answer.front_session), (Kind.PLAYS, day.front_sessions["tk"]))
         self.assertEqual(day.fake.out, [])
 
     def test_a_session_that_ends_during_adoption(self):
         day = Restart([remembered()])
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         day.takes("s0")
-        self.assertFalse(day.courses["tk"].vw.playing)
+        self.assertFalse(day.front_sessions["tk"].viewing.playing)
         self.assertEqual((day.recovery.kept, day.recovery.ended), (0, 1))
 
     def test_a_viewer_leaves_while_its_session_is_being_adopted(self):
         day = Restart([remembered()])
-        day.fake.desk.closed(day.courses["tk"])
+        day.fake.session_core.closed(day.front_sessions["tk"])
         self.assertEqual(day.fake.torn, ["/session/1"])
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         self.assertEqual((day.adopting, day.fake.torn), ([], ["/session/1"]))
@@ -141,17 +141,17 @@
     def test_a_server_that_is_another_life_has_nothing_and_is_cold(self):
         day = Restart([remembered()], boots={"s0": "before"})
         server = day.fake.server("s0")
-        new = day.fake.desk.handed_over("lesson", "t1", 2, server, "/session/9", 0)
+        new = day.fake.session_core.handed_over("lesson", "t1", 2, server, "/session/9", 0)
         day.tells("s0", ("/session/9", OWN, 0, ""), boot="after")
-        self.assertFalse(day.courses["tk"].vw.playing)
-        self.assertTrue(new.vw.playing, "what this life has set up there plays")
+        self.assertFalse(day.front_sessions["tk"].viewing.playing)
+        self.assertTrue(new.viewing.playing, "what this life has set up there plays")
         self.assertGreater(server.cold_until, day.fake.clock)
 
     def test_the_servers_word_on_a_rung_stands(self):
         day = Restart([remembered(rung=2)])
         day.tells("s0", ("/session/1", BEFORE, 0, ""))
         day.takes("s0", "/session/1")
-        self.assertEqual(day.courses["tk"].vw.rung, 0)
+        self.assertEqual(day.front_sessions["tk"].viewing.rung, 0)
 
     def test_a_silent_server_is_asked_again_and_given_up_in_the_end(self):
         day = Restart([remembered()])
@@ -162,27 +162,27 @@
             if day.asked:
                 day.silent("s0")
                 tries += 1
-            self.assertTrue(day.courses["tk"].vw.playing)
+            self.assertTrue(day.front_sessions["tk"].viewing.playing)
             day.later(SECOND // 10)
         self.assertEqual(day.fake.clock - day.recovery.began, TRIED_FOR)
         self.assertLess(tries, 20)
-        self.assertFalse(day.courses["tk"].vw.playing)
+        self.assertFalse(day.front_sessions["tk"].viewing.playing)
         self.assertEqual(day.fake.torn, ["/session/1"], "it may come back, and would send to nobody")
 
     def test_a_server_that_the_kept_list_lacks_is_asked_once_the_list_tells_of_it(self):
         day = Restart([remembered(server="late")])
-        self.assertEqual(day.courses, {})
+        self.assertEqual(day.front_sessions, {})
         day.fake.change(day.fake.row("late"))
         day.recovery.list_told()
         self.assertIn("late", day.asked)
         day.tells("late", ("/session/1", BEFORE, 1, ""))
         day.takes("late", "/session/1")
-        self.assertTrue(day.courses["tk"].vw.playing)
+        self.assertTrue(day.front_sessions["tk"].viewing.playing)
 
     def test_a_server_gone_while_asked(self):
         day = Restart([remembered()])
         day.fake.change(day.fake.row("s0", state="off"))
-        self.assertFalse(day.courses["tk"].vw.playing)
+        self.assertFalse(day.front_sessions["tk"].viewing.playing)
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         for server in ("s1", "s2", "s3"):
             day.tells(server)
@@ -195,7 +195,7 @@
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         self.assertEqual(day.fake.torn, ["/session/1"])
         with self.assertRaises(UnknownResource):
-            day.fake.desk.handed_over("lesson", "dropped", 2, day.fake.server("s0"), "x", 1)
+            day.fake.session_core.handed_over("lesson", "dropped", 2, day.fake.server("s0"), "x", 1)
 
 
 class InDoubt(unittest.TestCase):
@@ -215,7 +215,7 @@
         self.assertIsNone(request.answer)
         self.day.takes("s0", "/session/1")
         self.assertEqual(request.answer.kind, Kind.PLAYS)
-        self.assertEqual((request.answer.course.session, self.fake.out), ("/session/1", []))
+        self.assertEqual((request.answer.front_session.session, self.fake.out), ("/session/1", []))
         self.assertEqual(self.ask_again().answer.kind, Kind.PLAYS)
 
     def test_or_that_it_failed(self):
@@ -234,7 +234,7 @@
         self.assertEqual(self.ask_again().answer.kind, Kind.FAILED)
 
     def test_hanging_up_in_doubt_does_not_free_the_key(self):
-        self.fake.desk.hung_up(self.ask_again())
+        self.fake.session_core.hung_up(self.ask_again())
         self.ask_again()
         self.assertEqual(self.fake.out, [])
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -95,7 +95,7 @@
     def setUp(self):
         self.clock, self.sent = 0, []
         self.timers = Timers(lambda at: None)
-        self.endings = SessionEnds(lambda: self.clock, self.sent.append, self.timers.at)
+        self.session_ends = SessionEnds(lambda: self.clock, self.sent.append, self.timers.at)
         self.server = Server("s", 1, "z", 10, Rack(0, Link(1.0)), Link(1.0))
 
     def later(self, span):
@@ -104,119 +104,119 @@
 
     def test_few_are_out_at_once_and_all_are_heard(self):
         for number in range(10):
-            self.endings.end(self.server, number)
+            self.session_ends.end(self.server, number)
         self.assertEqual(len(self.sent), 4)
         while self.sent:
-            self.endings.answered(self.sent.pop(0))
-        self.assertEqual((self.endings.done, len(self.endings)), (10, 0))
+            self.session_ends.answered(self.sent.pop(0))
+        self.assertEqual((self.session_ends.done, len(self.session_ends)), (10, 0))
 
     def test_an_ending_that_is_never_answered_holds_up_none_behind_it(self):
         for number in range(9):
-            self.endings.end(self.server, number)
-        for ending in self.sent[:]:
-            self.endings.unanswered(ending)
+            self.session_ends.end(self.server, number)
+        for session_end in self.sent[:]:
+            self.session_ends.unanswered(session_end)
         # the server is back, and one of them fails for good
         fails, done = self.sent[-1], set()
         del self.sent[:]
         for _ in range(32):
             self.later(FIRST_PAUSE)
             while self.sent:
-                ending = self.sent.pop()
-                if ending is fails:
-                    self.endings.unanswered(ending)
+                session_end = self.sent.pop()
+                if session_end is fails:
+                    self.session_ends.unanswered(session_end)
                 else:
-                    done.add(ending.session)
-                    self.endings.answered(ending)
+                    done.add(session_end.session)
+                    self.session_ends.answered(session_end)
         self.assertEqual(len(done), 8)
 
     def test_a_silent_server_is_asked_for_one_at_a_time_and_ever_less_often(self):
         for number in range(6):
-            self.endings.end(self.server, number)
-        for ending in self.sent[:]:
-            self.endings.unanswered(ending)
+            self.session_ends.end(self.server, number)
+        for session_end in self.sent[:]:
+            self.session_ends.unanswered(session_end)
         tries = []
         for _ in range(200):
             self.later(FIRST_PAUSE // 5)
             new, self.sent = self.sent[4:] if not tries else self.sent, []
             tries.append(len(new))
-            for ending in new:
-                self.endings.unanswered(ending)
+            for session_end in new:
+                self.session_ends.unanswered(session_end)
         self.assertLessEqual(max(tries), 1)
         self.assertLess(sum(tries), 10)
 
     def test_one_that_answers_again_is_told_of_all_that_waits(self):
         for number in range(6):
-            self.endings.end(self.server, number)
-        for ending in self.sent[:4]:
-            self.endings.unanswered(ending)
+            self.session_ends.end(self.server, number)
+        for session_end in self.sent[:4]:
+            self.session_ends.unanswered(session_end)
         del self.sent[:]
         for _ in range(100):
             self.later(FIRST_PAUSE)
             while self.sent:
-                self.endings.answered(self.sent.pop())
-        self.assertEqual((self.endings.done, self.endings.given_up), (6, 0))
+                self.session_ends.answered(self.sent.pop())
+        self.assertEqual((self.session_ends.done, self.session_ends.given_up), (6, 0))
 
     def test_it_is_given_up_when_servers_will_have_ended_it_themselves(self):
-        self.endings.end(self.server, 1)
+        self.session_ends.end(self.server, 1)
         for _ in range(int(TRIED_FOR / FIRST_PAUSE) + 20):
             if self.sent:
-                self.endings.unanswered(self.sent.pop())
+                self.session_ends.unanswered(self.sent.pop())
             self.later(FIRST_PAUSE)
-        self.assertEqual((self.endings.given_up, len(self.endings)), (1, 0))
+        self.assertEqual((self.session_ends.given_up, len(self.session_ends)), (1, 0))
 
     def test_a_restart_ends_all_and_late_news_of_the_old_life_is_nothing(self):
         for number in range(6):
-            self.endings.end(self.server, number)
-        self.endings.server_gone(self.server)
-        self.assertEqual(len(self.endings), 0)
-        self.endings.unanswered(self.sent[0])
+            self.session_ends.end(self.server, number)
+        self.session_ends.server_gone(self.server)
+        self.assertEqual(len(self.session_ends), 0)
+        self.session_ends.unanswered(self.sent[0])
         self.later(SECOND)
-        self.assertEqual((len(self.sent), len(self.endings)), (4, 0))
+        self.assertEqual((len(self.sent), len(self.session_ends)), (4, 0))
 
 
 class ServerCommand(unittest.TestCase):
     def setUp(self):
         self.sent, self.told = [], []
-        self.errands = CommandQueue(self.sent.append)
+        self.commands = CommandQueue(self.sent.append)
 
     def patch(self, what):
-        return self.errands.patch("course", what, lambda errand: self.told.append((errand.patch, errand.result)))
+        return self.commands.patch("course", what, lambda command: self.told.append((command.patch, command.result)))
 
     def test_one_at_a_time_in_order_and_a_newer_rung_in_the_place_of_the_older(self):
         self.patch("a")
-        self.errands.rung("course", 3)
+        self.commands.rung("course", 3)
         self.patch("b")
-        self.errands.rung("course", 1)
+        self.commands.rung("course", 1)
         order = []
         while len(order) < len(self.sent):
-            errand = self.sent[len(order)]
-            order.append(errand.patch or errand.rung)
-            self.errands.answered(errand, Result.DONE)
+            command = self.sent[len(order)]
+            order.append(command.patch or command.rung)
+            self.commands.answered(command, Result.DONE)
         self.assertEqual(order, ["a", 1, "b"])
 
     def test_a_rung_that_nobody_answered_is_told_once_more_unless_a_newer_one_waits(self):
-        self.errands.rung("course", 2)
-        self.errands.answered(self.sent[0], Result.UNANSWERED)
-        self.errands.rung("course", 1)
-        self.errands.answered(self.sent[1], Result.UNANSWERED)
-        self.assertEqual([errand.rung for errand in self.sent], [2, 2, 1])
-        self.errands.answered(self.sent[2], Result.UNANSWERED)
-        self.errands.answered(self.sent[3], Result.UNANSWERED)
+        self.commands.rung("course", 2)
+        self.commands.answered(self.sent[0], Result.UNANSWERED)
+        self.commands.rung("course", 1)
+        self.commands.answered(self.sent[1], Result.UNANSWERED)
+        self.assertEqual([command.rung for command in self.sent], [2, 2, 1])
+        self.commands.answered(self.sent[2], Result.UNANSWERED)
+        self.commands.answered(self.sent[3], Result.UNANSWERED)
         self.assertEqual(len(self.sent), 4)
 
     def test_a_patch_is_never_sent_twice(self):
         self.patch("a")
-        self.errands.answered(self.sent[0], Result.UNANSWERED)
-        self.errands.answered(self.sent[0], Result.DONE)
+        self.commands.answered(self.sent[0], Result.UNANSWERED)
+        self.commands.answered(self.sent[0], Result.DONE)
         self.assertEqual((len(self.sent), self.told), (1, [("a", Result.UNANSWERED)]))
 
     def test_the_end_of_a_viewing_answers_all_that_waits_and_lets_what_is_out_come_back(self):
         self.patch("a")
         self.patch("b")
-        self.errands.rung("course", 1)
-        self.errands.finish()
+        self.commands.rung("course", 1)
+        self.commands.finish()
         self.patch("c")
-        self.errands.answered(self.sent[0], Result.DONE)
+        self.commands.answered(self.sent[0], Result.DONE)
         self.assertEqual(self.told, [("b", Result.OVER), ("c", Result.OVER), ("a", Result.DONE)])
         self.assertEqual(len(self.sent), 1)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,36 +31,36 @@
         story.later(5 * SECOND)
         story.rules.delivered(vws[0].server, 0.8)
         story.ticks(1)
-        self.assertEqual(sum(vw.held_rate for vw in vws), 400.0)
+        self.assertEqual(sum(viewing.held_rate for viewing in vws), 400.0)
         story.rules.delivered(vws[0].server, 1.0)
         story.ticks(25)
-        self.assertEqual(sum(vw.held_rate for vw in vws), 400.0)
+        self.assertEqual(sum(viewing.held_rate for viewing in vws), 400.0)
         story.ticks(10)
-        self.assertEqual(sum(vw.held_rate for vw in vws), 600.0)
+        self.assertEqual(sum(viewing.held_rate for viewing in vws), 600.0)
 
     def test_climbs_one_rung_at_most_every_ten_seconds(self):
         story = Story(count=1, size=1000.0)
         for _ in range(9):
             story.rules.link_told(story.servers[0], 0.85)
             story.later(SECOND)
-        vw = story.play()
-        self.assertEqual(vw.rung, 0)
+        viewing = story.play()
+        self.assertEqual(viewing.rung, 0)
         for _ in range(9):
-            story.rules.link_told(vw.server, 0.0)
+            story.rules.link_told(viewing.server, 0.0)
             story.later(SECOND)
         rungs = []
         for _ in range(16):
             story.ticks(1)
-            rungs.append(vw.rung)
+            rungs.append(viewing.rung)
         self.assertEqual((rungs[0], max(rungs[:10]), rungs[-1]), (1, 1, 2))
 
     def test_nothing_climbs_on_a_link_not_heard_of(self):
         story = Story(warm=False)
-        vw = story.viewing()
-        story.rules.handed_over(vw, story.servers[0])
-        story.rules.rung_told(vw, 0)
+        viewing = story.viewing()
+        story.rules.handed_over(viewing, story.servers[0])
+        story.rules.rung_told(viewing, 0)
         story.ticks(15)
-        self.assertEqual(vw.rung, 0)
+        self.assertEqual(viewing.rung, 0)
 
     def test_the_lowest_rung_joins_without_spread_but_not_on_a_short_link(self):
         story = Story(count=1, size=510.0)
@@ -92,14 +92,14 @@
         taken = 0
         for me in range(fronts):
             story = Story(count=1, size=1000.0, me=me, fronts=fronts, seed=me)
-            vw = story.viewing()
-            story.rules.handed_over(vw, story.servers[0])
-            story.rules.rung_told(vw, 1)
+            viewing = story.viewing()
+            story.rules.handed_over(viewing, story.servers[0])
+            story.rules.rung_told(viewing, 1)
             story.later(SECOND)
             story.rules.link_told(story.servers[0], 0.9)
             told(story)
             story.rules.tick()
-            taken += vw.rung == 0
+            taken += viewing.rung == 0
         return taken
 
     def test_hundreds_that_hear_of_one_full_link_step_by_their_parts_together(self):
@@ -121,13 +121,13 @@
             story.later(SECOND)
             story.rules.delivered(vws[0].server, 0.9)
             story.rules.tick()
-        self.assertEqual([vw.rung for vw in vws], [0, 0, 0])
+        self.assertEqual([viewing.rung for viewing in vws], [0, 0, 0])
 
     def test_an_unheard_link_is_held_to_be_used_as_this_front_uses_the_fleet_and_no_little(self):
         story = Story(count=4, size=1000.0, warm=False, fronts=31)
         self.assertAlmostEqual(story.rules._use(story.servers[3].link), 600.0 * (30 / 31) ** 4)
-        vw = story.viewing()
-        story.rules.handed_over(vw, story.servers[0])
+        viewing = story.viewing()
+        story.rules.handed_over(viewing, story.servers[0])
         story.ticks(1)
         # 100 of 4000 by one of 31: the others ask for three quarters of each link; nothing steps on a guess
         self.assertAlmostEqual(story.rules._use(story.servers[3].link), 750.0)
@@ -152,52 +152,52 @@
     def test_the_best_holders_not_heard_of_are_asked_and_the_emptier_one_is_taken(self):
         story = Story(count=4, probes=True)
         story.later(10 * SECOND)
-        vw = story.want()
+        viewing = story.want()
         (first,), (second,) = story.host.all("probe")
         self.assertEqual(story.host.all("tune_in"), [])
         story.rules.link_told(first, 0.9)
         story.rules.probed(first, Outcome.PLAYED)
         story.rules.link_told(second, 0.1)
         story.rules.probed(second, Outcome.PLAYED)
-        self.assertEqual((vw.server is first, vw.rung), (False, 2))
+        self.assertEqual((viewing.server is first, viewing.rung), (False, 2))
 
     def test_a_probe_that_is_never_answered_holds_no_viewing_back(self):
         story = Story(count=1, probes=True)
         story.later(10 * SECOND)
-        vw = story.want()
+        viewing = story.want()
         story.ticks(2)
-        self.assertTrue(vw.over or vw.server)
+        self.assertTrue(viewing.over or viewing.server)
 
     def test_a_viewer_who_leaves_before_a_probe_may_fail_is_placed_at_once(self):
         story = Story(count=2, probes=True)
         story.later(20 * SECOND)
-        vw = story.want(pack=package(patience=SECOND))
-        self.assertEqual((story.host.all("probe"), vw.tune_ins), ([], 1))
+        viewing = story.want(pack=package(patience=SECOND))
+        self.assertEqual((story.host.all("probe"), viewing.tune_ins), ([], 1))
 
 
 class Answers(unittest.TestCase):
     def test_a_tune_in_that_times_out_leaves_room_for_another(self):
         story = Story()
-        vw = story.want()
+        viewing = story.want()
         ((_, first, until),) = story.host.all("tune_in")
-        self.assertLess(until, vw.asked_at + vw.package.join_target * 0.6)
+        self.assertLess(until, viewing.asked_at + viewing.package.join_target * 0.6)
         story.host.clock = until
-        story.rules.ended(vw, Outcome.SILENT, False)
+        story.rules.ended(viewing, Outcome.SILENT, False)
         self.assertIsNot(story.host.all("tune_in")[1][1], first)
 
     def test_given_up_on_is_answered_at_once_with_when_to_come_back(self):
         story = Story()
         story.list(*story.servers, open=False)
-        vw = story.want()
+        viewing = story.want()
         ((blocked, wait),) = story.host.all("block")
-        self.assertIs(blocked, vw)
+        self.assertIs(blocked, viewing)
         self.assertTrue(SECOND // 2 < wait <= SECOND)
 
     def test_no_advice_where_it_is_not_allowed(self):
         story = Story(longest_wait=0)
         story.list(*story.servers, open=False)
-        vw = story.want()
-        self.assertEqual(story.host.all("block"), [(vw, 0)])
+        viewing = story.want()
+        self.assertEqual(story.host.all("block"), [(viewing, 0)])
 
     def test_one_answer_only_when_the_viewer_left_or_the_outcome_closed_it(self):
         story = Story()
@@ -218,18 +218,18 @@
             (Outcome.CANCELLED, 1),
         ):
             story = Story()
-            vw = story.want(pack=paid)
-            self.assertEqual(story.host.all("tune_in")[0][2], vw.expires)
-            story.rules.ended(vw, outcome, False)
+            viewing = story.want(pack=paid)
+            self.assertEqual(story.host.all("tune_in")[0][2], viewing.expires)
+            story.rules.ended(viewing, outcome, False)
             self.assertEqual(len(story.host.all("tune_in")), acts, outcome)
             self.assertEqual(len(story.host.all("abort")), 2 - acts, outcome)
 
     def test_proof_is_needed_of_every_earlier_tune_in(self):
         story = Story(count=3)
-        vw = story.want(pack=package(paid_at_setup=True))
-        story.rules.ended(vw, Outcome.FULL, False)
-        story.rules.ended(vw, Outcome.SILENT, False)
-        self.assertEqual((story.host.all("block"), story.host.all("abort")), ([], [(vw,)]))
+        viewing = story.want(pack=package(paid_at_setup=True))
+        story.rules.ended(viewing, Outcome.FULL, False)
+        story.rules.ended(viewing, Outcome.SILENT, False)
+        self.assertEqual((story.host.all("block"), story.host.all("abort")), ([], [(viewing,)]))
 
     def test_further_tune_ins_keep_the_budget(self):
         story = Story(count=3, free_further=1, further_share=0.0, look_back=10 * SECOND)
@@ -239,10 +239,10 @@
 
     def test_a_further_attempt_that_leaves_later_than_it_was_decided_counts_from_when_it_left(self):
         story = Story(count=3, free_further=1, further_share=0.0, look_back=10 * SECOND)
-        vw = story.want()
-        story.rules.ended(vw, Outcome.UNREACHED, False)
+        viewing = story.want()
+        story.rules.ended(viewing, Outcome.UNREACHED, False)
         story.later(SECOND)
-        story.rules.attempt_sent(vw)
+        story.rules.attempt_sent(viewing)
         story.later(9 * SECOND + SECOND // 2)
         story.rules.ended(story.want(), Outcome.UNREACHED, False)
         self.assertEqual((len(story.host.all("tune_in")), len(story.host.all("block"))), (3, 1))
@@ -272,8 +272,8 @@
     def test_many_viewings_lost_at_once_do_not_keep_a_server_out_for_longer(self):
         story = Story(count=1, size=1e6)
         vws = [story.play() for _ in range(9)]
-        for vw in vws:
-            story.rules.ended(vw, Outcome.BROKEN, True)
+        for viewing in vws:
+            story.rules.ended(viewing, Outcome.BROKEN, True)
         self.assertTrue(story.rules._sick(story.servers[0]))
         story.later(20 * SECOND)
         self.assertFalse(story.rules._sick(story.servers[0]))
@@ -288,10 +288,10 @@
     def cold_sends(self, story, span, step=10 * MS):
         sends = []
         for _ in range(span // step):
-            vw = story.want(ceiling=0)
-            if vw.server is not None:
+            viewing = story.want(ceiling=0)
+            if viewing.server is not None:
                 sends.append(story.host.clock)
-                story.rules.begun(vw)
+                story.rules.begun(viewing)
             story.later(step)
         return sends
 
@@ -334,11 +334,11 @@
 
     def test_no_rung_under_the_floor_at_join_step_or_when_room_is_made(self):
         story = Story(count=1, size=500.0)
-        vw = story.play(pack=package(floor=1))
+        viewing = story.play(pack=package(floor=1))
         for _ in range(3):
-            story.rules.delivered(vw.server, 0.3)
+            story.rules.delivered(viewing.server, 0.3)
             story.ticks(1)
-        self.assertEqual(vw.rung, 1)
+        self.assertEqual(viewing.rung, 1)
 
     def test_seats_count_set_ups_and_viewings_handed_over_until_they_end(self):
         story, pack = Story(size=1e6), package(seats=2)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -98,7 +98,7 @@
             site.servers["s0"].die()
             await until(lambda: site.traffic.all("dead"))
             self.assertIn((await session.patch(session.etag)).status, (404, 504))
-            await until(lambda: not site.front.desk.courses)
+            await until(lambda: not site.front.session_core.front_sessions)
             self.assertEqual((await session.patch(session.etag)).status, 404)
 
     @story
@@ -114,7 +114,7 @@
             async with anyio.create_task_group() as tasks:
                 for _ in range(3):
                     tasks.start_soon(patch)
-                await until(lambda: len(next(iter(site.front.desk.courses.values())).errands.waiting) == 2)
+                await until(lambda: len(next(iter(site.front.session_core.front_sessions.values())).commands.waiting) == 2)
                 self.assertEqual((await session.ask("DELETE")).status, 200)
                 await until(lambda: len(statuses) == 2)
                 site.servers["s0"].unfreeze()
@@ -174,7 +174,7 @@
                 return offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT, PUBLISHES)
 
             sessions = [await caller.publish("camera", "t", offer(), patience=1) for _ in range(2)]
-            server = next(iter(site.front.desk.roster.servers.values()))
+            server = next(iter(site.front.session_core.server_list.servers.values()))
             self.assertEqual(server.link.own, 2 * site.packages[2].rates[2])
             with self.assertRaises(Refused):
                 await caller.publish("camera", "t", offer(), patience=0.5)
@@ -217,10 +217,10 @@
             site.servers["s0"].freeze()
             self.assertEqual((await session.ask("DELETE")).status, 200)
             with mock.patch("curlewshift.front.server_pool.PATIENT", 0.1):
-                await until(lambda: any(here.silent for here in site.front.desk.endings.servers.values()))
+                await until(lambda: any(here.silent for here in site.front.session_core.session_ends.servers.values()))
             site.servers["s0"].unfreeze()
             await until(lambda: not site.servers["s0"].sessions)
-            await until(lambda: not len(site.front.desk.endings))
+            await until(lambda: not len(site.front.session_core.session_ends))
 
     @story
     async def test_a_redirect_from_a_server_ran_nothing_and_is_not_followed(self):
@@ -259,10 +259,10 @@
                 with anyio.move_on_after(0.012):
                     await call.ask("POST", "/whep/clip/t", [SDP], an_offer())
                 await call.close()
-            await until(lambda: site.front.desk.waiting == 0)
+            await until(lambda: site.front.session_core.waiting == 0)
             with anyio.fail_after(6):
                 await until(lambda: not site.servers["s0"].sessions, 6)
-                await until(lambda: not site.front.desk.courses, 6)
+                await until(lambda: not site.front.session_core.front_sessions, 6)
 
 
 class Counted(unittest.TestCase):
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -14,7 +14,7 @@
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
 from curlewshift.experiments.one_run import measured
-from curlewshift.membership.terms import usual_manners
+from curlewshift.membership.terms import default_membership_terms
 from curlewshift.model_checker.budget_checker import FAULTS, walk_budgets
 from curlewshift.peering.shared import KIND, SharedWire
 from curlewshift.sharing.clock_watch import APART, ClockWatch
@@ -171,9 +171,9 @@
     def test_a_lender_whose_clock_is_set_ahead_waits_and_a_borrower_whose_is_set_back_stops(self):
         net = self.lent()
         net.hand_on()
-        net.fronts[0].outside.offset = 600 * SECOND
+        net.fronts[0].driver.offset = 600 * SECOND
         self.assertEqual(net.fronts[0].may_use("k"), 0)
-        net.fronts[1].outside.offset = -600 * SECOND
+        net.fronts[1].driver.offset = -600 * SECOND
         self.assertEqual(net.rights(), [0, 0, 0])
         # the lender has taken the step for a stall of its own
         net.later(TERMS.back_after / SECOND + 1)
@@ -253,7 +253,7 @@
         ),
         some.randoms(use_true_random=False),
     )
-    def test_last_words_merge_to_the_same_in_any_order_grouping_and_number(self, words, chance):
+    def test_last_words_merge_to_the_same_in_any_order_grouping_and_number(self, words, rng):
         # one word of a life and number is one word
         words = list({word[:3]: word for word in words}.values())
 
@@ -267,7 +267,7 @@
             return {name: (word.life, word.number, word.value) for name, word in counts.words.get("k", {}).items()}
 
         order = words * 2
-        chance.shuffle(order)
+        rng.shuffle(order)
         whole = seen(heard(words))
         self.assertEqual(seen(heard(order)), whole)
         cut = len(words) // 2
@@ -360,13 +360,13 @@
         self.assertFalse(warm([("a", 3, 0, long), ("b", 2, 0, long)], since=2 * SECOND))
 
     def test_words_merge_in_any_order(self):
-        chance, words = (
+        rng, words = (
             random.Random(1),
             [(front, life, number, float(number)) for front in "ab" for life in (1, 2) for number in (1, 2, 3)],
         )
         ends = set()
         for _ in range(20):
-            chance.shuffle(words)
+            rng.shuffle(words)
             evidence = Evidence("me", TERMS)
             for front, life, number, good in words:
                 evidence.heard(front, life, number, [("s", good, 0.0, 0)], 0)
@@ -392,13 +392,13 @@
     def out(self, pace, late, seed=1):
         """For how many of 240 quarters of a second it holds itself for off, where a third of all words are so late (ns) at
         most."""
-        watch, chance, out = ClockWatch(0.01), random.Random(seed), 0
+        watch, rng, out = ClockWatch(0.01), random.Random(seed), 0
         words = []
         for step in range(240):
             true = step * SECOND // 4
             for peer in range(7):
-                if chance.random() < 0.4:
-                    way = chance.randrange(late) if late and chance.random() < 0.3 else chance.randrange(2_000_000)
+                if rng.random() < 0.4:
+                    way = rng.randrange(late) if late and rng.random() < 0.3 else rng.randrange(2_000_000)
                     words.append((true + way, f"f{peer}", true))
             words.sort()
             while words and words[0][0] <= true:
@@ -419,16 +419,16 @@
     """Words as bytes between two fronts, on the channel that serves."""
 
     def pair(self):
-        fleet = PeerFleet(2, 1, usual_manners(SECOND // 2))
+        fleet = PeerFleet(2, 1, default_membership_terms(SECOND // 2))
         fleet.start()
         fleet.until(fleet.agreed, 5)
         ends = []
         for post in fleet.posts:
-            desk = FakeDriver(servers=1, fronts=2).desk
+            session_core = FakeDriver(servers=1, fronts=2).session_core
             ends.append(
                 SharedWire(
                     post.channel,
-                    desk,
+                    session_core,
                     ["f0", "f1"],
                     post.number,
                     TERMS,
@@ -449,12 +449,12 @@
 
     def test_use_is_heard_of_and_a_right_goes_where_it_is_wanted(self):
         fleet, (one, other) = self.pair()
-        server = next(iter(one.desk.rules.servers))
+        server = next(iter(one.session_core.rules.servers))
         server.link.own = 300.0
         # one right in all, after the silence of the start
-        with mock.patch.object(type(one.desk.rules), "rights_of", lambda rules, server: 1):
+        with mock.patch.object(type(one.session_core.rules), "rights_of", lambda rules, server: 1):
             self.rounds(fleet, (one, other), 5)
-            there = next(iter(other.desk.rules.servers))
+            there = next(iter(other.session_core.rules.servers))
             self.assertAlmostEqual(there.link.counted, 300.0)
             owner, wanting = (one, other) if one.sharing.part("s0") else (other, one)
             wanting.servers()[0].wanted_at = 1
@@ -547,7 +547,7 @@
 
     def figures(self, shared, seed=1, troubles=(), fronts=32, servers=24, lasts=30, traffic=None, **more):
         script = made_up(fronts, servers, 1200, lasts, 0.9, seed, 20.0, list(troubles))
-        shares = Shares(usual_terms(script.site.duties.fall_within), **more) if shared else None
+        shares = Shares(usual_terms(script.site.obligations.fall_within), **more) if shared else None
         world = World(script, seed, traffic, shared=shares)
         world.run()
         return measured(world, 0)
@@ -569,7 +569,7 @@
         troubles = [Trouble("crash", 8, 3, 0.5, 1.0), Trouble("front-crash", 12, 1, 0.3, 1.0)]
         traffic = []
         script = made_up(16, 12, 1200, 30, 0.9, 1, 20.0, troubles)
-        World(script, 1, traffic, shared=Shares(usual_terms(script.site.duties.fall_within), loss=0.2)).run()
+        World(script, 1, traffic, shared=Shares(usual_terms(script.site.obligations.fall_within), loss=0.2)).run()
         verdict = judge(traffic, figures_of(script.site))
         self.assertEqual([rule["broken"] for rule in verdict["rules"].values()], [0] * 6)
         bounds = judge_bounds(traffic, figures_of(script.site))
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -76,7 +76,13 @@
         self.path.write_text(fleet)
         peers = read_site(self.path).peers
         self.assertEqual(
-            (len(peers.seeds), peers.manners.period, peers.manners.answer_within, peers.manners.forget_after, peers.most_bytes),
+            (
+                len(peers.seeds),
+                peers.membership_terms.period,
+                peers.membership_terms.answer_within,
+                peers.membership_terms.forget_after,
+                peers.most_bytes,
+            ),
             (3, 500_000_000, 150_000_000, 10_000_000_000, 64_000),
         )
         self.path.write_text(SMALL)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -29,8 +29,8 @@
 
 
 def noisy(of, noise, seed, repeats=3):
-    chance = Random(seed)
-    return [(x, of(x) + chance.gauss(0, noise)) for x in SIZES for _ in range(repeats)]
+    rng = Random(seed)
+    return [(x, of(x) + rng.gauss(0, noise)) for x in SIZES for _ in range(repeats)]
 
 
 class Fits(unittest.TestCase):
@@ -112,14 +112,14 @@
         step = {1200: 0.026, 1600: 0.030, 1900: 0.474, 2100: 0.563, 2300: 0.560}
         once = fit(list(step.items()))
         self.assertIn("a step is not told from noise", once.by)
-        chance = Random(5)
-        twice = fit([(x, y + chance.gauss(0, 0.02)) for x, y in step.items() for _ in range(2)])
+        rng = Random(5)
+        twice = fit([(x, y + rng.gauss(0, 0.02)) for x, y in step.items() for _ in range(2)])
         self.assertFalse(twice.straight, twice.by)
         self.assertIn("lack of fit", twice.by)
 
     def test_the_chance_of_a_ratio_is_that_of_the_tables(self):
         # 5% and 1% of F, from any table; t of 12.706 with one free is 5% on both sides
-        for ratio, of, free, chance in (
+        for ratio, of, free, p_value in (
             (4.965, 1, 10, 0.05),
             (3.326, 5, 10, 0.05),
             (10.044, 1, 10, 0.01),
@@ -128,7 +128,7 @@
             (3.71, 3, 10, 0.05),
             (2.2899, 3, 1000, 0.0769),
         ):
-            self.assertAlmostEqual(fits.f_tail(ratio, of, free), chance, delta=0.0006)
+            self.assertAlmostEqual(fits.f_tail(ratio, of, free), p_value, delta=0.0006)
         self.assertEqual((fits.f_tail(0, 3, 5), fits.f_tail(float("inf"), 3, 5)), (1.0, 0.0))
 
 
@@ -242,7 +242,7 @@
             sock.close()
 
     def test_a_pace_leaves_nothing_out_when_the_loop_comes_late(self):
-        stands, calls = mock.Mock(loop=self.loop, chance=Random(3)), []
+        stands, calls = mock.Mock(loop=self.loop, rng=Random(3)), []
         pace = Pace(stands, 1000, lambda: calls.append(1))
         pace.turn(pace.second + 10**9 - 1)
         self.assertEqual(len(calls), 1000)
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -227,8 +227,8 @@
             server, _session = await self.left(site)
             status, rows = await self.sessions(server, 5)
             self.assertEqual((status, [row.front for row in rows]), (200, ["gone.1"]))
-            held = next(iter(site.front.desk.roster.servers.values()))
-            site.front.reach.end_orphans(held, 0, "orphans/0;5")
+            held = next(iter(site.front.session_core.server_list.servers.values()))
+            site.front.server_pool.end_orphans(held, 0, "orphans/0;5")
             await until(lambda: not server.sessions)
             self.assertEqual(site.traffic.all("session-end")[-1]["why"], "left by a front that is gone")
 
@@ -272,19 +272,19 @@
     @story
     async def test_a_front_that_rests_from_the_list_takes_anothers_news_and_goes_on_where_it_was(self):
         async with SmallSite(servers=1).up() as site:
-            lists, roster = site.front.lists, site.front.desk.roster
+            lists, server_list = site.front.lists, site.front.session_core.server_list
             lists.read_itself(False)
             await until(lambda: lists.reading.cancel_called)
-            before = roster.generation
+            before = server_list.generation
             site.list.knows(site.row(site.site.machines[0], "fading"))
             await until(lambda: site.list.generation > before, 8)
-            self.assertEqual(roster.generation, before)
+            self.assertEqual(server_list.generation, before)
             row = ListRow(site.row(site.site.machines[0]).server, "fading", 0, "z", "r", 10.0, 5, "s0")
-            lists.take_news(ListNews(roster.epoch, before + 1, [row], before), full=False)
-            self.assertEqual([server.open for server in site.front.desk.rules.servers], [False])
+            lists.take_news(ListNews(server_list.epoch, before + 1, [row], before), full=False)
+            self.assertEqual([server.open for server in site.front.session_core.rules.servers], [False])
             site.list.knows(site.row(site.site.machines[0], "on"))
             lists.read_itself(True)
-            await until(lambda: next(iter(site.front.desk.rules.servers)).open, 8)
+            await until(lambda: next(iter(site.front.session_core.rules.servers)).open, 8)
 
 
 class Judging(unittest.TestCase):
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -196,14 +196,14 @@
 class End:
     def __init__(self, fleet, number, life=1):
         self.fleet, self.fake, self.life, self.spoken = fleet, fleet.fakes[number], life, 0
-        self.desk = self.fake.desk
+        self.session_core = self.fake.session_core
         self.sharing = Sharing(
             self, [f"f{n}" for n in range(fleet.size)], number, life, TERMS, 8 * SECOND, random.Random(number), fleet.together
         )
 
     def __getattr__(self, name):
         """Facts go to the desk."""
-        return getattr(self.desk, name)
+        return getattr(self.session_core, name)
 
     def say(self, to, what, *words):
         if {to, self.sharing.name} & self.fleet.cut:
@@ -214,7 +214,7 @@
         return self.fleet.clock
 
     def servers(self):
-        return list(self.desk.rules.servers)
+        return list(self.session_core.rules.servers)
 
     def rights_of(self, server):
         return 0
@@ -251,16 +251,16 @@
         self.say(to, "known_asked")
 
     def further_wanted_at(self):
-        return self.desk.rules.further_wanted_at
+        return self.session_core.rules.further_wanted_at
 
     def seats_wanted_at(self):
-        return {(package.name, title): at for (title, package), at in self.desk.rules.seat_wanted_at.items()}
+        return {(package.name, title): at for (title, package), at in self.session_core.rules.seat_wanted_at.items()}
 
     def seats_in_use(self, package, title):
-        return self.desk.rules.seats.get((title, self.desk.packages[package]), 0)
+        return self.session_core.rules.seats.get((title, self.session_core.packages[package]), 0)
 
     def seats_ending(self, package, title):
-        return bool(self.desk.endings.servers)
+        return bool(self.session_core.session_ends.servers)
 
     def clock_off(self, by, out):
         pass
@@ -269,11 +269,15 @@
 class InTheSessionCore(unittest.TestCase):
     def plays(self, end, name):
         """Whether one more viewing of the title gets a seat at this front."""
-        end.desk.asked(name, "clip", "t1")
-        out = [tune_in for tune_in in end.fake.out if tune_in.course.requests and tune_in.course.requests[0].name == name]
+        end.session_core.asked(name, "clip", "t1")
+        out = [
+            tune_in
+            for tune_in in end.fake.out
+            if tune_in.front_session.requests and tune_in.front_session.requests[0].name == name
+        ]
         for tune_in in out:
             end.fake.out.remove(tune_in)
-            end.desk.played(tune_in, f"session {name}")
+            end.session_core.played(tune_in, f"session {name}")
         return bool(out)
 
     def test_one_seat_of_all_fronts_goes_to_who_asks_and_to_nobody_else_meanwhile(self):
@@ -288,7 +292,7 @@
         fleet = Fleet()
         for end in fleet.ends:
             with self.assertRaises(InvalidRequest):
-                end.desk.handed_over("clip", "t1", 1, end.servers()[0], "remembered", 1)
+                end.session_core.handed_over("clip", "t1", 1, end.servers()[0], "remembered", 1)
 
     def test_what_sits_on_a_lent_seat_ends_when_its_front_hears_nobody(self):
         fleet = Fleet()
@@ -307,17 +311,17 @@
     def test_the_free_further_tune_ins_are_the_fleets_and_not_each_fronts(self):
         fleet = Fleet()
         fleet.later(30)
-        held = [end.desk.rules._in_hand(end.desk.rules.further_rights) for end in fleet.ends]
+        held = [end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends]
         self.assertEqual(sum(held), 1)
         other = fleet.ends[held.index(0)]
-        rules = other.desk.rules
+        rules = other.session_core.rules
         self.assertFalse(rules._budget_left(SimpleNamespace(tune_ins=1)))
         fleet.later(1)
         self.assertTrue(rules._budget_left(SimpleNamespace(tune_ins=1)))
         rules.further.append(fleet.clock)
         other.sharing.sent(other.servers()[0], True)
         fleet.later(1)
-        self.assertEqual(sum(end.desk.rules._in_hand(end.desk.rules.further_rights) for end in fleet.ends), 0)
+        self.assertEqual(sum(end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends), 0)
         self.assertEqual(other.sharing.pools[FURTHER].loans.got, 1)
 
     def test_uplinks_are_counted_over_fronts_as_links_are(self):
