--- a/curlewshift/capture/tap.py
+++ b/curlewshift/capture/tap.py
@@ -1,6 +1,6 @@
 """A desk that notes what it is told and what it does, in the order in which it happens.
 
-`tapped(Desk)` makes the class. Each thing that the desk is told is one record, `[TOLD, at, wall, what, arguments]`; each
+`tapped(SessionCore)` makes the class. Each thing that the desk is told is one record, `[TOLD, at, wall, what, arguments]`; each
 thing that it does in answer is one record after it, `[DID, what, arguments, result]`. While one is worked on, the clocks
 stand still at what they were when it came, so that the same records give the same decisions again: chance comes from
 the seed in the first record, and nothing else comes in from outside. Things told in one instant keep their order.
@@ -15,13 +15,13 @@
 from dataclasses import asdict
 from typing import Any
 
-from curlewshift.desk.course import Course, Request, TuneIn
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.errands import Errand, Result
-from curlewshift.desk.roster import Roster, Row
 from curlewshift.model import Outcome, Server, Terms
 from curlewshift.peaks.calendar import Calendar, Peak
-from curlewshift.retries.endings import Ending
+from curlewshift.retries.session_ends import SessionEnd
+from curlewshift.session_core.front_session import FrontSession, Request, TuneIn
+from curlewshift.session_core.server_commands import Result, ServerCommand
+from curlewshift.session_core.server_list import ServerEntry, ServerList
+from curlewshift.session_core.session_core import SessionCore
 
 BEGAN, TOLD, DID = 0, 1, 2
 
@@ -69,6 +69,8 @@
     "again_stopped",
     "share_rights",
 )
+# What objects that go in by number are called in a capture.
+KINDS = {FrontSession: "course", Request: "request", TuneIn: "tunein", ServerCommand: "errand", SessionEnd: "ending"}
 # Everything that it does.
 ACTS = ("tune_in", "withdraw", "tell", "end_session", "probe", "answer", "whole_list")
 
@@ -99,7 +101,7 @@
         return ["server", thing.name]
     if isinstance(thing, (Outcome, Result)):
         return ["outcome" if isinstance(thing, Outcome) else "result", thing.value]
-    if isinstance(thing, Row):
+    if isinstance(thing, ServerEntry):
         return ["row", thing.server, thing.state, thing.started, thing.zone, thing.rack, thing.link, thing.streams, thing.shelf]
     if isinstance(thing, Peak):
         return ["peak", asdict(thing)]
@@ -107,8 +109,8 @@
         return ["list", [plain(ids, one) for one in thing]]
     if isinstance(thing, dict):
         return ["dict", {name: plain(ids, one) for name, one in thing.items()}]
-    if isinstance(thing, (Course, Request, TuneIn, Errand, Ending)):
-        return [type(thing).__name__.lower(), ids.of(thing)]
+    if type(thing) in KINDS:
+        return [KINDS[type(thing)], ids.of(thing)]
     if callable(thing):
         return ["call"]
     return ["opaque", ids.of(thing)]
@@ -117,11 +119,11 @@
 def act(ids: Ids, thing: Any) -> list:
     """What was done, in plain values and with what people want to read of it."""
     if isinstance(thing, TuneIn):
-        vw = thing.course.vw
-        return [ids.of(thing), vw.name, thing.server.name, thing.number, thing.rung, thing.until]
-    if isinstance(thing, Errand):
-        return [ids.of(thing), thing.course.vw.name, -1 if thing.rung is None else thing.rung]
-    if isinstance(thing, Ending):
+        viewing = thing.front_session.viewing
+        return [ids.of(thing), viewing.name, thing.server.name, thing.number, thing.rung, thing.until]
+    if isinstance(thing, ServerCommand):
+        return [ids.of(thing), thing.front_session.viewing.name, -1 if thing.rung is None else thing.rung]
+    if isinstance(thing, SessionEnd):
         return [ids.of(thing), thing.server.name, thing.tries]
     if isinstance(thing, Server):
         return [thing.name]
@@ -131,15 +133,15 @@
 class Frozen:
     """The outside as the desk sees it while it is tapped: clocks that stand still, and every act noted."""
 
-    def __init__(self, outside, note: Callable[[list], None], ids: Ids):
-        self.outside, self.note, self.ids = outside, note, ids
-        self.at, self.walls = outside.now(), outside.wall()
+    def __init__(self, driver, note: Callable[[list], None], ids: Ids):
+        self.driver, self.note, self.ids = driver, note, ids
+        self.at, self.walls = driver.now(), driver.wall()
         for name in ACTS:
             setattr(self, name, self._noted(name))
 
     def _noted(self, name: str):
         def done(*things):
-            result = getattr(self.outside, name)(*things)
+            result = getattr(self.driver, name)(*things)
             what = act(self.ids, things[0]) if things else []
             if name == "answer":
                 request, answer = things
@@ -156,40 +158,40 @@
         return self.walls
 
     def wake(self, at: int) -> None:
-        self.outside.wake(at)
+        self.driver.wake(at)
 
     def freeze(self) -> None:
-        self.at, self.walls = max(self.at, self.outside.now()), self.outside.wall()
+        self.at, self.walls = max(self.at, self.driver.now()), self.driver.wall()
 
 
-def tapped(base: type[Desk], note: Callable[[list], None]) -> type[Desk]:
+def tapped(base: type[SessionCore], note: Callable[[list], None]) -> type[SessionCore]:
     """A class like `base` that notes each record by `note`, which must not block."""
 
     class Tapped(base):
-        def __init__(self, outside, terms: Terms, roster: Roster, *args, calendar: Calendar | None = None, **how):
+        def __init__(self, driver, terms: Terms, server_list: ServerList, *args, calendar: Calendar | None = None, **how):
             self.tap_ids, self.tap_depth = Ids(), 0
-            self.tap_outside = Frozen(outside, note, self.tap_ids)
+            self.tap_driver = Frozen(driver, note, self.tap_ids)
             limits = {name: how[name] for name in ("most_waiting", "most_keys") if name in how}
             note(
                 [
                     BEGAN,
                     terms_out(terms),
-                    [roster.uplinks, {name: list(title.shelves) for name, title in roster.titles.items()}],
+                    [server_list.uplinks, {name: list(title.shelves) for name, title in server_list.titles.items()}],
                     [asdict(peak) for peak in (calendar.peaks.values() if calendar else ())],
                     limits,
                 ]
             )
-            self.tap_outside.at = terms.now
-            super().__init__(self.tap_outside, terms, roster, *args, calendar=calendar, **how)
+            self.tap_driver.at = terms.now
+            super().__init__(self.tap_driver, terms, server_list, *args, calendar=calendar, **how)
 
         def now(self) -> int:
             if not self.tap_depth:
                 # asked from outside, between two things told
-                self.tap_outside.freeze()
-            return self.tap_outside.at
+                self.tap_driver.freeze()
+            return self.tap_driver.at
 
         def stands(self, tune_in: TuneIn) -> bool:
-            self.tap_outside.freeze()
+            self.tap_driver.freeze()
             return super().stands(tune_in)
 
     def entry(name: str):
@@ -198,13 +200,13 @@
         def noted(self, *args, **how):
             if self.tap_depth:
                 return told(self, *args, **how)
-            self.tap_outside.freeze()
+            self.tap_driver.freeze()
             ids = self.tap_ids
             note(
                 [
                     TOLD,
-                    self.tap_outside.at,
-                    self.tap_outside.walls,
+                    self.tap_driver.at,
+                    self.tap_driver.walls,
                     name,
                     [plain(ids, one) for one in args],
                     {key: plain(ids, one) for key, one in how.items()},
@@ -215,10 +217,10 @@
                 result = told(self, *args, **how)
             finally:
                 self.tap_depth -= 1
-            if isinstance(result, Request) and result.course is not None:
+            if isinstance(result, Request) and result.front_session is not None:
                 ids.of(result)
-                ids.of(result.course)
-            elif isinstance(result, (Request, Course)):
+                ids.of(result.front_session)
+            elif isinstance(result, (Request, FrontSession)):
                 ids.of(result)
             return result
 
--- a/curlewshift/commands/common.py
+++ b/curlewshift/commands/common.py
@@ -15,11 +15,11 @@
 
 def read_or_exit(reader, path):
     """What the reader makes of the file; or all its mistakes on standard error, and exit 2."""
-    from curlewshift.site.reading import Mistakes
+    from curlewshift.site.reading import SiteErrors
 
     try:
         return reader(path)
-    except Mistakes as mistakes:
+    except SiteErrors as mistakes:
         click.echo(str(mistakes), err=True)
         sys.exit(2)
 
@@ -35,7 +35,7 @@
     """Spoilt fronts are loaded for a rehearsal that names one, and for no other."""
     if name is None:
         return
-    from curlewshift.front.spoilt import NAMES
+    from curlewshift.front.planted_faults import NAMES
 
     if name not in NAMES:
         click.echo(f"there is no sabotage {name!r}, but {', '.join(NAMES)}", err=True)
--- a/curlewshift/commands/front.py
+++ b/curlewshift/commands/front.py
@@ -24,12 +24,12 @@
     """Run a front of SITE until SIGTERM."""
     import secrets
 
-    from curlewshift.exchange.tls import BadCertificate
+    from curlewshift.exchange.tls import InvalidCertificate
     from curlewshift.front.begun import begin
     from curlewshift.front.front import Front
-    from curlewshift.limits.permits import BadKeys
+    from curlewshift.limits.permits import InvalidKeySet
     from curlewshift.logs import make_log
-    from curlewshift.state.journal import Taken
+    from curlewshift.state.journal import FolderInUse
 
     held, how = site_of(site), {}
     check_sabotage(sabotage)
@@ -37,7 +37,7 @@
         state.mkdir(parents=True, exist_ok=True)
     if held.configuration is not None:
         if sabotage is not None:
-            from curlewshift.front.spoilt_configured import spoilt_begin
+            from curlewshift.front.planted_configuration_faults import spoilt_begin
 
             how["begun"] = spoilt_begin(sabotage, site, held, state)
         else:
@@ -47,34 +47,34 @@
         number = held.door(name) if name else 0
     except KeyError:
         where = f"{site}, as version {how['begun'].version} of it" if how and how["begun"].how == "disk" else site
-        click.echo(f"{where}: there is no front {name!r}, but {', '.join(door.name for door in held.doors)}", err=True)
+        click.echo(f"{where}: there is no front {name!r}, but {', '.join(door.name for door in held.front_addresses)}", err=True)
         sys.exit(2)
     arguments = (
         held,
         number,
         secrets.randbits(32) if seed is None else seed,
         state,
-        make_log(front=held.doors[number].name),
+        make_log(front=held.front_addresses[number].name),
         life,
     )
     try:
         if sabotage is not None:
-            from curlewshift.front.spoilt import spoilt
+            from curlewshift.front.planted_faults import spoilt
 
             made = spoilt(sabotage, *arguments, led=led, **how)
         else:
             made = Front(*arguments, capture=capture, led=led, **how)
-    except (BadKeys, BadCertificate, Taken, OSError) as wrong:
+    except (InvalidKeySet, InvalidCertificate, FolderInUse, OSError) as wrong:
         click.echo(f"{site}: {wrong}", err=True)
         sys.exit(2)
     if reserve is not None:
         from curlewshift.peaks.reserve import FixedReserve
 
         package, _, share = reserve.partition("=")
-        made.desk.peaks.__class__ = FixedReserve
-        made.desk.peaks.package, made.desk.peaks.share = made.desk.packages[package], float(share)
+        made.session_core.peaks.__class__ = FixedReserve
+        made.session_core.peaks.package, made.session_core.peaks.share = made.session_core.packages[package], float(share)
     if busy:
-        from curlewshift.rehearsal.joins import fill_background
+        from curlewshift.fault_injection.joins import fill_background
 
         fill_background(made.background, made.now())
     run(made.run)
--- a/curlewshift/emulator/wrongs.py
+++ b/curlewshift/emulator/planted_faults.py
@@ -4,10 +4,10 @@
 
 from dataclasses import replace
 
-from curlewshift.desk.desk import Desk
-from curlewshift.front.spoilt import IgnoreDrain, LostTeardown, PushCold, ResendPaid, StubbornDesk
+from curlewshift.front.planted_faults import IgnoreDrain, LostTeardown, PushCold, ResendPaid, SessionCoreIgnoringLeavers
 from curlewshift.model import Terms
 from curlewshift.rules import Rules
+from curlewshift.session_core.session_core import SessionCore
 
 NAMES = (
     "lose-answer",
@@ -24,13 +24,13 @@
 )
 
 
-def wronged(wrong: str, terms: Terms, rules: type[Rules]) -> tuple[type[Desk], type[Rules], Terms]:
+def wronged(wrong: str, terms: Terms, rules: type[Rules]) -> tuple[type[SessionCore], type[Rules], Terms]:
     """Desk, rules and terms of a front that has this fault."""
-    desk = {"ignore-drain": StubbornDesk, "lost-teardown": LostTeardown}.get(wrong, Desk)
+    session_core = {"ignore-drain": SessionCoreIgnoringLeavers, "lost-teardown": LostTeardown}.get(wrong, SessionCore)
     rules = {"resend-paid": ResendPaid, "ignore-drain": IgnoreDrain, "push-cold": PushCold}.get(wrong, rules)
     changed = {"under-floor": {"floor": 0}, "over-seats": {"seats": 0}}.get(wrong)
     if changed:
         terms = replace(terms, packages=[replace(package, **changed) for package in terms.packages])
     if wrong == "overspend-budget":
         terms = replace(terms, free_further=None, max_tune_ins=50)
-    return desk, rules, terms
+    return session_core, rules, terms
--- a/curlewshift/emulator/shed_wrongs.py
+++ b/curlewshift/emulator/planted_shedding_faults.py
@@ -2,35 +2,35 @@
 
 from __future__ import annotations
 
-from curlewshift.overload.again import Advice
-from curlewshift.overload.order import Order
+from curlewshift.overload.order import SheddingOrder
 from curlewshift.overload.overload import Overload
+from curlewshift.overload.retry_budget import RetryAdvice
 
 
 class ShedAtRandom(Overload):
     """As many as ever, and whoever it hits."""
 
     def _sheds(self, rank, cut, floored):
-        return self.advice.chance.random() < cut / self.order.top
+        return self.advice.rng.random() < cut / self.order.top
 
 
 class OwnLevelOnly(Overload):
     """Sheds as if it were alone, by a hash that nobody else has."""
 
-    def __init__(self, outside, me, *arguments):
-        super().__init__(outside, me, *arguments)
+    def __init__(self, driver, me, *arguments):
+        super().__init__(driver, me, *arguments)
         order, rank = self.order, self.order.rank
         order.rank = lambda package, who, wall, came_back=False: rank(package, f"{me} {who}", wall, came_back)
 
     def time(self):
-        members, self.outside.members = self.outside.members, lambda: []
+        members, self.driver.members = self.driver.members, lambda: []
         try:
             super().time()
         finally:
-            self.outside.members = members
+            self.driver.members = members
 
 
-class OneReturn(Advice):
+class OneReturn(RetryAdvice):
     def wait(self, who, now, behind=0.0, lasts=0):
         super().wait(who, now, behind, lasts)
         # all who are refused within a while are told one and the same time
@@ -44,13 +44,13 @@
         self.advice.__class__ = OneReturn
 
 
-class NoFloorOrder(Order):
+class NoFloorSheddingOrder(SheddingOrder):
     def floored(self, rank):
         return False
 
 
 class NoFloor(Overload):
-    order_class = NoFloorOrder
+    order_class = NoFloorSheddingOrder
 
 
 FAULTS = {
--- a/curlewshift/emulator/sizes.py
+++ b/curlewshift/emulator/sizes.py
@@ -6,8 +6,8 @@
 from random import Random
 
 from curlewshift.model import Package
-from curlewshift.site.site import Door, Duties, Machine, Site
-from curlewshift.standins.script import Script, Trouble, Wish
+from curlewshift.site.site import ListenAddress, Machine, Obligations, Site
+from curlewshift.standins.script import PlannedViewing, Script, Trouble
 
 NS = 1_000_000_000
 MS = 1_000_000
@@ -34,7 +34,7 @@
     for `load` of what there is; a title lies on `copies` servers. Raises `ValueError` for sizes that are none."""
     if min(fronts, servers, viewings, lasts, load, watches) <= 0:
         raise ValueError("sizes have to be more than nothing")
-    chance = Random(seed)
+    rng = Random(seed)
     each_second = viewings / lasts
     playing = each_second * watches
     mean_rate = sum(LADDER) / len(LADDER)
@@ -47,13 +47,13 @@
     racks = {machine.rack for machine in machines}
     per_rack = {rack: sum(machine.rack == rack for machine in machines) for rack in racks}
     copies = min(copies, servers)
-    titles = {f"t{n}": tuple(machines[m].shelf for m in chance.sample(range(servers), copies)) for n in range(max(3, servers))}
+    titles = {f"t{n}": tuple(machines[m].shelf for m in rng.sample(range(servers), copies)) for n in range(max(3, servers))}
     packages = [
         Package("receipt", 3.0, NS, 4 * NS, False, LADDER, 1, 3, 0),
         Package("review", 2.0, NS, 5 * NS, True, LADDER, 0, 3, 0),
         Package("lesson", 1.0, 3 * NS // 2, 4 * NS, False, LADDER, 0, 3, 0),
     ]
-    duties = Duties(
+    obligations = Obligations(
         way_back=150 * MS,
         longest_wait=2 * NS,
         most_tune_ins=3,
@@ -72,15 +72,19 @@
     )
     site = Site(
         "made up",
-        [Door(f"f{n}", "127.0.0.1", 1 + n) for n in range(fronts)],
+        [ListenAddress(f"f{n}", "127.0.0.1", 1 + n) for n in range(fronts)],
         ("127.0.0.1", 1),
         packages,
         {rack: 0.9 * link * per_rack[rack] for rack in sorted(racks)},
         machines,
         titles,
-        duties,
+        obligations,
         2000,
         64,
     )
-    wishes = [Wish("receipt", 0.3, watches), Wish("review", 0.2, watches), Wish("lesson", 0.5, watches)]
-    return Script(Path("made-up.xml"), site, lasts, seed, each_second, come_again, 0.0, 0.0, wishes, list(troubles), [])
+    planned_viewings = [
+        PlannedViewing("receipt", 0.3, watches),
+        PlannedViewing("review", 0.2, watches),
+        PlannedViewing("lesson", 0.5, watches),
+    ]
+    return Script(Path("made-up.xml"), site, lasts, seed, each_second, come_again, 0.0, 0.0, planned_viewings, list(troubles), [])
--- a/curlewshift/emulator/version_figures.py
+++ b/curlewshift/emulator/version_figures.py
@@ -11,7 +11,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from curlewshift.distribution.pieces import packed_difference, packed_whole
-from curlewshift.emulator.version_histories import FAULTS, VersionHistory, Wrong, histories, planted
+from curlewshift.emulator.version_histories import FAULTS, InvariantViolated, VersionHistory, histories, planted
 from curlewshift.emulator.versions import NS, VersionFleet, site_file
 
 NODES, ZONES = 630, 9
@@ -118,7 +118,7 @@
     before, began, late = fleet.spent(), fleet.queue.now, 0
     for number in range(STRETCH_CHANGES):
         if number % (STRETCH_CHANGES // STRETCH_RESTARTS) == 2:
-            post = fleet.chance.choice(fleet.nodes)
+            post = fleet.rng.choice(fleet.nodes)
             post.kill()
             fleet.run(0.5)
             post.start()
@@ -166,7 +166,7 @@
         history = VersionHistory(seed)
         try:
             ended.append((seed, history.run(), ""))
-        except Wrong as wrong:
+        except InvariantViolated as wrong:
             ended.append((seed, None, str(wrong)))
         told["changes"] += len(history.chosen)
         told["takes"] += history.takes
--- a/curlewshift/exchange/server.py
+++ b/curlewshift/exchange/server.py
@@ -55,7 +55,7 @@
 }
 
 
-class PeerGone(Exception):
+class PeerDisconnected(Exception):
     """The peer has closed or broken the connection."""
 
 
@@ -70,10 +70,10 @@
 class Exchange:
     """One request, and the means to answer it once."""
 
-    __slots__ = ("always", "answered", "body", "headers", "line", "method", "path", "query", "target")
+    __slots__ = ("always", "answered", "body", "connection", "headers", "method", "path", "query", "target")
 
-    def __init__(self, line: Line, method: str, target: str, headers: dict[str, str], body: bytes):
-        self.line, self.method, self.target, self.headers, self.body = line, method, target, headers, body
+    def __init__(self, connection: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes):
+        self.connection, self.method, self.target, self.headers, self.body = connection, method, target, headers, body
         path, _, query = target.partition("?")
         self.path = path
         self.query = dict(part.partition("=")[::2] for part in query.split("&") if part)
@@ -82,9 +82,9 @@
         self.always: list[tuple[str, str]] = []
 
     async def answer(self, status: int, headers: list[tuple[str, str]] = (), body: bytes = b"") -> None:
-        """Raises `PeerGone`."""
+        """Raises `PeerDisconnected`."""
         self.answered = True
-        await self.line.send_whole(status, [*self.always, *headers], body)
+        await self.connection.send_whole(status, [*self.always, *headers], body)
 
     async def problem(
         self,
@@ -101,22 +101,22 @@
     async def start(self, status: int, headers: list[tuple[str, str]]) -> Callable[[bytes], Awaitable[None]]:
         """A body of no known length: returns what sends a piece of it. The connection ends with it."""
         self.answered = True
-        return await self.line.send_open(status, [*self.always, *headers])
+        return await self.connection.send_open(status, [*self.always, *headers])
 
     def on_hang_up(self, call: Callable[[], None]) -> None:
         """`call` runs once the peer has closed or broken the connection, at once if it has."""
-        self.line.on_gone(call)
+        self.connection.on_gone(call)
 
     def abort(self) -> None:
         """End the connection with a reset and without an answer."""
         self.answered = True
-        self.line.reset()
+        self.connection.reset()
 
 
 Handler = Callable[[Exchange], Awaitable[None]]
 
 
-class Line:
+class HttpConnection:
     """One connection. `name` is the peer's address."""
 
     def __init__(self, stream: SocketStream, handler: Handler):
@@ -137,7 +137,7 @@
                 try:
                     while await self._serve_one():
                         pass
-                except (PeerGone, TimeoutError):
+                except (PeerDisconnected, TimeoutError):
                     pass
                 finally:
                     tasks.cancel_scope.cancel()
@@ -190,7 +190,7 @@
         while (event := self._event_here()) is h11.NEED_DATA:
             while not self.ahead:
                 if self.gone:
-                    raise PeerGone
+                    raise PeerDisconnected
                 self.more = anyio.Event()
                 await self.more.wait()
         return event
@@ -296,7 +296,7 @@
                 await self.stream.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError, TimeoutError):
             self._is_gone()
-            raise PeerGone from None
+            raise PeerDisconnected from None
 
     def drop(self) -> None:
         """Closed from this side, as nothing is asked on it."""
@@ -334,16 +334,16 @@
         listener = QuietListener(listener, tls, standard_compatible=False, handshake_timeout=HANDSHAKE_WITHIN)
 
     async def one(stream: SocketStream) -> None:
-        line = Line(stream, handler)
+        connection = HttpConnection(stream, handler)
         if gate is not None:
-            gate.opened(line)
+            gate.opened(connection)
         try:
-            await line.run()
+            await connection.run()
         except Exception as fault:
             on_fault(fault)
         finally:
             if gate is not None:
-                gate.closed(line)
+                gate.closed(connection)
 
     try:
         await listener.serve(one, task_group=tasks)
--- a/curlewshift/experiments/one_run.py
+++ b/curlewshift/experiments/one_run.py
@@ -6,12 +6,12 @@
 from random import Random
 
 from curlewshift.baselines.baselines import BASELINES
-from curlewshift.emulator.queue import Runaway
+from curlewshift.emulator.queue import EventLimitExceeded
 from curlewshift.emulator.shared import Shares, usual_terms
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
 from curlewshift.experiments.experiment import Experiment, Run
-from curlewshift.rehearsal.rehearse import figures_of
+from curlewshift.fault_injection.rehearse import figures_of
 from curlewshift.rules import Rules
 from curlewshift.standins.script import Script, usual
 from curlewshift.verdict.verdict import judge
@@ -62,7 +62,7 @@
     began = time.process_time()
     try:
         world.run()
-    except Runaway as runaway:
+    except EventLimitExceeded as runaway:
         return {"wrong": str(runaway)}
     cpu = time.process_time() - began
     figures = measured(world, cpu)
@@ -80,10 +80,10 @@
     how = levels.get("shared", "alone")
     if how == "alone":
         return None
-    fronts = len(script.site.doors)
+    fronts = len(script.site.front_addresses)
     deaf = Random(seed).sample(range(fronts), round(float(levels.get("deaf", 0)) * fronts))
     parts = {} if how == "shared" else {part: part == how for part in ("counts", "rights", "seen")}
-    return Shares(usual_terms(script.site.duties.fall_within), float(levels.get("words-lost", 0)), set(deaf), **parts)
+    return Shares(usual_terms(script.site.obligations.fall_within), float(levels.get("words-lost", 0)), set(deaf), **parts)
 
 
 def measured(world: World, cpu: float) -> dict:
--- a/curlewshift/rehearsal/recovery_cost.py
+++ b/curlewshift/fault_injection/recovery_cost.py
@@ -18,9 +18,9 @@
 
 from curlewshift.exchange.client import ask
 from curlewshift.exchange.server import serve
+from curlewshift.fault_injection.joins import FINGERPRINT, SDP, site_file
+from curlewshift.fault_injection.processes import free_ports
 from curlewshift.front.front import Front
-from curlewshift.rehearsal.joins import FINGERPRINT, SDP, site_file
-from curlewshift.rehearsal.processes import free_ports
 from curlewshift.signalling.bodies import ListRow
 from curlewshift.signalling.sdp import offer_text
 from curlewshift.site.site import read_site
@@ -28,8 +28,8 @@
 from curlewshift.standins.physics import LinkModel, Uplink
 from curlewshift.standins.server import MediaServer, Session
 from curlewshift.standins.traffic import Traffic
-from curlewshift.state.book import Book, Remembered
 from curlewshift.state.journal import Journal
+from curlewshift.state.session_registry import SessionRegistry, StoredSession
 
 SERVERS = 8
 SIZES = (100, 1000, 3000, 10_000)
@@ -46,8 +46,8 @@
 
 async def _measured(site, state: Path, sessions: int) -> dict:
     state.mkdir()
-    chance, traffic, uplink = Random(1), Traffic(None), Uplink(9e6)
-    book, journal = Book(), Journal(state / "sessions.log")
+    rng, traffic, uplink = Random(1), Traffic(None), Uplink(9e6)
+    book, journal = SessionRegistry(), Journal(state / "sessions.log")
     async with anyio.create_task_group() as tasks:
         for number, machine in enumerate(site.machines):
             link = LinkModel(machine.link, uplink)
@@ -57,9 +57,9 @@
                 f"127.0.0.1:{machine.port}",
                 link,
                 {package.name: package.rates for package in site.packages},
-                site.duties,
+                site.obligations,
                 0,
-                chance,
+                rng,
                 traffic,
                 0.0,
             )
@@ -69,7 +69,7 @@
                 # on the highest rung that its viewer allows: what may climb does so at the first tick, all together
                 journal.add(
                     book.began(
-                        Remembered(
+                        StoredSession(
                             f"token-{index}",
                             None,
                             f"key-{index}",
@@ -91,7 +91,7 @@
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=machine.port)
             tasks.start_soon(server.run, listener.listeners[0])
         journal.close()
-        listing = ServerList(chance, traffic)
+        listing = ServerList(rng, traffic)
         rows = [
             ListRow(f"127.0.0.1:{machine.port}", "on", 0, "z", "r", machine.link, machine.streams, machine.shelf)
             for machine in site.machines
@@ -106,7 +106,7 @@
         await opened.wait()
         open_after = time.perf_counter() - began
         async with anyio.create_task_group() as joining:
-            joining.start_soon(_joins, site.doors[0].port, waits)
+            joining.start_soon(_joins, site.front_addresses[0].port, waits)
             while not (front.recovery.over and front.recovery.kept == sessions):
                 await anyio.sleep(0.002)
             known_after = time.perf_counter() - began
--- a/curlewshift/rehearsal/rehearse.py
+++ b/curlewshift/fault_injection/rehearse.py
@@ -15,10 +15,10 @@
 
 from curlewshift.capture.replay import Replay
 from curlewshift.capture.store import read_capture
+from curlewshift.fault_injection.configuring import OF_MACHINES, Configuring
+from curlewshift.fault_injection.members import MemberProcess
+from curlewshift.fault_injection.processes import ChildProcess, free_ports, listens
 from curlewshift.front.control import tell
-from curlewshift.rehearsal.configuring import OF_MACHINES, Configuring
-from curlewshift.rehearsal.members import MemberProcess
-from curlewshift.rehearsal.processes import Child, free_ports, listens
 from curlewshift.site.site import Site
 from curlewshift.standins.script import OF_FRONTS, Announced, Script, Trouble
 from curlewshift.standins.traffic import Traffic, read_traffic
@@ -68,16 +68,16 @@
 
 
 def figures_of(site: Site) -> Figures:
-    duties, packages = site.duties, site.packages
+    obligations, packages = site.obligations, site.packages
     return Figures(
-        grace=duties.grace,
-        warm_within=duties.warm_within,
-        start_capacity=duties.start_capacity,
-        fall_multiple=duties.fall_multiple,
-        fall_within=duties.fall_within,
-        free_further=duties.free_further,
-        further_share=duties.further_share,
-        look_back=duties.look_back,
+        grace=obligations.grace,
+        warm_within=obligations.warm_within,
+        start_capacity=obligations.start_capacity,
+        fall_multiple=obligations.fall_multiple,
+        fall_within=obligations.fall_within,
+        free_further=obligations.free_further,
+        further_share=obligations.further_share,
+        look_back=obligations.look_back,
         patience={package.name: package.patience for package in packages},
         join_target={package.name: package.join_target for package in packages},
         value={package.name: package.value for package in packages},
@@ -90,8 +90,8 @@
 class FrontProcess(MemberProcess):
     """One front over its lives."""
 
-    def __init__(self, day: Rehearsal, number: int, port: int):
-        super().__init__(day, number, day.script.site.doors[number].name)
+    def __init__(self, day: FaultInjectionRun, number: int, port: int):
+        super().__init__(day, number, day.script.site.front_addresses[number].name)
         self.port = port
 
     async def start(self) -> None:
@@ -117,12 +117,12 @@
             arguments += ["--led"]
         if self.day.sabotage and self.day.sabotage not in OF_MACHINES:
             arguments += ["--sabotage", self.day.sabotage]
-        self.child = Child(arguments, self.day.out / f"{self.name}.log")
+        self.child = ChildProcess(arguments, self.day.out / f"{self.name}.log")
         if not await listens(self.port, START_WITHIN):
             raise StartFailed(f"front {self.name} does not listen; see {self.day.out / (self.name + '.log')}")
 
 
-class Rehearsal:
+class FaultInjectionRun:
     """`progress(done, of)` is told seconds of the day."""
 
     def __init__(
@@ -147,8 +147,8 @@
         self.traffic = Traffic(out / "viewers.jsonl")
         self.fronts: list[FrontProcess] = []
         self.configuring = Configuring(self) if script.site.configuration is not None else None
-        self.fleet: Child | None = None
-        self.relay: Child | None = None
+        self.fleet: ChildProcess | None = None
+        self.relay: ChildProcess | None = None
 
     async def run(self) -> dict:
         """The verdict, which is written to the folder too. Raises `StartFailed`."""
@@ -169,7 +169,7 @@
         return StartFailed(why)
 
     async def _day(self) -> None:
-        ports = free_ports(len(self.script.site.doors), Random(os.getpid()))
+        ports = free_ports(len(self.script.site.front_addresses), Random(os.getpid()))
         list_port = await self._start_fleet()
         peers = await self._start_relay() if self.script.site.peers is not None else []
         self._write_site(ports, list_port, peers)
@@ -223,14 +223,14 @@
                 await child.ended()
 
     async def _start_fleet(self) -> int:
-        self.fleet = Child(
+        self.fleet = ChildProcess(
             ["standin", "fleet", str(self.script_path), "--traffic", str(self.out / "servers.jsonl"), "--seed", str(self.seed)],
             self.out / "fleet.log",
             talks=True,
         )
         return int((await self._first_line(self.fleet, "the stand-in servers", "fleet.log"))["list"])
 
-    async def _first_line(self, child: Child, what: str, log: str) -> dict:
+    async def _first_line(self, child: ChildProcess, what: str, log: str) -> dict:
         with anyio.move_on_after(START_WITHIN):
             line = await anyio.to_thread.run_sync(child.process.stdout.readline, abandon_on_cancel=True)
             if line.strip():
@@ -241,10 +241,10 @@
         """For each front and control machine the port where its peers' datagrams come in, and the relay's by which they reach
         it."""
         site = self.script.site
-        doors = [*site.doors, *(site.control.machines if site.control is not None else [])]
+        doors = [*site.front_addresses, *(site.control.machines if site.control is not None else [])]
         ports = free_ports(len(doors), Random(os.getpid() + 1), socket.SOCK_DGRAM)
         named = [f"--front={door.name}={port}" for door, port in zip(doors, ports)]
-        self.relay = Child(
+        self.relay = ChildProcess(
             [
                 "standin",
                 "relay",
@@ -342,47 +342,47 @@
 
     async def _befall(self, trouble: Trouble, begins: float) -> None:
         await anyio.sleep(max(0.0, begins + trouble.at - time.monotonic()))
-        chance = Random(f"{self.seed} {trouble.kind} {trouble.at}")
+        rng = Random(f"{self.seed} {trouble.kind} {trouble.at}")
         count = max(1, round(trouble.part * len(self.fronts)))
-        struck = chance.sample(self.fronts, count)
-        self.traffic.seen("trouble", kind=trouble.kind, lasts=trouble.lasts, fronts=[front.name for front in struck])
+        affected = rng.sample(self.fronts, count)
+        self.traffic.seen("trouble", kind=trouble.kind, lasts=trouble.lasts, fronts=[front.name for front in affected])
         if trouble.kind == "front-crash":
-            for front in struck:
+            for front in affected:
                 front.kill()
             await anyio.sleep(trouble.lasts)
             async with anyio.create_task_group() as tasks:
-                for front in struck:
+                for front in affected:
                     tasks.start_soon(front.start)
         elif trouble.kind == "pause":
             async with anyio.create_task_group() as tasks:
-                for front in struck:
+                for front in affected:
                     tasks.start_soon(front.pause, trouble.lasts)
         elif trouble.kind == "clock-rate":
             for rate in (trouble.size, 1.0):
-                for front in struck:
+                for front in affected:
                     await front.ask({"do": "clock", "rate": rate})
                 await anyio.sleep(trouble.lasts if rate != 1.0 else 0)
         elif trouble.kind == "clock-step":
-            for front in struck:
-                await front.ask({"do": "clock", "step": int(trouble.size * NS) * chance.choice((-1, 1))})
+            for front in affected:
+                await front.ask({"do": "clock", "step": int(trouble.size * NS) * rng.choice((-1, 1))})
         elif trouble.kind == "pause-in-act":
             await self._stop_in_act(trouble.lasts, count)
-        elif self.configuring is not None and await self.configuring.befall(trouble, struck):
+        elif self.configuring is not None and await self.configuring.befall(trouble, affected):
             pass
         elif trouble.kind == "bad-path":
             # a front of its own event: the judge has to know whose path it was
-            self.traffic.seen("bad-path", lasts=trouble.lasts, fronts=[front.name for front in struck])
+            self.traffic.seen("bad-path", lasts=trouble.lasts, fronts=[front.name for front in affected])
             for lost in (True, False):
-                for front in struck:
+                for front in affected:
                     await front.ask({"do": "path", "lost": lost})
                 await anyio.sleep(trouble.lasts if lost else 0)
         else:
-            for front in struck:
+            for front in affected:
                 next_at = time.monotonic() + trouble.lasts / count
                 await front.end()
                 await front.start()
                 await anyio.sleep(max(0.0, next_at - time.monotonic()))
-        self.traffic.seen("trouble-over", kind=trouble.kind, fronts=[front.name for front in struck])
+        self.traffic.seen("trouble-over", kind=trouble.kind, fronts=[front.name for front in affected])
 
     async def _stop_in_act(self, lasts: float, count: int) -> None:
         """Holders of leases are stopped in the very middle of an act, and go on after others have begun."""
@@ -415,8 +415,8 @@
         if peaks:
             verdict["phases"] = phases(events, figures_of(self.script.site), peaks[0].at, peaks[0].at + peaks[0].lasts)
         if self.relay is not None:
-            manners = self.script.site.peers.manners
-            verdict["members"] = judge_members(events, manners.period, manners.forget_after)
+            membership_terms = self.script.site.peers.membership_terms
+            verdict["members"] = judge_members(events, membership_terms.period, membership_terms.forget_after)
         if self.script.site.sharing is not None:
             verdict["bounds"] = judge_bounds(events, figures_of(self.script.site), self._together())
         if self.script.site.leases is not None:
--- a/curlewshift/front/reach.py
+++ b/curlewshift/front/server_pool.py
@@ -12,17 +12,17 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from curlewshift.desk.course import TuneIn
-from curlewshift.desk.desk import Desk
-from curlewshift.desk.errands import Errand, Result
-from curlewshift.exchange.client import Answered, Broken, Call, NeverSent, ask, connect
+from curlewshift.exchange.client import ConnectionBroken, HttpClientConnection, HttpResponse, RequestNotSent, ask, connect
 from curlewshift.model import Outcome, Server
-from curlewshift.recovery.recovery import Found, Recovery
-from curlewshift.retries.endings import Ending
+from curlewshift.recovery.recovery import ListedSession, Recovery
+from curlewshift.retries.session_ends import SessionEnd
+from curlewshift.session_core.front_session import TuneIn
+from curlewshift.session_core.server_commands import Result, ServerCommand
+from curlewshift.session_core.session_core import SessionCore
 from curlewshift.signalling.bodies import (
     PROBLEM_TYPE,
     TURNED_AWAY,
-    BadBody,
+    InvalidBody,
     LayerChoice,
     Problem,
     SessionList,
@@ -36,7 +36,7 @@
 from curlewshift.signalling.loads import HEADER, decode_load
 from curlewshift.site.site import host_port
 from curlewshift.state.intents import Intents, intent_of
-from curlewshift.state.journal import Journal, NotKept
+from curlewshift.state.journal import Journal, WriteFailed
 from curlewshift.state.setting_up import SEND, setting_up
 
 NS = 1_000_000_000
@@ -84,7 +84,7 @@
     """A tune-in under way."""
 
     scope: anyio.CancelScope
-    call: Call | None = None
+    call: HttpClientConnection | None = None
     # its connection has ended, or its answer has been read
     over: anyio.Event = field(default_factory=anyio.Event)
 
@@ -94,12 +94,12 @@
     return hashlib.sha256(key.encode()).hexdigest()[:32]
 
 
-class Reach:
+class ServerPool:
     steps = staticmethod(setting_up)
 
     def __init__(
         self,
-        desk: Desk,
+        session_core: SessionCore,
         tasks: TaskGroup,
         name: str,
         most_connections: int,
@@ -109,20 +109,22 @@
         journal: Journal | None = None,
         wall=None,
     ):
-        self.desk, self.tasks, self.name, self.log = desk, tasks, name, log
+        self.session_core, self.tasks, self.name, self.log = session_core, tasks, name, log
         self.most_connections, self.tls = most_connections, tls
         # what is to be known after a kill; without a state folder nothing is
         self.intents, self.journal, self.wall = intents, journal, wall
         self.disk = anyio.CapacityLimiter(1)
         self.out: dict[TuneIn, Out] = {}
         self.connections: dict[Server, int] = {}
-        self.idle: dict[Server, list[Call]] = {}
+        self.idle: dict[Server, list[HttpClientConnection]] = {}
 
     # ---- tune-ins
 
     def tune_in(self, tune_in: TuneIn) -> None:
         out = self.out[tune_in] = Out(anyio.CancelScope())
-        request = tune_in.course.requests[0].name if tune_in.course.requests else str(tune_in.course.vw.name)
+        request = (
+            tune_in.front_session.requests[0].name if tune_in.front_session.requests else str(tune_in.front_session.viewing.name)
+        )
         self.tasks.start_soon(self._tune_in, tune_in, out, request)
 
     def withdraw(self, tune_in: TuneIn) -> bool:
@@ -135,8 +137,8 @@
         # The server sees that nobody waits; an answer that is on its way already is still read, as the session that
         # it tells of has to be ended.
         out.call.say_no_more()
-        vw = tune_in.course.vw
-        vw.unconfirmed = {*vw.unconfirmed, tune_in.server}
+        viewing = tune_in.front_session.viewing
+        viewing.unconfirmed = {*viewing.unconfirmed, tune_in.server}
         out.scope.deadline = anyio.current_time() + LATE_ANSWER
         return True
 
@@ -147,8 +149,8 @@
             with out.scope:
                 try:
                     # a kept connection may end under the request, which proves nothing: not for what is paid
-                    fresh = tune_in.course.vw.package.paid_at_setup
-                    call = out.call = await self._connection(server, (tune_in.until - self.desk.now()) / NS, fresh)
+                    fresh = tune_in.front_session.viewing.package.paid_at_setup
+                    call = out.call = await self._connection(server, (tune_in.until - self.session_core.now()) / NS, fresh)
                     await self._after_earlier(tune_in)
                     ended = await self._ready(tune_in)
                     if ended is not None:
@@ -157,21 +159,21 @@
                     answered = await self._ask(tune_in, call, request)
                     kept = self._keep(server, call)
                     self._judge(tune_in, answered)
-                except NeverSent as wrong:
+                except RequestNotSent as wrong:
                     self.log.info("not-reached", server=server.name, viewing=request, cause=str(wrong))
                     self._end(tune_in, Outcome.UNREACHED)
-                except Broken as wrong:
+                except ConnectionBroken as wrong:
                     self.log.info("broke", server=server.name, viewing=request, cause=str(wrong))
-                    self.desk.failed(tune_in, Outcome.BROKEN)
+                    self.session_core.failed(tune_in, Outcome.BROKEN)
                 except Exception as fault:
                     # one tune-in that goes wrong in a way on no list must not end the front
                     self.log.error("fault", viewing=request, server=server.name, cause=repr(fault), exc_info=fault)
-                    self.desk.failed(tune_in, Outcome.BROKEN)
+                    self.session_core.failed(tune_in, Outcome.BROKEN)
         finally:
             del self.out[tune_in]
             out.over.set()
-            vw = tune_in.course.vw
-            vw.unconfirmed = {one for one in vw.unconfirmed if one is not server}
+            viewing = tune_in.front_session.viewing
+            viewing.unconfirmed = {one for one in viewing.unconfirmed if one is not server}
             if out.call is not None and not kept:
                 with anyio.CancelScope(shield=True):
                     await self._drop(server, out.call)
@@ -179,11 +181,11 @@
     async def _after_earlier(self, tune_in: TuneIn) -> None:
         """Two connections order nothing: the server may see the end of an earlier attempt after the beginning of this one."""
         for other, out in list(self.out.items()):
-            if other is not tune_in and other.course is tune_in.course and other.server is tune_in.server:
+            if other is not tune_in and other.front_session is tune_in.front_session and other.server is tune_in.server:
                 await out.over.wait()
 
-    async def _connection(self, server: Server, within: float, fresh: bool = False) -> Call:
-        """One that is idle, or a new one within so many seconds. Raises `NeverSent`."""
+    async def _connection(self, server: Server, within: float, fresh: bool = False) -> HttpClientConnection:
+        """One that is idle, or a new one within so many seconds. Raises `RequestNotSent`."""
         idle = self.idle.get(server)
         while idle and not fresh:
             call = idle.pop()
@@ -191,7 +193,7 @@
                 return call
             await self._drop(server, call)
         if self.connections.get(server, 0) >= self.most_connections:
-            raise NeverSent(f"{self.most_connections} connections to this server are in use")
+            raise RequestNotSent(f"{self.most_connections} connections to this server are in use")
         self.connections[server] = self.connections.get(server, 0) + 1
         try:
             return await connect(*host_port(server.name), max(0.001, within), self.tls)
@@ -199,29 +201,29 @@
             self._count_down(server)
             raise
 
-    async def _ask(self, tune_in: TuneIn, call: Call, request: str) -> Answered:
-        vw = tune_in.course.vw
-        offer = tune_in.course.offer
-        held = tune_in.course.held
+    async def _ask(self, tune_in: TuneIn, call: HttpClientConnection, request: str) -> HttpResponse:
+        viewing = tune_in.front_session.viewing
+        offer = tune_in.front_session.offer
+        held = tune_in.front_session.held
         # by this a session is known again whose answer a killed front never got
-        mark = [("x-viewing", doubt_mark(held.key))] if held is not None and vw.package.paid_at_setup else []
+        mark = [("x-viewing", doubt_mark(held.key))] if held is not None and viewing.package.paid_at_setup else []
         return await call.ask(
             "POST",
-            f"/{offer.way}/{vw.package.name}/{vw.title}?layer={tune_in.rung}",
+            f"/{offer.way}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
             [("content-type", SDP), ("x-request-id", request), ("x-front", self.name), ("x-tune-in", str(tune_in.number)), *mark],
             offer.text.encode() if offer else b"",
         )
 
-    def _judge(self, tune_in: TuneIn, answered: Answered) -> None:
+    def _judge(self, tune_in: TuneIn, answered: HttpResponse) -> None:
         report = decode_load(answered.headers.get(HEADER, ""))
         if answered.status == 201 and answered.headers.get("location", "").startswith("/"):
             session = Session(
                 answered.headers["location"],
                 answered.body.decode("utf-8", "replace"),
                 answered.headers.get("etag", ""),
-                tune_in.course.offer.ufrag,
+                tune_in.front_session.offer.ufrag,
             )
-            self.desk.played(tune_in, session, report)
+            self.session_core.played(tune_in, session, report)
             return
         # A redirect has done nothing (RFC 9110, 15.4). It is not followed: where it points may be draining or cold,
         # and only the rules know; they pick again, as they do for a server that is full.
@@ -231,16 +233,16 @@
     async def _ready(self, tune_in: TuneIn) -> Outcome | None:
         """Takes the steps before the first byte, with nothing awaited after the last look; how the tune-in ended, if it does not
         go out."""
-        until = self.wall() + max(0, tune_in.course.vw.expires - self.desk.now())
+        until = self.wall() + max(0, tune_in.front_session.viewing.expires - self.session_core.now())
         intent = intent_of(tune_in, until) if self.journal is not None else None
-        steps = self.steps(self.desk, tune_in, self.intents, intent)
+        steps = self.steps(self.session_core, tune_in, self.intents, intent)
         try:
             what, record = next(steps)
             while what != SEND:
                 kept = True
                 try:
                     await anyio.to_thread.run_sync(self.journal.add, record, True, limiter=self.disk)
-                except NotKept as wrong:
+                except WriteFailed as wrong:
                     self.log.error("intent-not-kept", server=tune_in.server.name, cause=str(wrong))
                     kept = False
                 what, record = steps.send(kept)
@@ -248,16 +250,16 @@
             return ended.value
         # All who asked may have left while a connection was made or the disk was slow. It is not withdrawn when they leave, as
         # one who comes again with its key finds it on its way; but nothing begins for nobody.
-        return None if tune_in.course.waiting else Outcome.UNSENT
+        return None if tune_in.front_session.waiting else Outcome.UNSENT
 
     def _end(self, tune_in: TuneIn, outcome: Outcome, report: dict[str, float] | None = None) -> None:
         """Not flushed: a lost end makes the answer after a kill more careful than it need be, and no more."""
-        held = tune_in.course.held
-        if self.journal is not None and held is not None and tune_in.course.vw.package.paid_at_setup:
+        held = tune_in.front_session.held
+        if self.journal is not None and held is not None and tune_in.front_session.viewing.package.paid_at_setup:
             record = self.intents.ended(held.key, outcome)
             if record is not None:
                 self.tasks.start_soon(self._note, record)
-        self.desk.failed(tune_in, outcome, report)
+        self.session_core.failed(tune_in, outcome, report)
 
     async def _note(self, record: list) -> None:
         try:
@@ -267,19 +269,19 @@
                     # what is open is asked for with the disk in hand: an intent that waits for it is in there
                     self.intents.forget(self.wall())
                     await anyio.to_thread.run_sync(self.journal.begin_anew, self.intents.anew())
-        except NotKept as wrong:
+        except WriteFailed as wrong:
             self.log.warning("end-not-kept", cause=str(wrong))
 
     # ---- connections
 
-    def _keep(self, server: Server, call: Call) -> bool:
+    def _keep(self, server: Server, call: HttpClientConnection) -> bool:
         idle = self.idle.setdefault(server, [])
         if len(idle) >= MOST_IDLE or call.http.our_state is not call.http.their_state:
             return False
         idle.append(call)
         return True
 
-    async def _drop(self, server: Server, call: Call) -> None:
+    async def _drop(self, server: Server, call: HttpClientConnection) -> None:
         self._count_down(server)
         await call.close()
 
@@ -301,19 +303,19 @@
 
     # ---- what no viewer waits for
 
-    def tell(self, errand: Errand) -> None:
-        vw = errand.course.vw
-        self.tasks.start_soon(self._tell, errand, vw.server, errand.course.session)
+    def tell(self, command: ServerCommand) -> None:
+        viewing = command.front_session.viewing
+        self.tasks.start_soon(self._tell, command, viewing.server, command.front_session.session)
 
-    async def _tell(self, errand: Errand, server: Server, session: Session) -> None:
-        if errand.rung is not None:
-            answered = await self._call(server, "POST", session.path + "/layer", JSON, encode(LayerChoice(str(errand.rung))))
+    async def _tell(self, command: ServerCommand, server: Server, session: Session) -> None:
+        if command.rung is not None:
+            answered = await self._call(server, "POST", session.path + "/layer", JSON, encode(LayerChoice(str(command.rung))))
         else:
-            patch: Patch = errand.patch
+            patch: Patch = command.patch
             restarts = patch.fragment.restarts(session.ufrag)
             status = refusal(patch.if_match, session.etag, restarts)
             if status is not None:
-                self.desk.told_server(errand, Result.REFUSED, _own_words(status, session))
+                self.session_core.told_server(command, Result.REFUSED, _own_words(status, session))
                 return
             answered = await self._call(
                 server, "PATCH", session.path, [("content-type", FRAGMENT), ("if-match", patch.if_match)], patch.body
@@ -322,18 +324,18 @@
                 session.etag = answered.headers.get("etag", session.etag)
                 session.ufrag = patch.fragment.ufrag
         if answered is None or answered.status >= 500:
-            self.desk.told_server(errand, Result.UNANSWERED)
+            self.session_core.told_server(command, Result.UNANSWERED)
             return
         kept = [(name, answered.headers[name]) for name in ("content-type", "etag") if name in answered.headers]
         done = Result.DONE if answered.status < 300 else Result.REFUSED
-        self.desk.told_server(errand, done, Reply(answered.status, kept, answered.body))
+        self.session_core.told_server(command, done, Reply(answered.status, kept, answered.body))
 
-    def end_session(self, ending: Ending) -> None:
-        self.tasks.start_soon(self._end_session, ending)
+    def end_session(self, session_end: SessionEnd) -> None:
+        self.tasks.start_soon(self._end_session, session_end)
 
-    async def _end_session(self, ending: Ending) -> None:
-        answered = await self._call(ending.server, "DELETE", ending.session.path)
-        self.desk.session_ended(ending, answered is not None and answered.status < 500)
+    async def _end_session(self, session_end: SessionEnd) -> None:
+        answered = await self._call(session_end.server, "DELETE", session_end.session.path)
+        self.session_core.session_ended(session_end, answered is not None and answered.status < 500)
 
     def probe(self, server: Server, fence: str = "", found=None) -> None:
         """`fence` is lease and number where it is asked for all fronts; a server that knows a higher one refuses it, and what
@@ -344,18 +346,18 @@
         headers = [("x-front", self.name), *([("x-fence", fence)] if fence else [])]
         try:
             answered = await ask(*host_port(server.name), "GET", "/load", headers, within=PATIENT, tls=self.tls)
-        except NeverSent:
-            self.desk.probed(server, Outcome.UNREACHED)
-        except Broken:
-            self.desk.probed(server, Outcome.BROKEN)
+        except RequestNotSent:
+            self.session_core.probed(server, Outcome.UNREACHED)
+        except ConnectionBroken:
+            self.session_core.probed(server, Outcome.BROKEN)
         except TimeoutError:
-            self.desk.probed(server, Outcome.SILENT)
+            self.session_core.probed(server, Outcome.SILENT)
         else:
             if answered.status == 412:
                 self.log.warning("fenced", server=server.name, cause=f"a later holder than {fence} has acted there")
                 return
             well, report = answered.status < 300, decode_load(answered.headers.get(HEADER, ""))
-            self.desk.probed(server, Outcome.PLAYED if well else Outcome.ERROR, report)
+            self.session_core.probed(server, Outcome.PLAYED if well else Outcome.ERROR, report)
             if well and found is not None:
                 found(server, report)
 
@@ -369,7 +371,7 @@
             if answered is None or answered.status != 200:
                 return
             rows = decode(answered.body, SessionList).sessions
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             self.log.info("orphans-not-told", server=server.name, cause=str(wrong))
             return
         for row in rows:
@@ -387,16 +389,16 @@
         answered = await self._call(server, "GET", f"/sessions?front={self.name}")
         try:
             if answered is None or answered.status != 200:
-                raise BadBody("no list of sessions")
+                raise InvalidBody("no list of sessions")
             told = decode(answered.body, SessionList)
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             self.log.info("sessions-not-told", server=server.name, cause=str(wrong))
             recovery.unanswered(server)
             return
         recovery.listed(
             server,
             told.boot,
-            [Found(row.session, row.front, row.rung, row.viewing, row.etag, row.answer) for row in told.sessions],
+            [ListedSession(row.session, row.front, row.rung, row.viewing, row.etag, row.answer) for row in told.sessions],
         )
 
     def adopt(self, server: Server, paths: list[str], recovery: Recovery) -> None:
@@ -406,15 +408,15 @@
         answered = await self._call(server, "POST", "/sessions/adopt", JSON, encode(SessionNames(paths)))
         try:
             if answered is None or answered.status != 200:
-                raise BadBody("not adopted")
+                raise InvalidBody("not adopted")
             recovery.adopted(server, decode(answered.body, SessionNames).sessions)
-        except BadBody as wrong:
+        except InvalidBody as wrong:
             self.log.info("not-adopted", server=server.name, cause=str(wrong))
             recovery.unanswered(server)
 
     async def _call(
         self, server: Server, method: str, path: str, headers: list[tuple[str, str]] = (), body: bytes = b""
-    ) -> Answered | None:
+    ) -> HttpResponse | None:
         call, kept = None, False
         try:
             with anyio.fail_after(PATIENT):
@@ -422,7 +424,7 @@
                 answered = await call.ask(method, path, [("x-front", self.name), *headers], body)
             kept = self._keep(server, call)
             return answered
-        except (NeverSent, Broken, TimeoutError) as wrong:
+        except (RequestNotSent, ConnectionBroken, TimeoutError) as wrong:
             self.log.info("not-told", server=server.name, what=f"{method} {path}", cause=str(wrong) or "no answer")
             return None
         finally:
@@ -442,8 +444,8 @@
     return Reply(status, [("content-type", PROBLEM_TYPE), *([("etag", session.etag)] if session.etag else [])], body)
 
 
-def _problem(answered: Answered) -> Problem:
+def _problem(answered: HttpResponse) -> Problem:
     try:
         return decode(answered.body, Problem)
-    except BadBody:
+    except InvalidBody:
         return Problem(title="", status=answered.status)
--- a/curlewshift/front/keeper.py
+++ b/curlewshift/front/session_writer.py
@@ -1,15 +1,15 @@
 """Writes down what plays, from a thread, in the order in which it came; requests never wait for it.
 
-What it decides to write stands in curlewshift/state/book.py. A disk that takes no more ends it with a word in the log:
-the front goes on, and what it sets up from then on is not known after a kill.
+What it decides to write stands in curlewshift/state/session_registry.py. A disk that takes no more ends it with a word in the
+log: the front goes on, and what it sets up from then on is not known after a kill.
 """
 
 from __future__ import annotations
 
-from curlewshift.desk.course import Course
-from curlewshift.state.behind import Behind
-from curlewshift.state.book import Book, remembered
-from curlewshift.state.journal import Journal, NotKept
+from curlewshift.session_core.front_session import FrontSession
+from curlewshift.state.background_writer import BackgroundWriter
+from curlewshift.state.journal import Journal, WriteFailed
+from curlewshift.state.session_registry import SessionRegistry, remembered
 
 # Records that may wait for a disk that stalls.
 MOST_WAITING = 100_000
@@ -17,17 +17,19 @@
 TOGETHER = 0.005
 
 
-class Keeper:
-    def __init__(self, book: Book, journal: Journal, log):
+class SessionWriter:
+    def __init__(self, book: SessionRegistry, journal: Journal, log):
         self.book, self.journal, self.log = book, journal, log
         self.over = False
-        self.behind = Behind(self._write, TOGETHER)
+        self.behind = BackgroundWriter(self._write, TOGETHER)
 
     # ---- what happens
 
-    def began(self, token: str, holder: str | None, course: Course) -> None:
-        session = course.session
-        self._note(self.book.began(remembered(course, token, holder, session.path, session.etag, session.ufrag, session.answer)))
+    def began(self, token: str, holder: str | None, front_session: FrontSession) -> None:
+        session = front_session.session
+        self._note(
+            self.book.began(remembered(front_session, token, holder, session.path, session.etag, session.ufrag, session.answer))
+        )
 
     def changed(self, token: str, **values: object) -> None:
         for what, value in values.items():
@@ -67,7 +69,7 @@
                     self.journal.begin_anew(records)
                 elif not self.over:
                     self.journal.add(records, False)
-        except NotKept as wrong:
+        except WriteFailed as wrong:
             self._end(str(wrong))
 
     def _end(self, why: str) -> None:
--- a/curlewshift/limits/admission.py
+++ b/curlewshift/limits/admission.py
@@ -17,7 +17,7 @@
 
 from curlewshift.limits.buckets import Buckets
 from curlewshift.limits.concurrency import Concurrency
-from curlewshift.limits.heavy import Heavy
+from curlewshift.limits.heavy import HeavyHitters
 from curlewshift.limits.prefixes import Prefixes
 from curlewshift.limits.queue import Lines, Ticket
 
@@ -53,7 +53,7 @@
     """`tell(ticket)` is called once for a ticket that waited, when it is in or refused."""
 
     def __init__(self, bounds: Bounds, seed: int, now: int, tell: Callable[[Ticket], None]):
-        self.bounds, self.chance, self.tell = bounds, Random(seed), tell
+        self.bounds, self.rng, self.tell = bounds, Random(seed), tell
         self.buckets = {
             name: Buckets(rate, rate * bounds.burst, now)
             for name, rate in (
@@ -65,7 +65,7 @@
             if rate > 0
         }
         self.prefixes = Prefixes(bounds.source or 10.0, now)
-        self.heavy = Heavy(now)
+        self.heavy = HeavyHitters(now)
         self.concurrency = Concurrency(now, min(64.0, float(bounds.most)), min(8.0, float(bounds.most)), float(bounds.most))
         self.lines = Lines(bounds.in_line)
         self.in_work = self.known_in_work = 0
@@ -198,7 +198,7 @@
         """Spread over as long as it takes to let in all who were refused of late, at the pace at which places come free."""
         pace = max(1.0, self.entries)
         spread = max(2 * LEAST_ADVICE, int(self.refusals / pace * LATELY))
-        wait = max(least, LEAST_ADVICE) + int(self.chance.random() * spread)
+        wait = max(least, LEAST_ADVICE) + int(self.rng.random() * spread)
         told = self.told.pop(source, None)
         strikes = 0
         if told is not None:
--- a/curlewshift/walk/explore.py
+++ b/curlewshift/model_checker/explore.py
@@ -1,4 +1,5 @@
-"""Walks a small world breadth first through all that can happen in it, each state once. Called by budgets.py and leases.py."""
+"""Walks a small world breadth first through all that can happen in it, each state once. Called by
+budget_checker.py and lease_checker.py."""
 
 from __future__ import annotations
 
@@ -6,12 +7,12 @@
 from typing import Protocol
 
 
-class Broken(Exception):
+class InvariantViolated(Exception):
     """What must never be has come about."""
 
 
 class SmallWorld(Protocol):
-    """`state` is all that can still matter, relative to the present; `take` raises `Broken`."""
+    """`state` is all that can still matter, relative to the present; `take` raises `InvariantViolated`."""
 
     def copied(self) -> SmallWorld: ...
     def state(self) -> tuple: ...
@@ -42,7 +43,7 @@
                 other = world.copied()
                 try:
                     other.take(step)
-                except Broken as broken:
+                except InvariantViolated as broken:
                     return Walked(len(seen), steps, level, str(broken), (*course, step))
                 state = other.state()
                 if state not in seen:
--- a/curlewshift/walk/versions.py
+++ b/curlewshift/model_checker/version_checker.py
@@ -17,7 +17,7 @@
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import Version, digest_of
 from curlewshift.distribution.writer import Writer
-from curlewshift.walk.explore import Broken, Walked, explore
+from curlewshift.model_checker.explore import InvariantViolated, Walked, explore
 
 STORES, WRITERS, NODES = ("a", "b", "c"), 2, 2
 # Due at once, whenever the walk has it so: time is a choice here.
@@ -181,7 +181,7 @@
         other.writers = []
         for number, writer in enumerate(self.writers):
             twin = copy(writer)
-            twin.outside = WriterEnd(other, number)
+            twin.driver = WriterEnd(other, number)
             if writer.tenure is not None:
                 tenure = twin.tenure = copy(writer.tenure)
                 for name in ("stands", "answered", "votes", "letting"):
@@ -193,11 +193,11 @@
         other.stores = {}
         for name, store in self.stores.items():
             twin = other.stores[name] = copy(store)
-            twin.outside = StoreEnd(other, name)
+            twin.driver = StoreEnd(other, name)
         other.nodes = []
         for number, node in enumerate(self.nodes):
             twin = copy(node)
-            twin.outside, twin.refused = NodeEnd(other, number), dict(node.refused)
+            twin.driver, twin.refused = NodeEnd(other, number), dict(node.refused)
             other.nodes.append(twin)
         return other
 
@@ -315,7 +315,7 @@
         else:
             self._restart(kind, step[1])
         if self.wrong:
-            raise Broken(self.wrong)
+            raise InvariantViolated(self.wrong)
 
     def _hand_on(self, key: tuple, words: tuple, kept_back: bool) -> None:
         number, store, kind = key
@@ -438,7 +438,7 @@
                 break
             self._hand_on(key, self.words.pop(key), kept_back=False)
             if self.wrong:
-                raise Broken(self.wrong)
+                raise InvariantViolated(self.wrong)
         self.words.clear()
 
 
@@ -462,7 +462,7 @@
     count: int, length: int, seed: int = 1, writer: type[Writer] = Writer, store: type[Store] = Store, copy: type[Copy] = Copy
 ) -> Walked:
     """By chance, and beyond any walk: courses of so many steps with more of everything, in small and in large steps in turn."""
-    chance, steps = Random(seed), 0
+    rng, steps = Random(seed), 0
     for number in range(count):
         world = (VersionRounds if number % 2 else VersionWorld)(writer, store, copy, blank=number % 8 > 5)
         world.tenures_most = world.puts_most = world.restarts_most = world.lost_most = length
@@ -471,12 +471,12 @@
             found = world.steps()
             kinds = sorted({step[0] for step in found})
             # a kind first, or the many stale words would be most of what happens
-            kind = chance.choice([kind for kind in kinds for _ in range(WEIGHTS.get(kind, 1))])
-            step = chance.choice([step for step in found if step[0] == kind])
+            kind = rng.choice([kind for kind in kinds for _ in range(WEIGHTS.get(kind, 1))])
+            step = rng.choice([step for step in found if step[0] == kind])
             course.append(step)
             steps += 1
             try:
                 world.take(step)
-            except Broken as broken:
+            except InvariantViolated as broken:
                 return Walked(number + 1, steps, len(course), str(broken), tuple(course))
     return Walked(count, steps, length)
--- a/curlewshift/node/wire.py
+++ b/curlewshift/node/buffered_connection.py
@@ -131,7 +131,7 @@
     OVER = "over"
 
 
-class Errand:
+class PendingWrite:
     """What some bytes on a wire are for. `handed` is set once the kernel has a byte of them."""
 
     __slots__ = ()
@@ -144,7 +144,7 @@
         """The kernel has the last byte."""
 
 
-class Wire:
+class BufferedConnection:
     """`tasks` is the group in which it writes. Its owner reads from it until it has ended, and then closes it."""
 
     def __init__(self, sock: socket.socket, tasks):
@@ -173,11 +173,11 @@
 
     # ---- what goes out
 
-    def send(self, data: bytes, errand: Errand | None = None) -> bool:
+    def send(self, data: bytes, pending_write: PendingWrite | None = None) -> bool:
         """False if it cannot go out here."""
         if not self.open:
             return False
-        self.waiting.append([data, errand, False])
+        self.waiting.append([data, pending_write, False])
         self.size += len(data)
         if self.size > MOST_WAITING:
             self.drop()
@@ -188,9 +188,9 @@
             self.tasks.start_soon(self._write)
         return True
 
-    def withdraw(self, errand: Errand) -> None:
+    def withdraw(self, pending_write: PendingWrite) -> None:
         """What was to be sent for this, if nothing of it has left."""
-        self.waiting = deque(entry for entry in self.waiting if entry[1] is not errand or entry[2])
+        self.waiting = deque(entry for entry in self.waiting if entry[1] is not pending_write or entry[2])
         self.size = sum(len(data) for data, _, _ in self.waiting)
 
     async def _write(self) -> None:
@@ -215,8 +215,8 @@
         """Asks all that is about to leave, and may put something else in its place or end the connection."""
         asked, self.waiting = self.waiting, deque()
         for entry in asked:
-            errand = entry[1]
-            if entry[2] or errand is None or errand.leaves():
+            pending_write = entry[1]
+            if entry[2] or pending_write is None or pending_write.leaves():
                 self.waiting.append(entry)
         self.size = sum(len(data) for data, _, _ in self.waiting)
 
@@ -229,16 +229,16 @@
         self.size -= sent
         while sent:
             entry = self.waiting[0]
-            data, errand, _ = entry
-            if errand is not None:
-                errand.handed = True
+            data, pending_write, _ = entry
+            if pending_write is not None:
+                pending_write.handed = True
             if len(data) > sent:
                 entry[0], entry[2] = data[sent:], True
                 break
             sent -= len(data)
             self.waiting.popleft()
-            if errand is not None:
-                errand.out()
+            if pending_write is not None:
+                pending_write.out()
         return True
 
     # ---- what comes in
--- a/curlewshift/node/connections.py
+++ b/curlewshift/node/connections.py
@@ -1,6 +1,6 @@
 """What the node knows of media servers: the server as it is reached, its connections, attempts that are out, sessions that stand.
 
-Made and moved by reach.py alone. Times are nanoseconds.
+Made and moved by server_pool.py alone. Times are nanoseconds.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from curlewshift.desk.course import Course, TuneIn
 from curlewshift.model import Server
 from curlewshift.node import isup
-from curlewshift.node.wire import Errand, Intake, Wire
+from curlewshift.node.buffered_connection import BufferedConnection, Intake, PendingWrite
+from curlewshift.session_core.front_session import FrontSession, TuneIn
 
 if TYPE_CHECKING:
-    from curlewshift.node.reach import Reach
+    from curlewshift.node.server_pool import ServerPool
 
 
 @dataclass(eq=False, slots=True)
@@ -28,21 +28,21 @@
     cause: int = isup.OVER
     since: int = 0
     # its new rungs go out on one connection while that is sound, as two would not keep their order
-    line: Line | None = None
+    connection: ServerConnection | None = None
     # its server tells its end here, while this connection is open
-    set_up_on: Line | None = None
+    set_up_on: ServerConnection | None = None
     # that connection was closed from here and its server may not know: its word may go there for good
     unheard: bool = False
 
 
 @dataclass(eq=False, slots=True)
-class Attempt(Errand):
+class Attempt(PendingWrite):
     """One set-up on its way. `queued` while a connection has it to write, `handed` once the kernel has a byte of it."""
 
     tune_in: TuneIn
     id: bytes
-    reach: Reach
-    line: Line | None = None
+    server_pool: ServerPool
+    connection: ServerConnection | None = None
     queued: bool = False
     handed: bool = False
     moves: int = 0
@@ -52,19 +52,19 @@
 
     def leaves(self) -> bool:
         """Asked as its first byte is about to go out."""
-        self.queued = self.reach.leaves(self)
+        self.queued = self.server_pool.leaves(self)
         return self.queued
 
 
-class Line:
+class ServerConnection:
     """One connection to a media server, from the first try to its end."""
 
     def __init__(self, endpoint: Endpoint, number: int):
         """`number` is its name in the log."""
         self.endpoint, self.number = endpoint, number
-        self.wire: Wire | None = None
+        self.wire: BufferedConnection | None = None
         self.attempts: dict[bytes, Attempt] = {}
-        self.unsent: list[tuple[bytes, Errand | None]] = []
+        self.unsent: list[tuple[bytes, PendingWrite | None]] = []
         # messages written so far, and the place among them of each test that is not answered yet
         self.sent = 0
         self.probes: dict[bytes, int] = {}
@@ -73,7 +73,7 @@
         self.retired = False
         # nothing new goes out on it
         self.doubtful = False
-        self.opened_at = self.heard_at = self.used_at = endpoint.reach.now()
+        self.opened_at = self.heard_at = self.used_at = endpoint.server_pool.now()
         # when it was last asked for a sign, 0 once it has given one
         self.asked_at = 0
         self.intake = Intake(isup.Reader(), isup.Malformed, self.opened_at)
@@ -87,14 +87,14 @@
         """It is up, or may come up yet."""
         return self.wire is None or not self.wire.gone
 
-    def send(self, data: bytes, errand: Errand | None = None) -> int:
+    def send(self, data: bytes, pending_write: PendingWrite | None = None) -> int:
         """The message's place on this connection."""
-        self.used_at = self.endpoint.reach.now()
+        self.used_at = self.endpoint.server_pool.now()
         self.sent += 1
         if self.wire is None:
-            self.unsent.append((data, errand))
+            self.unsent.append((data, pending_write))
         else:
-            self.wire.send(data, errand)
+            self.wire.send(data, pending_write)
         return self.sent
 
     def probe(self) -> None:
@@ -111,11 +111,11 @@
 class Endpoint:
     """One media server as this node reaches it."""
 
-    def __init__(self, reach: Reach, server: Server, address: tuple[str, int]):
-        self.reach, self.server, self.address = reach, server, address
-        self.lines: list[Line] = []
-        self.standing: dict[bytes, Course] = {}
-        self.heard_at = reach.now()
+    def __init__(self, server_pool: ServerPool, server: Server, address: tuple[str, int]):
+        self.server_pool, self.server, self.address = server_pool, server, address
+        self.connections: list[ServerConnection] = []
+        self.standing: dict[bytes, FrontSession] = {}
+        self.heard_at = server_pool.now()
         # the server that stands at its address now
         self.successor: Endpoint | None = None
         # connections in a row that did not come up while nothing was heard on others, and since when
@@ -130,4 +130,4 @@
     @property
     def up(self) -> bool:
         """A connection to it is up."""
-        return any(line.up for line in self.lines)
+        return any(connection.up for connection in self.connections)
--- a/curlewshift/node/trail.py
+++ b/curlewshift/node/trace.py
@@ -9,7 +9,7 @@
 import os
 from collections import OrderedDict
 
-from curlewshift.node.wire import Errand
+from curlewshift.node.buffered_connection import PendingWrite
 
 MS = 1_000_000
 MOST = 2000
@@ -18,20 +18,20 @@
 class Untrodden:
     """The trail when it is off."""
 
-    def taken(self, name: str, line: object) -> None:
+    def taken(self, name: str, connection: object) -> None:
         pass
 
     def note(self, name: str, step: str) -> None:
         pass
 
-    def answered(self, name: str, late: bool) -> Errand | None:
+    def answered(self, name: str, late: bool) -> PendingWrite | None:
         """What goes with the answer on its wire."""
 
-    def ended(self, line: object) -> None:
+    def ended(self, connection: object) -> None:
         pass
 
 
-class Queued(Errand):
+class Queued(PendingWrite):
     """An answer on a wire."""
 
     __slots__ = ("handed", "name", "trail")
@@ -49,17 +49,17 @@
         # by session, the connection it was asked for on, and its steps
         self.trodden: OrderedDict[str, tuple[object, list[str]]] = OrderedDict()
 
-    def taken(self, name: str, line: object) -> None:
+    def taken(self, name: str, connection: object) -> None:
         if len(self.trodden) >= MOST:
             self.trodden.popitem(last=False)
-        self.trodden[name] = (line, [])
+        self.trodden[name] = (connection, [])
         self.note(name, "taken")
 
     def note(self, name: str, step: str) -> None:
         if name in self.trodden:
             self.trodden[name][1].append(f"{self.now() // MS} {step}")
 
-    def answered(self, name: str, late: bool) -> Errand | None:
+    def answered(self, name: str, late: bool) -> PendingWrite | None:
         if name not in self.trodden:
             return None
         self.note(name, "answer queued")
@@ -67,8 +67,8 @@
             self._tell(name, "answered past its time")
         return Queued(self, name)
 
-    def ended(self, line: object) -> None:
-        for name in [name for name, (its, _) in self.trodden.items() if its is line]:
+    def ended(self, connection: object) -> None:
+        for name in [name for name, (its, _) in self.trodden.items() if its is connection]:
             self._tell(name, "its connection ended before its answer was out")
             del self.trodden[name]
 
--- a/curlewshift/overload/again.py
+++ b/curlewshift/overload/retry_budget.py
@@ -26,7 +26,7 @@
 STRIKES, MOST_KNOWN = 4, 20_000
 
 
-class Again:
+class RetryBudget:
     """One front's part of the budget: its share of the free ones, and a share of its own successes."""
 
     def __init__(self, terms: OverloadTerms, now: int):
@@ -62,11 +62,11 @@
         self.at = max(now, self.at)
 
 
-class Advice:
+class RetryAdvice:
     """How long who is refused is to stay away."""
 
-    def __init__(self, terms: OverloadTerms, now: int, chance: Random):
-        self.terms, self.chance, self.at = terms, chance, now
+    def __init__(self, terms: OverloadTerms, now: int, rng: Random):
+        self.terms, self.rng, self.at = terms, rng, now
         self.refused = self.begun = 0.0
         # who was told to stay away until when, and how often it did not
         self.told: OrderedDict[str, list[int]] = OrderedDict()
@@ -92,7 +92,7 @@
         line = int(self.refused / max(self.begun, 1.0) * LATELY)
         longest = min(self.terms.longest_wait, max(SHORTEST_LONG, lasts))
         span = max(2 * LEAST, min(longest, line), int(longest * behind))
-        wait = min(longest, max(LEAST, int(span * self.chance.uniform(0.4, 1.0))) << strikes)
+        wait = min(longest, max(LEAST, int(span * self.rng.uniform(0.4, 1.0))) << strikes)
         self.told[who] = [now + wait, strikes]
         while len(self.told) > MOST_KNOWN:
             self.told.popitem(last=False)
--- a/curlewshift/scale/hollow.py
+++ b/curlewshift/scale/hollow.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from curlewshift.rehearsal.joins import memory_of
+from curlewshift.fault_injection.joins import memory_of
 from curlewshift.scale.node import HollowNode
 from curlewshift.scale.plan import read_plan
 from curlewshift.scale.talk import obey, say
@@ -93,7 +93,7 @@
         for part in node.parts.values():
             known.add(id(part))
         told = {}
-        for name, part in [*node.parts.items(), ("model", node.desk)]:
+        for name, part in [*node.parts.items(), ("model", node.session_core)]:
             told[name] = round(weight(part, known) / 1024, 1)
         return told
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -8,12 +8,12 @@
 import anyio
 import structlog
 
-from curlewshift.exchange.client import Call, connect
+from curlewshift.exchange.client import HttpClientConnection, connect
+from curlewshift.fault_injection.processes import free_ports
 from curlewshift.front.front import Front
-from curlewshift.rehearsal.processes import free_ports
 from curlewshift.signalling.bodies import ListRow
 from curlewshift.signalling.sdp import offer_text
-from curlewshift.site.site import Door, Duties, Machine, Site
+from curlewshift.site.site import ListenAddress, Machine, Obligations, Site
 from curlewshift.standins.listing import ServerList
 from curlewshift.standins.physics import LinkModel, Uplink
 from curlewshift.standins.server import MediaServer
@@ -52,7 +52,7 @@
 class SmallSite:
     """`servers` stand-ins that hold title t, each on a shelf of its own."""
 
-    def __init__(self, servers=2, patience=2 * SECOND, site=None, **duties):
+    def __init__(self, servers=2, patience=2 * SECOND, site=None, **obligations):
         self.traffic = Seen()
         ports = free_ports(servers + 2, random.Random())
         facts = dict(
@@ -72,7 +72,7 @@
             probes=False,
             uplinks=True,
         )
-        self.duties = Duties(**{**facts, **duties})
+        self.obligations = Obligations(**{**facts, **obligations})
         self.packages = [
             package(name="clip", join_target=SECOND, patience=patience, floor=1),
             package(name="paid", join_target=SECOND, patience=patience, paid_at_setup=True),
@@ -81,13 +81,13 @@
         machines = [Machine(f"s{n}", "127.0.0.1", port, "r", "z", 10_000.0, 50, 4) for n, port in enumerate(ports[2:])]
         self.site = Site(
             "test",
-            [Door("f", "127.0.0.1", ports[0])],
+            [ListenAddress("f", "127.0.0.1", ports[0])],
             ("127.0.0.1", ports[1]),
             self.packages,
             {"r": 1e6},
             machines,
             {"t": tuple(machine.shelf for machine in machines)},
-            self.duties,
+            self.obligations,
             100,
             64,
             frozenset({"camera"}),
@@ -112,7 +112,7 @@
             f"127.0.0.1:{machine.port}",
             link,
             {pack.name: pack.rates for pack in self.packages},
-            self.duties,
+            self.obligations,
             born,
             random.Random(len(self.uplink.links)),
             self.traffic,
@@ -145,7 +145,7 @@
                 yield self
             self.tasks.cancel_scope.cancel()
 
-    async def call(self) -> Call:
+    async def call(self) -> HttpClientConnection:
         return await connect("127.0.0.1", self.port, 2.0)
 
     async def ask(self, pack="clip", headers=(), offer=None, query="", title="t"):
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -17,7 +17,7 @@
 
 import anyio
 
-from curlewshift.rehearsal.processes import ROOT, free_ports
+from curlewshift.fault_injection.processes import ROOT, free_ports
 from tests.node_place import CLIP, Place, Plain
 from tests.sockets import story
 
@@ -79,8 +79,8 @@
                         if turn == 2 and number == 0:
                             # from here on there is no bulletin for any of them
                             await place.bulletin.listener.aclose()
-                            for line in list(place.bulletin.lines):
-                                await line.aclose()
+                            for connection in list(place.bulletin.connections):
+                                await connection.aclose()
                         held = Plain(life.port)
                         held.ask(f"{number * 10 + turn + 1:016x}", package=CLIP)
                         life.kill()
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -10,7 +10,16 @@
 from curlewshift.distribution.fetching import Fetch
 from curlewshift.distribution.giving import Giver
 from curlewshift.distribution.library import Library
-from curlewshift.distribution.pieces import PIECE, Spoilt, name_of, packed_difference, packed_whole, piece, pieces_of, unpacked
+from curlewshift.distribution.pieces import (
+    PIECE,
+    CorruptContent,
+    name_of,
+    packed_difference,
+    packed_whole,
+    piece,
+    pieces_of,
+    unpacked,
+)
 from curlewshift.distribution.reports import Report, aggregator_of, summed
 from curlewshift.distribution.store import Store
 from curlewshift.distribution.terms import DistributionTerms
@@ -19,10 +28,10 @@
 from curlewshift.emulator.version_figures import changes
 from curlewshift.emulator.version_histories import FAULTS, NS, VersionHistory, histories, planted
 from curlewshift.emulator.versions import VersionFleet, site_file
-from curlewshift.membership.manners import usual_manners
+from curlewshift.membership.terms import default_membership_terms
+from curlewshift.model_checker.version_checker import long_courses, walk_versions
 from curlewshift.peering.distributed import DistributionWire
 from curlewshift.peering.frames import ACK, PING, decode
-from curlewshift.walk.versions import long_courses, walk_versions
 
 
 def version(fence, count=1, content=b"content"):
@@ -397,7 +406,7 @@
         self.assertEqual(unpacked(difference, one), two)
         self.assertEqual(unpacked(packed_whole(two), b""), two)
         for spoilt in (b"", b"nothing", packed_whole(two)[:-5]):
-            with self.assertRaises(Spoilt):
+            with self.assertRaises(CorruptContent):
                 unpacked(spoilt, b"")
 
 
@@ -479,7 +488,7 @@
 
 class OnTheChannel(unittest.TestCase):
     def frames(self, ride):
-        fleet = PeerFleet(3, 1, usual_manners(NS))
+        fleet = PeerFleet(3, 1, default_membership_terms(NS))
         seen = []
         carry = fleet.carry
         fleet.carry = lambda sender, address, data: (seen.append(decode(data, "emulated")), carry(sender, address, data))
@@ -514,10 +523,10 @@
 
     def test_garbage_is_counted_and_dropped(self):
         wire: DistributionWire = VersionHistory(3, nodes=3, troubled=False).processes["n0"].wire
-        member, chance = wire.channel.members["n1"], Random(1)
+        member, rng = wire.channel.members["n1"], Random(1)
         for _ in range(200):
-            wire.heard(member, chance.randbytes(chance.randrange(60)))
-            wire._ride_heard(member, chance.randbytes(chance.randrange(60)))
+            wire.heard(member, rng.randbytes(rng.randrange(60)))
+            wire._ride_heard(member, rng.randbytes(rng.randrange(60)))
         self.assertGreater(wire.malformed, 390)
         self.assertEqual(wire.version, "file")
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -10,10 +10,10 @@
 from random import Random
 
 from curlewshift.emulator.agreement import BOUNDS, agreement
-from curlewshift.emulator.queue import Buckets, Heap, Runaway
+from curlewshift.emulator.planted_faults import NAMES
+from curlewshift.emulator.queue import Buckets, EventLimitExceeded, Heap
 from curlewshift.emulator.world import World
-from curlewshift.emulator.wrongs import NAMES
-from curlewshift.rehearsal.rehearse import figures_of
+from curlewshift.fault_injection.rehearse import figures_of
 from curlewshift.standins.script import read_script, usual
 from curlewshift.verdict.verdict import judge
 
@@ -111,16 +111,16 @@
     def test_buckets_and_heap_tell_the_same_in_the_same_order(self):
         told = []
         for queue in (Buckets(), Heap()):
-            chance, order = Random(3), []
+            rng, order = Random(3), []
 
-            def happens(number, queue=queue, chance=chance, order=order):
+            def happens(number, queue=queue, rng=rng, order=order):
                 order.append((queue.now, number))
                 if len(order) < 3000:
-                    for _ in range(chance.choice((0, 1, 1, 2))):
-                        queue.at(queue.now + chance.choice((0, 1, 10**5, 10**6, 3 * 10**8)), happens, len(order))
+                    for _ in range(rng.choice((0, 1, 1, 2))):
+                        queue.at(queue.now + rng.choice((0, 1, 10**5, 10**6, 3 * 10**8)), happens, len(order))
 
             for number in range(50):
-                queue.at(chance.randrange(10**9), happens, number)
+                queue.at(rng.randrange(10**9), happens, number)
             queue.run(10**10)
             told.append(order)
         self.assertEqual(told[0], told[1])
@@ -141,7 +141,7 @@
                 queue.at(queue.now, again)
 
             queue.at(0, again)
-            with self.assertRaises(Runaway):
+            with self.assertRaises(EventLimitExceeded):
                 queue.run(10, 1000)
 
     def test_nothing_happens_before_now(self):
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -10,7 +10,7 @@
 import anyio
 
 from curlewshift.exchange import server as exchange_server
-from curlewshift.exchange.client import Broken, NeverSent, connect
+from curlewshift.exchange.client import ConnectionBroken, RequestNotSent, connect
 from curlewshift.signalling.bodies import LayerChoice, encode
 from tests.sockets import SmallSite, an_offer, story, until
 
@@ -39,7 +39,7 @@
             await until(lambda: site.traffic.all("session-end"))
             self.assertTrue(call.again())
             self.assertEqual((await call.ask("DELETE", answered.headers["location"])).status, 404)
-            self.assertFalse(site.front.desk.courses)
+            self.assertFalse(site.front.session_core.front_sessions)
             await call.close()
 
     @story
@@ -76,7 +76,7 @@
                 tasks.start_soon(ask)
                 await until(lambda: site.traffic.all("setup"))
                 tasks.start_soon(ask)
-                await until(lambda: site.front.desk.waiting == 2)
+                await until(lambda: site.front.session_core.waiting == 2)
                 site.servers["s0"].unfreeze()
             self.assertEqual([answered.status for answered in answers], [201, 201])
             self.assertEqual(answers[0].headers["location"], answers[1].headers["location"])
@@ -90,11 +90,11 @@
             site.servers["s0"].freeze()
             with anyio.move_on_after(0.1):
                 await site.ask()
-            await until(lambda: site.front.desk.waiting == 0)
+            await until(lambda: site.front.session_core.waiting == 0)
             site.servers["s0"].unfreeze()
             await until(lambda: site.traffic.all("setup-over"))
-            await until(lambda: not site.servers["s0"].sessions and not site.front.desk.courses)
-            self.assertEqual(site.front.desk.roster.servers[site.servers["s0"].name].out, 0)
+            await until(lambda: not site.servers["s0"].sessions and not site.front.session_core.front_sessions)
+            self.assertEqual(site.front.session_core.server_list.servers[site.servers["s0"].name].out, 0)
 
     @story
     async def test_a_reset_after_the_request_was_written_fails_a_paid_viewing_and_moves_another(self):
@@ -111,7 +111,10 @@
     @story
     async def test_a_refused_connection_sends_a_paid_viewing_on(self):
         async with SmallSite(servers=2).up() as site:
-            with mock.patch("curlewshift.desk.desk.Desk.notes_broke"), mock.patch("curlewshift.desk.desk.Desk.server_lost"):
+            with (
+                mock.patch("curlewshift.session_core.session_core.SessionCore.notes_broke"),
+                mock.patch("curlewshift.session_core.session_core.SessionCore.server_lost"),
+            ):
                 site.servers["s0"].die()
                 await until(lambda: site.traffic.all("dead"))
                 statuses = [(await site.ask("paid")).status for _ in range(6)]
@@ -154,7 +157,7 @@
             first = site.site.machines[0]
             site.list.knows(site.row(first, "fading"))
             name = site.servers["s0"].name
-            await until(lambda: not site.front.desk.roster.servers[name].open)
+            await until(lambda: not site.front.session_core.server_list.servers[name].open)
             for _ in range(5):
                 self.assertEqual((await site.ask()).status, 201)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
@@ -167,8 +170,8 @@
             await until(lambda: site.traffic.all("dead"))
             await site.start_server(site.site.machines[0], cold=True)
             await until(lambda: len(site.traffic.all("notes-open")) == 2)
-            await until(lambda: not site.front.desk.courses)
-            server = site.front.desk.roster.servers[site.servers["s0"].name]
+            await until(lambda: not site.front.session_core.front_sessions)
+            server = site.front.session_core.server_list.servers[site.servers["s0"].name]
             self.assertGreater(server.cold_until, site.front.now())
 
     @story
@@ -177,13 +180,13 @@
             rows = list(site.list.rows.values())
             site.front.lists.stream.call.cut()
             site.list._publish([rows[0]])
-            await until(lambda: site.front.desk.roster.generation == 1)
+            await until(lambda: site.front.session_core.server_list.generation == 1)
             self.assertEqual(len(site.traffic.all("told-all")), 1)
             # two generations that nobody kept: the next change does not follow on what is held
             site.list.generation += 2
             site.list.changes.clear()
             site.list._publish([rows[1]])
-            await until(lambda: site.front.desk.roster.generation == 4)
+            await until(lambda: site.front.session_core.server_list.generation == 4)
             await until(lambda: len(site.traffic.all("told-all")) == 2)
 
     @story
@@ -195,7 +198,7 @@
                 names = {server.name for server in site.servers.values()}
             again = SmallSite(servers=0)
             async with again.up(Path(folder), follow=False) as site:
-                servers = site.front.desk.roster.servers
+                servers = site.front.session_core.server_list.servers
                 self.assertLessEqual(names, set(servers))
                 self.assertTrue(all(server.unproven_until for server in servers.values() if server.name in names))
 
@@ -205,7 +208,7 @@
             await site.ask()
             server = site.servers["s0"]
             server._end(next(iter(server.sessions.values())), "a story's end")
-            await until(lambda: not site.front.desk.courses)
+            await until(lambda: not site.front.session_core.front_sessions)
 
 
 class Life(unittest.TestCase):
@@ -222,12 +225,12 @@
                 tasks.start_soon(ask)
                 await until(lambda: site.traffic.all("setup"))
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: site.front.desk.draining)
+                await until(lambda: site.front.session_core.draining)
                 late = await site.ask()
                 site.servers["s0"].unfreeze()
             self.assertEqual((late.status, answers), (503, [201]))
             await until(lambda: site.traffic.all("session-end"))
-            with self.assertRaises(NeverSent):
+            with self.assertRaises(RequestNotSent):
                 for _ in range(200):
                     await (await site.call()).close()
                     await anyio.sleep(0.01)
@@ -294,13 +297,13 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(listener.serve, cut)
             call = await connect("127.0.0.1", port, 1.0)
-            with self.assertRaises(Broken):
+            with self.assertRaises(ConnectionBroken):
                 await call.ask("GET", "/")
             self.assertTrue(call.written)
             await call.close()
             tasks.cancel_scope.cancel()
         await listener.aclose()
-        with self.assertRaises(NeverSent):
+        with self.assertRaises(RequestNotSent):
             await connect("127.0.0.1", port, 1.0)
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -7,22 +7,22 @@
 import anyio
 import structlog
 
-from curlewshift.desk.course import Kind
-from curlewshift.desk.desk import Unknown
 from curlewshift.exchange.client import ask
 from curlewshift.front.front import Front
-from curlewshift.recovery.recovery import TRIED_FOR, Doubt, Found, Recovery
-from curlewshift.state.book import BEGAN, Book, Remembered
-from curlewshift.state.journal import Journal, NotKept
-from tests.desk_fake import FakeOutside
+from curlewshift.recovery.recovery import TRIED_FOR, InterruptedSetup, ListedSession, Recovery
+from curlewshift.session_core.front_session import Kind
+from curlewshift.session_core.session_core import UnknownResource
+from curlewshift.state.journal import Journal, WriteFailed
+from curlewshift.state.session_registry import BEGAN, SessionRegistry, StoredSession
 from tests.fake import SECOND
+from tests.fake_driver import FakeDriver
 from tests.sockets import SmallSite, an_offer, story, until
 
 OWN, BEFORE = "f.2", "f.1"
 
 
 def remembered(token="tk", server="s0", path="/session/1", pack="lesson", title="t1", rung=1, key="k", **more):
-    return Remembered(
+    return StoredSession(
         **{
             **dict(
                 token=token,
@@ -49,11 +49,11 @@
     """A recovery over a fake desk: `asked` and `adopting` are the questions nobody has answered yet."""
 
     def __init__(self, sessions=(), boots=None, doubts=(), **how):
-        self.fake = FakeOutside(**how)
-        self.asked, self.adopting, self.courses, self.forgot = [], [], {}, []
+        self.fake = FakeDriver(**how)
+        self.asked, self.adopting, self.front_sessions, self.forgot = [], [], {}, []
         for doubt in doubts:
-            self.fake.desk.interrupted(doubt.key, doubt.offer, "paid", "t1", self.fake.clock + 60 * SECOND, doubt=True)
-        self.recovery = Recovery(self, self.fake.desk, OWN, list(sessions), boots or {}, list(doubts))
+            self.fake.session_core.interrupted(doubt.key, doubt.offer, "paid", "t1", self.fake.clock + 60 * SECOND, doubt=True)
+        self.recovery = Recovery(self, self.fake.session_core, OWN, list(sessions), boots or {}, list(doubts))
         self.recovery.begin()
 
     def ask_sessions(self, server):
@@ -63,10 +63,10 @@
         self.adopting.append((server.name, paths))
 
     def taken_up(self, one, server):
-        course = self.courses[one.token] = self.fake.desk.handed_over(
+        front_session = self.front_sessions[one.token] = self.fake.session_core.handed_over(
             one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, one.offer
         )
-        return course
+        return front_session
 
     def session_of(self, found, doubt):
         return found.path
@@ -76,7 +76,9 @@
 
     def tells(self, server, *rows, boot="b"):
         self.asked.remove(server)
-        self.recovery.listed(self.fake.server(server), boot, [Found(path, life, rung, doubt) for path, life, rung, doubt in rows])
+        self.recovery.listed(
+            self.fake.server(server), boot, [ListedSession(path, life, rung, doubt) for path, life, rung, doubt in rows]
+        )
 
     def takes(self, server, *paths):
         self.adopting = [one for one in self.adopting if one[0] != server]
@@ -95,9 +97,9 @@
 class Deciding(unittest.TestCase):
     def test_what_is_remembered_counts_before_anyone_was_asked(self):
         day = Restart([remembered(token=f"t{n}", path=f"/session/{n}", pack="clip", key=f"k{n}") for n in range(2)])
-        rules = day.fake.desk.rules
-        course = day.courses["t0"]
-        self.assertEqual(rules.seats["t1", course.vw.package], 2)
+        rules = day.fake.session_core.rules
+        front_session = day.front_sessions["t0"]
+        self.assertEqual(rules.seats["t1", front_session.viewing.package], 2)
         self.assertGreater(day.fake.server("s0").link.own, 0)
         # both seats of the title are taken: a third viewing is refused, on whichever server
         third = day.fake.ask("clip", "t1", key="new")
@@ -108,9 +110,9 @@
         day.tells("s0", ("/session/1", BEFORE, 1, ""), ("/session/3", BEFORE, 0, ""), ("/session/4", OWN, 0, ""))
         self.assertEqual(day.adopting, [("s0", ["/session/1"])])
         self.assertEqual(day.fake.torn, ["/session/3"], "only what nobody knows is torn down, and nothing of this life")
-        self.assertFalse(day.courses["gone"].vw.playing)
+        self.assertFalse(day.front_sessions["gone"].viewing.playing)
         day.takes("s0", "/session/1")
-        self.assertTrue(day.courses["kept"].vw.playing)
+        self.assertTrue(day.front_sessions["kept"].viewing.playing)
         for server in ("s1", "s2", "s3"):
             day.tells(server)
         recovery = day.recovery
@@ -119,19 +121,19 @@
     def test_its_client_comes_again_for_an_answer_and_gets_it(self):
         day = Restart([remembered(key="k")])
         request = day.fake.ask("lesson", "t1", key="k", offer="offer")
-        self.assertEqual((request.answer.kind, request.answer.course), (Kind.PLAYS, day.courses["tk"]))
+        self.assertEqual((request.answer.kind, request.answer.front_session), (Kind.PLAYS, day.front_sessions["tk"]))
         self.assertEqual(day.fake.out, [])
 
     def test_a_session_that_ends_during_adoption(self):
         day = Restart([remembered()])
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         day.takes("s0")
-        self.assertFalse(day.courses["tk"].vw.playing)
+        self.assertFalse(day.front_sessions["tk"].viewing.playing)
         self.assertEqual((day.recovery.kept, day.recovery.ended), (0, 1))
 
     def test_a_viewer_leaves_while_its_session_is_being_adopted(self):
         day = Restart([remembered()])
-        day.fake.desk.closed(day.courses["tk"])
+        day.fake.session_core.closed(day.front_sessions["tk"])
         self.assertEqual(day.fake.torn, ["/session/1"])
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         self.assertEqual((day.adopting, day.fake.torn), ([], ["/session/1"]))
@@ -139,17 +141,17 @@
     def test_a_server_that_is_another_life_has_nothing_and_is_cold(self):
         day = Restart([remembered()], boots={"s0": "before"})
         server = day.fake.server("s0")
-        new = day.fake.desk.handed_over("lesson", "t1", 2, server, "/session/9", 0)
+        new = day.fake.session_core.handed_over("lesson", "t1", 2, server, "/session/9", 0)
         day.tells("s0", ("/session/9", OWN, 0, ""), boot="after")
-        self.assertFalse(day.courses["tk"].vw.playing)
-        self.assertTrue(new.vw.playing, "what this life has set up there plays")
+        self.assertFalse(day.front_sessions["tk"].viewing.playing)
+        self.assertTrue(new.viewing.playing, "what this life has set up there plays")
         self.assertGreater(server.cold_until, day.fake.clock)
 
     def test_the_servers_word_on_a_rung_stands(self):
         day = Restart([remembered(rung=2)])
         day.tells("s0", ("/session/1", BEFORE, 0, ""))
         day.takes("s0", "/session/1")
-        self.assertEqual(day.courses["tk"].vw.rung, 0)
+        self.assertEqual(day.front_sessions["tk"].viewing.rung, 0)
 
     def test_a_silent_server_is_asked_again_and_given_up_in_the_end(self):
         day = Restart([remembered()])
@@ -160,27 +162,27 @@
             if day.asked:
                 day.silent("s0")
                 tries += 1
-            self.assertTrue(day.courses["tk"].vw.playing)
+            self.assertTrue(day.front_sessions["tk"].viewing.playing)
             day.later(SECOND // 10)
         self.assertEqual(day.fake.clock - day.recovery.began, TRIED_FOR)
         self.assertLess(tries, 20)
-        self.assertFalse(day.courses["tk"].vw.playing)
+        self.assertFalse(day.front_sessions["tk"].viewing.playing)
         self.assertEqual(day.fake.torn, ["/session/1"], "it may come back, and would send to nobody")
 
     def test_a_server_that_the_kept_list_lacks_is_asked_once_the_list_tells_of_it(self):
         day = Restart([remembered(server="late")])
-        self.assertEqual(day.courses, {})
+        self.assertEqual(day.front_sessions, {})
         day.fake.change(day.fake.row("late"))
         day.recovery.list_told()
         self.assertIn("late", day.asked)
         day.tells("late", ("/session/1", BEFORE, 1, ""))
         day.takes("late", "/session/1")
-        self.assertTrue(day.courses["tk"].vw.playing)
+        self.assertTrue(day.front_sessions["tk"].viewing.playing)
 
     def test_a_server_gone_while_asked(self):
         day = Restart([remembered()])
         day.fake.change(day.fake.row("s0", state="off"))
-        self.assertFalse(day.courses["tk"].vw.playing)
+        self.assertFalse(day.front_sessions["tk"].viewing.playing)
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         for server in ("s1", "s2", "s3"):
             day.tells(server)
@@ -192,15 +194,15 @@
         self.assertEqual(day.forgot, ["tk"])
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
         self.assertEqual(day.fake.torn, ["/session/1"])
-        with self.assertRaises(Unknown):
-            day.fake.desk.handed_over("lesson", "dropped", 2, day.fake.server("s0"), "x", 1)
+        with self.assertRaises(UnknownResource):
+            day.fake.session_core.handed_over("lesson", "dropped", 2, day.fake.server("s0"), "x", 1)
 
 
 class InDoubt(unittest.TestCase):
     """A paid set-up whose answer its front never got."""
 
     def setUp(self):
-        self.day = Restart(doubts=[Doubt("k", "mark", "s0", "offer")])
+        self.day = Restart(doubts=[InterruptedSetup("k", "mark", "s0", "offer")])
         self.fake = self.day.fake
 
     def ask_again(self, **how):
@@ -213,7 +215,7 @@
         self.assertIsNone(request.answer)
         self.day.takes("s0", "/session/1")
         self.assertEqual(request.answer.kind, Kind.PLAYS)
-        self.assertEqual((request.answer.course.session, self.fake.out), ("/session/1", []))
+        self.assertEqual((request.answer.front_session.session, self.fake.out), ("/session/1", []))
         self.assertEqual(self.ask_again().answer.kind, Kind.PLAYS)
 
     def test_or_that_it_failed(self):
@@ -232,7 +234,7 @@
         self.assertEqual(self.ask_again().answer.kind, Kind.FAILED)
 
     def test_hanging_up_in_doubt_does_not_free_the_key(self):
-        self.fake.desk.hung_up(self.ask_again())
+        self.fake.session_core.hung_up(self.ask_again())
         self.ask_again()
         self.assertEqual(self.fake.out, [])
 
@@ -248,7 +250,7 @@
 
 class Remembering(unittest.TestCase):
     def test_the_log_and_its_snapshot_remember_the_same(self):
-        book = Book()
+        book = SessionRegistry()
         records = [book.began(remembered(token=str(n))) for n in range(9)] + [
             book.changed("3", "rung", 2),
             book.changed("4", "etag", '"x"'),
@@ -260,13 +262,13 @@
         self.assertIsNone(book.ended("5"))
         whole = book.snapshot()
         for log in (records, whole, [*records, *records[:1], ["novel"], [BEGAN, 1], []]):
-            again = Book()
+            again = SessionRegistry()
             again.restore(log)
             self.assertEqual((again.open, again.boots), (book.open, book.boots))
         self.assertEqual(len(whole), 9)
 
     def test_a_log_grown_with_what_is_over_begins_anew(self):
-        book = Book()
+        book = SessionRegistry()
         for number in range(1500):
             book.began(remembered(token=str(number)))
             if number >= 100:
@@ -363,7 +365,7 @@
         async with SmallSite().up(self.state) as site:
 
             def full(record, flush):
-                raise NotKept("no space left")
+                raise WriteFailed("no space left")
 
             site.front.keeper.journal.add = full
             self.assertEqual((await site.ask()).status, 201)
@@ -371,7 +373,7 @@
             self.assertEqual((await site.ask()).status, 201)
 
     def test_a_torn_log_of_sessions_is_read_up_to_there(self):
-        book, journal = Book(), Journal(self.state / "sessions.log")
+        book, journal = SessionRegistry(), Journal(self.state / "sessions.log")
         for number in range(3):
             journal.add(book.began(remembered(token=str(number))), False)
         journal.close()
@@ -379,7 +381,7 @@
         raw = path.read_bytes()
         for cut in range(1, len(raw) // 3 - 30, 7):
             path.write_bytes(raw[:-cut])
-            again, torn = Book(), Journal(path)
+            again, torn = SessionRegistry(), Journal(path)
             again.restore(torn.records)
             torn.close()
             self.assertEqual((list(again.open), torn.damage), (["0", "1"], ""))
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -5,7 +5,7 @@
 from click.testing import CliRunner
 
 from curlewshift.commands.main import main
-from curlewshift.site.reading import Mistakes
+from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import read_site
 from curlewshift.standins.script import read_script
 
@@ -24,7 +24,7 @@
             self.assertIn(old, text)
             text = text.replace(old, new, 1)
         self.path.write_text(text)
-        with self.assertRaises(Mistakes) as found:
+        with self.assertRaises(SiteErrors) as found:
             reader(self.path)
         return str(found.exception).replace(str(self.path), "F")
 
@@ -76,7 +76,13 @@
         self.path.write_text(fleet)
         peers = read_site(self.path).peers
         self.assertEqual(
-            (len(peers.seeds), peers.manners.period, peers.manners.answer_within, peers.manners.forget_after, peers.most_bytes),
+            (
+                len(peers.seeds),
+                peers.membership_terms.period,
+                peers.membership_terms.answer_within,
+                peers.membership_terms.forget_after,
+                peers.most_bytes,
+            ),
             (3, 500_000_000, 150_000_000, 10_000_000_000, 64_000),
         )
         self.path.write_text(SMALL)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -16,10 +16,10 @@
 from click.testing import CliRunner
 
 from curlewshift.commands.main import main
+from curlewshift.fault_injection.processes import ROOT
 from curlewshift.node import rtsp
-from curlewshift.rehearsal.processes import ROOT
 from curlewshift.scale import fits, slopes, slopes_control, slopes_idle
-from curlewshift.scale.fits import TooFew, fit
+from curlewshift.scale.fits import TooFewPoints, fit
 from curlewshift.scale.slopes_asked import Pace, p99
 from curlewshift.scale.slopes_loop import Loop
 from curlewshift.scale.slopes_stands import Bulletin, Listening
@@ -29,8 +29,8 @@
 
 
 def noisy(of, noise, seed, repeats=3):
-    chance = Random(seed)
-    return [(x, of(x) + chance.gauss(0, noise)) for x in SIZES for _ in range(repeats)]
+    rng = Random(seed)
+    return [(x, of(x) + rng.gauss(0, noise)) for x in SIZES for _ in range(repeats)]
 
 
 class Fits(unittest.TestCase):
@@ -104,7 +104,7 @@
         self.assertRegex(told.by, r"quadratic term: .* 0\.1% of the rise")
 
     def test_three_sizes_are_too_few_however_often_repeated(self):
-        with self.assertRaisesRegex(TooFew, "3 different sizes"):
+        with self.assertRaisesRegex(TooFewPoints, "3 different sizes"):
             fit([(x, x) for x in (1, 2, 3) * 4])
 
     def test_a_step_that_no_parabola_follows_is_not_straight_where_sizes_are_repeated(self):
@@ -112,14 +112,14 @@
         step = {1200: 0.026, 1600: 0.030, 1900: 0.474, 2100: 0.563, 2300: 0.560}
         once = fit(list(step.items()))
         self.assertIn("a step is not told from noise", once.by)
-        chance = Random(5)
-        twice = fit([(x, y + chance.gauss(0, 0.02)) for x, y in step.items() for _ in range(2)])
+        rng = Random(5)
+        twice = fit([(x, y + rng.gauss(0, 0.02)) for x, y in step.items() for _ in range(2)])
         self.assertFalse(twice.straight, twice.by)
         self.assertIn("lack of fit", twice.by)
 
     def test_the_chance_of_a_ratio_is_that_of_the_tables(self):
         # 5% and 1% of F, from any table; t of 12.706 with one free is 5% on both sides
-        for ratio, of, free, chance in (
+        for ratio, of, free, p_value in (
             (4.965, 1, 10, 0.05),
             (3.326, 5, 10, 0.05),
             (10.044, 1, 10, 0.01),
@@ -128,7 +128,7 @@
             (3.71, 3, 10, 0.05),
             (2.2899, 3, 1000, 0.0769),
         ):
-            self.assertAlmostEqual(fits.f_tail(ratio, of, free), chance, delta=0.0006)
+            self.assertAlmostEqual(fits.f_tail(ratio, of, free), p_value, delta=0.0006)
         self.assertEqual((fits.f_tail(0, 3, 5), fits.f_tail(float("inf"), 3, 5)), (1.0, 0.0))
 
 
@@ -141,7 +141,7 @@
             ((1000, 2000, 4000, 20_000), dict(descriptors=20_000), "than the 20000 there are"),
             (SIZES, dict(memory=2**29), "half of the machine's memory"),
         ):
-            with self.assertRaises(slopes.NoRoom) as caught:
+            with self.assertRaises(slopes.MeasurementRefused) as caught:
                 slopes.check_room(self.KIND, sizes, **limits)
             self.assertIn(words, str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
@@ -160,11 +160,11 @@
             self.assertRegex(told, rf"[ :]{name},")
 
     def test_connections_that_may_rest_are_those_that_the_nodes_own_gate_lets_rest(self):
-        from curlewshift.limits.descriptors import CROWDED_PART, Gate
+        from curlewshift.limits.descriptors import CROWDED_PART, DescriptorGate
         from curlewshift.node.node import OTHERS, SERVERS_PART
 
         for limit in (500, 20_000):
-            gate = Gate(limit, lambda: 0.0, int(limit * SERVERS_PART) + OTHERS)
+            gate = DescriptorGate(limit, lambda: 0.0, int(limit * SERVERS_PART) + OTHERS)
             self.assertEqual(slopes_idle.resting_most(limit), int(gate.most * CROWDED_PART))
 
 
@@ -242,7 +242,7 @@
             sock.close()
 
     def test_a_pace_leaves_nothing_out_when_the_loop_comes_late(self):
-        stands, calls = mock.Mock(loop=self.loop, chance=Random(3)), []
+        stands, calls = mock.Mock(loop=self.loop, rng=Random(3)), []
         pace = Pace(stands, 1000, lambda: calls.append(1))
         pace.turn(pace.second + 10**9 - 1)
         self.assertEqual(len(calls), 1000)
@@ -293,7 +293,7 @@
             memory = kept["memory-by-connection"]["fit"]
             # a node is tens of megabytes, and a connection some kilobytes of it
             self.assertTrue(10e6 < memory["intercept"] < 100e6 and 1e3 < memory["slope"] < 3e4, memory)
-            self.assertTrue(any("node/door.py" in note for note in kept["idle-time-by-connection"]["notes"]))
+            self.assertTrue(any("node/client_listener.py" in note for note in kept["idle-time-by-connection"]["notes"]))
 
     def test_broken_off_it_ends_its_node(self):
         with tempfile.TemporaryDirectory() as out:
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -4,22 +4,22 @@
 import unittest
 from types import SimpleNamespace
 
-from curlewshift.desk.desk import Misuse
 from curlewshift.emulator.loan_histories import overdrawn
 from curlewshift.emulator.seat_histories import FAULTS, SeatHistory, UntoldHistory
+from curlewshift.session_core.session_core import InvalidRequest
 from curlewshift.sharing.budgets import FURTHER, SEAT
 from curlewshift.sharing.sharing import Sharing
 from curlewshift.sharing.standing import StandingLoans
-from curlewshift.sharing.terms import SharingTerms, Together
+from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 from curlewshift.verdict.bounds import judge_bounds
 from curlewshift.verdict.verdict import Figures
-from tests.desk_fake import FakeOutside
 from tests.fake import Story
+from tests.fake_driver import FakeDriver
 
 MS = 1_000_000
 SECOND = 1000 * MS
 TERMS = SharingTerms(term=SECOND, drift=0.01, window=SECOND, every=SECOND // 4)
-TOGETHER = Together(
+TOGETHER = SharedBudgets(
     free=1, look_back=10 * SECOND, seats={"clip": 1}, titles=["t1", "t2"], seat_term=4 * SECOND, lingers=6 * SECOND
 )
 
@@ -182,7 +182,7 @@
 
     def __init__(self, size=3, together=TOGETHER):
         self.clock, self.cut, self.size, self.together = 1000 * SECOND, set(), size, together
-        self.fakes = [FakeOutside(fronts=size, me=number) for number in range(size)]
+        self.fakes = [FakeDriver(fronts=size, me=number) for number in range(size)]
         self.ends = [End(self, number) for number in range(size)]
 
     def later(self, seconds):
@@ -196,14 +196,14 @@
 class End:
     def __init__(self, fleet, number, life=1):
         self.fleet, self.fake, self.life, self.spoken = fleet, fleet.fakes[number], life, 0
-        self.desk = self.fake.desk
+        self.session_core = self.fake.session_core
         self.sharing = Sharing(
             self, [f"f{n}" for n in range(fleet.size)], number, life, TERMS, 8 * SECOND, random.Random(number), fleet.together
         )
 
     def __getattr__(self, name):
         """Facts go to the desk."""
-        return getattr(self.desk, name)
+        return getattr(self.session_core, name)
 
     def say(self, to, what, *words):
         if {to, self.sharing.name} & self.fleet.cut:
@@ -214,7 +214,7 @@
         return self.fleet.clock
 
     def servers(self):
-        return list(self.desk.rules.servers)
+        return list(self.session_core.rules.servers)
 
     def rights_of(self, server):
         return 0
@@ -251,29 +251,33 @@
         self.say(to, "known_asked")
 
     def further_wanted_at(self):
-        return self.desk.rules.further_wanted_at
+        return self.session_core.rules.further_wanted_at
 
     def seats_wanted_at(self):
-        return {(package.name, title): at for (title, package), at in self.desk.rules.seat_wanted_at.items()}
+        return {(package.name, title): at for (title, package), at in self.session_core.rules.seat_wanted_at.items()}
 
     def seats_in_use(self, package, title):
-        return self.desk.rules.seats.get((title, self.desk.packages[package]), 0)
+        return self.session_core.rules.seats.get((title, self.session_core.packages[package]), 0)
 
     def seats_ending(self, package, title):
-        return bool(self.desk.endings.servers)
+        return bool(self.session_core.session_ends.servers)
 
     def clock_off(self, by, out):
         pass
 
 
-class InTheDesk(unittest.TestCase):
+class InTheSessionCore(unittest.TestCase):
     def plays(self, end, name):
         """Whether one more viewing of the title gets a seat at this front."""
-        end.desk.asked(name, "clip", "t1")
-        out = [tune_in for tune_in in end.fake.out if tune_in.course.requests and tune_in.course.requests[0].name == name]
+        end.session_core.asked(name, "clip", "t1")
+        out = [
+            tune_in
+            for tune_in in end.fake.out
+            if tune_in.front_session.requests and tune_in.front_session.requests[0].name == name
+        ]
         for tune_in in out:
             end.fake.out.remove(tune_in)
-            end.desk.played(tune_in, f"session {name}")
+            end.session_core.played(tune_in, f"session {name}")
         return bool(out)
 
     def test_one_seat_of_all_fronts_goes_to_who_asks_and_to_nobody_else_meanwhile(self):
@@ -287,8 +291,8 @@
     def test_a_front_that_starts_takes_nothing_up_that_it_has_no_right_for(self):
         fleet = Fleet()
         for end in fleet.ends:
-            with self.assertRaises(Misuse):
-                end.desk.handed_over("clip", "t1", 1, end.servers()[0], "remembered", 1)
+            with self.assertRaises(InvalidRequest):
+                end.session_core.handed_over("clip", "t1", 1, end.servers()[0], "remembered", 1)
 
     def test_what_sits_on_a_lent_seat_ends_when_its_front_hears_nobody(self):
         fleet = Fleet()
@@ -307,17 +311,17 @@
     def test_the_free_further_tune_ins_are_the_fleets_and_not_each_fronts(self):
         fleet = Fleet()
         fleet.later(30)
-        held = [end.desk.rules._in_hand(end.desk.rules.further_rights) for end in fleet.ends]
+        held = [end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends]
         self.assertEqual(sum(held), 1)
         other = fleet.ends[held.index(0)]
-        rules = other.desk.rules
+        rules = other.session_core.rules
         self.assertFalse(rules._budget_left(SimpleNamespace(tune_ins=1)))
         fleet.later(1)
         self.assertTrue(rules._budget_left(SimpleNamespace(tune_ins=1)))
         rules.further.append(fleet.clock)
         other.sharing.sent(other.servers()[0], True)
         fleet.later(1)
-        self.assertEqual(sum(end.desk.rules._in_hand(end.desk.rules.further_rights) for end in fleet.ends), 0)
+        self.assertEqual(sum(end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends), 0)
         self.assertEqual(other.sharing.pools[FURTHER].loans.got, 1)
 
     def test_uplinks_are_counted_over_fronts_as_links_are(self):
@@ -383,7 +387,7 @@
 
     def test_it_asks_what_its_peers_know_and_their_proofs_make_servers_warm(self):
         fleet = self.seen()
-        fleet.fakes[0] = FakeOutside(fronts=3, me=0)
+        fleet.fakes[0] = FakeDriver(fronts=3, me=0)
         end = fleet.ends[0] = End(fleet, 0, life=2)
         end.fake.clock = fleet.clock
         for server in end.servers():
