--- a/curlewshift/peaks/__init__.py
+++ b/curlewshift/peaks/__init__.py
@@ -1,1 +1,1 @@
-"""Room for announced peaks: held ahead, used first by those it is held for, given back after. No I/O."""
+"""Capacity reservation for announced demand peaks: held ahead for a package and released afterwards. No I/O."""
--- a/curlewshift/peaks/calendar.py
+++ b/curlewshift/peaks/calendar.py
@@ -1,7 +1,7 @@
-"""Announced peaks: what an operator may announce, and what is on.
+"""The calendar of announced demand peaks, with the checks on what an operator may announce.
 
-Called by `Peaks` for its decisions and by the front for commands. Times are Unix time in ns, by the wall's clock, as that
-is what is announced. A peak is one package's; several may overlap, of one package or of many.
+Called by `Peaks` for its decisions and by the front for commands. Times are Unix time in ns, as announcements are made in
+wall-clock time. A peak concerns one package (service class); peaks of one or several packages may overlap.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 from curlewshift.model import Package
 
 SECOND = 1_000_000_000
-# Longer is no peak, and room held for so long would be better bought.
-LONGEST = 24 * 3600 * SECOND
-# All peaks at one time may hold this part of the links together: others keep the rest whatever is announced.
-MOST_TOGETHER = 0.8
-MOST_ENTRIES = 1000
+# Demand that lasts longer is not a peak: it is better served by more capacity than by holding room.
+MAX_LENGTH = 24 * 3600 * SECOND
+# All peaks at one time may hold this share of each link together; the rest stays for other viewings in any case.
+MAX_TOTAL_PART = 0.8
+MAX_PEAKS = 1000
 
 
 class InvalidPeak(Exception):
-    """Why an announcement is not taken, in words for who made it."""
+    """An announcement is refused; the text gives the operator the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Peak:
-    """`rate` is viewings of the package a second, all fronts together, in the peak; `most` the part of any link that
-    may be held for it; `lasts` how long its viewings last (ns), 0 if that is to be seen."""
+    """`rate` is the viewings of the package a second during the peak, at all fronts together; `most` the share of any
+    link that may be held for it; `lasts` the duration of its viewings (ns), 0 to estimate it from earlier ones."""
 
     name: str
     package: str
@@ -43,13 +43,15 @@
 
 
 class Calendar:
+    """The announced peaks by name."""
+
     def __init__(self, packages: list[Package]):
         self.packages = {package.name: package for package in packages}
         self.peaks: dict[str, Peak] = {}
 
     def announce(self, peak: Peak, now: int) -> None:
-        """Raises `InvalidPeak`. A name that is there already is refused: cancel it first, so that nothing is lost by a
-        slip."""
+        """Adds a peak, or raises `InvalidPeak`. An existing name is refused and has to be cancelled first, so that no
+        peak is replaced by mistake."""
         if not peak.name or len(peak.name) > 64 or not peak.name.isprintable():
             raise InvalidPeak("a peak needs a name of 1 to 64 printable characters")
         if peak.name in self.peaks:
@@ -60,40 +62,40 @@
             raise InvalidPeak("the peak ends before it starts")
         if peak.ends <= now:
             raise InvalidPeak("the peak is over already")
-        if peak.length > LONGEST:
-            raise InvalidPeak(f"a peak lasts {LONGEST // SECOND // 3600} hours at most")
+        if peak.length > MAX_LENGTH:
+            raise InvalidPeak(f"a peak lasts {MAX_LENGTH // SECOND // 3600} hours at most")
         if not 0 < peak.rate < 1e6:
             raise InvalidPeak("the viewings a second have to be a number above 0")
-        if not 0 < peak.most <= MOST_TOGETHER:
+        if not 0 < peak.most <= MAX_TOTAL_PART:
             raise InvalidPeak(
-                f"a peak may hold a part of the links from 0 to {MOST_TOGETHER:g}, not {peak.most:g}: the rest is for the others"
+                f"a peak may hold a part of the links from 0 to {MAX_TOTAL_PART:g}, not {peak.most:g}: the rest is for the others"
             )
         if peak.lasts < 0:
             raise InvalidPeak("viewings cannot last less than nothing")
-        if len(self.peaks) >= MOST_ENTRIES:
-            raise InvalidPeak(f"there are {MOST_ENTRIES} peaks on the calendar")
-        together = self._together(peak)
-        if together > MOST_TOGETHER + 1e-9:
+        if len(self.peaks) >= MAX_PEAKS:
+            raise InvalidPeak(f"there are {MAX_PEAKS} peaks on the calendar")
+        total_part = self._total_part(peak)
+        if total_part > MAX_TOTAL_PART + 1e-9:
             raise InvalidPeak(
-                f"with those that overlap it, {together:.0%} of the links would be held, {MOST_TOGETHER:.0%} are the most"
+                f"with those that overlap it, {total_part:.0%} of the links would be held, {MAX_TOTAL_PART:.0%} are the most"
             )
         self.peaks[peak.name] = peak
 
     def cancel(self, name: str) -> Peak:
-        """Raises `InvalidPeak`."""
+        """Removes and returns a peak. Raises `InvalidPeak` if there is none of this name."""
         if name not in self.peaks:
             raise InvalidPeak(f"there is no peak {name!r}")
         return self.peaks.pop(name)
 
-    def over(self, now: int, after: int) -> list[Peak]:
-        """Takes off what ended longer than `after` ago."""
-        gone = [peak for peak in self.peaks.values() if peak.ends + after < now]
-        for peak in gone:
+    def remove_ended(self, now: int, after: int) -> list[Peak]:
+        """Removes and returns the peaks that ended more than `after` (ns) ago."""
+        ended = [peak for peak in self.peaks.values() if peak.ends + after < now]
+        for peak in ended:
             del self.peaks[peak.name]
-        return gone
+        return ended
 
-    def _together(self, peak: Peak) -> float:
-        """The largest part that would be held at any moment of this peak."""
+    def _total_part(self, peak: Peak) -> float:
+        """The largest share of the links that would be held at any moment of this peak, by it and those that overlap it."""
         others = [other for other in self.peaks.values() if other.starts < peak.ends and peak.starts < other.ends]
         moments = [peak.starts, *(other.starts for other in others if other.starts > peak.starts)]
         return peak.most + max(sum(other.most for other in others if other.starts <= at < other.ends) for at in moments)
--- a/curlewshift/peaks/reserve.py
+++ b/curlewshift/peaks/reserve.py
@@ -1,4 +1,4 @@
-"""A baseline for comparison alone: a fixed part of every link kept free for one package, all day."""
+"""A baseline for comparison only: a fixed share of every link kept free for one package at all times."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FixedReserve(Peaks):
-    """Holds `share` of every link for `package`, whatever comes."""
+    """Holds `share` of every link for `package`, independent of demand."""
 
     package: Package
     share: float
--- a/curlewshift/session_core/session_core.py
+++ b/curlewshift/session_core/session_core.py
@@ -129,7 +129,7 @@
             expected=expected,
             came_back=came_back,
         )
-        self.peaks.came(pack, now, holders)
+        self.peaks.request_arrived(pack, now, holders)
         front_session = FrontSession(viewing, offer, requests=[request], commands=CommandQueue(self.driver.tell))
         if key is not None:
             front_session.held = self.keys.hold(key, (offer, pack, title), front_session)
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -9,7 +9,7 @@
 
 from curlewshift.front.control import tell
 from curlewshift.peaks.calendar import Calendar, InvalidPeak, Peak
-from curlewshift.peaks.forecast import ArrivalStatistics, began_early, expected
+from curlewshift.peaks.forecast import ArrivalStatistics, began_early, expected_rate
 from curlewshift.state.peaks import PeakStore
 from tests.fake import SECOND, Story, package
 from tests.fake_driver import PACKAGES, FakeDriver
@@ -59,15 +59,15 @@
     def test_what_is_over_leaves_the_calendar(self):
         calendar = Calendar(PACKAGES)
         calendar.announce(peak(), 0)
-        self.assertEqual(calendar.over(2061 * SECOND, 2 * SECOND), [])
-        self.assertEqual([gone.name for gone in calendar.over(2063 * SECOND, 2 * SECOND)], ["month-end"])
+        self.assertEqual(calendar.remove_ended(2061 * SECOND, 2 * SECOND), [])
+        self.assertEqual([gone.name for gone in calendar.remove_ended(2063 * SECOND, 2 * SECOND)], ["month-end"])
 
 
 class Forecast(unittest.TestCase):
     def seen(self, rate, span=20 * SECOND):
         seen = ArrivalStatistics(0)
         for at in range(0, span, int(SECOND / rate)):
-            seen.came(at)
+            seen.record_arrival(at)
         return seen, span
 
     def test_what_is_seen_is_the_rate_of_late_and_fades(self):
@@ -81,14 +81,14 @@
         self.assertFalse(began_early(5.0, seen, now, 25 * SECOND, 60 * SECOND))
         self.assertFalse(began_early(9.0, seen, now, 15 * SECOND, 60 * SECOND))
         one = ArrivalStatistics(0)
-        one.came(0)
+        one.record_arrival(0)
         self.assertFalse(began_early(0.01, one, 1, SECOND, 60 * SECOND))
 
     def test_the_announced_figure_gives_way_to_what_comes(self):
-        self.assertEqual(expected(5.0, 0.0, 0, MINUTE), 5.0)
-        self.assertEqual(expected(5.0, 10.0, 5 * SECOND, MINUTE), 10.0)
-        self.assertLess(expected(5.0, 0.0, 30 * SECOND, MINUTE), 1.0)
-        self.assertGreater(expected(5.0, 0.0, 5 * SECOND, MINUTE), 3.5)
+        self.assertEqual(expected_rate(5.0, 0.0, 0, MINUTE), 5.0)
+        self.assertEqual(expected_rate(5.0, 10.0, 5 * SECOND, MINUTE), 10.0)
+        self.assertLess(expected_rate(5.0, 0.0, 30 * SECOND, MINUTE), 1.0)
+        self.assertGreater(expected_rate(5.0, 0.0, 5 * SECOND, MINUTE), 3.5)
 
 
 class Holding(unittest.TestCase):
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -193,9 +193,9 @@
         pack = package(name="clip")
         peaks = Peaks(Calendar([pack]), 4, 0)
         peaks.planned(pack, 0.5, 10 * SECOND)
-        self.assertEqual((peaks.one_of(pack, 9 * SECOND), peaks.one_of(pack, 10 * SECOND)), (2.0, 4))
+        self.assertEqual((peaks.share_divisor(pack, 9 * SECOND), peaks.share_divisor(pack, 10 * SECOND)), (2.0, 4))
         peaks.calendar.announce(Peak("p", "clip", 0, SECOND, 5.0), 0)
-        peaks.came(pack, SECOND, [])
+        peaks.request_arrived(pack, SECOND, [])
         self.assertGreater(peaks.asked_for(SECOND)["clip"], 0)
 
 
