--- a/curlewshift/session_core/server_list.py
+++ b/curlewshift/session_core/server_list.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from curlewshift.deployment import mark_of, move
+from curlewshift.deployment import move_to_rack, placement_hash_of
 from curlewshift.model import Link, Listed, Rack, Server
 
 OPEN = "on"
@@ -92,13 +92,13 @@
         server = self.servers.get(row.server)
         rack = self._rack(row.rack)
         if server is None:
-            server = Server(row.server, mark_of(row.server), row.zone, row.streams, rack, Link(row.link))
+            server = Server(row.server, placement_hash_of(row.server), row.zone, row.streams, rack, Link(row.link))
             self.servers[row.server] = server
             rack.servers.append(server)
         elif row.state != GONE:
             server.zone, server.streams, server.link.size = row.zone, row.streams, row.link
             if server.rack is not rack:
-                move(server, rack)
+                move_to_rack(server, rack)
         self._shelve(server, None if row.state == GONE else row.shelf)
         return Listed(server, row.state == OPEN, row.started)
 
--- a/curlewshift/session_core/session_core.py
+++ b/curlewshift/session_core/session_core.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Iterable
 
-from curlewshift.deployment import Fleet, mark_of
+from curlewshift.deployment import Fleet, placement_hash_of
 from curlewshift.model import Listed, Outcome, Package, Server, Terms, Viewing
 from curlewshift.peaks.calendar import Calendar, Peak
 from curlewshift.peaks.peaks import Peaks
@@ -120,7 +120,7 @@
         viewing = Viewing(
             self.names,
             title,
-            mark_of(key or name) if mark is None else mark,
+            placement_hash_of(key or name) if mark is None else mark,
             pack,
             top,
             now,
@@ -319,7 +319,9 @@
             front_session.viewing.ceiling = ceiling
             return front_session
         self.names += 1
-        front_session = self._standing(pack, title, mark_of(f"handed over {self.names}"), ceiling, held.holders, session)
+        front_session = self._standing(
+            pack, title, placement_hash_of(f"handed over {self.names}"), ceiling, held.holders, session
+        )
         if key is not None and self.keys.find(key, self.driver.now()) is None:
             # its client may ask again for an answer that it never got
             front_session.offer, front_session.held = offer, self.keys.hold(key, (offer, pack, title), front_session)
@@ -502,7 +504,7 @@
             return
         self.names += 1
         viewing = Viewing(
-            self.names, title, mark_of(key), pack, pack.top, self.driver.now(), until, (), over=True, may_have_run=True
+            self.names, title, placement_hash_of(key), pack, pack.top, self.driver.now(), until, (), over=True, may_have_run=True
         )
         front_session = FrontSession(viewing, offer, commands=CommandQueue(self.driver.tell))
         front_session.held = self.keys.hold(key, (offer, pack, title), front_session)
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,4 +1,4 @@
-"""One tiny fake host and the short hands that the stories share."""
+"""A fake host for the rules, and a fixture with helpers that the tests share."""
 
 from curlewshift.model import Link, Listed, Package, Rack, Server, Terms, Viewing
 from curlewshift.rules import Rules
@@ -8,8 +8,10 @@
 
 
 class FakeHost:
+    """Records the calls of the rules; the test sets the clock."""
+
     def __init__(self):
-        self.clock, self.did, self.wakes = 1000 * SECOND, [], []
+        self.clock, self.calls, self.wakes = 1000 * SECOND, [], []
 
     def now(self):
         return self.clock
@@ -18,14 +20,14 @@
         self.wakes.append(at)
 
     def __getattr__(self, name):
-        return lambda *what: self.did.append((name, *what))
+        return lambda *args: self.calls.append((name, *args))
 
-    def all(self, name):
-        return [act[1:] for act in self.did if act[0] == name]
+    def calls_of(self, name):
+        return [call[1:] for call in self.calls if call[0] == name]
 
 
-def package(**changed):
-    facts = dict(
+def package(**overrides):
+    defaults = dict(
         name="clip",
         value=1.0,
         join_target=SECOND,
@@ -36,15 +38,15 @@
         top=2,
         seats=0,
     )
-    return Package(**{**facts, **changed})
+    return Package(**{**defaults, **overrides})
 
 
-class Story:
-    """A front on `count` servers in one rack, warm and heard of unless the story says otherwise."""
+class RulesFixture:
+    """The rules of a front with `count` servers in one rack, warm and with load reports unless `warm` is false."""
 
-    def __init__(self, count=2, size=1000.0, uplink=1e6, warm=True, **changed):
+    def __init__(self, count=2, size=1000.0, uplink=1e6, warm=True, **overrides):
         self.host = FakeHost()
-        facts = dict(
+        defaults = dict(
             now=self.host.clock,
             seed=7,
             me=0,
@@ -63,14 +65,14 @@
             further_share=0.0,
             look_back=0,
         )
-        self.rules = Rules(self.host, Terms(**{**facts, **changed}))
+        self.rules = Rules(self.host, Terms(**{**defaults, **overrides}))
         self.rack = Rack(0, Link(uplink))
         self.servers = [Server(f"s{n}", n + 1, "a", 20, self.rack, Link(size)) for n in range(count)]
         self.rack.servers = list(self.servers)
         self.list(*self.servers, stale=True)
         self.names = 0
         if warm:
-            self.later(20 * SECOND)
+            self.advance(20 * SECOND)
             for server in self.servers:
                 self.rules.link_told(server, 0.0)
             self.rules.uplink_told(self.servers[0], 0.0)
@@ -78,12 +80,12 @@
     def list(self, *servers, open=True, started=0, stale=False):
         self.rules.listed([Listed(server, open, started) for server in servers], stale=stale)
 
-    def later(self, span):
+    def advance(self, span):
         self.host.clock += span
 
     def ticks(self, count):
         for _ in range(count):
-            self.later(SECOND)
+            self.advance(SECOND)
             self.rules.tick()
 
     def viewing(self, pack=None, ceiling=2, title="t"):
@@ -93,14 +95,14 @@
             self.names, title, self.names, pack, ceiling, self.host.clock, self.host.clock + pack.patience, self.servers
         )
 
-    def want(self, **how):
-        viewing = self.viewing(**how)
+    def want(self, **options):
+        viewing = self.viewing(**options)
         self.rules.wanted(viewing)
         return viewing
 
-    def play(self, **how):
-        viewing = self.want(**how)
-        assert viewing.server is not None, "the story needs this one to be taken"
-        self.later(50 * MS)
+    def play(self, **options):
+        viewing = self.want(**options)
+        assert viewing.server is not None, "the test needs this viewing to be placed"
+        self.advance(50 * MS)
         self.rules.begun(viewing)
         return viewing
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -33,7 +33,7 @@
             told = media.had(isup.SET_UP)[0][1]
             self.assertEqual((told[isup.CLASS], told[isup.TITLE], told[isup.LEVEL]), (b"lesson", b"00000000000000aa", b"1"))
             self.assertLessEqual(int(told[isup.WAIT]), 2000)
-            self.assertEqual(place.node.fleet.servers[media.name].link.told, True)
+            self.assertEqual(place.node.fleet.servers[media.name].link.reported, True)
             await viewer.tear_down(A, "Reason: cause=19\r\n")
             await until(lambda: media.had(isup.RELEASE))
             self.assertEqual(media.had(isup.RELEASE), [(bytes.fromhex(A), {isup.CAUSE: b"\x13"})])
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -11,7 +11,7 @@
 from curlewshift.peaks.calendar import Calendar, InvalidPeak, Peak
 from curlewshift.peaks.forecast import ArrivalStatistics, began_early, expected_rate
 from curlewshift.state.peaks import PeakStore
-from tests.fake import SECOND, Story, package
+from tests.fake import SECOND, RulesFixture, package
 from tests.fake_driver import PACKAGES, FakeDriver
 from tests.sockets import SmallSite, story, until
 
@@ -265,20 +265,20 @@
     """The rules' side: what is held counts as used for others."""
 
     def test_admission_and_climbs_leave_what_is_held_alone(self):
-        story = Story(count=1, size=1000.0)
+        fixture = RulesFixture(count=1, size=1000.0)
         mine, other = package(name="mine"), package(name="other")
-        story.servers[0].link.holds = {mine: 500.0}
-        self.assertEqual((story.want(pack=other).rung, story.want(pack=mine).rung), (1, 2))
-        story = Story(count=1, size=1000.0)
-        low = story.play(pack=other, ceiling=1)
+        fixture.servers[0].link.holds = {mine: 500.0}
+        self.assertEqual((fixture.want(pack=other).rung, fixture.want(pack=mine).rung), (1, 2))
+        fixture = RulesFixture(count=1, size=1000.0)
+        low = fixture.play(pack=other, ceiling=1)
         low.ceiling = 2
-        story.servers[0].link.holds = {mine: 500.0}
-        story.later(11 * SECOND)
-        story.rules.link_told(story.servers[0], 0.2)
-        story.ticks(3)
+        fixture.servers[0].link.holds = {mine: 500.0}
+        fixture.advance(11 * SECOND)
+        fixture.rules.link_told(fixture.servers[0], 0.2)
+        fixture.ticks(3)
         self.assertEqual(low.rung, 1)
-        story.servers[0].link.holds = {}
-        story.ticks(12)
+        fixture.servers[0].link.holds = {}
+        fixture.ticks(12)
         self.assertEqual(low.rung, 2)
 
 
--- a/tests/test_session_core_histories.py
+++ b/tests/test_session_core_histories.py
@@ -229,7 +229,7 @@
             session_core.rules.seats = defaultdict(int)
             session_core.rules._attach = lambda viewing, server: (
                 setattr(viewing, "server", server),
-                session_core.rules._rate(viewing, viewing.rung),
+                session_core.rules._set_rate(viewing, viewing.rung),
             )
 
         self.finds(spoil, "seats_are_kept")
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -24,7 +24,7 @@
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 from curlewshift.standins.script import Trouble
 from curlewshift.verdict.bounds import judge_bounds
-from tests.fake import Story
+from tests.fake import RulesFixture
 from tests.fake_driver import FakeDriver
 
 MS = 1_000_000
@@ -488,7 +488,7 @@
     """What is shared reaches the rules as facts; without them each decides as alone."""
 
     def cold(self, **changed):
-        story = Story(1, fronts=40, **changed)
+        story = RulesFixture(1, fronts=40, **changed)
         story.list(story.servers[0], started=story.host.clock)
         return story, story.servers[0]
 
@@ -504,11 +504,11 @@
         self.assertTrue(story.rules._may_send(server))
         server.sent.append(now)
         self.assertFalse(story.rules._may_send(server))
-        story.later(SECOND + 1)
+        story.advance(SECOND + 1)
         self.assertFalse(story.rules._may_send(server))
 
     def test_a_count_stands_in_place_of_reports_while_it_is_fresh(self):
-        story = Story(1, size=1000.0)
+        story = RulesFixture(1, size=1000.0)
         rules, link = story.rules, story.servers[0].link
         rules.link_told(story.servers[0], 0.9)
         reported = rules._use(link)
@@ -516,25 +516,25 @@
         self.assertAlmostEqual(rules._use(link), 100.0)
         # what reports go on to show beyond it is added
         for _ in range(20):
-            story.later(SECOND)
+            story.advance(SECOND)
             rules.counted(story.servers[0].link, 100.0, 0)
             rules.link_told(story.servers[0], 0.5)
         self.assertAlmostEqual(rules._use(link), 500.0, delta=30)
-        story.later(3 * SECOND)
+        story.advance(3 * SECOND)
         self.assertNotEqual(rules._use(link), reported)
         self.assertAlmostEqual(rules._use(link), rules._others(link))
 
     def test_doubt_weighs_with_who_has_not_heard_of_the_server_of_late(self):
-        story = Story(1)
+        story = RulesFixture(1)
         server = story.servers[0]
         server.doubted = True
         story.rules.link_told(server, 0.1)
         self.assertFalse(story.rules._sick(server))
-        story.later(3 * SECOND)
+        story.advance(3 * SECOND)
         self.assertTrue(story.rules._sick(server))
 
     def test_a_server_that_others_used_for_long_is_unproven_no_more(self):
-        story = Story(1, warm=False, fronts=400)
+        story = RulesFixture(1, warm=False, fronts=400)
         server = story.servers[0]
         server.sent.append(story.host.clock)
         self.assertFalse(story.rules._may_send(server))
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -13,7 +13,7 @@
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 from curlewshift.verdict.bounds import judge_bounds
 from curlewshift.verdict.verdict import Figures
-from tests.fake import Story
+from tests.fake import RulesFixture
 from tests.fake_driver import FakeDriver
 
 MS = 1_000_000
@@ -318,7 +318,7 @@
         self.assertFalse(rules._budget_left(SimpleNamespace(tune_ins=1)))
         fleet.later(1)
         self.assertTrue(rules._budget_left(SimpleNamespace(tune_ins=1)))
-        rules.further.append(fleet.clock)
+        rules.further_times.append(fleet.clock)
         other.sharing.sent(other.servers()[0], True)
         fleet.later(1)
         self.assertEqual(sum(end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends), 0)
@@ -342,15 +342,15 @@
         one.sharing.found_for_all(one.servers()[0], 0.75)
         fleet.later(1.5)
         others = [end.servers()[0] for end in fleet.ends]
-        self.assertEqual([server.link.told for server in others], [True] * 3)
+        self.assertEqual([server.link.reported for server in others], [True] * 3)
         self.assertEqual([server.heard_at for server in others], [0] * 3)
-        at = [server.link.told_at for server in others]
+        at = [server.link.reported_at for server in others]
         fleet.later(1)
-        self.assertEqual([server.link.told_at for server in others], at)
+        self.assertEqual([server.link.reported_at for server in others], at)
 
     def test_with_rights_dealt_out_nothing_goes_beside_them_to_a_server_that_may_be_cold(self):
         # two fronts that had just started sent by their ration what no right was there for: 4 set-ups where 3 were borne
-        story = Story(1, fronts=40)
+        story = RulesFixture(1, fronts=40)
         server = story.servers[0]
         server.unproven_until = story.host.clock + 8 * SECOND
         story.rules.unproven_left = 2.0
@@ -362,7 +362,7 @@
 
     def test_a_server_that_is_new_gets_nothing_before_its_rights_are_told(self):
         # of two rights three were used: one by a front that had them, two by one whose turn it was by the clock
-        story = Story(1, fronts=1)
+        story = RulesFixture(1, fronts=1)
         server = story.servers[0]
         story.list(server, started=story.host.clock)
         self.assertTrue(story.rules._may_send(server))
