--- a/curlewshift/session_core/__init__.py
+++ b/curlewshift/session_core/__init__.py
@@ -1,1 +1,1 @@
-"""The session core of a front: no socket, no clock and no chance of its own."""
+"""The session core of a front. Free of I/O: sockets, the clock and randomness are passed in."""
--- a/curlewshift/session_core/driver.py
+++ b/curlewshift/session_core/driver.py
@@ -1,7 +1,7 @@
-"""What the desk asks of whoever runs it: sockets, a replay, an emulator or a test.
+"""The I/O interface of the session core, implemented on sockets, by a replay, an emulator or a test.
 
-Each call is carried out at once or begun at once; what comes of it is told to the desk later by its
-own methods, never from within the call. Times are whole nanoseconds of the outside's clock.
+Each call is carried out or started at once. Results are reported later by calling methods of the session core, never from
+within the call. Times are integers in nanoseconds of the driver's clock.
 """
 
 from __future__ import annotations
@@ -15,33 +15,35 @@
 
 
 class Driver(Protocol):
+    """Performs I/O for one session core."""
+
     def now(self) -> int:
-        """The clock; it never goes back, and the clocks of all fronts agree to well within a second."""
+        """The monotonic clock; the clocks of all fronts agree to well within a second."""
 
     def wall(self) -> int:
-        """Unix time (ns) as the machine has it now; unlike `now` it may be set back or forward."""
+        """The machine's Unix time (ns); unlike `now` it may be set back or forward."""
 
     def wake(self, at: int) -> None:
-        """Call `SessionCore.time` once the clock has reached `at`; only the earliest of these need be kept."""
+        """Call `SessionCore.time` once the clock has reached `at`; only the earliest such time need be kept."""
 
     def tune_in(self, tune_in: TuneIn) -> None:
-        """Ask the server for the session, unless `SessionCore.stands` says no just before the first byte goes out."""
+        """Ask the server for the session, unless `SessionCore.stands` is false just before the first byte is sent."""
 
     def withdraw(self, tune_in: TuneIn) -> bool:
-        """Its time is over: let go of it; what it set up all the same must end. True if the server may have heard."""
+        """Abandons the tune-in; a session that it still sets up must be ended. True if the server may have received it."""
 
     def tell(self, command: ServerCommand) -> None:
-        """Tell the server that plays this viewing its new rung, or pass its client's patch on; `SessionCore.told_server`
-        hears what came of it."""
+        """Send the viewing's server its new rung or its client's patch; the result is reported to
+        `SessionCore.told_server`."""
 
     def end_session(self, session_end: SessionEnd) -> None:
-        """Ask the server to end this session; `SessionCore.session_ended` hears whether it answered."""
+        """Ask the server to end this session; whether it answered is reported to `SessionCore.session_ended`."""
 
     def probe(self, server: Server) -> None:
-        """Ask the server how full it is; `SessionCore.probed` tells the answer, once."""
+        """Ask the server for its load; the answer is reported to `SessionCore.probed`, once."""
 
     def answer(self, request: Request, answer: Answer) -> None:
-        """The one answer of this request."""
+        """Send the only answer of this request."""
 
     def whole_list(self) -> None:
-        """The list held has a gap: ask for all of it."""
+        """Changes of the server list are missing: request the full list."""
--- a/curlewshift/session_core/front_session.py
+++ b/curlewshift/session_core/front_session.py
@@ -1,4 +1,4 @@
-"""The things a desk holds: a viewing's course, the requests that wait for it, and its tune-ins."""
+"""State of the session core: a viewing at this front, the requests that wait for it, and its tune-ins."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 
 
 class Kind(Enum):
+    """How a request was answered."""
+
     PLAYS = "plays"
     REFUSED = "refused"
     FAILED = "failed"
@@ -18,7 +20,7 @@
 
 @dataclass(eq=False, slots=True)
 class Answer:
-    """How a request ends. `wait` (ns) is advice when to come back, 0 for none; `cause` is for people."""
+    """The answer to a request. `wait` is retry advice (ns), 0 for none; `cause` is a text for people."""
 
     kind: Kind
     cause: str
@@ -28,20 +30,20 @@
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """One request at the door. Several may wait for one viewing: a client that tries again joins itself."""
+    """One client request. Several may wait for one viewing, as a client's retry joins its earlier request."""
 
     name: str
     arrived: int
     expires: int
     front_session: FrontSession | None = None
     answer: Answer | None = None
-    # the viewer hung up: nobody is there to be answered
+    # the viewer closed the request: no answer is sent
     gone: bool = False
 
 
 @dataclass(eq=False, slots=True)
 class TuneIn:
-    """One attempt at one server. `outcome` is set once, by whichever comes first: its answer or its time."""
+    """One set-up attempt at one server. `outcome` is set once, by its answer or its time-out, whichever is first."""
 
     front_session: FrontSession
     server: Server
@@ -57,12 +59,12 @@
 
     viewing: Viewing
     offer: object
-    # its key, while the table has it
+    # its entry in the key table, while it has one
     held: Held | None = None
     commands: CommandQueue | None = None
     requests: list[Request] = field(default_factory=list)
     tune_in: TuneIn | None = None
-    # whatever the outside needs to reach the session at its server
+    # what the driver needs to address the session at its server
     session: object = None
     answer: Answer | None = None
 
--- a/curlewshift/session_core/offer.py
+++ b/curlewshift/session_core/offer.py
@@ -1,4 +1,4 @@
-"""What a client offers for a session, as far as a desk tells one offer from another."""
+"""A client's session offer, with the parts by which the session core distinguishes offers."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True)
 class Offer:
-    """Two are the same if their credentials are."""
+    """Offers are equal if their ICE credentials and protocol are."""
 
     identity: str
     text: str = ""
-    # whep or whip: it is also the first part of the path at the server
+    # the protocol, whep or whip; also the first segment of the path at the server
     way: str = WHEP
     ufrag: str = ""
 
--- a/curlewshift/session_core/server_commands.py
+++ b/curlewshift/session_core/server_commands.py
@@ -1,8 +1,8 @@
-"""What a playing viewing has its server told: rungs, and what its client patches. In order, one at a time.
+"""Commands to the server of a playing viewing: rung changes and its client's patches, sent in order, one at a time.
 
-Called by the desk. A session has one ETag, and each ICE restart makes a new one, so what is told out of order would be
-refused or, worse, taken. A newer rung overtakes one that still waits, and nothing else overtakes anything. Once the
-viewing is over, what waits is told so and nothing more goes out: the end of the session is `SessionEnds`' to tell.
+Called by the session core. A session has one ETag, and each ICE restart creates a new one, so a command sent out of order
+would be refused or, worse, accepted. A newer rung replaces one that still waits; there is no other reordering. When the
+viewing ends, waiting commands end with `Result.OVER` and nothing more is sent: `SessionEnds` ends the session itself.
 """
 
 from __future__ import annotations
@@ -12,54 +12,54 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# Patches that may wait at one session; a client that sends faster than its server answers is told to wait.
-MOST_WAITING = 16
-# A rung that nobody answered is told once more; if that fails too, the reports will show it and the rules answer them.
-RUNG_TRIES = 2
+# Commands that may wait for one session; a client that sends patches faster than its server answers is asked to wait.
+MAX_WAITING = 16
+# Times that a rung is sent if it is not answered; after that, load reports show the old rung and the rules react to them.
+MAX_RUNG_TRIES = 2
 
 
 class Result(Enum):
-    """What came of an errand."""
+    """The result of a server command."""
 
     DONE = "done"
-    # the server has answered no; `reply` has its words
+    # the server has refused it; `reply` has its answer
     REFUSED = "refused"
-    # nobody answered: it may have been taken all the same
+    # not answered: it may have taken effect all the same
     UNANSWERED = "unanswered"
-    # the viewing was over before it went out
+    # the viewing ended before it was sent
     OVER = "over"
-    # too many wait
+    # too many commands wait
     CROWDED = "crowded"
 
 
 @dataclass(eq=False, slots=True)
 class ServerCommand:
-    """`rung` or `patch` is set. `told(command)` is called once it has come to its end, with `result` and `reply` set."""
+    """`rung` or `patch` is set. `on_finished(command)` is called once it is finished, with `result` and `reply` set."""
 
     front_session: object
     rung: int | None = None
     patch: object = None
-    told: Callable[[ServerCommand], None] | None = None
+    on_finished: Callable[[ServerCommand], None] | None = None
     result: Result | None = None
     reply: object = None
     tries: int = 0
 
     def end(self, result: Result, reply: object = None) -> None:
         self.result, self.reply = result, reply
-        if self.told is not None:
-            self.told(self)
+        if self.on_finished is not None:
+            self.on_finished(self)
 
 
 class CommandQueue:
-    """Those of one course. `send(command)` begins one; its outcome comes back through `answered`."""
+    """The commands of one session. `send(command)` starts one; its result comes back through `answered`."""
 
-    __slots__ = ("out", "over", "send", "waiting")
+    __slots__ = ("ended", "out", "send", "waiting")
 
     def __init__(self, send: Callable[[ServerCommand], None]):
-        self.send, self.waiting, self.out, self.over = send, deque(), None, False
+        self.send, self.waiting, self.out, self.ended = send, deque(), None, False
 
     def rung(self, front_session: object, rung: int) -> None:
-        if self.over:
+        if self.ended:
             return
         for command in self.waiting:
             if command.rung is not None:
@@ -68,11 +68,11 @@
         self.waiting.append(ServerCommand(front_session, rung=rung))
         self._next()
 
-    def patch(self, front_session: object, patch: object, told: Callable[[ServerCommand], None]) -> ServerCommand:
-        command = ServerCommand(front_session, patch=patch, told=told)
-        if self.over:
+    def patch(self, front_session: object, patch: object, on_finished: Callable[[ServerCommand], None]) -> ServerCommand:
+        command = ServerCommand(front_session, patch=patch, on_finished=on_finished)
+        if self.ended:
             command.end(Result.OVER)
-        elif len(self.waiting) >= MOST_WAITING:
+        elif len(self.waiting) >= MAX_WAITING:
             command.end(Result.CROWDED)
         else:
             self.waiting.append(command)
@@ -83,17 +83,17 @@
         if command is not self.out:
             return
         self.out = None
-        again = command.rung is not None and result is Result.UNANSWERED and command.tries < RUNG_TRIES
-        newer = any(other.rung is not None for other in self.waiting)
-        if again and not newer and not self.over:
+        retry = command.rung is not None and result is Result.UNANSWERED and command.tries < MAX_RUNG_TRIES
+        has_newer = any(other.rung is not None for other in self.waiting)
+        if retry and not has_newer and not self.ended:
             self.waiting.appendleft(command)
         else:
             command.end(result, reply)
         self._next()
 
     def finish(self) -> None:
-        """The viewing is over: what waits is told so. What is out comes to its own end."""
-        self.over = True
+        """The viewing has ended: waiting commands end with `Result.OVER`; the one in flight finishes by itself."""
+        self.ended = True
         waiting, self.waiting = self.waiting, deque()
         for command in waiting:
             command.end(Result.OVER)
--- a/curlewshift/session_core/server_list.py
+++ b/curlewshift/session_core/server_list.py
@@ -1,7 +1,7 @@
-"""The server list as this front has it, and which servers hold which title.
+"""The server list as this front holds it, and which servers hold which title.
 
-Called by the desk alone. A list is known by its epoch (one life of the list service) and a generation in it.
-Rows come decoded and valid; names stop here, from here on servers are objects.
+Called by the session core alone. A list is identified by its epoch (one run of the list service) and a generation in it.
+Rows arrive decoded and valid; here their server names are resolved to objects.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 from curlewshift.model import Link, Listed, Rack, Server
 
 OPEN = "on"
-FADING = "fading"
+DRAINING = "fading"
 GONE = "off"
 
 
 @dataclass(slots=True)
 class ServerEntry:
-    """One line of the list. `started` is on the outside's clock (ns), 0 for long ago; `link` is kB a second."""
+    """One row of the list. `started` is in ns of the driver's clock, 0 for long ago; `link` is in kB/s; `shelf` is the
+    server's place in its rack."""
 
     server: str
     state: str
@@ -39,7 +40,7 @@
 
 
 class ServerList:
-    """`uplinks` is kB a second by rack, `titles` the shelves (one a server or several) that hold each title."""
+    """`uplinks` has the size by rack (kB/s), `titles` the shelves that hold each title (one or several servers each)."""
 
     def __init__(self, uplinks: dict[str, float], titles: dict[str, tuple[str, ...]]):
         self.uplinks = uplinks
@@ -53,42 +54,42 @@
         self.racks: dict[str, Rack] = {}
         self.epoch, self.generation = "", -1
 
-    # ---- what the list says; each returns the lines for the rules, or None if the news is to be dropped
+    # ---- updates; each returns the lines for the rules, or None if the update is outdated
 
     def full(self, epoch: str, generation: int, rows: list[ServerEntry]) -> list[Listed] | None:
-        """All there is: who is missing has gone. An older list of the same life of the service says nothing."""
+        """The full list: servers missing from it are gone. An older list of the same epoch is ignored."""
         if epoch == self.epoch and generation < self.generation:
             return None
         self.epoch, self.generation = epoch, generation
-        named = {row.server for row in rows}
-        lines = [self._line(row) for row in rows]
+        listed_names = {row.server for row in rows}
+        lines = [self._entry(row) for row in rows]
         for server in list(self.servers.values()):
-            if server.name not in named:
-                self._shelve(server, None)
+            if server.name not in listed_names:
+                self._set_shelf(server, None)
                 lines.append(Listed(server, False, server.started))
         return lines
 
     def change(self, epoch: str, since: int, generation: int, rows: list[ServerEntry]) -> list[Listed] | None:
-        """News since the list held. Raises `Gap` if it does not follow on that list."""
+        """Changes since the list held. Raises `ListGap` if they do not follow on that list."""
         if epoch == self.epoch and generation <= self.generation:
             return None
         if epoch != self.epoch or since != self.generation:
-            raise Gap(f"held {self.epoch!r} {self.generation}, told of changes since {epoch!r} {since}")
+            raise ListGap(f"list held is {self.epoch!r} {self.generation}, changes received are since {epoch!r} {since}")
         self.generation = generation
-        return [self._line(row) for row in rows]
+        return [self._entry(row) for row in rows]
 
     def lists(self, server: Server) -> bool:
         return server in self.shelf_of
 
     def forget(self, server: Server) -> None:
-        self._shelve(server, None)
+        self._set_shelf(server, None)
         del self.servers[server.name]
         if server in server.rack.servers:
             server.rack.servers.remove(server)
 
     # ---- names to objects
 
-    def _line(self, row: ServerEntry) -> Listed:
+    def _entry(self, row: ServerEntry) -> Listed:
         server = self.servers.get(row.server)
         rack = self._rack(row.rack)
         if server is None:
@@ -99,7 +100,7 @@
             server.zone, server.streams, server.link.size = row.zone, row.streams, row.link
             if server.rack is not rack:
                 move_to_rack(server, rack)
-        self._shelve(server, None if row.state == GONE else row.shelf)
+        self._set_shelf(server, None if row.state == GONE else row.shelf)
         return Listed(server, row.state == OPEN, row.started)
 
     def _rack(self, name: str) -> Rack:
@@ -107,7 +108,7 @@
             self.racks[name] = Rack(len(self.racks), Link(self.uplinks.get(name, inf)), name=name)
         return self.racks[name]
 
-    def _shelve(self, server: Server, shelf: str | None) -> None:
+    def _set_shelf(self, server: Server, shelf: str | None) -> None:
         held = self.shelf_of.get(server)
         if held == shelf:
             return
@@ -120,5 +121,5 @@
                 title.holders.append(server)
 
 
-class Gap(Exception):
-    """News of the list that does not follow on what is held."""
+class ListGap(Exception):
+    """Changes of the list that do not follow on the list held."""
--- a/curlewshift/session_core/session_core.py
+++ b/curlewshift/session_core/session_core.py
@@ -1,11 +1,13 @@
-"""A front's session core: from requests at the door to calls of the rules, and back to one answer each.
+"""A front's session core: turns requests into calls of the policy, and its decisions into one answer to each request.
 
-Made by whoever hosts a front (curlewshift/front on sockets, tests with a fake), which tells it what happens by
-one method for each thing and acts for it through `Driver`. It decides nothing about where a viewing goes; it
-owns ids, the joining of retries under one key, deadlines, and that every request is answered exactly once.
+Created by the driver of a front (curlewshift/front with sockets, tests with a fake one), which calls one method for each
+event and performs I/O for it through `Driver`. The core does not decide where a viewing is placed. It assigns ids, joins
+retries under one key, keeps deadlines, and sees to it that every request is answered exactly once.
 
-What comes late is dropped here and nowhere else: a tune-in ends by its first outcome, be that its answer or its
-time, and a session that was set up for nobody is torn down.
+Late events are dropped here and nowhere else: a tune-in (one set-up attempt at one server) ends by its first outcome,
+which is its answer or its time-out, and a session that was set up for a viewer who has left is torn down.
+
+A life is one run of a process; a front that restarts begins a new one.
 """
 
 from __future__ import annotations
@@ -22,20 +24,20 @@
 from curlewshift.session_core.driver import Driver
 from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
 from curlewshift.session_core.server_commands import CommandQueue, Result, ServerCommand
-from curlewshift.session_core.server_list import Gap, ServerEntry, ServerList
+from curlewshift.session_core.server_list import ListGap, ServerEntry, ServerList
 from curlewshift.session_core.timers import Timers
 from curlewshift.state.intents import KEPT_ON
 
 SECOND = 1_000_000_000
 
-# So many requests may be in work; more are told to come back at once, at no cost to anyone.
-MOST_WAITING = 2000
-# A server that the list has dropped is forgotten once this has passed with nothing playing there.
+# Bound on the requests that wait for an answer; more are refused at once, without a tune-in.
+MAX_WAITING = 2000
+# A server that the list has dropped is forgotten after this time, once nothing plays there.
 FORGET_AFTER = 60 * SECOND
 
 
 class InvalidRequest(Exception):
-    """A request that cannot be taken as it stands; its text says why. It has cost no tune-in."""
+    """A request that cannot be accepted; the text gives the reason. No tune-in was made for it."""
 
 
 class UnknownResource(InvalidRequest):
@@ -43,17 +45,19 @@
 
 
 class KeyReused(InvalidRequest):
-    """A key that was used before for something else."""
+    """The key was used before for a different request."""
 
 
 class SessionCore:
+    """The session core of one front; see the module."""
+
     def __init__(
         self,
         driver: Driver,
         terms: Terms,
         server_list: ServerList | Fleet,
         rules: type[Rules] = Rules,
-        most_waiting: int = MOST_WAITING,
+        most_waiting: int = MAX_WAITING,
         most_keys: int = MOST_ENDED,
         calendar: Calendar | None = None,
     ):
@@ -61,18 +65,18 @@
         self.packages = {package.name: package for package in terms.packages}
         self.front_sessions: dict[Viewing, FrontSession] = {}
         self.keys = KeyTable(terms.now, most_keys)
-        # interrupted paid set-ups of which nothing is known yet, by key
+        # interrupted paid set-ups whose result is not known yet, by key
         self.doubts: dict[str, FrontSession] = {}
         self.waiting, self.most_waiting = 0, most_waiting
         self.draining = False
-        self.names = 0
+        self.viewing_count = 0
         self.longest_wait = terms.longest_wait
         self.timers = Timers(driver.wake)
         self.session_ends = SessionEnds(driver.now, driver.end_session, self.timers.at)
         self.peaks = Peaks(calendar or Calendar(terms.packages), terms.fronts, terms.now)
         self.rules = rules(self, terms)
 
-    # ---- requests at the door
+    # ---- requests
 
     def asked(
         self,
@@ -89,11 +93,11 @@
         arrived: int | None = None,
         expected: int = 0,
     ) -> Request:
-        """A viewer wants to play a title; it is answered through `Driver.answer`, perhaps before this returns.
+        """A viewer requests a title. It is answered through `Driver.answer`, possibly before this returns.
 
-        `patience` (ns) is how long it will wait, if that is less than the package's, from when it `arrived`. Where the
-        request itself says which servers hold its title, they come as `holders`, and its viewer's `mark` with them.
-        Raises `InvalidRequest`.
+        `patience` is how long the viewer waits (ns), from when the request `arrived`, if that is less than the
+        package's. A request may name the servers that hold its title as `holders`, with its viewer's `mark`, a hash
+        that orders servers for it. Raises `InvalidRequest`.
         """
         now = self.driver.now() if arrived is None else arrived
         pack = self.packages.get(package)
@@ -101,13 +105,13 @@
             raise UnknownResource(f"there is no package {package!r}")
         if holders is None:
             holders = self._holders(title)
-        lasts = min((time for time in (patience, pack.patience) if time > 0), default=0)
-        request = Request(name, now, now + lasts)
-        before = self.keys.find(key, now) if key is not None else None
-        if before is not None:
-            if before.mark != (offer, pack, title):
+        time_limit = min((time for time in (patience, pack.patience) if time > 0), default=0)
+        request = Request(name, now, now + time_limit)
+        known = self.keys.find(key, now) if key is not None else None
+        if known is not None:
+            if known.mark != (offer, pack, title):
                 raise KeyReused("this key was used before for another offer, title or package")
-            self._join(before.front_session, request)
+            self._join(known.front_session, request)
             return request
         if self.draining or self.waiting >= self.most_waiting:
             cause = "this front is going out of service" if self.draining else "too many requests are in work here"
@@ -116,15 +120,15 @@
         top = pack.top if ceiling is None else ceiling
         if top < pack.floor:
             raise InvalidRequest(f"package {package!r} is not played under rung {pack.floor}, the request allows {top} at most")
-        self.names += 1
+        self.viewing_count += 1
         viewing = Viewing(
-            self.names,
+            self.viewing_count,
             title,
             placement_hash_of(key or name) if mark is None else mark,
             pack,
             top,
             now,
-            now + lasts,
+            now + time_limit,
             holders,
             expected=expected,
             came_back=came_back,
@@ -137,18 +141,18 @@
         return request
 
     def knows(self, key: str | None) -> bool:
-        """Whether a request with this key would join one that is known: it costs no tune-in."""
+        """Whether a request with this key would join a known one, without a tune-in."""
         return key is not None and self.keys.find(key, self.driver.now()) is not None
 
     def hung_up(self, request: Request) -> None:
-        """The viewer gave up on this request before it was answered: nothing is owed to it any more."""
+        """The viewer closed its request before the answer: no answer is due any more."""
         if request.answer is not None or request.gone:
             return
         request.gone = True
         self.waiting -= 1
         front_session = request.front_session
         if front_session.held is not None and self.doubts.get(front_session.held.key) is front_session:
-            # it is known by its key until the doubt is over: forgotten, it would be set up again
+            # kept by its key until the result is known: if it were forgotten, a retry would set it up again
             return
         if not front_session.waiting and front_session.answer is None:
             self.rules.left(front_session.viewing)
@@ -156,7 +160,7 @@
                 self._close(front_session)
 
     def gave_up(self, request: Request) -> None:
-        """Its viewer has said that it wants it no more: nobody will come again for what is out for it."""
+        """The viewer has cancelled its request and will not retry it: an outstanding tune-in is withdrawn."""
         self.hung_up(request)
         front_session = request.front_session
         if front_session is not None and front_session.tune_in is not None and not front_session.waiting:
@@ -165,14 +169,14 @@
             self.failed(tune_in, Outcome.CANCELLED)
 
     def closed(self, front_session: FrontSession) -> None:
-        """The viewer ends a viewing that plays."""
+        """The viewer ends a playing viewing."""
         if self.front_sessions.get(front_session.viewing) is front_session and front_session.viewing.playing:
             server, session = front_session.viewing.server, front_session.session
             self._finish(front_session, Outcome.PLAYED)
             self.session_ends.end(server, session)
 
     def ceiling_told(self, front_session: FrontSession, rung: int) -> None:
-        """The viewer allows no rung above this from now on. Raises `InvalidRequest` under the package's floor."""
+        """The viewer sets its ceiling, the highest rung it allows. Raises `InvalidRequest` under the package's floor."""
         viewing = front_session.viewing
         if rung < viewing.package.floor:
             raise InvalidRequest(f"package {viewing.package.name!r} is not played under rung {viewing.package.floor}")
@@ -182,11 +186,11 @@
             front_session.commands.rung(front_session, viewing.ceiling)
 
     def patched(self, front_session: FrontSession, patch: object, told) -> None:
-        """The client changes its session; `told(command)` is called once, with what came of it at its server."""
+        """The client changes its session; `told(command)` is called once, with the result from its server."""
         front_session.commands.patch(front_session, patch, told)
 
     def end_waiting(self) -> None:
-        """This front ends now: whoever still waits is answered, and what is out for them is withdrawn."""
+        """This front stops now: waiting requests are answered, and their outstanding tune-ins are withdrawn."""
         for front_session in list(self.front_sessions.values()):
             if not front_session.waiting or front_session.answer is not None:
                 continue
@@ -202,23 +206,23 @@
                 self.block(viewing, min(SECOND, self.longest_wait))
 
     def drain(self) -> None:
-        """Take nothing new; what is in work is still answered."""
+        """Refuses new requests; those in progress are still answered."""
         self.draining = True
 
-    # ---- what comes of tune-ins and sessions
+    # ---- results of tune-ins and sessions
 
     def stands(self, tune_in: TuneIn) -> bool:
-        """Asked just before the first byte goes out: a list change or the time may have overtaken the pick."""
+        """Whether to send the tune-in, checked just before its first byte: the list may have changed or its time passed."""
         return tune_in.outcome is None and tune_in.server.open and self.driver.now() < tune_in.until
 
     def sent(self, tune_in: TuneIn) -> None:
-        """Its first byte goes out now."""
+        """The first byte of the tune-in is sent now."""
         self.rules.attempt_sent(tune_in.front_session.viewing)
 
     def played(self, tune_in: TuneIn, session: object, report: dict[str, float] | None = None) -> None:
         """The server has set the session up."""
         if tune_in.outcome is not None:
-            # its time came first, or this is said twice: a session of which nobody will hear
+            # it timed out before, or this is reported twice: no viewer learns of this session
             if tune_in.front_session.session is not session:
                 self.session_ends.end(tune_in.server, session)
             return
@@ -237,7 +241,7 @@
         self._answer_all(front_session, Answer(Kind.PLAYS, "plays", front_session=front_session))
 
     def failed(self, tune_in: TuneIn, outcome: Outcome, report: dict[str, float] | None = None) -> None:
-        """The tune-in has ended without a session; the outcome says whether it may have run all the same."""
+        """The tune-in has ended without a session; the outcome says whether the server may have run it."""
         if tune_in.outcome is not None:
             return
         self._report(tune_in.server, report)
@@ -250,27 +254,27 @@
             self._after_leaving(front_session)
 
     def lost(self, front_session: FrontSession, outcome: Outcome = Outcome.BROKEN) -> None:
-        """A viewing that played has ended at its server, by itself (`PLAYED`) or broken."""
+        """A playing viewing has ended at its server, normally (`PLAYED`) or broken."""
         if self.front_sessions.get(front_session.viewing) is front_session and front_session.viewing.playing:
             self._finish(front_session, outcome)
 
     def server_lost(self, server: Server) -> None:
-        """The server has restarted or is gone: nothing of what played there plays any more."""
+        """The server has restarted or is gone: all viewings that played there have ended."""
         for viewing in list(server.link.playing):
             self.lost(self.front_sessions[viewing])
         self.session_ends.server_gone(server)
 
     def notes_broke(self, server: Server) -> None:
-        """The stream of notes ended by itself: the server may be gone, and may come back cold unannounced."""
+        """The server's stream of notes broke off: it may be gone, and may come back cold without the list showing it."""
         self.rules.probed(server, Outcome.BROKEN)
 
     def restarted(self, server: Server) -> None:
-        """It answers, and is not the process that it was: nothing plays there, and it is cold from now on at worst."""
+        """The server answers as a new process: nothing plays there, and it is taken to be cold from now on."""
         self.server_lost(server)
         self.came_back(server)
 
     def came_back(self, server: Server) -> None:
-        """It is not the process that it was when this front last heard of it: it may be as cold as one that starts now."""
+        """The server is another process than when it last answered: it may be as cold as one that starts now."""
         self.rules.listed([Listed(server, server.open, max(self.driver.now(), server.started))], False)
 
     def plays_at(
@@ -284,13 +288,13 @@
         mark: int,
         expected: int = 0,
     ) -> FrontSession:
-        """A viewing that this front is told it has at a server, on a rung yet to be told. It counts whatever there is
-        room for, as it plays. Raises `UnknownResource`."""
+        """Adds a viewing that already plays at a server, on a rung to be reported later. It is counted even where there
+        is no room for it. Raises `UnknownResource`."""
         pack = self.packages.get(package)
         if pack is None:
             raise UnknownResource(f"there is no package {package!r}")
-        self.names += 1
-        front_session = self._standing(pack, title, mark, ceiling, holders, session, expected)
+        self.viewing_count += 1
+        front_session = self._new_playing_session(pack, title, mark, ceiling, holders, session, expected)
         self.front_sessions[front_session.viewing] = front_session
         self.rules.handed_over(front_session.viewing, server)
         return front_session
@@ -306,9 +310,9 @@
         key: str | None = None,
         offer: object = None,
     ) -> FrontSession:
-        """A viewing that plays already, from before this front started; `key` is its client's. Raises `InvalidRequest`."""
-        pack, held = self.packages.get(package), self.server_list.titles.get(title)
-        if pack is None or held is None:
+        """Adds a viewing that has played since before this front started; `key` is its client's. Raises `InvalidRequest`."""
+        pack, listed_title = self.packages.get(package), self.server_list.titles.get(title)
+        if pack is None or listed_title is None:
             raise UnknownResource(f"there is no package {package!r} or no title {title!r}")
         if not pack.floor <= rung <= pack.top:
             raise InvalidRequest(f"package {package!r} is not played on rung {rung}")
@@ -318,33 +322,33 @@
             front_session = self.found(key, server, session, rung)
             front_session.viewing.ceiling = ceiling
             return front_session
-        self.names += 1
-        front_session = self._standing(
-            pack, title, placement_hash_of(f"handed over {self.names}"), ceiling, held.holders, session
+        self.viewing_count += 1
+        front_session = self._new_playing_session(
+            pack, title, placement_hash_of(f"handed over {self.viewing_count}"), ceiling, listed_title.holders, session
         )
         if key is not None and self.keys.find(key, self.driver.now()) is None:
-            # its client may ask again for an answer that it never got
+            # its client may retry because it never received the answer
             front_session.offer, front_session.held = offer, self.keys.hold(key, (offer, pack, title), front_session)
         self._plays_already(front_session, server, rung)
         return front_session
 
-    def _standing(
+    def _new_playing_session(
         self, pack: Package, title: str, mark: int, ceiling: int, holders: Iterable, session: object, expected: int = 0
     ) -> FrontSession:
         now = self.driver.now()
-        viewing = Viewing(self.names, title, mark, pack, ceiling, now, now + pack.patience, holders, expected=expected)
+        viewing = Viewing(self.viewing_count, title, mark, pack, ceiling, now, now + pack.patience, holders, expected=expected)
         front_session = FrontSession(viewing, None, session=session, commands=CommandQueue(self.driver.tell))
         front_session.answer = Answer(Kind.PLAYS, "handed over", front_session=front_session)
         return front_session
 
     def rung_found(self, front_session: FrontSession, rung: int) -> None:
-        """Its server says that a viewing plays on this rung, whatever it was told to."""
+        """The server reports the rung that a viewing plays on, which may differ from the one commanded."""
         viewing = front_session.viewing
         if viewing.playing and viewing.package.floor <= rung <= viewing.package.top:
             self.rules.rung_told(viewing, rung)
 
     def orphaned(self, server: Server, session: object) -> None:
-        """What an earlier life of this front left at the server plays for nobody that is known of."""
+        """A session that an earlier life of this front left at the server has no known client: it is ended."""
         self.session_ends.end(server, session)
 
     def _seat_left(self, title: str, pack: Package) -> bool:
@@ -367,10 +371,11 @@
     # ---- notes, reports, probes
 
     def delivered(self, server: Server, share: float) -> None:
+        """The server delivers this share of the rates that it should send."""
         self.rules.delivered(server, min(1.0, max(0.0, share)))
 
     def told(self, server: Server, report: dict[str, float]) -> None:
-        """How full the server's link (`link`) and its rack's uplink (`uplink`) are: asked over what they give."""
+        """Load of the server's link (`link`) and of its rack's uplink (`uplink`): demand over capacity."""
         self._report(server, report)
 
     def probed(self, server: Server, outcome: Outcome, report: dict[str, float] | None = None) -> None:
@@ -384,34 +389,35 @@
         if uplink is not None and 0 <= uplink < 1e6:
             self.rules.uplink_told(server, uplink)
 
-    # ---- what other fronts share, as facts for the rules
+    # ---- what other fronts share, passed on to the rules
 
     def share_rights(self) -> None:
-        """The pace of cold servers is shared from now on: what no rights are told of gets nothing until they are. Between the
-        first word of a new server and its first rights a front went by turns, beside those who went by rights."""
+        """The pace of cold servers is shared by rights from now on: a server without rights gets nothing until it has some.
+        Otherwise a front would go by turns between the listing of a new server and its first rights, in addition to the
+        fronts that go by rights."""
         self.rules.rights_dealt = True
 
     def rights_held(self, server: Server, rights: list) -> None:
-        """Set-ups of the server's cold pace in this front's hands: from when, until when (ns of this clock), how many."""
-        server.rights = [tuple(one) for one in rights]
+        """This front's rights to set-ups within the server's pace while cold: (from, until, count), in ns of this clock."""
+        server.rights = [tuple(right) for right in rights]
 
     def doubted(self, server: Server, doubted: bool) -> None:
         server.doubted = doubted
 
     def again_stopped(self, stopped: bool) -> None:
-        """Whether tune-ins beyond the first have used up what successes pay for."""
+        """Whether further tune-ins have used up the retry budget that successes earn."""
         self.rules.again_stopped = stopped
 
     def further_held(self, rights: list) -> None:
-        """Free further tune-ins in this front's hands, as `rights_held`."""
-        self.rules.further_rights = [tuple(one) for one in rights]
+        """This front's rights to free further tune-ins, in the form of `rights_held`."""
+        self.rules.further_rights = [tuple(right) for right in rights]
 
     def seats_held(self, package: str, title: str, rights: list) -> None:
-        """Seats of this title in this front's hands, as `rights_held`. Of titles that nothing was said of it has none."""
-        self.rules.seat_rights.setdefault(self.packages[package], {})[title] = [tuple(one) for one in rights]
+        """This front's rights to seats of the title, in the form of `rights_held`. It has none for titles never named."""
+        self.rules.seat_rights.setdefault(self.packages[package], {})[title] = [tuple(right) for right in rights]
 
     def seats_over(self, package: str, title: str, count: int) -> None:
-        """So many seats are in this front's hands no more: the newest viewings on them end."""
+        """This front holds `count` viewings more than it has seats: the newest of them end."""
         pack = self.packages[package]
         playing = [
             front_session
@@ -425,16 +431,16 @@
         self.rules.counted(server.link, use, age)
 
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
-        """Of the uplink of this server's rack, as `counted`."""
+        """As `counted`, for the uplink of the server's rack."""
         self.rules.counted(server.rack.link, use, age)
 
     def link_reported(self, server: Server, use: float) -> None:
-        """How full another front was told that the server's link is, within a round or two."""
+        """The load of the server's link as reported to another front, up to two rounds old."""
         if 0 <= use < 1e6:
             self.rules.link_reported(server, use)
 
     def planned(self, package: str, part: float, until: int) -> None:
-        """This front's part of what is held for the package's peaks, until then (ns of this clock)."""
+        """This front's share of the room held for the package's peaks, valid until then (ns of this clock)."""
         self.peaks.planned(self.packages[package], part, until)
 
     def seen_warm(self, server: Server) -> None:
@@ -443,19 +449,19 @@
     # ---- the server list
 
     def list_full(self, epoch: str, generation: int, rows: list[ServerEntry], stale: bool = False) -> None:
-        """All servers there are; `stale` for what this front kept from before it started."""
+        """The full list of servers; `stale` for a list that this front stored before it started."""
         self._listed(self.server_list.full(epoch, generation, rows), stale)
 
     def list_change(self, epoch: str, since: int, generation: int, rows: list[ServerEntry]) -> None:
         try:
             lines = self.server_list.change(epoch, since, generation, rows)
-        except Gap:
+        except ListGap:
             self.driver.whole_list()
             return
         self._listed(lines, False)
 
     def lines_told(self, lines: list[Listed], stale: bool) -> None:
-        """News of a list whose servers the outside keeps. What plays on one that has gone ends when it is seen to."""
+        """Changes of a list whose servers the driver keeps. Viewings on a server that is gone end when their end is seen."""
         self.rules.listed(lines, stale)
         for line in lines:
             if not self.server_list.lists(line.server):
@@ -470,7 +476,7 @@
         self.rules.listed(lines, stale)
         dropped = [line.server for line in lines if not self.server_list.lists(line.server)]
         for server in dropped:
-            # A list that has dropped it will not tell of it again: its seats and claims must not stay for ever.
+            # the list will not name a dropped server again: the seats and rates of its viewings must not stay counted
             for viewing in list(server.link.playing):
                 front_session = self.front_sessions[viewing]
                 session = front_session.session
@@ -488,23 +494,32 @@
         self.rules.forgotten(server)
 
     def _holders(self, title: str) -> Iterable:
-        held = self.server_list.titles.get(title)
-        if held is None:
+        listed_title = self.server_list.titles.get(title)
+        if listed_title is None:
             raise UnknownResource(f"there is no title {title!r}")
-        return held.holders
+        return listed_title.holders
 
     # ---- paid set-ups of an earlier life
 
     def interrupted(self, key: str, offer: object, package: str, title: str, until: int, doubt: bool = False) -> None:
-        """A paid request of an earlier life of this front that may have run: who comes again with its key until then is
-        told that it failed, or waits, while there is `doubt`, for `found` or `not_found` to say what is true. No tune-in
-        goes out for it. What the settings have no more cannot be asked for either."""
+        """A paid request of an earlier life of this front that may have run. A retry with its key before `until` is
+        answered that it failed or, while there is `doubt`, waits for `found` or `not_found`. No tune-in is sent for it.
+        Ignored if the settings no longer have its package or title, as nobody can request it then."""
         pack = self.packages.get(package)
         if pack is None or title not in self.server_list.titles or self.keys.find(key, self.driver.now()) is not None:
             return
-        self.names += 1
+        self.viewing_count += 1
         viewing = Viewing(
-            self.names, title, placement_hash_of(key), pack, pack.top, self.driver.now(), until, (), over=True, may_have_run=True
+            self.viewing_count,
+            title,
+            placement_hash_of(key),
+            pack,
+            pack.top,
+            self.driver.now(),
+            until,
+            (),
+            over=True,
+            may_have_run=True,
         )
         front_session = FrontSession(viewing, offer, commands=CommandQueue(self.driver.tell))
         front_session.held = self.keys.hold(key, (offer, pack, title), front_session)
@@ -513,8 +528,8 @@
             self.not_found(key)
 
     def found(self, key: str, server: Server, session: object, rung: int) -> FrontSession | None:
-        """An interrupted paid set-up plays at this server. None if its client was told already that it failed, its seat
-        is another's by now, or the settings have no such rung any more: then the session has to end."""
+        """An interrupted paid set-up plays at this server. Returns None if the session has to end: its client has been
+        answered that it failed, its seat has been taken, or the settings no longer have its rung."""
         front_session = self.doubts.get(key)
         if front_session is None:
             return None
@@ -523,7 +538,7 @@
             self.not_found(key)
             return None
         del self.doubts[key]
-        # how high its viewer allows it to go died with the front: no higher than where it plays
+        # its viewer's ceiling was lost with the front: it climbs no higher than where it plays
         viewing.over, viewing.ceiling, front_session.session = False, rung, session
         viewing.holders = self.server_list.titles[viewing.title].holders
         self._plays_already(front_session, server, rung)
@@ -533,15 +548,15 @@
         return front_session
 
     def not_found(self, key: str) -> None:
-        """It plays nowhere that is known of, and may have run all the same."""
+        """An interrupted paid set-up plays at no known server; it may have run all the same."""
         front_session = self.doubts.pop(key, None)
         if front_session is not None:
             self._answer_all(front_session, Answer(Kind.FAILED, "the front was restarted while it was set up; it may have run"))
             self.keys.ended(front_session.held, front_session.viewing.expires)
 
-    def _doubt_lasts(self, front_session: FrontSession) -> None:
-        """A client that came again has waited as long as it will, and nothing is known yet: what it is told now stays
-        true, whatever is found later."""
+    def _doubt_timed_out(self, front_session: FrontSession) -> None:
+        """A retry has waited for its full patience and the result is not known: it is answered that the set-up failed,
+        and that answer stays even if the session is found later."""
         if front_session.waiting and front_session.answer is None and self.doubts.get(front_session.held.key) is front_session:
             self.not_found(front_session.held.key)
 
@@ -558,10 +573,10 @@
     # ---- time
 
     def time(self) -> None:
-        """Call when the time asked for by `Driver.wake` has come; calling it early or twice does no harm."""
+        """Runs what is due. Called at the time requested by `Driver.wake`; an early or second call does no harm."""
         self.timers.run(self.driver.now())
 
-    # ---- the rules' host, see curlewshift/host.py
+    # ---- `Host` for the rules, see curlewshift/host.py
 
     def now(self) -> int:
         return self.driver.now()
@@ -594,14 +609,14 @@
     def probe(self, server: Server) -> None:
         self.driver.probe(server)
 
-    # ---- inside
+    # ---- internals
 
     def _open(self, front_session: FrontSession, request: Request) -> None:
         request.front_session = front_session
         self.waiting += 1
         self.front_sessions[front_session.viewing] = front_session
         viewing = front_session.viewing
-        self.timers.at(viewing.expires, lambda: self._overdue(front_session, viewing))
+        self.timers.at(viewing.expires, lambda: self._patience_expired(front_session, viewing))
         self.rules.wanted(viewing)
 
     def _join(self, front_session: FrontSession, request: Request) -> None:
@@ -611,15 +626,15 @@
         if front_session.answer is not None:
             self._answer(request, front_session.answer)
         elif front_session.held is not None and self.doubts.get(front_session.held.key) is front_session:
-            self.timers.at(request.expires, lambda: self._doubt_lasts(front_session))
+            self.timers.at(request.expires, lambda: self._doubt_timed_out(front_session))
 
     def _time_out(self, tune_in: TuneIn) -> None:
         if tune_in.outcome is None:
-            heard = self.driver.withdraw(tune_in)
-            self.failed(tune_in, Outcome.SILENT if heard else Outcome.UNREACHED)
+            may_have_arrived = self.driver.withdraw(tune_in)
+            self.failed(tune_in, Outcome.SILENT if may_have_arrived else Outcome.UNREACHED)
 
-    def _overdue(self, front_session: FrontSession, viewing: Viewing) -> None:
-        """Nothing else may have answered, and patience ends now: no request is left without."""
+    def _patience_expired(self, front_session: FrontSession, viewing: Viewing) -> None:
+        """The viewer's patience ends: whoever has no answer yet is answered now."""
         if front_session.viewing is not viewing or front_session.answer is not None or viewing not in self.front_sessions:
             return
         if front_session.tune_in is not None:
@@ -630,7 +645,7 @@
             self._close(front_session)
 
     def _after_leaving(self, front_session: FrontSession) -> None:
-        """Its viewer had left while a tune-in was out. Whoever came again meanwhile starts where that ended."""
+        """A tune-in whose viewer had left has ended. Requests that joined it since then start over."""
         old, waiting = front_session.viewing, front_session.waiting
         if not waiting:
             self._close(front_session)
@@ -638,10 +653,10 @@
             self.abort(old)
         else:
             self.front_sessions.pop(old)
-            self.names += 1
+            self.viewing_count += 1
             expires = min(request.expires for request in waiting)
             front_session.viewing = Viewing(
-                self.names,
+                self.viewing_count,
                 old.title,
                 old.mark,
                 old.package,
@@ -684,12 +699,12 @@
         if front_session.held is None:
             return
         if front_session.answer is None and front_session.viewing.package.paid_at_setup and front_session.viewing.may_have_run:
-            # its client hung up; with its key forgotten, one that came again was set up and paid for twice
+            # its client closed the request; if the key were forgotten, a retry would be set up and paid for twice
             front_session.answer = Answer(Kind.FAILED, "its set-up may have run for a request that was given up")
         if front_session.answer is None:
             self.keys.forget(front_session.held)
         else:
-            # a client that never got its answer asks for it again within its patience, and one that may have paid
-            # must not pay twice for coming a little late
-            late = KEPT_ON if front_session.viewing.package.paid_at_setup and front_session.viewing.may_have_run else 0
-            self.keys.ended(front_session.held, max(front_session.viewing.expires, self.driver.now() + SECOND) + late)
+            # a client that missed its answer may retry within its patience, and one that may have paid must not pay
+            # twice for retrying a little later
+            extra = KEPT_ON if front_session.viewing.package.paid_at_setup and front_session.viewing.may_have_run else 0
+            self.keys.ended(front_session.held, max(front_session.viewing.expires, self.driver.now() + SECOND) + extra)
--- a/tests/fake_driver.py
+++ b/tests/fake_driver.py
@@ -1,4 +1,4 @@
-"""A fake outside for the desk, which keeps the books that the six rules are checked by."""
+"""A fake driver for the session core; it records what is sent and answered, and checks the invariants on it."""
 
 from curlewshift.model import Outcome, Terms
 from curlewshift.rules import NEVER_RAN
@@ -12,21 +12,21 @@
     package(name="paid", value=2.0, paid_at_setup=True),
     package(name="lesson", value=1.0, join_target=SECOND * 3 // 2),
 ]
-FREE, SHARE, SPAN = 2, 0.2, 10 * SECOND
+FREE_FURTHER, FURTHER_SHARE, LOOK_BACK = 2, 0.2, 10 * SECOND
 
 
 class FakeDriver:
-    """Plays sockets and clock. `out` are the tune-ins nobody has answered yet, `done` those that ended."""
+    """Stands in for sockets and clock. `out` has the outstanding tune-ins, `done` those that ended."""
 
-    def __init__(self, servers=4, **changed):
+    def __init__(self, servers=4, **overrides):
         self.clock, self.wake_at = 1000 * SECOND, None
-        self.out, self.done, self.answers, self.torn, self.rungs, self.probes = [], [], {}, [], [], []
-        self.commands, self.session_end, self.wall_off = [], [], 0
-        self.lists_wanted = 0
-        # the books: what was sent when, by request; what may have run; who was told what
-        self.sent, self.ran, self.taken, self.further, self.cold = [], set(), [], [], {}
-        self.broken = []
-        facts = dict(
+        self.out, self.done, self.answers, self.torn_down, self.rungs, self.probes = [], [], {}, [], [], []
+        self.commands, self.session_ends, self.wall_offset = [], [], 0
+        self.full_list_requests = 0
+        # records: set-ups sent and when, viewings that may have run, times of requests and further tune-ins, cold servers
+        self.sent, self.may_have_run, self.request_times, self.further_times, self.cold_until = [], set(), [], [], {}
+        self.violations = []
+        defaults = dict(
             now=self.clock,
             seed=5,
             me=0,
@@ -41,13 +41,13 @@
             start_capacity=0.5,
             fall_multiple=2.0,
             fall_within=SECOND,
-            free_further=FREE,
-            further_share=SHARE,
-            look_back=SPAN,
+            free_further=FREE_FURTHER,
+            further_share=FURTHER_SHARE,
+            look_back=LOOK_BACK,
         )
-        how = {key: changed.pop(key) for key in ("most_waiting", "most_keys", "calendar") if key in changed}
+        core_options = {key: overrides.pop(key) for key in ("most_waiting", "most_keys", "calendar") if key in overrides}
         titles = {"t1": ("a", "b"), "t2": ("b", "c", "d"), "t3": ("a", "b", "c", "d")}
-        self.session_core = SessionCore(self, Terms(**{**facts, **changed}), ServerList({"r": 1e6}, titles), **how)
+        self.session_core = SessionCore(self, Terms(**{**defaults, **overrides}), ServerList({"r": 1e6}, titles), **core_options)
         self.generation, self.rows = 0, {}
         for number in range(servers):
             row = self.row(f"s{number}", shelf="abcd"[number])
@@ -61,13 +61,13 @@
     def server(self, name):
         return self.session_core.server_list.servers[name]
 
-    # ---- what the desk calls
+    # ---- `Driver`, called by the session core
 
     def now(self):
         return self.clock
 
     def wall(self):
-        return self.clock + self.wall_off
+        return self.clock + self.wall_offset
 
     def wake(self, at):
         self.wake_at = at if self.wake_at is None else min(at, self.wake_at)
@@ -75,30 +75,30 @@
     def tune_in(self, tune_in):
         front_session, server = tune_in.front_session, tune_in.server
         if any(other.front_session is front_session for other in self.out):
-            self.broken.append("two tune-ins of one viewing are out")
-        if front_session.viewing in self.ran and front_session.viewing.package.paid_at_setup:
-            self.broken.append("a paid viewing is sent again though it may have run")
+            self.violations.append("two tune-ins of one viewing are outstanding")
+        if front_session.viewing in self.may_have_run and front_session.viewing.package.paid_at_setup:
+            self.violations.append("a paid viewing is sent again though it may have run")
         if not server.open:
-            self.broken.append("sent to a server told closed")
+            self.violations.append("sent to a server that the list has closed")
         if tune_in.rung < front_session.viewing.package.floor:
-            self.broken.append("under the floor")
+            self.violations.append("tuned in under the floor")
         if tune_in.number > 1:
-            self.further.append(self.clock)
-            made = sum(at > self.clock - SPAN for at in self.further)
-            if made > FREE + SHARE * sum(at > self.clock - SPAN for at in self.taken):
-                self.broken.append("over the budget of further tune-ins")
+            self.further_times.append(self.clock)
+            further = sum(at > self.clock - LOOK_BACK for at in self.further_times)
+            if further > FREE_FURTHER + FURTHER_SHARE * sum(at > self.clock - LOOK_BACK for at in self.request_times):
+                self.violations.append("over the budget of further tune-ins")
         self.sent.append((self.clock, server.name))
-        if self.clock < self.cold.get(server.name, 0):
+        if self.clock < self.cold_until.get(server.name, 0):
             window = sum(at > self.clock - SECOND and name == server.name for at, name in self.sent)
-            # 20 places over 10 s, at half, times 2 for 1 s
+            # 20 streams within 10 s, half of them at the start, twice that pace, in a window of 1 s
             if window > 2:
-                self.broken.append("a cold server is pushed")
+                self.violations.append("a cold server gets more set-ups than its pace")
         self.out.append(tune_in)
 
     def withdraw(self, tune_in):
         self.out.remove(tune_in)
         self.done.append(tune_in)
-        self.ran.add(tune_in.front_session.viewing)
+        self.may_have_run.add(tune_in.front_session.viewing)
         return True
 
     def tell(self, command):
@@ -106,57 +106,57 @@
         if command.rung is not None:
             self.rungs.append((command.front_session, command.rung))
             if command.rung < command.front_session.viewing.package.floor:
-                self.broken.append("stepped under the floor")
+                self.violations.append("stepped under the floor")
         if not command.front_session.viewing.playing:
-            self.broken.append("told of a viewing that is over")
+            self.violations.append("sent a command for a viewing that has ended")
 
     def end_session(self, session_end):
-        self.session_end.append(session_end)
-        self.torn.append(session_end.session)
+        self.session_ends.append(session_end)
+        self.torn_down.append(session_end.session)
 
     def probe(self, server):
         self.probes.append(server)
 
     def answer(self, request, answer):
         if request in self.answers:
-            self.broken.append("answered twice")
+            self.violations.append("answered twice")
         if request.gone:
-            self.broken.append("answered one who had left")
+            self.violations.append("answered a viewer who had left")
         if self.clock > request.expires:
-            self.broken.append("answered too late")
+            self.violations.append("answered too late")
         front_session = answer.front_session or request.front_session
         if (
             answer.kind is Kind.REFUSED
             and front_session
-            and front_session.viewing in self.ran
+            and front_session.viewing in self.may_have_run
             and front_session.viewing.package.paid_at_setup
         ):
-            self.broken.append("a paid viewing is refused though it may have run")
+            self.violations.append("a paid viewing is refused though it may have run")
         self.answers[request] = answer
 
     def whole_list(self):
-        self.lists_wanted += 1
+        self.full_list_requests += 1
 
-    # ---- what a story does
+    # ---- actions of a test
 
-    def ask(self, pack="lesson", title="t3", key=None, offer="offer", **how):
-        self.taken.append(self.clock)
-        return self.session_core.asked(f"q{len(self.taken)}", pack, title, None, key=key, offer=offer, **how)
+    def ask(self, pack="lesson", title="t3", key=None, offer="offer", **options):
+        self.request_times.append(self.clock)
+        return self.session_core.asked(f"q{len(self.request_times)}", pack, title, None, key=key, offer=offer, **options)
 
     def ends(self, tune_in, outcome, session=None):
-        """Its outcome arrives; `session` names what was set up."""
+        """The outcome of a tune-in arrives; `session` is the one that was set up."""
         if tune_in in self.out:
             self.out.remove(tune_in)
             self.done.append(tune_in)
             if outcome not in NEVER_RAN:
-                self.ran.add(tune_in.front_session.viewing)
+                self.may_have_run.add(tune_in.front_session.viewing)
         if outcome is Outcome.PLAYED:
             self.session_core.played(tune_in, session or object(), {"link": 0.3})
         else:
             self.session_core.failed(tune_in, outcome)
 
-    def later(self, span):
-        """Time passes; the desk is woken at each moment it asked for."""
+    def advance(self, span):
+        """Time passes; the session core is called at each moment it requested."""
         ends = self.clock + span
         while self.wake_at is not None and self.wake_at <= ends:
             self.clock, self.wake_at = max(self.clock, self.wake_at), None
@@ -164,19 +164,19 @@
         self.clock = ends
 
     def change(self, *rows, since=None, generation=None):
-        """The list tells these rows; a start told now is cold for its warm-up."""
+        """The list changes by these rows; a server that starts now is cold for its warm-up."""
         since = self.generation if since is None else since
         generation = self.generation + 1 if generation is None else generation
         if since == self.generation and generation > since:
             self.generation = generation
             for row in rows:
                 if row.started > 999 * SECOND and row.state == "on":
-                    self.cold[row.server] = max(self.cold.get(row.server, 0), row.started + 10 * SECOND)
+                    self.cold_until[row.server] = max(self.cold_until.get(row.server, 0), row.started + 10 * SECOND)
         self.session_core.list_change("e", since, generation, list(rows))
 
-    def play(self, **how):
-        request = self.ask(**how)
-        assert self.out, "the story needs this one to be sent"
+    def play(self, **options):
+        request = self.ask(**options)
+        assert self.out, "the test needs this request to be sent"
         tune_in = self.out[-1]
-        self.ends(tune_in, Outcome.PLAYED, f"session {len(self.taken)}")
+        self.ends(tune_in, Outcome.PLAYED, f"session {len(self.request_times)}")
         return request.front_session
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -66,10 +66,10 @@
                     rng.choice([SECOND, driver.clock]),
                 )
             )
-        elif what == 12 and driver.session_end:
-            session_core.session_ended(driver.session_end.pop(), rng.random() < 0.7)
+        elif what == 12 and driver.session_ends:
+            session_core.session_ended(driver.session_ends.pop(), rng.random() < 0.7)
         else:
-            driver.later(rng.choice([0, 0, MS, 300 * MS, SECOND, 4 * SECOND]))
+            driver.advance(rng.choice([0, 0, MS, 300 * MS, SECOND, 4 * SECOND]))
     return records, driver
 
 
@@ -96,11 +96,11 @@
         from tests.test_peaks import peak
 
         driver.session_core.announce(peak(starts=driver.wall() + SECOND, ends=driver.wall() + 9 * SECOND))
-        driver.later(3 * SECOND)
+        driver.advance(3 * SECOND)
         for number in range(20):
             driver.ask(("clip", "lesson")[number % 2], "t3")
-        driver.wall_off = 100 * SECOND
-        driver.later(3 * SECOND)
+        driver.wall_offset = 100 * SECOND
+        driver.advance(3 * SECOND)
         self.assertIsNone(Replay(Reading(logged(records))).run().difference)
 
     def test_things_of_one_instant_keep_their_order(self):
@@ -111,7 +111,7 @@
         tune_in = driver.out[0]
         driver.clock = tune_in.until
         driver.ends(tune_in, Outcome.PLAYED, "s")
-        driver.later(0)
+        driver.advance(0)
         self.assertNotEqual(driver.answers[first].kind, driver.answers[second].kind)
         self.assertIsNone(Replay(Reading(logged(records))).run().difference)
 
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -19,21 +19,21 @@
 MINUTE = 60 * SECOND
 
 
-def peak(**changed):
-    facts = dict(
+def peak(**overrides):
+    defaults = dict(
         name="month-end", package="clip", starts=2000 * SECOND, ends=2060 * SECOND, rate=5.0, most=0.5, lasts=10 * SECOND
     )
-    return Peak(**{**facts, **changed})
+    return Peak(**{**defaults, **overrides})
 
 
-class Announcing(unittest.TestCase):
-    def refused(self, calendar=None, **changed):
+class Announcements(unittest.TestCase):
+    def refused(self, calendar=None, **overrides):
         with self.assertRaises(InvalidPeak) as found:
-            (calendar or Calendar(PACKAGES)).announce(peak(**changed), 1000 * SECOND)
+            (calendar or Calendar(PACKAGES)).announce(peak(**overrides), 1000 * SECOND)
         return str(found.exception)
 
-    def test_nonsense_is_refused_in_plain_words(self):
-        for words, changed in (
+    def test_an_invalid_announcement_is_refused_with_the_reason(self):
+        for reason, overrides in (
             ("ends before it starts", dict(ends=1999 * SECOND)),
             ("over already", dict(starts=1, ends=2)),
             ("24 hours at most", dict(ends=2000 * SECOND + 25 * 60 * MINUTE)),
@@ -44,19 +44,19 @@
             ("needs a name", dict(name="")),
             ("less than nothing", dict(lasts=-1)),
         ):
-            self.assertIn(words, self.refused(**changed))
+            self.assertIn(reason, self.refused(**overrides))
 
-    def test_a_name_twice_and_too_much_together_are_refused(self):
+    def test_a_duplicate_name_and_too_large_a_total_are_refused(self):
         calendar = Calendar(PACKAGES)
         calendar.announce(peak(), 0)
         self.assertIn("cancel it first", self.refused(calendar))
         self.assertIn("100% of the links", self.refused(calendar, name="b", package="paid"))
-        # it overlaps one at a time with both, never with both at once
+        # overlaps each of the two, but never both at the same time
         calendar.announce(peak(name="c", starts=2100 * SECOND, ends=2200 * SECOND), 0)
         calendar.announce(peak(name="d", starts=2050 * SECOND, ends=2150 * SECOND, most=0.3), 0)
         self.assertIn("130%", self.refused(calendar, name="e", starts=2050 * SECOND, ends=2150 * SECOND))
 
-    def test_what_is_over_leaves_the_calendar(self):
+    def test_an_ended_peak_is_removed_from_the_calendar(self):
         calendar = Calendar(PACKAGES)
         calendar.announce(peak(), 0)
         self.assertEqual(calendar.remove_ended(2061 * SECOND, 2 * SECOND), [])
@@ -70,12 +70,12 @@
             seen.record_arrival(at)
         return seen, span
 
-    def test_what_is_seen_is_the_rate_of_late_and_fades(self):
+    def test_the_observed_rate_is_recent_and_decays(self):
         seen, now = self.seen(5.0)
         self.assertAlmostEqual(seen.rate(now), 5.0, delta=0.5)
         self.assertLess(seen.rate(now + 20 * SECOND), 0.1)
 
-    def test_a_peak_that_comes_early_is_known_by_its_viewers_within_a_third_of_its_length(self):
+    def test_an_early_peak_is_detected_within_a_third_of_its_length_before_its_start(self):
         seen, now = self.seen(4.0)
         self.assertTrue(began_early(5.0, seen, now, 15 * SECOND, 60 * SECOND))
         self.assertFalse(began_early(5.0, seen, now, 25 * SECOND, 60 * SECOND))
@@ -84,15 +84,15 @@
         one.record_arrival(0)
         self.assertFalse(began_early(0.01, one, 1, SECOND, 60 * SECOND))
 
-    def test_the_announced_figure_gives_way_to_what_comes(self):
+    def test_the_announced_rate_gives_way_to_the_observed_one(self):
         self.assertEqual(expected_rate(5.0, 0.0, 0, MINUTE), 5.0)
         self.assertEqual(expected_rate(5.0, 10.0, 5 * SECOND, MINUTE), 10.0)
         self.assertLess(expected_rate(5.0, 0.0, 30 * SECOND, MINUTE), 1.0)
         self.assertGreater(expected_rate(5.0, 0.0, 5 * SECOND, MINUTE), 3.5)
 
 
-class Holding(unittest.TestCase):
-    """What one front holds. Four links of 4,000 kB/s in one rack; the wall's clock is the front's own at first."""
+class HeldRoom(unittest.TestCase):
+    """The room that one front holds. Four links of 4,000 kB/s in one rack; the wall clock starts equal to the front's."""
 
     def setUp(self):
         self.calendar = Calendar(PACKAGES)
@@ -100,32 +100,32 @@
         self.session_core = self.driver.session_core
         self.clip, self.lesson = PACKAGES[0], PACKAGES[2]
 
-    def announce(self, starts_in, length=30 * SECOND, **changed):
+    def announce(self, starts_in, length=30 * SECOND, **overrides):
         starts = self.driver.wall() + starts_in
-        self.calendar.announce(peak(starts=starts, ends=starts + length, **changed), self.driver.wall())
+        self.calendar.announce(peak(starts=starts, ends=starts + length, **overrides), self.driver.wall())
 
     def held(self, pack=None):
         return sum(server.link.holds.get(pack or self.clip, 0.0) for server in self.session_core.rules.servers)
 
-    def test_room_is_made_ahead_used_by_its_package_and_given_back(self):
+    def test_room_is_made_ahead_used_by_its_package_and_released(self):
         self.announce(60 * SECOND)
-        self.driver.later(5 * SECOND)
+        self.driver.advance(5 * SECOND)
         self.assertEqual(self.held(), 0.0)
-        self.driver.later(54 * SECOND)
+        self.driver.advance(54 * SECOND)
         # 5 a second for 10 s at the rung over the floor, 400 kB/s: more than half of the links, so half of them
         self.assertAlmostEqual(self.held(), 8000.0)
-        self.driver.later(2 * SECOND)
+        self.driver.advance(2 * SECOND)
         front_session = self.driver.play(pack="clip", title="t3")
-        self.driver.later(SECOND)
+        self.driver.advance(SECOND)
         self.assertLess(self.held(), 8000.0 - front_session.viewing.held_rate + 1)
-        self.driver.later(40 * SECOND)
+        self.driver.advance(40 * SECOND)
         self.assertEqual((self.held(), self.calendar.peaks), (0.0, {}))
 
-    def test_others_are_kept_out_of_what_is_held_and_those_it_is_for_are_not(self):
+    def test_held_room_is_closed_to_other_packages_and_open_to_its_own(self):
         self.announce(2 * SECOND, most=0.8)
         for server in list(self.session_core.rules.servers):
             self.session_core.told(server, {"link": 0.15, "uplink": 0.0})
-        self.driver.later(SECOND)
+        self.driver.advance(SECOND)
         lesson, clip = self.driver.ask("lesson", "t1"), self.driver.ask("clip", "t1")
         rungs = {tune_in.front_session.viewing.package.name: tune_in.rung for tune_in in self.driver.out}
         self.assertEqual(rungs.get("clip"), 2)
@@ -133,40 +133,40 @@
         self.assertNotIn(clip, self.driver.answers)
         self.assertTrue(lesson in self.driver.answers or rungs["lesson"] < 2)
 
-    def test_steps_make_room_from_others_and_never_from_those_it_is_held_for(self):
+    def test_other_packages_step_down_to_make_room_and_its_own_never_do(self):
         lessons = [self.driver.play(pack="lesson", title="t1") for _ in range(12)]
         clips = [self.driver.play(pack="clip", title="t1") for _ in range(2)]
-        self.driver.later(SECOND)
+        self.driver.advance(SECOND)
         before = [front_session.viewing.rung for front_session in clips]
         self.announce(2 * SECOND, most=0.8, rate=50.0)
-        self.driver.later(3 * SECOND)
+        self.driver.advance(3 * SECOND)
         self.assertLess(sum(front_session.viewing.rung for front_session in lessons), 24)
         self.assertEqual([front_session.viewing.rung for front_session in clips], before)
 
-    def test_a_peak_that_starts_early_is_held_for_at_once(self):
+    def test_room_is_held_at_once_for_a_peak_that_starts_early(self):
         self.announce(20 * SECOND, length=60 * SECOND, rate=4.0)
         self.assertEqual(self.held(), 0.0)
         for _ in range(12):
             self.driver.ask("clip", "t3")
-            self.driver.later(SECOND // 4)
-        self.driver.later(SECOND)
+            self.driver.advance(SECOND // 4)
+        self.driver.advance(SECOND)
         self.assertGreater(self.held(), 0.0)
         self.assertEqual(self.session_core.peaks.holding["month-end"].phase, "on")
 
-    def test_a_peak_that_never_comes_is_let_go(self):
+    def test_the_hold_for_a_peak_that_never_comes_is_released(self):
         self.announce(SECOND, rate=1.0)
-        self.driver.later(3 * SECOND)
+        self.driver.advance(3 * SECOND)
         first = self.held()
-        self.driver.later(20 * SECOND)
+        self.driver.advance(20 * SECOND)
         self.assertLess(self.held(), first / 3)
 
-    def test_a_peak_twice_as_high_is_followed_up_to_what_was_announced_as_the_most(self):
+    def test_a_higher_peak_than_announced_is_followed_up_to_the_announced_maximum(self):
         self.announce(SECOND, rate=0.4, most=0.5)
-        self.driver.later(2 * SECOND)
+        self.driver.advance(2 * SECOND)
         first = self.held()
         for _ in range(40):
             self.driver.ask("clip", "t3")
-            self.driver.later(SECOND // 8)
+            self.driver.advance(SECOND // 8)
         used = sum(
             front_session.viewing.held_rate
             for front_session in self.session_core.front_sessions.values()
@@ -175,71 +175,71 @@
         self.assertGreater(self.held() + used, first)
         self.assertLessEqual(self.held(), 8000.0)
 
-    def test_a_hold_shrinks_with_the_servers_and_is_never_on_one_that_drains(self):
+    def test_a_hold_shrinks_with_the_fleet_and_is_never_on_a_draining_server(self):
         self.announce(SECOND, rate=1.0)
-        self.driver.later(2 * SECOND)
+        self.driver.advance(2 * SECOND)
         before = self.held()
         self.driver.change(self.driver.row("s0", "fading"), self.driver.row("s1", "off", "b"))
         gone = self.driver.server("s0")
-        self.driver.later(SECOND)
+        self.driver.advance(SECOND)
         self.assertAlmostEqual(self.held() / before, 0.5, delta=0.1)
         self.assertFalse(gone.link.holds)
 
-    def test_a_replacement_that_comes_cold_is_sent_no_more_for_a_hold(self):
+    def test_a_cold_replacement_server_is_not_sent_more_because_of_a_hold(self):
         self.announce(SECOND, rate=20.0)
         started = self.driver.clock
         self.driver.change(self.driver.row("s0", "off"), self.driver.row("s9", "on", "a", started))
-        self.driver.later(2 * SECOND)
+        self.driver.advance(2 * SECOND)
         for _ in range(60):
             self.driver.ask("clip", "t1")
-        self.assertEqual(self.driver.broken, [])
+        self.assertEqual(self.driver.violations, [])
 
-    def test_two_peaks_that_overlap_hold_for_both_and_one_package_twice_holds_once(self):
+    def test_overlapping_peaks_both_hold_room_and_two_of_one_package_hold_it_once(self):
         self.announce(SECOND, most=0.4)
         self.announce(SECOND, name="other", package="lesson", most=0.4)
-        self.driver.later(2 * SECOND)
+        self.driver.advance(2 * SECOND)
         self.assertGreater(min(self.held(), self.held(self.lesson)), 0)
         self.calendar.cancel("other")
         self.announce(SECOND, name="again", most=0.4)
         one = self.held()
-        self.driver.later(SECOND)
+        self.driver.advance(SECOND)
         self.assertAlmostEqual(self.held(), one, delta=0.1 * one)
         self.assertEqual(self.held(self.lesson), 0.0)
 
-    def test_a_cancelled_peak_is_given_back_at_the_next_second(self):
+    def test_the_hold_of_a_cancelled_peak_is_released_within_a_second(self):
         self.announce(SECOND)
-        self.driver.later(2 * SECOND)
+        self.driver.advance(2 * SECOND)
         self.assertGreater(self.held(), 0)
         self.calendar.cancel("month-end")
-        self.driver.later(SECOND)
+        self.driver.advance(SECOND)
         self.assertEqual(self.held(), 0.0)
 
-    def test_the_walls_clock_set_back_or_forward_moves_the_peak_and_breaks_nothing(self):
+    def test_a_step_of_the_wall_clock_moves_the_peak_and_breaks_nothing(self):
         self.announce(100 * SECOND)
-        self.driver.wall_off = 101 * SECOND
-        self.driver.later(SECOND)
+        self.driver.wall_offset = 101 * SECOND
+        self.driver.advance(SECOND)
         self.assertGreater(self.held(), 0)
-        self.driver.wall_off = 0
-        self.driver.later(SECOND)
+        self.driver.wall_offset = 0
+        self.driver.advance(SECOND)
         self.assertEqual(self.held(), 0.0)
-        self.driver.wall_off = 1000 * SECOND
-        self.driver.later(SECOND)
+        self.driver.wall_offset = 1000 * SECOND
+        self.driver.advance(SECOND)
         self.assertEqual((self.held(), self.calendar.peaks), (0.0, {}))
 
-    def test_where_not_one_would_fit_over_its_floor_nothing_is_held(self):
+    def test_nothing_is_held_where_not_even_one_viewing_would_fit_on_its_floor(self):
         rows = [replace(row, link=300.0) for row in self.driver.rows.values()]
         self.driver.change(*rows)
         self.announce(SECOND)
-        self.driver.later(2 * SECOND)
+        self.driver.advance(2 * SECOND)
         self.assertEqual(self.held(), 0.0)
 
-    def test_room_is_held_where_its_titles_are_asked_for(self):
+    def test_room_is_held_where_the_titles_of_the_package_are_requested(self):
         for _ in range(60):
             self.driver.ask("clip", "t1")
-            self.driver.later(SECOND // 10)
-        self.driver.later(10 * SECOND)
+            self.driver.advance(SECOND // 10)
+        self.driver.advance(10 * SECOND)
         self.announce(SECOND, rate=0.5, most=0.8)
-        self.driver.later(2 * SECOND)
+        self.driver.advance(2 * SECOND)
         holds = {
             server.name: server.link.holds.get(self.clip, 0.0)
             + sum(viewing.held_rate for viewing in server.link.playing if viewing.package is self.clip)
@@ -247,24 +247,24 @@
         }
         self.assertGreater(holds["s0"] + holds["s1"], 2 * (holds["s2"] + holds["s3"]))
 
-    def test_without_a_calendar_no_link_is_looked_at(self):
+    def test_with_an_empty_calendar_no_link_is_visited(self):
         self.session_core.peaks._links = None
-        self.driver.later(5 * SECOND)
+        self.driver.advance(5 * SECOND)
 
-    def test_a_hold_is_one_fronts_part(self):
+    def test_each_front_holds_its_share(self):
         three = FakeDriver(calendar=Calendar(PACKAGES), fronts=3)
         three.session_core.peaks.calendar.announce(
             peak(starts=three.wall() + SECOND, ends=three.wall() + 30 * SECOND), three.wall()
         )
-        three.later(2 * SECOND)
+        three.advance(2 * SECOND)
         held = sum(sum(server.link.holds.values()) for server in three.session_core.rules.servers)
         self.assertAlmostEqual(held, 8000.0 / 3, delta=1)
 
 
-class Term(unittest.TestCase):
-    """The rules' side: what is held counts as used for others."""
+class RulesWithHolds(unittest.TestCase):
+    """In the rules, held room counts as used for other packages."""
 
-    def test_admission_and_climbs_leave_what_is_held_alone(self):
+    def test_admission_and_climbs_keep_out_of_held_room(self):
         fixture = RulesFixture(count=1, size=1000.0)
         mine, other = package(name="mine"), package(name="other")
         fixture.servers[0].link.holds = {mine: 500.0}
@@ -282,16 +282,16 @@
         self.assertEqual(low.rung, 2)
 
 
-class Kept(unittest.TestCase):
+class StoredPeaks(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "peaks.db"
 
-    def test_what_was_confirmed_is_there_after_a_kill(self):
+    def test_a_confirmed_announcement_survives_a_kill(self):
         store = PeakStore(self.path)
         store.announced(peak(who="ann", why="month end"), 5)
-        # no close: as if killed
+        # not closed, as after a kill
         self.assertEqual(PeakStore(self.path).read(), [peak(who="ann", why="month end")])
         store.cancelled("month-end", 6, "bob", "moved")
         again = PeakStore(self.path)
@@ -300,7 +300,7 @@
             again.changes(), [(5, "announced", "month-end", "ann", "month end"), (6, "cancelled", "month-end", "bob", "moved")]
         )
 
-    def test_a_torn_tail_loses_what_was_not_confirmed_alone(self):
+    def test_a_torn_log_tail_loses_only_unconfirmed_announcements(self):
         store = PeakStore(self.path)
         store.announced(peak(), 5)
         store.announced(peak(name="second"), 6)
@@ -311,7 +311,7 @@
         names = [kept.name for kept in PeakStore(copy).read()]
         self.assertIn(names, (["month-end"], ["month-end", "second"]))
 
-    def test_a_damaged_file_is_put_aside_and_named(self):
+    def test_a_damaged_file_is_moved_aside_and_reported(self):
         self.path.write_bytes(b"no database" * 500)
         store = PeakStore(self.path)
         self.assertIn("put aside as peaks.db.damaged", store.damage)
@@ -321,7 +321,7 @@
 
 class Commands(unittest.TestCase):
     @story
-    async def test_announce_list_cancel_and_a_restart_in_between(self):
+    async def test_announce_list_restart_and_cancel(self):
         with tempfile.TemporaryDirectory() as folder:
             state = Path(folder)
             starts = 4_000_000_000 * SECOND
@@ -334,7 +334,7 @@
                 await until((state / "control").exists)
                 self.assertEqual((state / "control").stat().st_mode & 0o77, 0)
                 self.assertEqual(await tell(state, command), {"ok": True})
-                for wrong, words in (
+                for invalid, reason in (
                     (command, "cancel it first"),
                     ({**command, "why": " "}, "say why"),
                     ({"do": "dance", "why": "x"}, "no command 'dance'"),
@@ -342,8 +342,8 @@
                     ({**command, "peak": {"name": "x"}}, "no peak"),
                     ({"do": "cancel", "name": "z", "why": "x"}, "no peak 'z'"),
                 ):
-                    answer = await tell(state, wrong)
-                    self.assertEqual((answer["ok"], words in answer["wrong"]), (False, True), answer)
+                    answer = await tell(state, invalid)
+                    self.assertEqual((answer["ok"], reason in answer["wrong"]), (False, True), answer)
                 rows = (await tell(state, {"do": "peaks"}))["peaks"]
                 self.assertEqual([(row["name"], row["phase"], row["why"]) for row in rows], [("m", "ahead", "month end")])
             async with SmallSite(servers=1).up(state) as site:
@@ -353,43 +353,43 @@
                 self.assertEqual(site.front.calendar.peaks, {})
 
     @story
-    async def test_the_command_line_says_what_is_wrong_and_lists_what_is_on(self):
+    async def test_the_command_line_reports_errors_and_lists_the_peaks(self):
         with tempfile.TemporaryDirectory() as folder:
             state = Path(folder)
 
-            async def peak_command(*words):
+            async def peak_command(*arguments):
                 return await anyio.run_process(
-                    [sys.executable, "-m", "curlewshift", "peak", *words, "--state", folder], cwd=ROOT, check=False
+                    [sys.executable, "-m", "curlewshift", "peak", *arguments, "--state", folder], cwd=ROOT, check=False
                 )
 
-            nobody = await peak_command("list")
-            self.assertEqual(nobody.returncode, 1)
+            without_front = await peak_command("list")
+            self.assertEqual(without_front.returncode, 1)
             async with SmallSite(servers=1).up(state):
                 await until((state / "control").exists)
-                how = ("--package", "clip", "--rate", "2", "--why", "a story")
-                wrong = await peak_command("announce", "m", "--starts", "+10min", "--ends", "+5min", *how)
-                self.assertEqual((wrong.returncode, b"ends before it starts" in wrong.stderr), (2, True))
-                wrong = await peak_command("announce", "m", "--starts", "noon", "--ends", "+5min", *how)
-                self.assertEqual((wrong.returncode, b"neither a date and time" in wrong.stderr), (2, True))
-                well = await peak_command("announce", "m", "--starts", "+10min", "--ends", "2099-01-01T00:00+00:00", *how)
-                self.assertEqual((well.returncode, b"24 hours at most" in well.stderr), (2, True))
-                well = await peak_command("announce", "m", "--starts", "+10min", "--ends", "+20min", *how)
-                self.assertEqual(well.returncode, 0, well.stderr)
-                told = await peak_command("list")
-                self.assertIn(b"a story", told.stdout)
-                self.assertIn(b"ahead", told.stdout)
+                options = ("--package", "clip", "--rate", "2", "--why", "a story")
+                refused = await peak_command("announce", "m", "--starts", "+10min", "--ends", "+5min", *options)
+                self.assertEqual((refused.returncode, b"ends before it starts" in refused.stderr), (2, True))
+                refused = await peak_command("announce", "m", "--starts", "noon", "--ends", "+5min", *options)
+                self.assertEqual((refused.returncode, b"neither a date and time" in refused.stderr), (2, True))
+                answered = await peak_command("announce", "m", "--starts", "+10min", "--ends", "2099-01-01T00:00+00:00", *options)
+                self.assertEqual((answered.returncode, b"24 hours at most" in answered.stderr), (2, True))
+                answered = await peak_command("announce", "m", "--starts", "+10min", "--ends", "+20min", *options)
+                self.assertEqual(answered.returncode, 0, answered.stderr)
+                listing = await peak_command("list")
+                self.assertIn(b"a story", listing.stdout)
+                self.assertIn(b"ahead", listing.stdout)
 
     @story
-    async def test_what_could_not_be_kept_is_not_confirmed(self):
+    async def test_an_announcement_that_could_not_be_stored_is_not_confirmed(self):
         with tempfile.TemporaryDirectory() as folder:
             state = Path(folder)
             async with SmallSite(servers=1).up(state) as site:
                 await until((state / "control").exists)
 
-                def full(*what):
+                def disk_full(*args):
                     raise sqlite3.OperationalError("database or disk is full")
 
-                site.front.control.store.announced = full
+                site.front.control.store.announced = disk_full
                 starts = 4_000_000_000 * SECOND
                 answer = await tell(
                     state,
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -90,7 +90,7 @@
 
     def later(self, span):
         for _ in range(int(span // (SECOND // 10))):
-            self.fake.later(SECOND // 10)
+            self.fake.advance(SECOND // 10)
             self.recovery.time()
 
 
@@ -109,7 +109,7 @@
         day = Restart([remembered("kept", path="/session/1"), remembered("gone", path="/session/2", key="k2")])
         day.tells("s0", ("/session/1", BEFORE, 1, ""), ("/session/3", BEFORE, 0, ""), ("/session/4", OWN, 0, ""))
         self.assertEqual(day.adopting, [("s0", ["/session/1"])])
-        self.assertEqual(day.fake.torn, ["/session/3"], "only what nobody knows is torn down, and nothing of this life")
+        self.assertEqual(day.fake.torn_down, ["/session/3"], "only what nobody knows is torn down, and nothing of this life")
         self.assertFalse(day.front_sessions["gone"].viewing.playing)
         day.takes("s0", "/session/1")
         self.assertTrue(day.front_sessions["kept"].viewing.playing)
@@ -134,9 +134,9 @@
     def test_a_viewer_leaves_while_its_session_is_being_adopted(self):
         day = Restart([remembered()])
         day.fake.session_core.closed(day.front_sessions["tk"])
-        self.assertEqual(day.fake.torn, ["/session/1"])
+        self.assertEqual(day.fake.torn_down, ["/session/1"])
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
-        self.assertEqual((day.adopting, day.fake.torn), ([], ["/session/1"]))
+        self.assertEqual((day.adopting, day.fake.torn_down), ([], ["/session/1"]))
 
     def test_a_server_that_is_another_life_has_nothing_and_is_cold(self):
         day = Restart([remembered()], boots={"s0": "before"})
@@ -167,7 +167,7 @@
         self.assertEqual(day.fake.clock - day.recovery.began, TRIED_FOR)
         self.assertLess(tries, 20)
         self.assertFalse(day.front_sessions["tk"].viewing.playing)
-        self.assertEqual(day.fake.torn, ["/session/1"], "it may come back, and would send to nobody")
+        self.assertEqual(day.fake.torn_down, ["/session/1"], "it may come back, and would send to nobody")
 
     def test_a_server_that_the_kept_list_lacks_is_asked_once_the_list_tells_of_it(self):
         day = Restart([remembered(server="late")])
@@ -193,7 +193,7 @@
         day = Restart([remembered(title="dropped")])
         self.assertEqual(day.forgot, ["tk"])
         day.tells("s0", ("/session/1", BEFORE, 1, ""))
-        self.assertEqual(day.fake.torn, ["/session/1"])
+        self.assertEqual(day.fake.torn_down, ["/session/1"])
         with self.assertRaises(UnknownResource):
             day.fake.session_core.handed_over("lesson", "dropped", 2, day.fake.server("s0"), "x", 1)
 
@@ -226,11 +226,11 @@
 
     def test_what_it_was_told_when_it_could_wait_no_longer_stays_true(self):
         request = self.ask_again(patience=SECOND)
-        self.fake.later(SECOND)
+        self.fake.advance(SECOND)
         self.assertEqual(request.answer.kind, Kind.FAILED)
         self.day.tells("s0", ("/session/1", BEFORE, 1, "mark"))
         self.day.takes("s0", "/session/1")
-        self.assertEqual(self.fake.torn, ["/session/1"])
+        self.assertEqual(self.fake.torn_down, ["/session/1"])
         self.assertEqual(self.ask_again().answer.kind, Kind.FAILED)
 
     def test_hanging_up_in_doubt_does_not_free_the_key(self):
@@ -241,11 +241,11 @@
     def test_a_server_that_never_answers_leaves_it_failed(self):
         request = self.ask_again()
         self.day.later(TRIED_FOR)
-        self.assertEqual((request.answer.kind, self.fake.out, self.fake.broken), (Kind.FAILED, [], []))
+        self.assertEqual((request.answer.kind, self.fake.out, self.fake.violations), (Kind.FAILED, [], []))
 
     def test_a_mark_at_another_server_than_its_intent_names_is_an_orphan(self):
         self.day.tells("s1", ("/session/7", BEFORE, 1, "mark"))
-        self.assertEqual(self.fake.torn, ["/session/7"])
+        self.assertEqual(self.fake.torn_down, ["/session/7"])
 
 
 class Remembering(unittest.TestCase):
--- a/tests/test_session_core_histories.py
+++ b/tests/test_session_core_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of a front: whatever comes in whatever order, the six rules hold after each step."""
+"""Random event sequences at a session core (hypothesis): its invariants hold after each step."""
 
 import traceback
 import unittest
@@ -25,7 +25,7 @@
         self.requests = []
         self.patches, self.patched = 0, []
 
-    # ---- what can happen
+    # ---- events
 
     @rule(
         pack=st.sampled_from(["clip", "paid", "lesson"]),
@@ -52,18 +52,18 @@
     @rule(which=st.integers(0, 50), outcome=st.sampled_from([Outcome.PLAYED, Outcome.BROKEN]))
     def something_is_said_late_or_twice(self, which, outcome):
         tune_in = self.driver.done[-1 - which % len(self.driver.done)]
-        torn, playing = len(self.driver.torn), len(self.session_core.front_sessions)
+        torn, playing = len(self.driver.torn_down), len(self.session_core.front_sessions)
         self.driver.ends(tune_in, outcome, session := object())
         assert len(self.session_core.front_sessions) == playing
-        assert outcome is not Outcome.PLAYED or session in self.to_be_ended() + self.driver.torn[torn:]
+        assert outcome is not Outcome.PLAYED or session in self.to_be_ended() + self.driver.torn_down[torn:]
 
     def to_be_ended(self):
         return [session_end.session for here in self.session_core.session_ends.servers.values() for session_end in here.waiting]
 
-    @precondition(lambda self: self.driver.session_end)
+    @precondition(lambda self: self.driver.session_ends)
     @rule(which=st.integers(0, 50), answered=st.booleans())
     def an_ending_is_answered_or_not(self, which, answered):
-        session_end = self.driver.session_end.pop(which % len(self.driver.session_end))
+        session_end = self.driver.session_ends.pop(which % len(self.driver.session_ends))
         self.session_core.session_ended(session_end, answered)
 
     @precondition(lambda self: self.driver.commands)
@@ -113,7 +113,7 @@
             held = self.driver.server(server)
             getattr(self.session_core, how)(held)
             if how == "restarted":
-                self.driver.cold[server] = max(self.driver.cold.get(server, 0), self.driver.clock + 10 * SECOND)
+                self.driver.cold_until[server] = max(self.driver.cold_until.get(server, 0), self.driver.clock + 10 * SECOND)
 
     @rule(number=st.integers(0, 3), state=st.sampled_from(["on", "fading", "off"]), new=st.booleans())
     def the_list_changes(self, number, state, new):
@@ -134,13 +134,13 @@
 
     @rule(span=st.sampled_from([1, 20 * MS, 300 * MS, SECOND, 3 * SECOND, 12 * SECOND]))
     def time_passes(self, span):
-        self.driver.later(span)
+        self.driver.advance(span)
 
-    # ---- what always holds
+    # ---- invariants
 
     @invariant()
     def the_rules_hold(self):
-        assert not self.driver.broken, self.driver.broken
+        assert not self.driver.violations, self.driver.violations
 
     @invariant()
     def nobody_waits_past_patience(self):
@@ -169,76 +169,80 @@
             for command in [*front_session.commands.waiting, front_session.commands.out]
             if command is not None
         )
-        out_of_ended = sum(
+        in_flight_of_ended = sum(
             command.patch is not None and command.front_session.viewing not in self.session_core.front_sessions
             for command in self.driver.commands
         )
-        assert len(self.patched) + waiting + out_of_ended == self.patches, "each patch is told of once"
+        assert len(self.patched) + waiting + in_flight_of_ended == self.patches, "each patch is reported once"
         for server in self.session_core.server_list.servers.values():
             rates = sum(viewing.held_rate for viewing in self.session_core.front_sessions if viewing.server is server)
             assert abs(server.link.own - rates) < 1e-6
             assert server.out == sum(tune_in.server is server for tune_in in self.driver.out)
 
 
-HOW = settings(max_examples=120, stateful_step_count=60, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-History.TestCase.settings = HOW
+SETTINGS = settings(
+    max_examples=120, stateful_step_count=60, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
+History.TestCase.settings = SETTINGS
 Histories = History.TestCase
 
 
-class Planted(unittest.TestCase):
-    """The histories find what is planted: a desk spoilt in one place each."""
+class PlantedFaults(unittest.TestCase):
+    """The random histories detect a session core with one planted fault each."""
 
-    def finds(self, spoil, what):
-        class Spoilt(History):
+    def finds(self, plant_fault, expected_text):
+        class FaultySessionCoreHistory(History):
             def __init__(self):
                 super().__init__()
-                spoil(self.session_core)
+                plant_fault(self.session_core)
 
         with self.assertRaises(AssertionError) as found:
-            run_state_machine_as_test(Spoilt, settings=settings(HOW, phases=[Phase.generate], max_examples=2000))
-        self.assertIn(what, "\n".join([str(found.exception), *traceback.format_exception(found.exception)]))
+            run_state_machine_as_test(
+                FaultySessionCoreHistory, settings=settings(SETTINGS, phases=[Phase.generate], max_examples=2000)
+            )
+        self.assertIn(expected_text, "\n".join([str(found.exception), *traceback.format_exception(found.exception)]))
 
-    def test_an_answer_forgotten(self):
-        def spoil(session_core):
-            session_core._overdue = session_core.abort = lambda *what: None
+    def test_an_answer_that_is_never_sent(self):
+        def plant_fault(session_core):
+            session_core._patience_expired = session_core.abort = lambda *args: None
 
-        self.finds(spoil, "nobody_waits_past_patience")
+        self.finds(plant_fault, "nobody_waits_past_patience")
 
-    def test_a_paid_viewing_resent(self):
-        def spoil(session_core):
+    def test_a_paid_viewing_that_is_sent_again(self):
+        def plant_fault(session_core):
             failed = session_core.failed
             session_core.failed = lambda tune_in, outcome, report=None: failed(tune_in, Outcome.UNREACHED, report)
 
-        self.finds(spoil, "a paid viewing is")
+        self.finds(plant_fault, "a paid viewing is")
 
-    def test_a_drain_not_heard(self):
-        def spoil(session_core):
+    def test_a_draining_server_that_is_sent_to(self):
+        def plant_fault(session_core):
             may_send = session_core.rules._may_send
             session_core.rules._may_send = lambda server: not server.open or may_send(server)
 
-        self.finds(spoil, "closed")
+        self.finds(plant_fault, "closed")
 
-    def test_a_late_session_left_standing(self):
-        def spoil(session_core):
+    def test_a_late_session_that_is_not_ended(self):
+        def plant_fault(session_core):
             session_core.session_ends.end = lambda server, session: None
 
-        self.finds(spoil, "something_is_said_late_or_twice")
+        self.finds(plant_fault, "something_is_said_late_or_twice")
 
-    def test_a_seat_given_back_too_early(self):
-        def spoil(session_core):
+    def test_a_seat_that_is_released_too_early(self):
+        def plant_fault(session_core):
             session_core.rules.seats = defaultdict(int)
             session_core.rules._attach = lambda viewing, server: (
                 setattr(viewing, "server", server),
                 session_core.rules._set_rate(viewing, viewing.rung),
             )
 
-        self.finds(spoil, "seats_are_kept")
+        self.finds(plant_fault, "seats_are_kept")
 
-    def test_a_budget_not_kept(self):
-        def spoil(session_core):
+    def test_a_retry_budget_that_is_exceeded(self):
+        def plant_fault(session_core):
             session_core.rules.free_further = float("inf")
 
-        self.finds(spoil, "over the budget")
+        self.finds(plant_fault, "over the budget")
 
 
 if __name__ == "__main__":
