--- a/curlewshift/limits/__init__.py
+++ b/curlewshift/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What may pass the door, decided without I/O."""
+"""Admission control: rate limits, concurrency limits and access tokens, decided without I/O."""
--- a/curlewshift/limits/buckets.py
+++ b/curlewshift/limits/buckets.py
@@ -1,7 +1,7 @@
 """Token buckets by key, in bounded memory. No I/O; times are ns.
 
-One-off keys must not push out the buckets of those who are held back: a table that is full lets go of buckets that have
-refilled, as a new one would be the same, and where there is none of those, new keys share one bucket among them.
+Keys that are used once must not evict the buckets of keys that are being limited. A full table therefore evicts only
+buckets that have refilled, as a new bucket would be equal to them; where there is none, new keys share one bucket.
 """
 
 from __future__ import annotations
@@ -10,70 +10,70 @@
 from itertools import islice
 
 SECOND = 1_000_000_000
-MOST = 50_000
-# Looked at for one that has refilled, before a new key goes to the shared bucket.
-LOOKED_AT = 8
+MAX_KEYS = 50_000
+# Least recently used buckets examined for one that has refilled, before a new key gets the shared bucket.
+EVICTION_CANDIDATES = 8
 
 
 class Bucket:
-    __slots__ = ("at", "left", "refused", "since")
+    __slots__ = ("refused", "refused_since", "tokens", "updated_at")
 
-    def __init__(self, left: float, now: int):
-        self.left, self.at, self.refused, self.since = left, now, 0, 0
+    def __init__(self, tokens: float, now: int):
+        self.tokens, self.updated_at, self.refused, self.refused_since = tokens, now, 0, 0
 
 
 class Buckets:
-    """`rate` tokens a second, `burst` at most; `most` keys."""
+    """Buckets that gain `rate` tokens a second up to `burst`, for at most `max_keys` keys."""
 
-    def __init__(self, rate: float, burst: float, now: int, most: int = MOST):
-        self.rate, self.burst, self.most = rate, max(1.0, burst), most
-        # in the order of their last use; a plain dict, with its holes in front, took a walk over them for each new key
-        self.held: OrderedDict[str, Bucket] = OrderedDict()
-        self.strangers = Bucket(self.burst, now)
+    def __init__(self, rate: float, burst: float, now: int, max_keys: int = MAX_KEYS):
+        self.rate, self.burst, self.max_keys = rate, max(1.0, burst), max_keys
+        # least recently used first; with a plain dict, finding the first entry means skipping all deleted ones in front
+        self.buckets: OrderedDict[str, Bucket] = OrderedDict()
+        self.overflow = Bucket(self.burst, now)
 
     def __len__(self) -> int:
-        return len(self.held)
+        return len(self.buckets)
 
     def take(self, key: str, now: int) -> int:
-        """0 if there was a token, or in how many ns there will be one."""
-        bucket = self.held.get(key)
+        """Takes a token. Returns 0, or the time (ns) until there is one if the bucket is empty."""
+        bucket = self.buckets.get(key)
         if bucket is not None:
-            self.held.move_to_end(key)
+            self.buckets.move_to_end(key)
         else:
-            if len(self.held) >= self.most and not self._let_one_go(now):
-                return self._from(self.strangers, now)
-            bucket = self.held[key] = Bucket(self.burst, now)
-        return self._from(bucket, now)
+            if len(self.buckets) >= self.max_keys and not self._evict_refilled(now):
+                return self._take_from(self.overflow, now)
+            bucket = self.buckets[key] = Bucket(self.burst, now)
+        return self._take_from(bucket, now)
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Lowered or raised while running: what is in a bucket already is cut to the new burst when it is read."""
+        """Changes the limits while running; tokens beyond the new burst are dropped when a bucket is next read."""
         self.rate, self.burst = rate, max(1.0, burst)
 
     def refused(self, now: int) -> list[tuple[str, int, int]]:
-        """Keys held back at present: (key, since when, how many)."""
+        """Keys that are refused at present: (key, since when, number of refusals)."""
         return [
-            (key, bucket.since, bucket.refused)
-            for key, bucket in self.held.items()
-            if bucket.refused and self._level(bucket, now) < 1
+            (key, bucket.refused_since, bucket.refused)
+            for key, bucket in self.buckets.items()
+            if bucket.refused and self._tokens(bucket, now) < 1
         ]
 
-    def _level(self, bucket: Bucket, now: int) -> float:
-        # a clock that was set back gives nothing and takes nothing
-        return min(self.burst, bucket.left + max(0, now - bucket.at) / SECOND * self.rate)
+    def _tokens(self, bucket: Bucket, now: int) -> float:
+        # a clock that is set back neither adds nor removes tokens
+        return min(self.burst, bucket.tokens + max(0, now - bucket.updated_at) / SECOND * self.rate)
 
-    def _from(self, bucket: Bucket, now: int) -> int:
-        bucket.left, bucket.at = self._level(bucket, now), now
-        if bucket.left >= 1:
-            bucket.left -= 1
+    def _take_from(self, bucket: Bucket, now: int) -> int:
+        bucket.tokens, bucket.updated_at = self._tokens(bucket, now), now
+        if bucket.tokens >= 1:
+            bucket.tokens -= 1
             bucket.refused = 0
             return 0
-        bucket.since = bucket.since if bucket.refused else now
+        bucket.refused_since = bucket.refused_since if bucket.refused else now
         bucket.refused += 1
-        return int((1 - bucket.left) / self.rate * SECOND) + 1 if self.rate > 0 else SECOND
+        return int((1 - bucket.tokens) / self.rate * SECOND) + 1 if self.rate > 0 else SECOND
 
-    def _let_one_go(self, now: int) -> bool:
-        for key in list(islice(self.held, LOOKED_AT)):
-            if self._level(self.held[key], now) >= self.burst:
-                del self.held[key]
+    def _evict_refilled(self, now: int) -> bool:
+        for key in list(islice(self.buckets, EVICTION_CANDIDATES)):
+            if self._tokens(self.buckets[key], now) >= self.burst:
+                del self.buckets[key]
                 return True
         return False
--- a/curlewshift/limits/descriptors.py
+++ b/curlewshift/limits/descriptors.py
@@ -1,46 +1,48 @@
-"""How many connections may be open, by the process's own limit, and whose goes first when there is no room. No I/O.
+"""A limit of open client connections, derived from the process's limit of file descriptors. No I/O.
 
-Some descriptors are kept back, so that each request that was taken can still reach a server or be refused in words, and
-files can be written. When the rest are in use, connections on which nothing is asked are dropped, the longest idle first;
-where all are at work, new ones wait in the kernel's queue.
+Some descriptors are reserved, so that each accepted request can still reach a media server or get an answer, and files can
+be written. When the rest are in use, idle connections are dropped, the longest idle first; while all connections are
+busy, new ones wait in the kernel's accept queue.
 """
 
 from __future__ import annotations
 
-# Kept for servers, files and the list: a part of all, within bounds.
-KEPT_PART, KEPT_LEAST, KEPT_MOST = 0.25, 24, 512
-# A connection has to be idle for so long (s) to be dropped for another; so many are dropped at once.
-IDLE_FOR = 0.5
-DROPPED_AT_ONCE = 8
-# Who is spared goes where there has been nobody else for so many times as long: who has just come is not idle yet.
-SPARED_PART = 2
-# Of all places, so many may be in use before it is crowded.
-CROWDED_PART = 0.75
-# After an accept found none left, so many fewer are open at once, down to half.
-FEWER = 4
+# Descriptors reserved for media servers, files and the server list: a share of all, within bounds.
+RESERVED_SHARE, MIN_RESERVED, MAX_RESERVED = 0.25, 24, 512
+# A connection must have been idle for so long (s) before it may be dropped for another.
+MIN_IDLE_S = 0.5
+MAX_DROPPED_AT_ONCE = 8
+# Spared connections are dropped once nothing else could be for this many times `idle_for`: connections that have just
+# been opened are not idle yet, and they come before the spared ones.
+SPARED_IDLE_FACTOR = 2
+# The share of connections in use above which the listener counts as crowded.
+CROWDED_SHARE = 0.75
+# The limit is lowered by this much when an accept finds no descriptor, down to half of the initial limit.
+SHRINK_STEP = 4
 
 
 class DescriptorGate:
-    """`limit` is the process's soft limit of descriptors; `clock()` is in seconds. Connections have `at_work`,
-    `rested_at` (s) and `drop()`."""
+    """`limit` is the process's soft limit of descriptors; `clock()` is in seconds. Connections have `at_work` (a request is
+    in progress), `rested_at` (idle since, s) and `drop()`."""
 
     def __init__(
         self,
         limit: int,
         clock,
         kept: int | None = None,
-        idle_for: float = IDLE_FOR,
-        at_once: int = DROPPED_AT_ONCE,
+        idle_for: float = MIN_IDLE_S,
+        at_once: int = MAX_DROPPED_AT_ONCE,
         spared=lambda connection: False,
     ):
-        """`kept` where it is known how many others need; the rest where crowds come that ask once and stay. Connections
-        that are `spared` go only where there is no place left, and nobody else has been idle for some time."""
+        """`kept` is the number of reserved descriptors, where it is known what else needs them. `idle_for` (s) and `at_once`
+        are set where many clients connect, ask once and stay connected. Connections for which `spared` is true are dropped
+        only if there is no room and no other connection has been idle long enough for some time."""
         self.idle_for, self.at_once, self.spared = idle_for, at_once, spared
-        # since when someone has waited for a place, with nobody to go but those
-        self.none_since: float | None = None
+        # since when a connection has been waiting for room that only spared connections could make
+        self.blocked_since: float | None = None
         if kept is None:
-            kept = int(min(KEPT_MOST, max(KEPT_LEAST, limit * KEPT_PART)))
-        self.most = self.first_most = max(4, limit - kept)
+            kept = int(min(MAX_RESERVED, max(MIN_RESERVED, limit * RESERVED_SHARE)))
+        self.most = self.initial_most = max(4, limit - kept)
         self.clock = clock
         self.connections: dict[object, bool] = {}
         self.dropped = self.none_left = 0
@@ -50,37 +52,38 @@
 
     @property
     def crowded(self) -> bool:
-        """Little room is left: who rests may go before someone has to wait for it."""
-        return len(self.connections) > self.most * CROWDED_PART
+        """Little room is left: idle connections may be dropped before a new one has to wait."""
+        return len(self.connections) > self.most * CROWDED_SHARE
 
     def opened(self, connection: object) -> None:
         self.connections[connection] = True
-        self.none_since = None
+        self.blocked_since = None
 
     def closed(self, connection: object) -> None:
         self.connections.pop(connection, None)
 
     def ran_out(self) -> None:
-        """There was no descriptor for an accept: others use more than was kept for them."""
+        """An accept found no descriptor: the rest of the process uses more than was reserved for it."""
         self.none_left += 1
-        self.most = max(self.first_most // 2, min(self.most, len(self.connections)) - FEWER, 4)
+        self.most = max(self.initial_most // 2, min(self.most, len(self.connections)) - SHRINK_STEP, 4)
 
     def make_room(self, needed: bool = True) -> None:
-        """`needed` if someone waits for a place: then who is spared goes too, once there is nobody else."""
+        """Drops idle connections. `needed` means that a connection is waiting for room: then spared ones are dropped too,
+        once there has been no other for some time."""
         now = self.clock()
-        idle = self._idle(now, False)
+        idle = self._idle_connections(now, False)
         if idle:
-            self.none_since = None
-        elif needed and self.none_since is None:
-            self.none_since = now
-        elif needed and now - self.none_since >= SPARED_PART * self.idle_for:
-            idle = self._idle(now, True)
+            self.blocked_since = None
+        elif needed and self.blocked_since is None:
+            self.blocked_since = now
+        elif needed and now - self.blocked_since >= SPARED_IDLE_FACTOR * self.idle_for:
+            idle = self._idle_connections(now, True)
         idle.sort(key=lambda connection: connection.rested_at)
         for connection in idle[: self.at_once]:
             self.dropped += 1
             connection.drop()
 
-    def _idle(self, now: float, spared: bool) -> list:
+    def _idle_connections(self, now: float, spared: bool) -> list:
         return [
             connection
             for connection in self.connections
--- a/curlewshift/limits/permits.py
+++ b/curlewshift/limits/permits.py
@@ -1,9 +1,9 @@
-"""Bearer tokens (RFC 6750): who may ask for what. Decided here, before a request costs anything.
+"""Authorization by bearer tokens (RFC 6750), checked before a request costs anything.
 
-A token is a JSON Web Token signed with one of the keys that the front holds, named by `kid`. Its claims: `exp` (needed),
-`nbf`, `sub` (a desk or a person; needed), `packages` and `titles` (lists; missing: all), `addresses` (networks of the
-desk; missing: any), `may` (`play`, `publish`; missing: play). Keys come as a JSON Web Key Set (RFC 7517); putting a new
-one in beside the old and taking the old one out later is how they are rotated, with no restart.
+A token is a JSON Web Token signed with one of the keys that the front holds, named by `kid`. Its claims: `exp` (required),
+`nbf`, `sub` (a workplace or a person; required), `packages` and `titles` (lists; default: all), `addresses` (networks of
+the workplace; default: any), `may` (`play`, `publish`; default: play). Keys come as a JSON Web Key Set (RFC 7517). They are
+rotated without a restart: add the new key beside the old one, and remove the old one later.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 import jwt
 
-# Clocks of who signs and who checks may differ by so much (s).
-CLOCKS_DIFFER = 30
-MOST_BYTES = 8 * 1024
-# One algorithm a kind of key; a token does not choose how it is checked (RFC 8725, 3.1).
+# The clocks of the issuer and of the front may differ by so much (s).
+CLOCK_SKEW_S = 30
+MAX_TOKEN_BYTES = 8 * 1024
+# One algorithm for each key type: the token must not choose how it is verified (RFC 8725, 3.1).
 ALGORITHMS = {"oct": "HS256", "OKP": "EdDSA", "EC": "ES256"}
-LEAST_SECRET = 32
+MIN_SECRET_BYTES = 32
 
 
 class PermitDenied(Exception):
-    """Why a request may not pass: status, error code of RFC 6750 (empty if nothing was shown), and words."""
+    """A request is not authorized: HTTP status, error code of RFC 6750 (empty if there was no token) and description."""
 
-    def __init__(self, status: int, error: str, words: str):
-        super().__init__(words)
+    def __init__(self, status: int, error: str, description: str):
+        super().__init__(description)
         self.status, self.error = status, error
 
     @property
@@ -36,12 +36,12 @@
 
 
 class InvalidKeySet(Exception):
-    """What is wrong with a set of keys; the set held before stays in force."""
+    """A key set is not valid; the previous one stays in force."""
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """What a checked token allows. `holder` is who it was made for."""
+    """What a verified token allows. `holder` is its subject; None as a set means that all are allowed."""
 
     holder: str
     packages: frozenset[str] | None
@@ -51,7 +51,7 @@
 
 
 def read_keys(raw: bytes) -> dict[str, jwt.PyJWK]:
-    """By `kid`. Raises `InvalidKeySet`."""
+    """The keys of a JSON Web Key Set, by `kid`. Raises `InvalidKeySet`."""
     try:
         rows = json.loads(raw)["keys"]
         keys = {}
@@ -60,25 +60,25 @@
             if kind not in ALGORITHMS:
                 raise InvalidKeySet(f"key {number}: kty is {kind!r}, expected one of {', '.join(ALGORITHMS)}")
             if not name or name in keys:
-                raise InvalidKeySet(f"key {number}: kid is {'missing' if not name else 'there twice'}")
+                raise InvalidKeySet(f"key {number}: kid is {'missing' if not name else 'a duplicate'}")
             keys[name] = jwt.PyJWK(row, ALGORITHMS[kind])
-            if kind == "oct" and len(keys[name].key) < LEAST_SECRET:
-                raise InvalidKeySet(f"key {name!r}: a secret of {len(keys[name].key)} bytes, {LEAST_SECRET} are the least")
-    except (ValueError, KeyError, TypeError, AttributeError, jwt.PyJWTError) as wrong:
-        raise InvalidKeySet(f"this is no JSON Web Key Set: {wrong}") from None
+            if kind == "oct" and len(keys[name].key) < MIN_SECRET_BYTES:
+                raise InvalidKeySet(f"key {name!r}: the secret has {len(keys[name].key)} bytes, minimum is {MIN_SECRET_BYTES}")
+    except (ValueError, KeyError, TypeError, AttributeError, jwt.PyJWTError) as error:
+        raise InvalidKeySet(f"not a JSON Web Key Set: {error}") from None
     if not keys:
-        raise InvalidKeySet("there is no key in the set")
+        raise InvalidKeySet("the key set is empty")
     return keys
 
 
 class Permits:
-    """The keys in force, and what they let pass. Nothing of a token is kept."""
+    """Verifies tokens with the keys in force. Nothing of a token is stored."""
 
     def __init__(self, keys: dict[str, jwt.PyJWK]):
         self.keys = keys
 
     def replace(self, keys: dict[str, jwt.PyJWK]) -> tuple[set[str], set[str]]:
-        """Other keys from now on: returns the names that came and those that went."""
+        """Replaces the keys; returns the names that were added and those that were removed."""
         before, self.keys = self.keys, keys
         return keys.keys() - before.keys(), before.keys() - keys.keys()
 
@@ -89,7 +89,7 @@
         scheme, _, token = authorization.partition(" ")
         if scheme.lower() != "bearer" or not token.strip():
             raise PermitDenied(401, "", "a bearer token is needed")
-        if len(token) > MOST_BYTES:
+        if len(token) > MAX_TOKEN_BYTES:
             raise PermitDenied(401, "invalid_token", "the token is too long")
         return self._permit(self._claims(token.strip()), now // 1_000_000_000)
 
@@ -98,7 +98,7 @@
             key = self.keys.get(jwt.get_unverified_header(token).get("kid"))
             if key is None:
                 raise PermitDenied(401, "invalid_token", "the token is signed with no key that is in force")
-            # times are checked below, by the caller's clock; the signature is compared in constant time
+            # `exp` and `nbf` are checked in `_permit` by the caller's clock; the signature is compared in constant time
             return jwt.decode(
                 token,
                 key,
@@ -117,12 +117,12 @@
             raise PermitDenied(401, "invalid_token", "the token cannot be read, or its signature is wrong") from None
 
     def _permit(self, claims: dict, now: int) -> Permit:
-        ends, begins, holder = claims.get("exp"), claims.get("nbf", 0), claims.get("sub")
-        if not isinstance(ends, (int, float)) or not isinstance(begins, (int, float)):
+        expires_at, valid_from, holder = claims.get("exp"), claims.get("nbf", 0), claims.get("sub")
+        if not isinstance(expires_at, (int, float)) or not isinstance(valid_from, (int, float)):
             raise PermitDenied(401, "invalid_token", "the token has no time at which it ends (exp)")
-        if now > ends + CLOCKS_DIFFER:
+        if now > expires_at + CLOCK_SKEW_S:
             raise PermitDenied(401, "invalid_token", "the token has expired")
-        if now < begins - CLOCKS_DIFFER:
+        if now < valid_from - CLOCK_SKEW_S:
             raise PermitDenied(401, "invalid_token", "the token is not valid yet")
         if not isinstance(holder, str) or not holder:
             raise PermitDenied(401, "invalid_token", "the token says nobody it was made for (sub)")
@@ -138,10 +138,10 @@
 
 
 def allow(permit: Permit, package: str, title: str, publishes: bool, address: str) -> None:
-    """Raises `PermitDenied` if the permit is for something else, or for another place."""
-    wanted = "publish" if publishes else "play"
-    if wanted not in permit.may:
-        raise PermitDenied(403, "insufficient_scope", f"the token is not for one who may {wanted}")
+    """Raises `PermitDenied` unless the permit covers the action, the package, the title and the client's address."""
+    required = "publish" if publishes else "play"
+    if required not in permit.may:
+        raise PermitDenied(403, "insufficient_scope", f"the token is not for one who may {required}")
     if permit.packages is not None and package not in permit.packages:
         raise PermitDenied(403, "insufficient_scope", "the token is for other packages")
     if permit.titles is not None and title not in permit.titles:
--- a/curlewshift/limits/prefixes.py
+++ b/curlewshift/limits/prefixes.py
@@ -1,9 +1,9 @@
-"""Which prefix of the addresses a flood comes from. A trie over address bits with decaying counts. No I/O.
+"""Finds the address prefix that a flood comes from: a trie over address bits with decaying counts. No I/O; times are ns.
 
-Whoever has one IPv6 address has a /64 of them, and often a /56 or /48 (RFC 6177), so that buckets by address hold nobody
-back there. The trie has nodes at a few depths only; a node's count is that of all below it, and a source is named by its
-widest prefix that asks for more than its share in many parts, or else by its usual one. Leaves that have gone quiet are cut off
-when there are too many.
+A client with one IPv6 address has a /64, and often a /56 or /48 (RFC 6177), so that rate limits by single address have no
+effect there. The trie has nodes at a few depths only, and the count of a node includes all nodes below it. A source is
+named by its widest prefix that exceeds its allowance by requests from several of its parts, or else by its default
+prefix. Leaves with few recent requests are pruned when there are too many nodes.
 """
 
 from __future__ import annotations
@@ -13,29 +13,30 @@
 from math import exp
 
 SECOND = 1_000_000_000
-# Depths in bits, the last one what a source is usually named by: RFC 6177 for IPv6; an IPv4 address is one source.
+# Prefix lengths in bits; the last one is the default for naming a source: RFC 6177 for IPv6, the full address for IPv4.
 DEPTHS_6, DEPTHS_4 = (32, 48, 56, 64), (16, 24, 32)
-# A prefix may ask for so many times what one source may, for each step that it is wider.
-WIDER = 4.0
-COUNTS_FADE = 10 * SECOND
-MOST_NODES = 100_000
-QUIET = 0.05
+# The allowance of a prefix grows by this factor with each step that it is wider than the default.
+WIDER_FACTOR = 4.0
+COUNT_DECAY = 10 * SECOND
+MAX_NODES = 100_000
+# Leaves with a lower count are pruned first.
+MIN_COUNT = 0.05
 
 
 class Node:
-    __slots__ = ("at", "below", "count", "heaviest")
+    __slots__ = ("children", "count", "heaviest_child", "updated_at")
 
     def __init__(self, now: int):
-        # `heaviest` is about the count of the part below that asks most
-        self.count, self.at, self.heaviest = 0.0, now, 0.0
-        self.below: dict[int, Node] = {}
+        # `heaviest_child` approximates the highest count among the children
+        self.count, self.updated_at, self.heaviest_child = 0.0, now, 0.0
+        self.children: dict[int, Node] = {}
 
 
 class Prefixes:
-    """`usual` is how many requests a second one source may ask for before its wider prefixes are looked at."""
+    """`usual` is the rate (requests per second) up to which a source is named by its default prefix."""
 
-    def __init__(self, usual: float, now: int, most: int = MOST_NODES):
-        self.usual, self.most = usual, most
+    def __init__(self, usual: float, now: int, max_nodes: int = MAX_NODES):
+        self.usual, self.max_nodes = usual, max_nodes
         self.roots = {4: Node(now), 6: Node(now)}
         self.nodes = 0
 
@@ -43,51 +44,51 @@
         return self.nodes
 
     def source(self, address: str, now: int) -> str:
-        """Counts one request, and names whom it counts for: a prefix, as text. What is no address is its own source."""
+        """Counts one request and returns its source: a prefix as text, or the text itself where it is not an address."""
         try:
-            held = ip_address(address.partition("%")[0])
+            parsed = ip_address(address.partition("%")[0])
         except ValueError:
             return address
-        if held.version == 6 and held.ipv4_mapped is not None:
-            held = held.ipv4_mapped
-        depths, bits = (DEPTHS_4, 32) if held.version == 4 else (DEPTHS_6, 128)
-        node, number = self.roots[held.version], int(held)
+        if parsed.version == 6 and parsed.ipv4_mapped is not None:
+            parsed = parsed.ipv4_mapped
+        depths, bits = (DEPTHS_4, 32) if parsed.version == 4 else (DEPTHS_6, 128)
+        node, value = self.roots[parsed.version], int(parsed)
         path: list[tuple[int, Node, float]] = []
-        upto = 0
+        parent_depth = 0
         for step, depth in enumerate(depths):
-            part = number >> (bits - depth) & ((1 << (depth - upto)) - 1)
-            upto = depth
-            below = node.below.get(part)
-            if below is None:
-                if self.nodes >= self.most:
-                    self._cut(now)
-                below = node.below[part] = Node(now)
+            part = value >> (bits - depth) & ((1 << (depth - parent_depth)) - 1)
+            parent_depth = depth
+            child = node.children.get(part)
+            if child is None:
+                if self.nodes >= self.max_nodes:
+                    self._prune(now)
+                child = node.children[part] = Node(now)
                 self.nodes += 1
-            node = below
-            fades = exp(-max(0, now - node.at) / COUNTS_FADE)
-            node.count, node.heaviest, node.at = node.count * fades + 1, node.heaviest * fades, now
-            path.append((depth, node, self.usual * WIDER ** (len(depths) - 1 - step) * COUNTS_FADE / SECOND))
-        for (_, wider, _), (_, part_of_it, _) in itertools.pairwise(path):
-            wider.heaviest = max(wider.heaviest, part_of_it.count)
-        # one part alone that floods is named by itself: its neighbours have done nothing
-        named = next((depth for depth, node, allowed in path if node.count - node.heaviest > allowed), depths[-1])
-        prefix = number >> (bits - named) << (bits - named)
-        return f"{ip_address(prefix) if held.version == 4 else ip_address(prefix.to_bytes(16, 'big'))}/{named}"
+            node = child
+            decay = exp(-max(0, now - node.updated_at) / COUNT_DECAY)
+            node.count, node.heaviest_child, node.updated_at = node.count * decay + 1, node.heaviest_child * decay, now
+            path.append((depth, node, self.usual * WIDER_FACTOR ** (len(depths) - 1 - step) * COUNT_DECAY / SECOND))
+        for (_, wider, _), (_, narrower, _) in itertools.pairwise(path):
+            wider.heaviest_child = max(wider.heaviest_child, narrower.count)
+        # the heaviest child does not count: if it floods alone it is named itself, and its neighbours are not affected
+        prefix_length = next((depth for depth, node, allowed in path if node.count - node.heaviest_child > allowed), depths[-1])
+        prefix = value >> (bits - prefix_length) << (bits - prefix_length)
+        return f"{ip_address(prefix) if parsed.version == 4 else ip_address(prefix.to_bytes(16, 'big'))}/{prefix_length}"
 
-    def _cut(self, now: int) -> None:
-        """Lets go of what has gone quiet; if that is too little, of all that was seen once."""
-        for least in (QUIET, 1.01):
+    def _prune(self, now: int) -> None:
+        """Removes leaves with few recent requests; if that frees too little, those seen only once; then everything."""
+        for min_count in (MIN_COUNT, 1.01):
             for root in self.roots.values():
-                self._cut_below(root, now, least)
-            if self.nodes < self.most * 0.9:
+                self._prune_children(root, now, min_count)
+            if self.nodes < self.max_nodes * 0.9:
                 return
         for root in self.roots.values():
-            root.below.clear()
+            root.children.clear()
         self.nodes = 0
 
-    def _cut_below(self, node: Node, now: int, least: float) -> None:
-        for part, below in list(node.below.items()):
-            self._cut_below(below, now, least)
-            if not below.below and below.count * exp(-max(0, now - below.at) / COUNTS_FADE) < least:
-                del node.below[part]
+    def _prune_children(self, node: Node, now: int, min_count: float) -> None:
+        for part, child in list(node.children.items()):
+            self._prune_children(child, now, min_count)
+            if not child.children and child.count * exp(-max(0, now - child.updated_at) / COUNT_DECAY) < min_count:
+                del node.children[part]
                 self.nodes -= 1
--- a/curlewshift/limits/queue.py
+++ b/curlewshift/limits/queue.py
@@ -1,8 +1,9 @@
-"""Requests that wait for a place, fairly between sources and not for long. No I/O; times are ns.
+"""Requests that wait for a place: fair queueing between sources, with a time-out. No I/O; times are ns.
 
-Each source has its own line; the next one is taken from each in turn, so that a flood waits behind itself. What has waited
-for longer than the bound is told no at once: it would be answered too late to be worth a place. While the lines are so
-long that heads grow old, the newest is taken first (who has waited long has likely given up), and the old ones run out.
+Each source has a queue of its own and the queues are served round-robin, so that a flood delays only itself. A request
+that has waited for the time-out is refused, as its answer would come too late. A queue whose head has waited for more than
+half of the time-out is served newest first: clients that have waited long have probably given up, and their requests
+time out.
 """
 
 from __future__ import annotations
@@ -10,77 +11,82 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass
 
-# Waiting at once: of one source, and of all.
-MOST_OF_ONE, MOST_OF_ALL = 32, 512
+# Maximum number of waiting requests of one source, and of all together.
+MAX_PER_SOURCE, MAX_WAITING = 32, 512
 
 
 @dataclass(eq=False, slots=True)
 class Ticket:
-    """One request at the door. `state`: new, waiting, in, no, over. `cause`, `wait` (ns) and the kind of limit that was
-    reached (empty where only a place was wanted) go with no."""
+    """One request for admission.
+
+    `state` is "new", "waiting", "in" (admitted), "no" (refused) or "over". A refusal has a `cause`, the retry time `wait`
+    (ns) and the kind of `limit` that was reached; `limit` is empty if there was no place.
+    """
 
     source: str
     known: bool
-    came: int
+    arrived_at: int
     state: str = "new"
     cause: str = ""
     wait: int = 0
     limit: str = ""
-    entered: int = 0
+    admitted_at: int = 0
+
 
+class SourceQueues:
+    """One queue per source; `longest` (ns) is the time-out of a waiting request."""
 
-class Lines:
-    def __init__(self, longest: int, most_of_one: int = MOST_OF_ONE, most_of_all: int = MOST_OF_ALL):
-        self.longest, self.most_of_one, self.most_of_all = longest, most_of_one, most_of_all
-        self.lines: OrderedDict[str, deque[Ticket]] = OrderedDict()
+    def __init__(self, longest: int, max_per_source: int = MAX_PER_SOURCE, max_waiting: int = MAX_WAITING):
+        self.longest, self.max_per_source, self.max_waiting = longest, max_per_source, max_waiting
+        self.queues: OrderedDict[str, deque[Ticket]] = OrderedDict()
         self.count = 0
 
     def __len__(self) -> int:
         return self.count
 
     def join(self, ticket: Ticket) -> bool:
-        """False if there is no room: the line of its source, or of all, is full."""
-        line = self.lines.get(ticket.source)
-        if self.count >= self.most_of_all or (line is not None and len(line) >= self.most_of_one):
+        """False if there is no room: the queue of its source is full, or too many requests wait in all."""
+        queue = self.queues.get(ticket.source)
+        if self.count >= self.max_waiting or (queue is not None and len(queue) >= self.max_per_source):
             return False
-        if line is None:
-            line = self.lines[ticket.source] = deque()
-        line.append(ticket)
+        if queue is None:
+            queue = self.queues[ticket.source] = deque()
+        queue.append(ticket)
         ticket.state = "waiting"
         self.count += 1
         return True
 
     def leave(self, ticket: Ticket) -> None:
-        """It has given up; its place in line is taken back at once, so that the next one finds no dead heads."""
-        line = self.lines.get(ticket.source)
-        if line is not None and ticket in line:
-            line.remove(ticket)
+        """Removes a request whose client has disconnected, so that the head of a queue is always a live request."""
+        queue = self.queues.get(ticket.source)
+        if queue is not None and ticket in queue:
+            queue.remove(ticket)
             self.count -= 1
-            if not line:
-                del self.lines[ticket.source]
+            if not queue:
+                del self.queues[ticket.source]
 
     def next(self, now: int, only_known: bool = False) -> Ticket | None:
-        """Whose turn it is; None if nobody's."""
-        for source, line in self.lines.items():
-            if only_known and not line[0].known:
+        """Takes the next request out, None if there is none; `only_known` skips queues of unknown clients."""
+        for source, queue in self.queues.items():
+            if only_known and not queue[0].known:
                 continue
-            # each in turn: its line goes to the back
-            self.lines.move_to_end(source)
-            overloaded = now - line[0].came > self.longest // 2
-            ticket = line.pop() if overloaded else line.popleft()
+            # round-robin: this queue goes to the back
+            self.queues.move_to_end(source)
+            overloaded = now - queue[0].arrived_at > self.longest // 2
+            ticket = queue.pop() if overloaded else queue.popleft()
             self.count -= 1
-            if not line:
-                del self.lines[source]
+            if not queue:
+                del self.queues[source]
             return ticket
         return None
 
-    def too_old(self, now: int) -> list[Ticket]:
-        """All that have waited for as long as is worth it, taken out."""
-        found = []
-        for source, line in list(self.lines.items()):
-            while line and now - line[0].came >= self.longest:
-                found.append(line.popleft())
+    def take_expired(self, now: int) -> list[Ticket]:
+        """Takes out and returns all requests that have waited for the time-out."""
+        expired = []
+        for source, queue in list(self.queues.items()):
+            while queue and now - queue[0].arrived_at >= self.longest:
+                expired.append(queue.popleft())
                 self.count -= 1
-            if not line:
-                del self.lines[source]
-        return found
+            if not queue:
+                del self.queues[source]
+        return expired
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""At the door's limits: who comes in, who waits, who is told no, and that nobody is lost."""
+"""Admission control: which requests are admitted, wait or are refused, and that each one gets a decision."""
 
 import collections
 import errno
@@ -16,13 +16,13 @@
 from curlewshift.limits.descriptors import DescriptorGate
 from curlewshift.limits.heavy import HeavyHitters
 from curlewshift.limits.prefixes import Prefixes
-from curlewshift.limits.queue import Lines, Ticket
+from curlewshift.limits.queue import SourceQueues, Ticket
 from tests.fake import MS, SECOND
 from tests.sockets import SDP, SmallSite, an_offer, story, until
 
 
-class InBuckets(unittest.TestCase):
-    def test_a_bucket_gives_its_burst_and_then_its_pace_and_refills(self):
+class TokenBuckets(unittest.TestCase):
+    def test_bucket_allows_burst_then_rate_and_refills(self):
         buckets = Buckets(2.0, 4.0, 0)
         self.assertEqual([buckets.take("a", 0) for _ in range(4)], [0] * 4)
         wait = buckets.take("a", 0)
@@ -30,28 +30,28 @@
         self.assertEqual(buckets.take("a", wait), 0)
         self.assertEqual([buckets.take("a", 100 * SECOND) > 0 for _ in range(5)], [False] * 4 + [True])
 
-    def test_one_off_keys_neither_fill_memory_nor_free_who_is_held_back(self):
-        buckets = Buckets(0.001, 2.0, 0, most=100)
+    def test_single_use_keys_neither_fill_memory_nor_evict_limited_keys(self):
+        buckets = Buckets(0.001, 2.0, 0, max_keys=100)
         while not buckets.take("flooder", 0):
             pass
-        let_in = sum(not buckets.take(f"one-off {number}", number) for number in range(5000))
+        admitted = sum(not buckets.take(f"one-off {number}", number) for number in range(5000))
         self.assertLessEqual(len(buckets), 100)
         self.assertGreater(buckets.take("flooder", 5000), 0)
-        # a table full of keys that have not refilled: new ones share one bucket
-        self.assertLess(let_in, 300)
+        # the table is full of buckets that have not refilled, so new keys share one bucket
+        self.assertLess(admitted, 300)
 
-    def test_keys_that_have_refilled_make_place(self):
-        buckets = Buckets(10.0, 2.0, 0, most=10)
-        let_in = sum(not buckets.take(str(number), number * SECOND) for number in range(200))
-        self.assertEqual((let_in, len(buckets)), (200, 10))
+    def test_refilled_buckets_are_evicted(self):
+        buckets = Buckets(10.0, 2.0, 0, max_keys=10)
+        admitted = sum(not buckets.take(str(number), number * SECOND) for number in range(200))
+        self.assertEqual((admitted, len(buckets)), (200, 10))
 
-    def test_a_clock_that_jumps_back_gives_nothing_and_takes_nothing(self):
+    def test_clock_stepping_back_neither_adds_nor_removes_tokens(self):
         buckets = Buckets(1.0, 1.0, 0)
         self.assertEqual(buckets.take("a", 10 * SECOND), 0)
         self.assertGreater(buckets.take("a", SECOND), 0)
         self.assertGreater(buckets.take("a", SECOND), 0)
 
-    def test_a_limit_lowered_while_running_holds_at_once(self):
+    def test_lowered_rate_applies_at_once(self):
         buckets = Buckets(100.0, 100.0, 0)
         buckets.take("a", 0)
         buckets.set_rate(1.0, 2.0)
@@ -59,37 +59,37 @@
         self.assertEqual([key for key, _, _ in buckets.refused(1)], ["a"])
 
 
-class ByPrefix(unittest.TestCase):
-    def test_a_flooder_that_changes_its_address_is_one_source(self):
+class AddressPrefixes(unittest.TestCase):
+    def test_flood_from_changing_addresses_is_one_source(self):
         prefixes, rng = Prefixes(2.0, 0), random.Random(1)
         named = {prefixes.source(f"2001:db8:1:2:{rng.randrange(65536):x}::1", 0) for _ in range(50)}
         self.assertEqual(named, {"2001:db8:1:2::/64"})
         named = collections.Counter(prefixes.source(f"2001:db8:7:{n:x}::1", 0) for n in range(4000))
         self.assertIn("2001:db8:7::/48", named)
-        self.assertEqual(prefixes.source("2001:db8:9:9::1", 0), "2001:db8:9:9::/64", "others keep their own")
+        self.assertEqual(prefixes.source("2001:db8:9:9::1", 0), "2001:db8:9:9::/64", "other sources keep their default prefix")
 
-    def test_neighbours_of_ipv4_are_their_own_and_mapped_ones_too(self):
+    def test_ipv4_addresses_are_separate_sources_also_when_mapped(self):
         prefixes = Prefixes(2.0, 0)
         self.assertEqual(prefixes.source("192.0.2.1", 0), "192.0.2.1/32")
         self.assertEqual(prefixes.source("::ffff:192.0.2.1", 0), "192.0.2.1/32")
         self.assertEqual(prefixes.source("fe80::1%eth0", 0), "fe80::/64")
         self.assertEqual(prefixes.source("no address", 0), "no address")
 
-    def test_memory_is_bounded_and_what_is_quiet_is_let_go(self):
-        prefixes, rng = Prefixes(2.0, 0, most=1000), random.Random(1)
+    def test_node_count_is_bounded_by_pruning(self):
+        prefixes, rng = Prefixes(2.0, 0, max_nodes=1000), random.Random(1)
         for number in range(20_000):
             prefixes.source(f"2001:{rng.randrange(65536):x}:{rng.randrange(65536):x}::1", number * MS)
         self.assertLessEqual(len(prefixes), 1000 + 4)
 
-    def test_a_flood_is_forgotten(self):
+    def test_flood_counts_decay(self):
         prefixes = Prefixes(2.0, 0)
         for number in range(4000):
             prefixes.source(f"2001:db8:7:{number:x}::1", 0)
         self.assertEqual(prefixes.source("2001:db8:7:1::1", 300 * SECOND), "2001:db8:7:1::/64")
 
 
-class Heaviest(unittest.TestCase):
-    def test_whoever_asks_for_more_than_its_part_is_found_and_errors_are_bounded(self):
+class HeavyHitterSketch(unittest.TestCase):
+    def test_heavy_keys_are_found_and_errors_are_bounded(self):
         heavy, exact, rng = HeavyHitters(0, places=64), collections.Counter(), random.Random(2)
         for _ in range(20_000):
             key = f"h{rng.randrange(5)}" if rng.random() < 0.4 else f"one-off {rng.random()}"
@@ -102,7 +102,7 @@
             self.assertGreaterEqual(count, exact[key])
             self.assertLessEqual(error, 20_000 / 64)
 
-    def test_an_old_flood_weighs_no_more(self):
+    def test_counts_of_an_old_flood_decay(self):
         heavy = HeavyHitters(0, places=8)
         for _ in range(1000):
             heavy.add("old", 0)
@@ -111,41 +111,41 @@
         self.assertEqual(heavy.top(1)[0][0], "new")
 
 
-class InLine(unittest.TestCase):
-    def test_a_flood_waits_behind_itself(self):
-        lines = Lines(SECOND)
+class FairQueues(unittest.TestCase):
+    def test_flood_delays_only_its_own_source(self):
+        queues = SourceQueues(SECOND)
         flood = [Ticket("flood", False, 0) for _ in range(20)]
         for ticket in flood:
-            lines.join(ticket)
-        one = Ticket("one", False, 1)
-        lines.join(one)
-        self.assertIn(one, [lines.next(2), lines.next(2)])
-
-    def test_a_line_is_bounded_and_so_are_all(self):
-        lines = Lines(SECOND, most_of_one=3, most_of_all=5)
-        self.assertEqual([lines.join(Ticket("a", False, 0)) for _ in range(4)], [True] * 3 + [False])
-        self.assertEqual([lines.join(Ticket(str(n), False, 0)) for n in range(3)], [True, True, False])
-
-    def test_a_head_that_has_given_up_is_no_turn(self):
-        lines = Lines(SECOND)
+            queues.join(ticket)
+        other = Ticket("one", False, 1)
+        queues.join(other)
+        self.assertIn(other, [queues.next(2), queues.next(2)])
+
+    def test_queue_length_is_bounded_per_source_and_in_total(self):
+        queues = SourceQueues(SECOND, max_per_source=3, max_waiting=5)
+        self.assertEqual([queues.join(Ticket("a", False, 0)) for _ in range(4)], [True] * 3 + [False])
+        self.assertEqual([queues.join(Ticket(str(n), False, 0)) for n in range(3)], [True, True, False])
+
+    def test_ticket_that_left_is_not_served(self):
+        queues = SourceQueues(SECOND)
         first, second = Ticket("a", False, 0), Ticket("a", False, 1)
-        lines.join(first)
-        lines.join(second)
-        lines.leave(first)
-        self.assertIs(lines.next(2), second)
-        self.assertEqual((lines.next(3), len(lines)), (None, 0))
-
-    def test_under_overload_the_newest_is_taken_and_the_old_run_out(self):
-        lines = Lines(SECOND)
+        queues.join(first)
+        queues.join(second)
+        queues.leave(first)
+        self.assertIs(queues.next(2), second)
+        self.assertEqual((queues.next(3), len(queues)), (None, 0))
+
+    def test_overload_serves_newest_first_and_old_tickets_expire(self):
+        queues = SourceQueues(SECOND)
         tickets = [Ticket("a", False, number * 100 * MS) for number in range(10)]
         for ticket in tickets:
-            lines.join(ticket)
-        self.assertIs(lines.next(950 * MS), tickets[-1])
-        self.assertEqual(lines.too_old(1200 * MS), tickets[:3])
+            queues.join(ticket)
+        self.assertIs(queues.next(950 * MS), tickets[-1])
+        self.assertEqual(queues.take_expired(1200 * MS), tickets[:3])
 
 
-class Places(unittest.TestCase):
-    def test_slow_answers_shrink_it_and_quick_ones_let_it_grow_again(self):
+class ConcurrencyLimit(unittest.TestCase):
+    def test_slow_responses_lower_the_limit_and_fast_ones_raise_it(self):
         limit, now = Concurrency(0), 0
         for _ in range(200):
             now += 10 * MS
@@ -162,16 +162,16 @@
             limit.answered(40 * MS, int(limit.limit), now)
         self.assertGreater(limit.limit, 2 * shrunk)
 
-    def test_a_quiet_time_gives_no_places_that_nobody_needed(self):
+    def test_limit_does_not_grow_while_unused(self):
         limit = Concurrency(0)
         for number in range(1000):
             limit.answered(40 * MS, 1, number * MS)
         self.assertLessEqual(limit.limit, 64)
 
 
-class AtTheDoor(unittest.TestCase):
+class AdmissionControl(unittest.TestCase):
     def admission(self, most=8, source=0.0, holder=0.0, in_line=SECOND, **more):
-        self.told = []
+        self.notified = []
         bounds = Bounds(
             **{
                 **dict(
@@ -187,63 +187,63 @@
                 **more,
             }
         )
-        return Admission(bounds, 1, 0, self.told.append)
+        return Admission(bounds, 1, 0, self.notified.append)
 
-    def test_known_checkers_behind_the_flooders_address_are_not_held_back(self):
+    def test_known_clients_at_a_flooding_address_are_admitted(self):
         admission = self.admission(most=1000, source=2.0)
         flood = [admission.asked("192.0.2.1", None, "x", "p", n) for n in range(100)]
         known = [admission.asked("192.0.2.1", f"checker {n % 30}", "x", "p", 100 + n) for n in range(30)]
         self.assertEqual({ticket.state for ticket in known}, {"in"})
         self.assertEqual(collections.Counter(ticket.state for ticket in flood)["in"], 4)
 
-    def test_places_kept_for_known_clients_are_lent_while_they_are_idle_and_given_back(self):
+    def test_reserved_places_are_lent_while_known_clients_are_idle_and_given_back(self):
         admission, now = self.admission(most=8), 10 * SECOND
-        lent = [admission.asked(f"192.0.2.{n}", None, "x", "p", now) for n in range(8)]
-        self.assertEqual({ticket.state for ticket in lent}, {"in"})
+        borrowed = [admission.asked(f"192.0.2.{n}", None, "x", "p", now) for n in range(8)]
+        self.assertEqual({ticket.state for ticket in borrowed}, {"in"})
         known = admission.asked("192.0.2.99", "one", "x", "p", now)
         self.assertEqual(known.state, "waiting")
-        # the next place that comes free is the known client's, whoever came before
-        stranger = admission.asked("192.0.2.98", None, "x", "p", now)
-        admission.answered(lent[0], now + MS, False)
-        self.assertEqual((known.state, stranger.state, self.told), ("in", "waiting", [known]))
-        admission.answered(lent[1], now + 2 * MS, False)
-        self.assertEqual(stranger.state, "waiting", "places are kept while known clients come")
+        # the next free place goes to the known client, even though others have waited longer
+        unknown = admission.asked("192.0.2.98", None, "x", "p", now)
+        admission.answered(borrowed[0], now + MS, False)
+        self.assertEqual((known.state, unknown.state, self.notified), ("in", "waiting", [known]))
+        admission.answered(borrowed[1], now + 2 * MS, False)
+        self.assertEqual(unknown.state, "waiting", "places are reserved while known clients ask")
         later = now + 3 * SECOND
-        admission.answered(lent[2], later, False)
+        admission.answered(borrowed[2], later, False)
         admission.tick(later)
-        self.assertIn(stranger.state, ("in", "no"))
+        self.assertIn(unknown.state, ("in", "no"))
 
-    def test_each_ticket_that_waits_is_told_once(self):
+    def test_each_waiting_ticket_is_notified_once(self):
         admission, rng, now, waiting = self.admission(most=4, in_line=SECOND // 2), random.Random(4), 0, []
-        inside = []
+        admitted_tickets = []
         for _ in range(3000):
             now += rng.randrange(1, 30) * MS
             if waiting and rng.random() < 0.1:
-                one = rng.choice(waiting)
-                admission.gave_up(one, now)
-                waiting.remove(one)
+                leaver = rng.choice(waiting)
+                admission.gave_up(leaver, now)
+                waiting.remove(leaver)
             ticket = admission.asked(f"192.0.2.{rng.randrange(6)}", None, "x", "p", now)
-            (inside if ticket.state == "in" else waiting).append(ticket) if ticket.state != "no" else None
-            if inside and rng.random() < 0.6:
-                admission.answered(inside.pop(0), now, rng.random() < 0.8)
+            (admitted_tickets if ticket.state == "in" else waiting).append(ticket) if ticket.state != "no" else None
+            if admitted_tickets and rng.random() < 0.6:
+                admission.answered(admitted_tickets.pop(0), now, rng.random() < 0.8)
             admission.tick(now)
-            for told in self.told:
-                self.assertIn(told.state, ("in", "no"))
-                waiting.remove(told)
-                if told.state == "in":
-                    inside.append(told)
-            self.told.clear()
-            self.assertEqual(admission.in_work, sum(one.state == "in" for one in inside))
-            self.assertLessEqual(admission.in_work, int(admission.concurrency.most))
-        while inside:
+            for notified in self.notified:
+                self.assertIn(notified.state, ("in", "no"))
+                waiting.remove(notified)
+                if notified.state == "in":
+                    admitted_tickets.append(notified)
+            self.notified.clear()
+            self.assertEqual(admission.in_progress, sum(ticket.state == "in" for ticket in admitted_tickets))
+            self.assertLessEqual(admission.in_progress, int(admission.concurrency.most))
+        while admitted_tickets:
             now += 10 * MS
-            admission.answered(inside.pop(), now, True)
-            inside += [told for told in self.told if told.state == "in"]
-            self.told.clear()
+            admission.answered(admitted_tickets.pop(), now, True)
+            admitted_tickets += [notified for notified in self.notified if notified.state == "in"]
+            self.notified.clear()
         admission.tick(now + SECOND)
-        self.assertEqual((len(admission.lines), admission.in_work), (0, 0))
+        self.assertEqual((len(admission.lines), admission.in_progress), (0, 0))
 
-    def test_advice_spreads_a_crowd_and_is_longer_for_who_comes_too_soon(self):
+    def test_retry_times_of_a_crowd_are_spread(self):
         admission = self.admission(most=2, in_line=1, longest_wait=60 * SECOND)
         for _ in range(2):
             admission.asked("192.0.2.1", None, "x", "p", 0)
@@ -253,7 +253,7 @@
         self.assertGreater(len(waits), 150)
         self.assertGreater(waits[-1] - waits[0], 4 * SECOND)
 
-    def test_who_comes_back_too_soon_is_told_longer_and_who_waits_is_not(self):
+    def test_retry_time_grows_only_for_clients_that_return_early(self):
         waits = {}
         for kind in ("hasty", "patient"):
             admission, now, waits[kind] = self.admission(most=1, in_line=1, longest_wait=60 * SECOND), 0, []
@@ -266,7 +266,7 @@
         self.assertGreater(waits["hasty"][-1], 4 * waits["hasty"][0])
         self.assertLess(max(waits["patient"]), 4 * SECOND)
 
-    def test_who_is_held_back_is_shown(self):
+    def test_limited_sources_are_shown(self):
         admission = self.admission(most=100, source=1.0)
         for number in range(50):
             admission.asked("192.0.2.7", None, "x", "p", number)
@@ -284,8 +284,8 @@
         self.gone = True
 
 
-class Descriptors(unittest.TestCase):
-    def test_idle_connections_make_room_and_those_at_work_do_not(self):
+class DescriptorLimit(unittest.TestCase):
+    def test_only_idle_connections_are_dropped(self):
         gate = DescriptorGate(64, lambda: 100.0)
         connections = [Connection(90.0 + number, at_work=number % 2 == 0) for number in range(10)]
         for connection in connections:
@@ -293,7 +293,7 @@
         gate.make_room()
         self.assertEqual([connection.gone for connection in connections], [number % 2 == 1 for number in range(10)])
 
-    def test_an_accept_that_found_none_left_makes_the_gate_narrower_but_not_shut(self):
+    def test_accept_without_descriptor_lowers_the_limit_to_half_at_most(self):
         gate = DescriptorGate(100, lambda: 0.0)
         first = gate.most
         for _ in range(100):
@@ -307,7 +307,7 @@
     )
 
     @story
-    async def test_a_flood_is_refused_with_429_and_advice_and_costs_no_tune_in(self):
+    async def test_flood_is_refused_with_429_and_retry_after_and_costs_no_tune_in(self):
         async with SmallSite(site={"limits": self.LIMITS}).up() as site:
             answers = [await site.ask() for _ in range(12)]
             statuses = collections.Counter(answer.status for answer in answers)
@@ -315,10 +315,10 @@
             self.assertEqual(len(site.traffic.all("setup")), statuses[201])
             refused = next(answer for answer in answers if answer.status == 429)
             self.assertGreaterEqual(int(refused.headers["retry-after"]), 1)
-            self.assertEqual(site.front.door.admission.in_work, 0)
+            self.assertEqual(site.front.door.admission.in_progress, 0)
 
     @story
-    async def test_ten_thousand_requests_down_one_connection_are_each_answered(self):
+    async def test_each_of_many_requests_on_one_connection_is_answered(self):
         async with SmallSite(site={"limits": self.LIMITS}).up() as site:
             call, count = await connect("127.0.0.1", site.port, 2.0), 300
             statuses = collections.Counter()
@@ -333,25 +333,25 @@
             self.assertLess(statuses[201], 40)
 
     @story
-    async def test_no_descriptor_left_at_accept_is_a_pause_and_not_the_end(self):
+    async def test_accept_without_descriptor_pauses_the_listener_only(self):
         async with SmallSite().up() as site:
             listener = site.front.listener
-            sound, left = listener.accept, [3]
+            accept_connection, failures_left = listener.accept, [3]
 
             async def accept():
-                if left[0]:
-                    left[0] -= 1
+                if failures_left[0]:
+                    failures_left[0] -= 1
                     raise OSError(errno.EMFILE, "too many open files")
-                return await sound()
+                return await accept_connection()
 
             with mock.patch.object(listener, "accept", accept):
-                # the accept that is under way ends with this one
+                # the accept in progress completes with this request
                 self.assertEqual((await site.ask()).status, 201)
                 self.assertEqual((await site.ask()).status, 201)
-            self.assertEqual((left[0], site.front.gate.none_left), (0, 3))
+            self.assertEqual((failures_left[0], site.front.gate.none_left), (0, 3))
 
     @story
-    async def test_idle_connections_give_way_when_the_gate_is_full(self):
+    async def test_idle_connections_are_dropped_when_the_limit_is_reached(self):
         async with SmallSite().up() as site:
             site.front.gate.most = 4
             idle = [await connect("127.0.0.1", site.port, 2.0) for _ in range(4)]
@@ -364,7 +364,7 @@
                 await call.close()
 
     @story
-    async def test_who_hangs_up_in_line_frees_its_place(self):
+    async def test_disconnecting_while_waiting_frees_the_place_in_the_queue(self):
         bounds = Bounds(
             source=0.0, holder=0.0, build=0.0, package=0.0, burst=2.0, longest_wait=SECOND, in_line=10 * SECOND, most=1
         )
@@ -373,12 +373,12 @@
                 server.setup_work = 0.3
             first = []
 
-            async def one():
+            async def request():
                 first.append(await site.ask())
 
-            site.tasks.start_soon(one)
+            site.tasks.start_soon(request)
             admission = site.front.door.admission
-            await until(lambda: admission.in_work == 1)
+            await until(lambda: admission.in_progress == 1)
             call = await connect("127.0.0.1", site.port, 2.0)
             with anyio.move_on_after(0.1):
                 await call.ask("POST", "/whep/clip/t", [SDP, ("x-request-id", secrets.token_hex(4))], an_offer())
@@ -387,7 +387,7 @@
             await until(lambda: bool(first))
             self.assertEqual(first[0].status, 201)
             self.assertEqual((await site.ask()).status, 201)
-            self.assertEqual(admission.in_work, 0)
+            self.assertEqual(admission.in_progress, 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -160,12 +160,12 @@
             self.assertRegex(told, rf"[ :]{name},")
 
     def test_connections_that_may_rest_are_those_that_the_nodes_own_gate_lets_rest(self):
-        from curlewshift.limits.descriptors import CROWDED_PART, DescriptorGate
+        from curlewshift.limits.descriptors import CROWDED_SHARE, DescriptorGate
         from curlewshift.node.node import OTHERS, SERVERS_PART
 
         for limit in (500, 20_000):
             gate = DescriptorGate(limit, lambda: 0.0, int(limit * SERVERS_PART) + OTHERS)
-            self.assertEqual(slopes_idle.resting_most(limit), int(gate.most * CROWDED_PART))
+            self.assertEqual(slopes_idle.resting_most(limit), int(gate.most * CROWDED_SHARE))
 
 
 class Spoilt(Listening):
