--- a/curlewshift/retries/__init__.py
+++ b/curlewshift/retries/__init__.py
@@ -1,1 +1,1 @@
-"""What is tried again, by whom, and what is then promised. No I/O and no clock of its own."""
+"""Retries: idempotency keys of client requests, and session ends repeated to media servers. No I/O, no clock of its own."""
--- a/curlewshift/retries/keys.py
+++ b/curlewshift/retries/keys.py
@@ -1,28 +1,30 @@
-"""The keys under which clients ask, so that asking again never asks a server again.
+"""Idempotency keys of client requests: a repeated request never makes another tune-in (set-up attempt at a media server).
 
-Called by the desk. A key is what the client chose (Idempotency-Key, an IETF httpapi draft) or, without one, what its
-offer makes it: its ICE credentials and fingerprint are the same when the same request is sent again and new in a new
-one. An entry lives while its viewing is in work or plays, and after that until the client's patience has passed; then
-the key may be used anew. What is in work is never dropped; of the rest only so many are kept, those due first going first.
+Called by the session core. The client sends the key (Idempotency-Key, an IETF httpapi draft), or it is derived from the
+offer: its ICE credentials and fingerprint stay the same when a request is repeated and differ in a new request. An entry
+is kept while its viewing is being set up or plays, and after that until the client's patience has passed; then the key may
+be used for a new request. Entries in progress are never dropped; of the ended ones a limited number is kept, and those
+that expire first are dropped first.
 
-What that promises: of all requests with one key at one front, at most one makes tune-ins, and all get its answer.
-Fronts share nothing, so nothing is promised for one that goes to another front: a client that has sent a paid request to
-one front must not send it to another without an answer that says it never ran (refused).
+Guarantee: of all requests with one key at one front (one process of this program), at most one makes tune-ins, and all get
+its answer. Fronts do not share keys, so there is no guarantee across fronts: a client that has sent a paid request to one
+front must not send it to another one without an answer that says it never ran (refused).
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-# Kept answers; beyond this the ones that would be forgotten first are forgotten now.
+# Maximum number of ended entries; beyond it those that expire first are dropped.
 MOST_ENDED = 20_000
-# Ended keys are forgotten together in spans of this (ns). A timing wheel of single entries was measured too, and cost
-# twice as much a key: nothing here needs its order within a span.
-SPAN = 250_000_000
+# Ended keys expire together in spans of this length (ns). A timing wheel with one entry per key costs twice as much for
+# each key, and the order of expiry within a span does not matter here.
+EXPIRY_SPAN = 250_000_000
 
 
 class Held:
-    """One key. `mark` tells what was asked under it, `front_session` what came of that; `until` is 0 while in work."""
+    """One key. `mark` identifies the request made under it and `front_session` its session; `until` is the expiry time,
+    0 while the request is in progress."""
 
     __slots__ = ("front_session", "key", "mark", "until")
 
@@ -31,67 +33,68 @@
 
 
 class KeyTable:
-    """Times are ns of the caller's clock. Each operation costs the same whatever is held: an ended key is put into the
-    bucket of its span, and a bucket is emptied once, when its span has passed."""
+    """Entries by key; times are ns of the caller's clock. The cost of an operation does not depend on the number of
+    entries: an ended key goes into the bucket of its time span, and each bucket is emptied once, when its span has passed."""
 
     def __init__(self, now: int, most_ended: int = MOST_ENDED):
         self.held: dict[str, Held] = {}
         self.buckets: dict[int, list[str]] = {}
-        self.next_span = now // SPAN
+        self.next_span = now // EXPIRY_SPAN
         self.ended_count, self.most_ended = 0, most_ended
 
     def __len__(self) -> int:
         return len(self.held)
 
     def find(self, key: str, now: int) -> Held | None:
-        """Who holds this key. What is past its time is forgotten on the way."""
-        if now // SPAN > self.next_span:
-            self._turn(now // SPAN)
-        held = self.held.get(key)
-        # buckets are late by up to their span: the time itself decides
-        if held is not None and 0 < held.until <= now:
-            self._drop(held)
+        """The entry of this key, if there is one. Also drops expired entries."""
+        if now // EXPIRY_SPAN > self.next_span:
+            self._expire_until(now // EXPIRY_SPAN)
+        entry = self.held.get(key)
+        # buckets are emptied up to one span late, so the entry's own time decides
+        if entry is not None and 0 < entry.until <= now:
+            self._remove(entry)
             return None
-        return held
+        return entry
 
     def hold(self, key: str, mark: Any, front_session: Any) -> Held:
-        """From now until `ended` or `forget`. The key must be free."""
-        assert key not in self.held, "a key is held once"
-        held = self.held[key] = Held(key, mark, front_session)
-        return held
-
-    def ended(self, held: Held, until: int) -> None:
-        """What was asked has its answer for good; that is told again until then."""
-        if self.held.get(held.key) is not held or held.until:
+        """Adds an entry in progress, which is kept until `ended` or `forget`. The key must be free."""
+        assert key not in self.held, "the key is already in use"
+        entry = self.held[key] = Held(key, mark, front_session)
+        return entry
+
+    def ended(self, entry: Held, until: int) -> None:
+        """The request has its final answer, which is repeated to requests with this key until the time `until`."""
+        if self.held.get(entry.key) is not entry or entry.until:
             return
-        held.until = max(1, until)
-        self.buckets.setdefault(max(until // SPAN, self.next_span), []).append(held.key)
+        entry.until = max(1, until)
+        self.buckets.setdefault(max(until // EXPIRY_SPAN, self.next_span), []).append(entry.key)
         self.ended_count += 1
         while self.ended_count > self.most_ended:
-            self._empty(min(self.buckets))
+            self._empty_bucket(min(self.buckets))
 
-    def forget(self, held: Held) -> None:
-        """Nothing came of it, and nothing can have run: the key is free."""
-        if self.held.get(held.key) is held:
-            self._drop(held)
+    def forget(self, entry: Held) -> None:
+        """Frees the key: the request failed and nothing can have run at a media server."""
+        if self.held.get(entry.key) is entry:
+            self._remove(entry)
 
-    def _turn(self, span: int) -> None:
-        """All spans before this one are over; after a long rest there may be more spans than buckets."""
+    def _expire_until(self, span: int) -> None:
+        """Empties the buckets of all spans before this one. Iterates over the buckets or the spans, whichever are fewer:
+        after a long time without calls there are more spans than buckets."""
         if span - self.next_span > len(self.buckets):
-            over = sorted(past for past in self.buckets if past < span)
+            passed = sorted(passed_span for passed_span in self.buckets if passed_span < span)
         else:
-            over = [past for past in range(self.next_span, span) if past in self.buckets]
+            passed = [passed_span for passed_span in range(self.next_span, span) if passed_span in self.buckets]
         self.next_span = span
-        for past in over:
-            self._empty(past)
+        for passed_span in passed:
+            self._empty_bucket(passed_span)
 
-    def _empty(self, bucket: int) -> None:
-        """Forgets the ended keys of a bucket. One that was used anew since belongs to another bucket, or to none."""
+    def _empty_bucket(self, bucket: int) -> None:
+        """Drops the ended keys of a bucket. A key that has been reused since belongs to another bucket, or to none."""
         for key in self.buckets.pop(bucket):
-            held = self.held.get(key)
-            if held is not None and held.until and held.until // SPAN <= bucket:
-                self._drop(held)
+            entry = self.held.get(key)
+            if entry is not None and entry.until and entry.until // EXPIRY_SPAN <= bucket:
+                self._remove(entry)
 
-    def _drop(self, held: Held) -> None:
-        del self.held[held.key]
-        self.ended_count -= held.until > 0
+    def _remove(self, entry: Held) -> None:
+        del self.held[entry.key]
+        self.ended_count -= entry.until > 0
--- a/curlewshift/schedule/__init__.py
+++ b/curlewshift/schedule/__init__.py
@@ -1,1 +1,1 @@
-"""When things are due: structures for time, without a clock of their own."""
+"""Scheduling: clocks, timers, a timing wheel and a background job scheduler."""
--- a/curlewshift/schedule/clock.py
+++ b/curlewshift/schedule/clock.py
@@ -1,4 +1,4 @@
-"""The front's clock: Unix time as it was at the start, carried on by the monotonic clock, so it never goes back."""
+"""The front's clock: Unix time at process start, continued by the monotonic clock, so that it never steps back."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 
 class Clock:
-    """Fronts take turns at cold servers by it, so the machines' clocks have to agree to well within a second when
-    the fronts start; setting a machine's clock later changes nothing."""
+    """Fronts use this clock to take turns at cold servers, so the clocks of their machines have to agree to well within a
+    second when the fronts start. Setting a machine's clock later has no effect."""
 
     def __init__(self):
         self.offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Nanoseconds."""
+        """The present time (ns)."""
         return self.offset + time.monotonic_ns()
 
     def wall(self) -> int:
-        """Unix time as the machine has it now (ns); it may be set at any time."""
+        """The machine's present Unix time (ns), which may be set at any time."""
         return time.time_ns()
 
     def hard(self) -> int:
-        """`now`, for those who hold that any clock may be set (ns)."""
+        """`now` (ns), for callers that tolerate steps; only `SkewedClock` has any."""
         return self.now()
 
 
 class SkewedClock(Clock):
-    """A clock that is led astray on purpose, as rehearsals do: it runs at another rate, and `wall` and `hard` are set."""
+    """A clock with a planted fault, for fault injection runs: it runs at a wrong rate, and `wall` and `hard` step."""
 
     def __init__(self):
         super().__init__()
         self.rate, self.step = 1.0, 0
-        self.since = self.began = super().now()
+        self.base_reading = self.base = super().now()
 
     def now(self) -> int:
-        return self.began + int((super().now() - self.since) * self.rate)
+        return self.base + int((super().now() - self.base_reading) * self.rate)
 
     def wall(self) -> int:
         return super().wall() + self.now() - super().now() + self.step
@@ -43,6 +43,6 @@
         return self.now() + self.step
 
     def lead(self, rate: float, step: int) -> None:
-        """From now on; `step` (ns) is added to what it was set by before."""
-        self.began, self.since = self.now(), super().now()
+        """Runs at `rate` from now on; `step` (ns) is added to the previous steps."""
+        self.base, self.base_reading = self.now(), super().now()
         self.rate, self.step = rate, self.step + step
--- a/curlewshift/schedule/steady_clock.py
+++ b/curlewshift/schedule/steady_clock.py
@@ -1,40 +1,41 @@
-"""Time for those who must not be misled by their own clock: it neither steps back nor counts what was slept through.
+"""A clock for time-outs of peers: it neither steps back nor counts time during which this process did not run.
 
-A process that is stopped, starved, or whose clock is set wakes up to readings that are far from what it waited for. By such
-a reading every deadline of its peers would be over at once, though it was itself that was away. Called by membership.
+A process that was stopped or starved, or whose clock was set, wakes up to a reading far from the one it waited for. With such
+a reading all deadlines of its peers would expire at once, although the process itself was absent. Used by membership, leases
+and sharing.
 """
 
 from __future__ import annotations
 
 
 class SteadyClock:
-    """`slack` (ns) is how late a wake may come and still count as time. `stalls` counts what was left out, `stalled` (ns)
-    how much of it there was."""
+    """`slack` (ns) is how late a wake-up may be and still count as time that has passed. `stalls` counts the jumps that
+    were left out, `stalled` is their sum (ns)."""
 
     def __init__(self, reading: int, slack: int):
-        self.last, self.slack, self.shift = reading, slack, 0
-        # the next time that somebody waits for: nothing later than that can be read while nothing is wrong
+        self.last, self.slack, self.offset = reading, slack, 0
+        # the next time that a caller waits for: a process that is not stalled reads no time later than this plus the slack
         self.due: int | None = None
         self.stalls = self.stalled = 0
 
     def read(self, reading: int) -> int:
         """Steady nanoseconds at this reading of the clock."""
-        now = reading + self.shift
+        now = reading + self.offset
         if now < self.last:
-            self._leave_out(now - self.last)
+            self._skip(now - self.last)
             now = self.last
         elif self.due is not None and now > self.due + self.slack:
-            # at the due time and not past it: what was due is done now, and everything after it keeps its distance
+            # exactly the due time: what was due runs now, and later deadlines keep their distance from it
             now = max(self.last, self.due)
-            self._leave_out(reading + self.shift - now)
+            self._skip(reading + self.offset - now)
         self.last = now
         return now
 
     def reading_of(self, at: int) -> int:
-        """What the clock will show at that steady time."""
-        return at - self.shift
+        """The reading of the underlying clock at this steady time."""
+        return at - self.offset
 
-    def _leave_out(self, length: int) -> None:
-        self.shift -= length
+    def _skip(self, length: int) -> None:
+        self.offset -= length
         self.stalls += 1
         self.stalled += abs(length)
--- a/curlewshift/schedule/waking.py
+++ b/curlewshift/schedule/waking.py
@@ -1,4 +1,4 @@
-"""Calls back at the times that were asked for, on anyio: what keeps a desk's time in a running process."""
+"""A wake-up timer on anyio: the session core's timers in a running process."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class WakeupTimer:
-    """`call()` comes once the clock has reached a time given to `at`; times that were reached together, once."""
+    """Calls `callback()` when the clock has reached a time given to `at`; once for times that were reached together."""
 
-    def __init__(self, clock: Clock, call: Callable[[], None]):
-        self.clock, self.call = clock, call
-        self.wakes: list[int] = []
-        self.woken = anyio.Event()
+    def __init__(self, clock: Clock, callback: Callable[[], None]):
+        self.clock, self.callback = clock, callback
+        self.wake_times: list[int] = []
+        self.changed = anyio.Event()
 
     def at(self, when: int) -> None:
-        self.wakes.append(when)
-        self.woken.set()
+        self.wake_times.append(when)
+        self.changed.set()
 
     async def run(self) -> None:
         while True:
-            self.woken = anyio.Event()
-            if self.wakes:
-                wait = (min(self.wakes) - self.clock.now()) / NS
+            self.changed = anyio.Event()
+            if self.wake_times:
+                wait = (min(self.wake_times) - self.clock.now()) / NS
                 with anyio.move_on_after(max(0.0, wait)):
-                    await self.woken.wait()
+                    await self.changed.wait()
                 now = self.clock.now()
-                if any(at <= now for at in self.wakes):
-                    self.wakes = [at for at in self.wakes if at > now]
-                    self.call()
+                if any(at <= now for at in self.wake_times):
+                    self.wake_times = [at for at in self.wake_times if at > now]
+                    self.callback()
             else:
-                await self.woken.wait()
+                await self.changed.wait()
--- a/curlewshift/schedule/wheel.py
+++ b/curlewshift/schedule/wheel.py
@@ -1,7 +1,7 @@
-"""A timing wheel in levels: adding and taking back cost the same however many things are due some time.
+"""A hierarchical timing wheel: the cost of adding and cancelling does not depend on the number of entries.
 
-Used where most of what is set is taken back before it is due, such as the keys of viewings. The idea is that of
-hashed and hierarchical timing wheels (Varghese and Lauck, 1987). Times are whole nanoseconds and never go back.
+Suited to timers of which most are cancelled before they are due. After "Hashed and Hierarchical Timing Wheels" (Varghese
+and Lauck, 1987). Times are whole nanoseconds and never go back.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 from operator import attrgetter
 from typing import Any
 
-# Slots of a level, and levels: with a tick of 10 ms the last one begins at 7 hours and reaches 19 days.
+# Slots per level and number of levels: with a tick of 10 ms the last level covers 47 hours to 124 days.
 BITS = 6
 SLOTS = 1 << BITS
 LEVELS = 5
 
 
 class Entry:
-    """Something due. `item` is whatever was given."""
+    """A timer; `item` is the caller's object."""
 
     __slots__ = ("at", "item", "number", "slot")
 
@@ -25,12 +25,12 @@
 
 
 class Wheel:
-    """`tick` is the width of a slot of the first level (ns). Nothing is ever told before its time."""
+    """`tick` is the width of a slot of the first level (ns). No item is returned before its time."""
 
     def __init__(self, now: int, tick: int = 10_000_000):
         self.tick, self.position, self.count, self.number = tick, now // tick, 0, 0
         self.levels: list[list[dict[Entry, None]]] = [[{} for _ in range(SLOTS)] for _ in range(LEVELS)]
-        # a bit for each slot of a level that may hold something, so that empty stretches cost nothing
+        # by level, a bit for each slot that may have entries, so that empty slots can be skipped
         self.used = [0] * LEVELS
 
     def __len__(self) -> int:
@@ -44,7 +44,7 @@
         return entry
 
     def cancel(self, entry: Entry) -> bool:
-        """False if it was told or taken back already."""
+        """False if the entry has already been returned by `due` or cancelled."""
         if entry.slot is None:
             return False
         del entry.slot[entry]
@@ -53,17 +53,17 @@
         return True
 
     def due(self, now: int) -> list[Any]:
-        """All items whose time has come, by time, and in the order they were added where that is the same."""
+        """Removes and returns all items that are due, ordered by time and then by the order in which they were added."""
         target, found = now // self.tick, []
         while self.count:
             slot = self.levels[0][self.position & SLOTS - 1]
             if slot:
-                ripe = [entry for entry in slot if entry.at <= now]
-                for entry in ripe:
+                expired = [entry for entry in slot if entry.at <= now]
+                for entry in expired:
                     del slot[entry]
                     entry.slot = None
-                self.count -= len(ripe)
-                found += ripe
+                self.count -= len(expired)
+                found += expired
             if self.position >= target:
                 break
             self._step(target)
@@ -72,7 +72,8 @@
         return [entry.item for entry in found]
 
     def next_due(self) -> int | None:
-        """A time before which nothing is due: the time itself within the first level, else that of a later look."""
+        """A time before which nothing is due: the exact time of the first entry if it is in the present turn of the first
+        level, else the start of the next turn, when to ask again. None if there is no entry."""
         if not self.count:
             return None
         for step in range(SLOTS):
@@ -86,7 +87,7 @@
     def _place(self, entry: Entry) -> None:
         at = max(entry.at // self.tick, self.position)
         level = 0
-        # the level on which its slot is another than the present one's, within the turn under way
+        # the lowest level on which the entry lies within the present turn
         while level < LEVELS - 1 and at >> BITS * (level + 1) != self.position >> BITS * (level + 1):
             level += 1
         ahead = (at >> BITS * level) - (self.position >> BITS * level)
@@ -96,15 +97,15 @@
         self.used[level] |= 1 << index
 
     def _step(self, target: int) -> None:
-        """One slot on, or over an empty stretch to its end; what a higher level held for it comes down."""
-        here = self.position & SLOTS - 1
-        ahead = self.used[0] >> here + 1
+        """Advances to the next slot that may have entries; at the end of a turn, moves entries down from higher levels."""
+        current = self.position & SLOTS - 1
+        ahead = self.used[0] >> current + 1
         if ahead:
             skip = (ahead & -ahead).bit_length()
-            if not self.levels[0][here + skip]:
-                self.used[0] &= ~(1 << here + skip)
+            if not self.levels[0][current + skip]:
+                self.used[0] &= ~(1 << current + skip)
         else:
-            skip = SLOTS - here
+            skip = SLOTS - current
         self.position = min(self.position + skip, target)
         if self.position & SLOTS - 1:
             return
