--- a/curlewshift/teardown/__init__.py
+++ b/curlewshift/teardown/__init__.py
@@ -1,1 +1,1 @@
-"""What set-ups may have left at media servers, and who still has to be told that it is over. No I/O."""
+"""Teardown: what set-ups may have left at media servers, and which servers still have to release it. No I/O."""
