--- a/curlewshift/recovery/__init__.py
+++ b/curlewshift/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a front that starts again does about what its earlier lives left at servers."""
+"""Crash recovery: what a restarted front does about the sessions that its previous processes left at media servers."""
--- a/curlewshift/recovery/recovery.py
+++ b/curlewshift/recovery/recovery.py
@@ -1,17 +1,18 @@
-"""A front that starts again: what its earlier lives left at servers is taken up, or ended. No I/O.
+"""Crash recovery of a front: sessions that its earlier lives left at media servers are resumed or ended. No I/O.
 
-Made by the front before its door opens, with what the book remembers. What is remembered counts from the first moment
-as handed over, in the rules' account of links and seats: a title whose seats are taken stays so while nobody has been
-asked yet. Then every server on the list held is asked what it plays for this front:
+A life is one run of the front's process; a restart is a new life. The front (one process of this program) starts recovery
+before its listener opens, with the sessions in its registry. These count at once as handed over in the policy's accounting
+of links and seats (concurrency slots of a title): a title without free seats has none before any server has been asked.
+Then every server on the current list is asked which sessions it plays for this front:
 
-- remembered and there: adopted, so that its server tells this life of it; its client's address goes on as it was;
-- remembered and not there: it has ended meanwhile;
-- there and of an interrupted paid set-up whose client may come again: found, and that client is told that it plays;
-- there and known to nobody: an orphan, set up for a client that never heard of it, and torn down.
+- stored and listed: adopted, so that the server reports it to this life; its address for the client stays valid;
+- stored and not listed: it has ended meanwhile;
+- listed, and made by an interrupted paid set-up whose client may retry: found, and the client is answered that it plays;
+- listed and unknown: an orphan, set up for a client that never got the answer; it is torn down.
 
-What this life itself set up meanwhile is none of these and is left alone. A server that does not answer is asked again,
-with pauses that grow; in the end its sessions are given up. A server that is another life than the one remembered has
-nothing, and is cold.
+Sessions that this life has set up meanwhile are left alone. A server that does not answer is asked again with growing
+pauses; after `GIVE_UP_AFTER` its sessions are given up. A server whose boot (process run) is not the stored one has restarted:
+it has none of the sessions, and is cold.
 """
 
 from __future__ import annotations
@@ -29,19 +30,20 @@
 from curlewshift.state.session_registry import SessionRegistry, StoredSession
 
 SECOND = 1_000_000_000
-# Servers asked at once: the door is open meanwhile, and joins come first.
-MOST_OUT = 8
-# Pauses after a question that nobody answered: the first, doubled up to the longest.
-FIRST_PAUSE = SECOND // 4
-LONGEST_PAUSE = 2 * SECOND
-# After so long what has not been heard of is given up; servers give up a front that is away sooner or later too.
-TRIED_FOR = 15 * SECOND
+# Servers asked at the same time: clients are served meanwhile, and their set-ups have precedence.
+MAX_IN_FLIGHT = 8
+# Pause (ns) after a request that was not answered: the first one, doubled up to the maximum.
+INITIAL_BACKOFF = SECOND // 4
+MAX_BACKOFF = 2 * SECOND
+# Sessions at servers that have not answered for so long (ns) are given up; servers also end the sessions of an absent front
+# after some time.
+GIVE_UP_AFTER = 15 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class ListedSession:
-    """One session as its server lists it. `life` is which life of this front set it up, `doubt` the mark of the paid
-    request that it was set up for, empty for others."""
+    """One session as its server lists it. `life` is the life of this front that set it up; `doubt` is the identifier of the
+    paid request that it was set up for, empty for others."""
 
     path: str
     life: str
@@ -52,27 +54,28 @@
 
 
 class Driver(Protocol):
-    """What recovery asks of its front; answers come back later, never from within the call."""
+    """What recovery needs of its front. Answers are delivered later, never from within the call."""
 
     def ask_sessions(self, server: Server) -> None:
-        """What do you play for me? `Recovery.listed` hears, or `Recovery.unanswered`."""
+        """Asks the server which sessions it plays for this front; the answer goes to `Recovery.listed` or `unanswered`."""
 
     def adopt(self, server: Server, paths: list[str]) -> None:
-        """These are this life's from now on. `Recovery.adopted` hears which of them are, or `Recovery.unanswered`."""
+        """Asks the server to assign these sessions to this life; the answer, which of them it did, goes to
+        `Recovery.adopted` or `unanswered`."""
 
     def taken_up(self, remembered: StoredSession, server: Server) -> FrontSession:
-        """Hands a remembered session over to the desk, and its address to the door. Raises `InvalidRequest`."""
+        """Hands a stored session over to the session core, and its address to the listener. Raises `InvalidRequest`."""
 
     def session_of(self, found: ListedSession, doubt: InterruptedSetup) -> object:
-        """The outside's session for one that was found at a server."""
+        """The driver's session object for a session found at a server."""
 
     def forgotten(self, remembered: StoredSession) -> None:
-        """It has ended before it was taken up."""
+        """A stored session has ended before it was resumed."""
 
 
 @dataclass(frozen=True, slots=True)
 class InterruptedSetup:
-    """An interrupted paid set-up: its key, and the mark under which its server knows it."""
+    """A paid set-up that is in doubt: a crash interrupted it and it may have run. `mark` is its identifier at the server."""
 
     key: str
     mark: str
@@ -81,30 +84,35 @@
 
 
 def recovery_of(
-    driver: Driver, session_core: SessionCore, life: str, book: SessionRegistry, intents: list[Intent], mark: Callable[[str], str]
+    driver: Driver,
+    session_core: SessionCore,
+    life: str,
+    registry: SessionRegistry,
+    intents: list[Intent],
+    mark: Callable[[str], str],
 ) -> Recovery:
-    """What a front that starts makes of what its disk has, not begun yet. `mark(key)` is how servers know a paid
-    request; its client waits from now on for what becomes of the doubt."""
-    clocks = session_core.driver
+    """The recovery of a front that starts, from the sessions and intents on its disk; not begun yet. `mark(key)` is the
+    identifier of a paid request at servers. From now on a client that retries one waits until the doubt is resolved."""
+    clock = session_core.driver
     doubts = [
         InterruptedSetup(intent.key, mark(intent.key), intent.server, Offer(intent.offer, way=intent.way)) for intent in intents
     ]
-    recovery = Recovery(driver, session_core, life, list(book.open.values()), dict(book.boots), doubts)
+    recovery = Recovery(driver, session_core, life, list(registry.open.values()), dict(registry.boots), doubts)
     for intent, doubt in zip(intents, doubts):
         session_core.interrupted(
             intent.key,
             doubt.offer,
             intent.package,
             intent.title,
-            clocks.now() + intent.until + KEPT_ON - clocks.wall(),
+            clock.now() + intent.until + KEPT_ON - clock.wall(),
             doubt=True,
         )
     return recovery
 
 
 @dataclass(eq=False, slots=True)
-class AtServer:
-    """What is to be found out at one server."""
+class ServerRecovery:
+    """The state of recovery at one server."""
 
     server: Server
     front_sessions: dict[str, FrontSession] = field(default_factory=dict)
@@ -112,11 +120,11 @@
     out: bool = False
     done: bool = False
     tries: int = 0
-    not_before: int = 0
+    retry_at: int = 0
 
 
 class Recovery:
-    """`life` is this front's own; `boots` which life of each server was spoken to last."""
+    """`life` is the present life of this front; `boots` is the last known boot of each server, by name."""
 
     def __init__(
         self,
@@ -128,150 +136,149 @@
         doubts: list[InterruptedSetup],
     ):
         self.driver, self.session_core, self.life, self.boots = driver, session_core, life, boots
-        self.began = session_core.driver.now()
+        self.started_at = session_core.driver.now()
         self.pending: dict[str, list[StoredSession]] = {}
-        for one in remembered:
-            self.pending.setdefault(one.server, []).append(one)
+        for stored in remembered:
+            self.pending.setdefault(stored.server, []).append(stored)
         self.doubts = {doubt.mark: doubt for doubt in doubts}
-        self.at: dict[Server, AtServer] = {}
-        self.waiting: deque[AtServer] = deque()
+        self.at: dict[Server, ServerRecovery] = {}
+        self.waiting: deque[ServerRecovery] = deque()
         self.out = 0
         self.over = False
         # servers that never answered
         self.silent: list[Server] = []
         self.kept = self.ended = self.orphans = self.found = self.given_up = 0
 
-    # ---- what happens
+    # ---- events
 
     def begin(self) -> None:
-        """The list held from before has been read, if there is one. Call before the door opens."""
+        """Starts recovery. Call before the listener opens and after the stored server list, if any, has been read."""
         self.list_told()
 
     def list_told(self) -> None:
-        """There may be servers now that were not known before. Those that play something come first."""
+        """The server list has changed: asks the servers that are new in it, those with stored sessions first."""
         if self.over:
             return
-        known = self.session_core.server_list.servers
-        fresh = [server for server in known.values() if server not in self.at]
-        doubtful = {doubt.server for doubt in self.doubts.values()}
-        fresh.sort(key=lambda server: (server.name not in self.pending, server.name not in doubtful))
-        for server in fresh:
-            at = self.at[server] = AtServer(server)
-            for one in self.pending.pop(server.name, ()):
-                self._take_up(one, at)
-            self.waiting.append(at)
-        self._go_on()
+        listed_servers = self.session_core.server_list.servers
+        new_servers = [server for server in listed_servers.values() if server not in self.at]
+        in_doubt = {doubt.server for doubt in self.doubts.values()}
+        new_servers.sort(key=lambda server: (server.name not in self.pending, server.name not in in_doubt))
+        for server in new_servers:
+            state = self.at[server] = ServerRecovery(server)
+            for stored in self.pending.pop(server.name, ()):
+                self._restore(stored, state)
+            self.waiting.append(state)
+        self._ask_waiting()
 
     def listed(self, server: Server, boot: str, rows: list[ListedSession]) -> None:
-        """What the server plays for this front, of whichever life."""
-        at = self._back(server)
-        if at is None:
+        """The server's answer: the sessions that it plays for any life of this front."""
+        state = self._take_back(server)
+        if state is None:
             return
-        before = self.boots.get(server.name, boot)
-        if before != boot:
-            # nothing that was remembered can be there, and the machine may be cold; what this life has set up there
-            # since plays all the same
+        previous_boot = self.boots.get(server.name, boot)
+        if previous_boot != boot:
+            # the server has restarted: none of the stored sessions can be there, and it may be cold; sessions that this
+            # life has set up there since then do play
             self.session_core.came_back(server)
-        there = {row.path: row for row in rows if row.life != self.life}
-        for path, front_session in list(at.front_sessions.items()):
-            if path not in there:
-                self._gone(at, path, front_session)
+        earlier_rows = {row.path: row for row in rows if row.life != self.life}
+        for path, front_session in list(state.front_sessions.items()):
+            if path not in earlier_rows:
+                self._session_ended(state, path, front_session)
         adopting = {}
-        for path, row in there.items():
-            if (path in at.front_sessions and at.front_sessions[path].viewing.playing) or (
+        for path, row in earlier_rows.items():
+            if (path in state.front_sessions and state.front_sessions[path].viewing.playing) or (
                 row.doubt in self.doubts and (self.doubts[row.doubt].server == server.name)
             ):
                 adopting[path] = row
-            elif path not in at.front_sessions:
+            elif path not in state.front_sessions:
                 self._orphan(server, row)
         if adopting:
-            at.adopting = adopting
-            self._ask(at)
+            state.adopting = adopting
+            self._ask(state)
         else:
-            self._settled(at)
+            self._finish(state)
 
     def adopted(self, server: Server, paths: list[str]) -> None:
-        """These are this life's now; what was asked for and is not among them has ended."""
-        at = self._back(server)
-        if at is None or at.adopting is None:
+        """The server's answer: these sessions are assigned to this life; the others that were requested have ended."""
+        state = self._take_back(server)
+        if state is None or state.adopting is None:
             return
-        for path, row in at.adopting.items():
-            front_session = at.front_sessions.get(path)
+        for path, row in state.adopting.items():
+            front_session = state.front_sessions.get(path)
             if path not in paths:
                 if front_session is not None:
-                    self._gone(at, path, front_session)
+                    self._session_ended(state, path, front_session)
             elif front_session is not None:
                 self.kept += 1
                 if front_session.viewing.playing and front_session.viewing.rung != row.rung:
-                    # the last rung told may not have been kept: the server's word stands
+                    # the record of the last rung change may have been lost: the server's report is authoritative
                     self.session_core.rung_found(front_session, row.rung)
             else:
-                self._find(server, row)
-        self._settled(at)
+                self._resolve_found(server, row)
+        self._finish(state)
 
     def unanswered(self, server: Server) -> None:
-        """Nobody answered, or not with anything that can be read."""
-        at = self._back(server)
-        if at is None:
+        """The server did not answer, or its answer could not be read."""
+        state = self._take_back(server)
+        if state is None:
             return
         now = self.session_core.driver.now()
-        at.tries += 1
-        at.not_before = now + min(LONGEST_PAUSE, FIRST_PAUSE << min(at.tries - 1, 10))
-        self.waiting.append(at)
+        state.tries += 1
+        state.retry_at = now + min(MAX_BACKOFF, INITIAL_BACKOFF << min(state.tries - 1, 10))
+        self.waiting.append(state)
         self.time()
 
     def time(self) -> None:
-        """Call now and then until `over`."""
+        """Asks servers whose pause has ended, and gives up after `GIVE_UP_AFTER`. Call repeatedly until `over`."""
         if self.over:
             return
-        if self.session_core.driver.now() >= self.began + TRIED_FOR:
+        if self.session_core.driver.now() >= self.started_at + GIVE_UP_AFTER:
             self._give_up()
         else:
-            self._go_on()
+            self._ask_waiting()
 
-    # ---- inside
+    # ---- internals
 
-    def _take_up(self, one: StoredSession, at: AtServer) -> None:
+    def _restore(self, stored: StoredSession, state: ServerRecovery) -> None:
         try:
-            at.front_sessions[one.path] = self.driver.taken_up(one, at.server)
+            state.front_sessions[stored.path] = self.driver.taken_up(stored, state.server)
         except InvalidRequest:
-            # the settings have its title or package no more, or its seat is taken: its server is asked to end it, as an
-            # orphan
-            self.driver.forgotten(one)
+            # its title or package is no longer in the settings, or its seat is taken: it is torn down as an orphan
+            self.driver.forgotten(stored)
 
-    def _go_on(self) -> None:
+    def _ask_waiting(self) -> None:
         now = self.session_core.driver.now()
         for _ in range(len(self.waiting)):
-            at = self.waiting.popleft()
-            if at.done:
+            state = self.waiting.popleft()
+            if state.done:
                 continue
-            if at.server not in self.session_core.server_list.shelf_of:
-                # the list has dropped it meanwhile, and the desk has ended what played there
-                self._settled(at, go_on=False)
-            elif self.out < MOST_OUT and now >= at.not_before:
-                self._ask(at)
+            if state.server not in self.session_core.server_list.shelf_of:
+                # the server has left the list meanwhile, and the session core has ended what played there
+                self._finish(state, ask_waiting=False)
+            elif self.out < MAX_IN_FLIGHT and now >= state.retry_at:
+                self._ask(state)
             else:
-                self.waiting.append(at)
-        self._look_whether_over()
+                self.waiting.append(state)
+        self._check_finished()
 
-    def _ask(self, at: AtServer) -> None:
-        at.out = True
+    def _ask(self, state: ServerRecovery) -> None:
+        state.out = True
         self.out += 1
-        if at.adopting is None:
-            self.driver.ask_sessions(at.server)
+        if state.adopting is None:
+            self.driver.ask_sessions(state.server)
         else:
-            self.driver.adopt(at.server, list(at.adopting))
+            self.driver.adopt(state.server, list(state.adopting))
 
-    def _back(self, server: Server) -> AtServer | None:
-        at = self.at.get(server)
-        if at is None or not at.out:
+    def _take_back(self, server: Server) -> ServerRecovery | None:
+        state = self.at.get(server)
+        if state is None or not state.out:
             return None
-        at.out = False
+        state.out = False
         self.out -= 1
-        return None if at.done else at
+        return None if state.done else state
 
-    def _gone(self, at: AtServer, path: str, front_session: FrontSession) -> None:
-        del at.front_sessions[path]
+    def _session_ended(self, state: ServerRecovery, path: str, front_session: FrontSession) -> None:
+        del state.front_sessions[path]
         self.ended += 1
         self.session_core.lost(front_session, Outcome.PLAYED)
 
@@ -279,48 +286,47 @@
         self.orphans += 1
         self.session_core.orphaned(server, self.driver.session_of(row, None))
 
-    def _find(self, server: Server, row: ListedSession) -> None:
+    def _resolve_found(self, server: Server, row: ListedSession) -> None:
         doubt = self.doubts.pop(row.doubt, None)
         session = self.driver.session_of(row, doubt)
         if doubt is not None and self.session_core.found(doubt.key, server, session, row.rung) is not None:
             self.found += 1
         else:
-            # its client has been told that it failed: that must stay true
+            # its client has been answered that it failed, and that must stay true
             self.orphans += 1
             self.session_core.orphaned(server, session)
 
-    def _settled(self, at: AtServer, go_on: bool = True) -> None:
-        """Nothing more is to be asked here: paid set-ups in doubt that were not found here did not come about, or have
-        ended."""
-        at.done = True
+    def _finish(self, state: ServerRecovery, ask_waiting: bool = True) -> None:
+        """This server need not be asked any more: paid set-ups in doubt that were not found there never ran, or have ended."""
+        state.done = True
         for mark, doubt in list(self.doubts.items()):
-            if doubt.server == at.server.name:
+            if doubt.server == state.server.name:
                 del self.doubts[mark]
                 self.session_core.not_found(doubt.key)
-        if go_on:
-            self._go_on()
+        if ask_waiting:
+            self._ask_waiting()
 
     def _give_up(self) -> None:
-        for at in self.at.values():
-            if not at.done:
-                at.done = True
-                self.silent.append(at.server)
-                for front_session in at.front_sessions.values():
+        for state in self.at.values():
+            if not state.done:
+                state.done = True
+                self.silent.append(state.server)
+                for front_session in state.front_sessions.values():
                     if front_session.viewing.playing:
                         self.given_up += 1
                         session = front_session.session
                         self.session_core.lost(front_session, Outcome.BROKEN)
-                        self.session_core.orphaned(at.server, session)
+                        self.session_core.orphaned(state.server, session)
         for waiting in self.pending.values():
-            for one in waiting:
+            for stored in waiting:
                 self.given_up += 1
-                self.driver.forgotten(one)
+                self.driver.forgotten(stored)
         self.pending.clear()
         for doubt in self.doubts.values():
             self.session_core.not_found(doubt.key)
         self.doubts.clear()
         self.over = True
 
-    def _look_whether_over(self) -> None:
-        # before any server is known nothing is: a front on an empty folder may have left sessions all the same
-        self.over = bool(self.at) and not self.pending and not self.doubts and all(at.done for at in self.at.values())
+    def _check_finished(self) -> None:
+        # not finished before any server is known: a front with an empty folder may have left sessions all the same
+        self.over = bool(self.at) and not self.pending and not self.doubts and all(state.done for state in self.at.values())
--- a/curlewshift/state/__init__.py
+++ b/curlewshift/state/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process."""
+"""State on disk that outlives a process."""
--- a/curlewshift/state/background_writer.py
+++ b/curlewshift/state/background_writer.py
@@ -1,4 +1,4 @@
-"""A thread that writes what comes, in its order and some of it together; whoever notes something never waits for a disk."""
+"""A writer thread: writes items in order and in batches, so that the caller never waits for a disk."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class BackgroundWriter:
-    """`write(items)` is called from the thread with all that came within `together` (s) of the first, and once more with
-    what is left when it is closed. Hold `wake` to look at `waiting` and put into it what belongs to that look."""
+    """`write(items)` is called on the thread with all items put within `batch_window` (s) of the first one, and on closing with
+    the rest. Hold `wake` to read `waiting` and change it in one step."""
 
-    def __init__(self, write: Callable[[list[Any]], None], together: float):
-        self.write, self.together = write, together
+    def __init__(self, write: Callable[[list[Any]], None], batch_window: float):
+        self.write, self.batch_window = write, batch_window
         self.waiting: deque[Any] = deque()
         self.wake = threading.Condition()
         self.closing = False
@@ -23,12 +23,12 @@
     def put(self, item: Any) -> None:
         with self.wake:
             self.waiting.append(item)
-            # woken for each item, the thread took its turns from the one that decides
+            # only for the first item of a batch: waking the thread for each item takes time from the calling thread
             if len(self.waiting) == 1:
                 self.wake.notify()
 
     def close(self) -> None:
-        """All that was put has been written when this returns."""
+        """All items have been written when this returns."""
         with self.wake:
             self.closing = True
             self.wake.notify()
@@ -40,7 +40,7 @@
                 while not self.waiting and not self.closing:
                     self.wake.wait()
                 if not self.closing:
-                    self.wake.wait_for(lambda: self.closing, self.together)
+                    self.wake.wait_for(lambda: self.closing, self.batch_window)
                 items = list(self.waiting)
                 self.waiting.clear()
             if items:
--- a/curlewshift/state/configured.py
+++ b/curlewshift/state/configured.py
@@ -1,7 +1,7 @@
-"""One record on the disk, whole or not at all: a front's copy of the configuration, a control machine's vote.
+"""One record in a file that is replaced atomically: a front's copy of the configuration, or a control machine's vote.
 
-A line with the SHA-256 of what follows comes first, so that a record that the disk has spoilt is told from one that was written;
-it is put aside for a person to look at. Called by the front and by control machines.
+The first line has the SHA-256 digest of the rest, so that a record corrupted on disk is detected; it is renamed and kept for
+inspection. Used by the front and by control machines.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from hashlib import sha256
 from pathlib import Path
 
-FORM = b"curlewshift record 1 "
+HEADER = b"curlewshift record 1 "
 
 
 class Record:
-    """`damage` says why there is nothing to be read, empty where there is no file."""
+    """`damage` says why the record cannot be read; it is empty after a successful read and where there is no file."""
 
     def __init__(self, path: Path):
         self.path, self.damage = path, ""
@@ -26,41 +26,41 @@
             raw = self.path.read_bytes()
         except FileNotFoundError:
             return None
-        except OSError as wrong:
-            self.damage = f"{self.path.name} cannot be read: {wrong.strerror}"
+        except OSError as error:
+            self.damage = f"{self.path.name} cannot be read: {error.strerror}"
             return None
         head, _, data = raw.partition(b"\n")
         if not self.holds(head, data):
-            self.damage = f"{self.path.name} is spoilt: its digest does not fit what is in it"
+            self.damage = f"{self.path.name} is spoilt: its digest does not match its content"
             with contextlib.suppress(OSError):
                 os.replace(self.path, self.path.with_name(self.path.name + ".damaged"))
             return None
         return data
 
     def holds(self, head: bytes, data: bytes) -> bool:
-        return head == FORM + sha256(data).hexdigest().encode()
+        return head == HEADER + sha256(data).hexdigest().encode()
 
     def write(self, data: bytes) -> None:
-        """Outlives the process when this returns, and the machine too once `flush` has. Raises `OSError`; what was there before
-        is then still there."""
+        """Replaces the record. It survives a crash of the process when this returns, and of the machine once `flush` has
+        returned. Raises `OSError`; the previous record is then still there."""
         self._replace(data, durable=False)
 
     def write_durable(self, data: bytes) -> None:
-        """Outlives the machine when this returns. Raises `OSError`."""
+        """Replaces the record. It survives a crash of the machine when this returns. Raises `OSError`."""
         self._replace(data, durable=True)
         self._flush_folder()
 
     def _replace(self, data: bytes, durable: bool) -> None:
-        beside = self.path.with_name(self.path.name + ".new")
-        with open(beside, "wb") as file:
-            file.write(FORM + sha256(data).hexdigest().encode() + b"\n" + data)
+        temporary = self.path.with_name(self.path.name + ".new")
+        with open(temporary, "wb") as file:
+            file.write(HEADER + sha256(data).hexdigest().encode() + b"\n" + data)
             if durable:
                 file.flush()
                 os.fsync(file.fileno())
-        os.replace(beside, self.path)
+        os.replace(temporary, self.path)
 
     def flush(self) -> None:
-        """What `write` wrote last, and its name. May take as long as the disk does: call it from a thread."""
+        """Flushes the file of the last `write` and its directory entry. Blocks until the disk is done: call it from a thread."""
         with open(self.path, "rb") as file:
             os.fsync(file.fileno())
         self._flush_folder()
--- a/curlewshift/state/intents.py
+++ b/curlewshift/state/intents.py
@@ -1,11 +1,11 @@
-"""Paid set-ups that may have run: what has to be known after a kill, and what is answered then. No I/O.
+"""A write-ahead log of paid set-ups: which of them may have run when the front restarts after a crash. No I/O.
 
-A package paid at set-up must not be set up twice, not even if the front is killed between the tune-in and its answer.
-So before the first byte of such a tune-in goes out, its intent is on the disk; once its end is known, that follows,
-unflushed: a lost end makes an answer more careful than it need be, a lost intent could make it wrong.
+A package paid at set-up must not be set up twice, not even if the front is killed between the tune-in (set-up attempt) and
+its answer. So the intent is flushed to disk before the first byte of such a tune-in is sent. The record of its end follows
+without a flush: a lost end makes a later answer more cautious than necessary, a lost intent could make it wrong.
 
-After a start, what has an intent and no end that proves that nothing ran may have run. Whoever comes again with its key
-is told so (failed) until the client's patience has surely passed, and no tune-in goes out for it.
+After a restart, a set-up with an intent and without an end that proves that nothing ran may have run. A client that repeats
+the request with its key gets that answer (failed) until its patience has certainly passed, and no tune-in is made for it.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
     from curlewshift.session_core.front_session import TuneIn
 
 SECOND = 1_000_000_000
-# Kept for so long past its patience: a client may come again late, and clocks may differ a little.
+# How long (ns) an intent is kept after the client's patience has passed: a client may retry late, and clocks may differ slightly.
 KEPT_ON = 30 * SECOND
 BEGAN, ENDED = "began", "ended"
-# After so many records that tell of nothing open any more, the log is written anew.
-STALE = 2000
+# The log is rewritten when it has more than this many records that no longer describe an open intent.
+MAX_STALE_RECORDS = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """One key's paid request: what it was for, and until when (Unix ns) its client may ask again."""
+    """The paid request of one key. `way` is its protocol; `until` is when the client's patience ends (Unix time, ns)."""
 
     key: str
     offer: str
@@ -41,8 +41,8 @@
 
 
 def intent_of(tune_in: TuneIn, until: int) -> Intent | None:
-    """What has to be known after a kill of this tune-in; None if it costs nothing to set it up again, or nobody can ask
-    for it again. `until` is Unix ns."""
+    """The intent of this tune-in. None if a second set-up costs nothing, or if the request has no key under which it could be
+    repeated. `until` is Unix time (ns)."""
     front_session, viewing = tune_in.front_session, tune_in.front_session.viewing
     if not viewing.package.paid_at_setup or front_session.held is None:
         return None
@@ -58,27 +58,29 @@
 
 
 class Intents:
-    """`wall` is Unix time in ns everywhere, as it has to mean the same after a restart."""
+    """Open intents by key, and the records that describe them. `wall` is Unix time (ns), as it must have the same meaning after
+    a restart."""
 
     def __init__(self):
         self.open: dict[str, Intent] = {}
         self.records = 0
 
     def began(self, intent: Intent) -> list[Any]:
-        """The record that has to be on the disk before the tune-in goes out."""
+        """Returns the record that has to be flushed to disk before the tune-in is sent."""
         self.open[intent.key] = intent
         self.records += 1
         return [BEGAN, intent.key, intent.offer, intent.way, intent.package, intent.title, intent.server, intent.until]
 
     def ended(self, key: str, outcome: Outcome) -> list[Any] | None:
-        """The record that the tune-in provably never ran, or None: all else stays open until its time has passed."""
+        """Returns the record that the tune-in provably never ran. None for all other outcomes, which stay open until they
+        expire."""
         if outcome not in NEVER_RAN or self.open.pop(key, None) is None:
             return None
         self.records += 1
         return [ENDED, key]
 
     def restore(self, records: list[list[Any]], wall: int) -> list[Intent]:
-        """Takes in what the log has; returns those that may have run and may still be asked for."""
+        """Applies the records of the log; returns the intents that may have run and whose clients may still retry."""
         for record in records:
             self.records += 1
             match record:
@@ -87,20 +89,20 @@
                 case [str(kind), str(key)] if kind == ENDED:
                     self.open.pop(key, None)
                 case _:
-                    # written by a later version, perhaps: what it means is not known, so nothing is taken back by it
+                    # possibly written by a later version: an unknown record does not close any intent
                     continue
         self.forget(wall)
         return list(self.open.values())
 
     def forget(self, wall: int) -> None:
-        """Drops what nobody will ask for any more."""
+        """Drops expired intents."""
         for intent in [intent for intent in self.open.values() if intent.until + KEPT_ON <= wall]:
             del self.open[intent.key]
 
     def stale(self) -> bool:
-        return self.records - len(self.open) > STALE
+        return self.records - len(self.open) > MAX_STALE_RECORDS
 
     def anew(self) -> list[list[Any]]:
-        """All that is open, as the records of a log that begins again."""
+        """All open intents as records, with which the log is rewritten."""
         self.records = len(self.open)
         return [[BEGAN, *(getattr(intent, name) for name in Intent.__slots__)] for intent in self.open.values()]
--- a/curlewshift/state/peaks.py
+++ b/curlewshift/state/peaks.py
@@ -1,8 +1,8 @@
-"""The calendar of announced peaks on disk: SQLite, flushed before an announcement is confirmed.
+"""The calendar of announced peaks (announced demand peaks) in SQLite, flushed before an announcement is confirmed.
 
-Called by the front from a thread. What was confirmed is there after a kill at any moment; what was not confirmed is
-either there whole or not at all. A file that is damaged is set aside and named, and the calendar begins empty: an
-operator can announce again, a front that does not start helps nobody.
+Called by the front from a thread. A confirmed change survives a kill at any moment; a change that was not confirmed is
+either stored completely or not at all. A damaged file is renamed and reported, and the calendar starts empty: an operator
+can announce again, whereas a front that does not start serves nobody.
 """
 
 from __future__ import annotations
@@ -18,28 +18,30 @@
 
 
 class PeakStore:
+    """`damage` describes a damaged file that was replaced on opening, empty if there was none."""
+
     def __init__(self, path: Path):
         self.path = path
         self.damage = ""
         try:
             self._open()
-        except sqlite3.DatabaseError as wrong:
-            aside = path.with_name(f"{path.name}.damaged")
-            for end in ("", "-wal", "-shm"):
-                if Path(f"{path}{end}").exists():
-                    os.replace(f"{path}{end}", f"{aside}{end}")
-            self.damage = f"{path} is damaged ({wrong}); it was put aside as {aside.name}"
+        except sqlite3.DatabaseError as error:
+            damaged = path.with_name(f"{path.name}.damaged")
+            for suffix in ("", "-wal", "-shm"):
+                if Path(f"{path}{suffix}").exists():
+                    os.replace(f"{path}{suffix}", f"{damaged}{suffix}")
+            self.damage = f"{path} is damaged ({error}); it was put aside as {damaged.name}"
             self._open()
 
     def _open(self) -> None:
         self.db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False)
         try:
-            # every commit is on the disk before it returns
+            # a commit returns only after it is on disk
             self.db.execute("PRAGMA journal_mode=WAL")
             self.db.execute("PRAGMA synchronous=FULL")
-            found = self.db.execute("PRAGMA quick_check").fetchone()[0]
-            if found != "ok":
-                raise sqlite3.DatabaseError(found)
+            check_result = self.db.execute("PRAGMA quick_check").fetchone()[0]
+            if check_result != "ok":
+                raise sqlite3.DatabaseError(check_result)
             version = self.db.execute("PRAGMA user_version").fetchone()[0]
             if version > VERSION:
                 raise sqlite3.DatabaseError(f"written by a later version ({version})")
@@ -58,8 +60,8 @@
         return [Peak(**dict(zip(COLUMNS, row))) for row in rows]
 
     def announced(self, peak: Peak, at: int) -> None:
-        """Raises `sqlite3.Error` if it could not be kept."""
-        with self._whole():
+        """Stores a peak. Raises `sqlite3.Error` if that failed."""
+        with self._transaction():
             self.db.execute(
                 f"INSERT INTO peaks ({', '.join(COLUMNS)}) VALUES ({', '.join('?' * len(COLUMNS))})",
                 [getattr(peak, column) for column in COLUMNS],
@@ -67,16 +69,16 @@
             self.db.execute("INSERT INTO changes VALUES (?, 'announced', ?, ?, ?)", (at, peak.name, peak.who, peak.why))
 
     def cancelled(self, name: str, at: int, who: str, why: str) -> None:
-        """Raises `sqlite3.Error` if it could not be kept."""
-        with self._whole():
+        """Removes a peak. Raises `sqlite3.Error` if that failed."""
+        with self._transaction():
             self.db.execute("DELETE FROM peaks WHERE name = ?", (name,))
             self.db.execute("INSERT INTO changes VALUES (?, 'cancelled', ?, ?, ?)", (at, name, who, why))
 
     def changes(self) -> list[tuple]:
-        """Who announced and cancelled what, when and why: (at, what, name, who, why)."""
+        """The history of announcements and cancellations: (at, what, name, who, why)."""
         return self.db.execute("SELECT at, what, name, who, why FROM changes ORDER BY rowid").fetchall()
 
-    def _whole(self):
+    def _transaction(self):
         self.db.execute("BEGIN IMMEDIATE")
         return self.db
 
--- a/curlewshift/state/session_registry.py
+++ b/curlewshift/state/session_registry.py
@@ -1,9 +1,9 @@
-"""What plays, as it has to be known after a kill. No I/O.
+"""The sessions that play, as records for a restart after a crash. No I/O.
 
-A record is written for each session once its viewer has its address, and for what changes of it after that; the log is
-begun anew from time to time with all that plays then, which is its snapshot. Nothing here is flushed: a kill loses
-nothing that was written, and what a power cut loses (the last seconds) is found at the servers as sessions that nobody
-knows, and is torn down. What is written twice or out of order does no harm.
+A record is written for each session once its viewer (client) has its address, and for each later change of it. From time to
+time the log is rewritten with a snapshot of all sessions that play. Records are not flushed: a killed process loses nothing
+that was written. What a power cut loses (the last seconds) is found at the media servers as sessions unknown to the front,
+and is torn down. Records that are written twice or out of order do no harm.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
     from curlewshift.session_core.front_session import FrontSession
 
 BEGAN, CHANGED, ENDED, BOOT = "session", "changed", "over", "boot"
-# The log is begun anew once it has so many records, and this many times as many as there are sessions in it.
-MANY, TIMES = 2000, 3
+# The log is rewritten once it has more than this many records, and more than so many for each session and server in it.
+MIN_RECORDS_TO_COMPACT, MAX_RECORDS_PER_ENTRY = 2000, 3
 
 
 @dataclass(frozen=True, slots=True)
 class StoredSession:
-    """One session. `token` is its address at the door and `holder` who may use it; `key` is its client's, and `offer`
-    the identity of what was offered under it. `path`, `etag` and `ufrag` are the server's words, `answer` its answer
-    for the viewer."""
+    """One session. `token` is its address at the front's HTTP listener and `holder` the holder of the permit for it; `key` is
+    the client's idempotency key and `offer` the identity of the offer made under it; `way` is the protocol. `path`, `etag`
+    and `ufrag` come from the media server, `answer` is its answer to the viewer."""
 
     token: str
     holder: str | None
@@ -41,14 +41,14 @@
     answer: str
 
 
-MAY_CHANGE = ("ceiling", "rung", "etag", "ufrag")
-_LENGTH = len(fields(StoredSession))
+MUTABLE_FIELDS = ("ceiling", "rung", "etag", "ufrag")
+_FIELD_COUNT = len(fields(StoredSession))
 
 
 def remembered(
     front_session: FrontSession, token: str, holder: str | None, path: str, etag: str = "", ufrag: str = "", answer: str = ""
 ) -> StoredSession:
-    """A viewing that plays, as it has to be known after a kill."""
+    """The stored form of a viewing that plays."""
     viewing, offer = front_session.viewing, front_session.offer
     return StoredSession(
         token,
@@ -69,9 +69,11 @@
 
 
 class SessionRegistry:
+    """Open sessions by token. Methods that record an event return the record to be written, None if nothing changed."""
+
     def __init__(self):
         self.open: dict[str, StoredSession] = {}
-        # which life of each server was spoken to last: another one has nothing of what played there
+        # by server: its last known boot (process run); after a restart it has none of the sessions that played there
         self.boots: dict[str, str] = {}
         self.records = 0
 
@@ -79,13 +81,13 @@
         self.open[session.token] = session
         return self._record([BEGAN, *astuple(session)])
 
-    def changed(self, token: str, what: str, value: object) -> list[Any] | None:
-        """One of `MAY_CHANGE` has another value."""
-        held = self.open.get(token)
-        if held is None or getattr(held, what) == value:
+    def changed(self, token: str, field_name: str, value: object) -> list[Any] | None:
+        """One of `MUTABLE_FIELDS` has a new value."""
+        stored = self.open.get(token)
+        if stored is None or getattr(stored, field_name) == value:
             return None
-        self.open[token] = replace(held, **{what: value})
-        return self._record([CHANGED, token, what, value])
+        self.open[token] = replace(stored, **{field_name: value})
+        return self._record([CHANGED, token, field_name, value])
 
     def ended(self, token: str) -> list[Any] | None:
         return self._record([ENDED, token]) if self.open.pop(token, None) is not None else None
@@ -97,15 +99,15 @@
         return self._record([BOOT, server, boot])
 
     def restore(self, records: list[list[Any]]) -> None:
-        """Takes in what the log has; what it cannot read says nothing."""
+        """Applies the records of the log; unknown records are ignored."""
         for record in records:
             self.records += 1
             match record:
-                case [str(kind), *facts] if kind == BEGAN and len(facts) == _LENGTH:
-                    self.open[facts[0]] = StoredSession(*facts)
-                case [str(kind), str(token), str(what), value] if kind == CHANGED and what in MAY_CHANGE:
+                case [str(kind), *values] if kind == BEGAN and len(values) == _FIELD_COUNT:
+                    self.open[values[0]] = StoredSession(*values)
+                case [str(kind), str(token), str(field_name), value] if kind == CHANGED and field_name in MUTABLE_FIELDS:
                     if token in self.open:
-                        self.open[token] = replace(self.open[token], **{what: value})
+                        self.open[token] = replace(self.open[token], **{field_name: value})
                 case [str(kind), str(token)] if kind == ENDED:
                     self.open.pop(token, None)
                 case [str(kind), str(server), str(boot)] if kind == BOOT:
@@ -114,10 +116,10 @@
                     continue
 
     def stale(self) -> bool:
-        return self.records > MANY and self.records > TIMES * (len(self.open) + len(self.boots))
+        return self.records > MIN_RECORDS_TO_COMPACT and self.records > MAX_RECORDS_PER_ENTRY * (len(self.open) + len(self.boots))
 
     def snapshot(self) -> list[list[Any]]:
-        """All that is open, as the records of a log that begins again."""
+        """All open sessions and boots as records, with which the log is rewritten."""
         self.records = len(self.open) + len(self.boots)
         return [[BOOT, server, boot] for server, boot in self.boots.items()] + [
             [BEGAN, *astuple(session)] for session in self.open.values()
--- a/curlewshift/state/setting_up.py
+++ b/curlewshift/state/setting_up.py
@@ -1,8 +1,8 @@
-"""The steps of one tune-in on its way out, in the order that has to hold however it is carried out. No I/O.
+"""The steps of sending one tune-in (set-up attempt at a media server), in their required order. No I/O.
 
-Whoever carries a tune-in out (curlewshift/front/server_pool.py on sockets, curlewshift/model_checker in a model) runs these steps
-and does what each asks for. That the intent is on the disk before the first byte goes out is decided here alone, so that
-what the walk tries in every order is the order that serves.
+The caller (curlewshift/front/server_pool.py on sockets, curlewshift/model_checker in a model) runs this generator and carries out
+each step. That the intent is on disk before the first byte is sent is decided only here, so that the model checker checks the
+same order of steps that the front uses.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 def setting_up(
     session_core, tune_in: TuneIn, intents: Intents | None, intent: Intent | None
 ) -> Generator[tuple[str, list[Any] | None], bool, Outcome | None]:
-    """Yields `(WRITE, record)`, to be flushed and answered with whether it was kept, then `(SEND, None)`, once. If it
-    ends before that it returns how the tune-in ended; no byte has gone out then. `intent` is None for what need not be
-    known after a kill."""
+    """Yields `(WRITE, record)`, which the caller flushes and answers with whether that succeeded, then `(SEND, None)` once. If
+    it ends without `SEND` it returns the outcome of the tune-in, of which no byte has been sent. `intent` is None for a
+    tune-in that need not be known after a crash."""
     if intents is not None and intent is not None and not (yield WRITE, intents.began(intent)):
-        # a paid set-up that could not be known of after a kill is not begun
+        # a paid set-up is not begun if it would be unknown after a crash
         return Outcome.UNSENT
     if not session_core.stands(tune_in):
-        # a list change or the time has overtaken it; nothing has gone out yet, so it can be taken back
+        # a change of the server list or a time-out has ended it meanwhile; nothing has been sent yet, so it can be withdrawn
         return Outcome.UNSENT
     yield SEND, None
     return None
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Kills, torn tails, full disks: what was promised before holds after."""
+"""State on disk after kills, torn writes and full disks: what was promised before still holds."""
 
 import errno
 import os
@@ -27,7 +27,7 @@
     return Intent(key, "offer", "whep", "paid", "t", "s", until)
 
 
-class Remembering(unittest.TestCase):
+class IntentLog(unittest.TestCase):
     def test_only_proof_that_nothing_ran_closes_an_intent(self):
         for outcome in Outcome:
             intents = Intents()
@@ -35,15 +35,15 @@
             closing = intents.ended("k", outcome)
             proof = outcome in (Outcome.FULL, Outcome.UNREACHED, Outcome.UNSENT)
             self.assertEqual(closing, [ENDED, "k"] if proof else None)
-            again = Intents().restore([record, *([closing] if closing else [])], 0)
-            self.assertEqual(again, [] if proof else [intent()], outcome)
+            restored = Intents().restore([record, *([closing] if closing else [])], 0)
+            self.assertEqual(restored, [] if proof else [intent()], outcome)
 
-    def test_a_second_try_of_one_key_is_open_again(self):
+    def test_second_attempt_with_a_key_reopens_its_intent(self):
         intents = Intents()
         records = [intents.began(intent()), intents.ended("k", Outcome.FULL), intents.began(intent())]
         self.assertEqual(Intents().restore(records, 0), [intent()])
 
-    def test_what_nobody_asks_for_any_more_is_forgotten_and_the_log_begins_anew(self):
+    def test_expired_intents_are_dropped_and_the_log_is_rewritten(self):
         intents = Intents()
         for number in range(3000):
             intents.began(intent(str(number), until=number * SECOND))
@@ -54,12 +54,12 @@
         self.assertEqual((len(anew), intents.stale()), (9, False))
         self.assertEqual(len(Intents().restore(anew, 2990 * SECOND)), 9)
 
-    def test_records_of_another_version_take_nothing_back(self):
+    def test_unknown_records_close_no_intent(self):
         records = [Intents().began(intent()), ["novel", 1], [ENDED], [BEGAN, "x"], []]
         self.assertEqual(Intents().restore(records, 0), [intent()])
 
 
-class Disk(unittest.TestCase):
+class JournalOnDisk(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -71,27 +71,27 @@
             journal.add(["r", number], True)
         return journal
 
-    def test_a_kill_after_every_byte_leaves_what_was_whole(self):
+    def test_kill_after_any_byte_leaves_the_complete_records(self):
         self.filled().close()
         raw = self.path.read_bytes()
         for cut in range(len(raw)):
             self.path.write_bytes(raw[:cut])
             journal = Journal(self.path)
-            whole = [
+            expected = [
                 ["r", number] for number in range(5) if len(MAGIC + b"".join(frame(["r", n]) for n in range(number + 1))) <= cut
             ]
-            self.assertEqual(journal.records, whole, cut)
+            self.assertEqual(journal.records, expected, cut)
             journal.add(["more"], True)
             journal.close()
-            again = Journal(self.path)
-            self.assertEqual(again.records, [*whole, ["more"]], cut)
-            again.close()
+            restored = Journal(self.path)
+            self.assertEqual(restored.records, [*expected, ["more"]], cut)
+            restored.close()
 
-    def test_a_flipped_bit_is_told_of_and_the_file_kept_for_a_person(self):
+    def test_flipped_bit_is_reported_and_the_file_is_kept(self):
         self.filled().close()
-        whole = self.path.read_bytes()
-        for at in range(len(MAGIC), len(whole) - len(frame(["r", 4]))):
-            raw = bytearray(whole)
+        original = self.path.read_bytes()
+        for at in range(len(MAGIC), len(original) - len(frame(["r", 4]))):
+            raw = bytearray(original)
             raw[at] ^= 1
             self.path.write_bytes(raw)
             journal = Journal(self.path)
@@ -100,7 +100,7 @@
             self.assertEqual(self.path.with_name("log.damaged").read_bytes(), bytes(raw))
             journal.close()
 
-    def test_a_short_write_is_taken_back(self):
+    def test_short_write_is_undone(self):
         journal = self.filled(2)
         write = os.write
         with mock.patch("os.write", lambda file, raw: write(file, raw[:3])), self.assertRaises(WriteFailed):
@@ -109,7 +109,7 @@
         journal.close()
         self.assertEqual(Journal(self.path).records, [["r", 0], ["r", 1], ["kept"]])
 
-    def test_a_full_disk_keeps_nothing_new_and_loses_nothing_old(self):
+    def test_full_disk_refuses_new_records_and_loses_no_old_ones(self):
         journal = self.filled(2)
         full = OSError(errno.ENOSPC, "No space left on device")
         with mock.patch("os.write", side_effect=full), self.assertRaises(WriteFailed) as found:
@@ -118,23 +118,23 @@
         journal.add(["kept"], True)
         self.assertEqual(Journal(self.path).records[-1], ["kept"])
 
-    def test_after_a_failed_flush_nothing_more_is_promised(self):
+    def test_after_a_failed_flush_every_write_fails(self):
         journal = self.filled(2)
         with mock.patch("os.fsync", side_effect=OSError(errno.EIO, "Input/output error")), self.assertRaises(WriteFailed):
             journal.add(["perhaps"], True)
         with self.assertRaises(WriteFailed):
             journal.add(["not trusted"], True)
 
-    def test_a_log_begun_anew_is_whole_or_the_old_one(self):
+    def test_rewritten_log_is_complete_or_the_old_one_stays(self):
         journal = self.filled(5)
-        with mock.patch("os.replace", side_effect=OSError("a kill")), self.assertRaises(WriteFailed):
+        with mock.patch("os.replace", side_effect=OSError("killed")), self.assertRaises(WriteFailed):
             journal.begin_anew([["new"]])
         self.assertEqual(len(Journal(self.path).records), 5)
         journal.begin_anew([["new"]])
         journal.add(["after"], True)
         self.assertEqual(Journal(self.path).records, [["new"], ["after"]])
 
-    def test_one_process_has_a_folder(self):
+    def test_folder_is_locked_by_one_process(self):
         first = Lock(self.path.parent)
         with self.assertRaises(FolderInUse):
             Lock(self.path.parent)
@@ -142,10 +142,11 @@
         Lock(self.path.parent).release()
 
 
-class Recovery(unittest.TestCase):
+class CrashRecovery(unittest.TestCase):
     @story
-    async def test_a_paid_set_up_cut_off_by_a_kill_is_never_made_again(self):
-        """A front in a process of its own, killed while the server works on a paid set-up."""
+    async def test_paid_set_up_interrupted_by_a_kill_is_never_repeated(self):
+        """The front, a process of its own, is killed while the server works on a paid set-up. After a restart the client's
+        retry must not make a second set-up."""
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             async with SmallSite(servers=1, patience=4 * SECOND).up() as site:
@@ -174,7 +175,7 @@
                     front.wait()
 
     @story
-    async def test_a_set_up_whose_intent_cannot_be_kept_is_not_begun(self):
+    async def test_set_up_without_a_stored_intent_is_not_begun(self):
         with tempfile.TemporaryDirectory() as name:
             async with SmallSite(servers=1).up(Path(name)) as site:
                 self.assertEqual((await site.ask("paid")).status, 201)
@@ -184,7 +185,7 @@
                     self.assertEqual((await site.ask("clip")).status, 201)
                 self.assertEqual(len(site.traffic.all("setup")), 2)
 
-    def test_two_fronts_on_one_folder_are_refused(self):
+    def test_second_front_on_a_folder_is_refused(self):
         with tempfile.TemporaryDirectory() as name:
             lock = Lock(Path(name))
             ran = subprocess.run(
@@ -195,9 +196,9 @@
                 timeout=30,
             )
             lock.release()
-        self.assertEqual((ran.returncode, "another front has" in ran.stderr), (2, True), ran.stderr)
+        self.assertEqual((ran.returncode, "another process uses" in ran.stderr), (2, True), ran.stderr)
 
-    # ---- a front as a process
+    # ---- a front as a separate process
 
     def _write_site(self, folder, site):
         import random
