--- a/curlewshift/state/journal.py
+++ b/curlewshift/state/journal.py
@@ -33,7 +33,7 @@
             fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             self.file.close()
-            raise FolderInUse(f"another process uses {folder}") from None
+            raise FolderInUse(f"another front has {folder}") from None
 
     def release(self) -> None:
         self.file.close()
