--- a/tests/node_place.py
+++ b/tests/node_testbed.py
@@ -1,4 +1,4 @@
-"""A place for one front node on loopback: scripted media servers, a bulletin, and viewers. All in one process."""
+"""Test bed for one front node on loopback: scripted media servers, a discovery service, and viewers, all in one process."""
 
 import contextlib
 import json
@@ -17,17 +17,20 @@
 LESSON, CLIP = "lesson", "clip"
 
 
-def is_a_strangers(data):
-    """Eight bytes that count up to a small number: the greeting of a discovery follower, of another test's node whose port this
-    was before. A message to a media server never begins with a length of 0; `up` asserts that the node here follows no media."""
+def is_discovery_request(data):
+    """Whether this is a discovery request: eight bytes with a small number.
+
+    The node of an earlier test, whose discovery port has been reused here, may send one. A message to a media server never begins
+    with a length of 0; `running` asserts that the node under test does not use a media server for discovery.
+    """
     return len(data) == 8 and data[:6] == bytes(6)
 
 
-class Media:
-    """One media server. `does(connection, kind, id, parameters)` answers; by default each set-up plays."""
+class MediaServer:
+    """Stand-in of a media server. `handler(connection, kind, id, parameters)` replies; by default each set-up is accepted."""
 
     def __init__(self, name, cell=0):
-        self.name, self.cell, self.heard, self.connections, self.does = name, cell, [], [], self.plays
+        self.name, self.cell, self.received, self.connections, self.handler = name, cell, [], [], self.accept
         self.state, self.started = 0, 0
 
     async def open(self, tasks, port=0):
@@ -36,31 +39,31 @@
         tasks.start_soon(self._serve)
 
     async def _serve(self):
-        async with anyio.create_task_group() as self.own:
+        async with anyio.create_task_group() as self.task_group:
             with contextlib.suppress(anyio.ClosedResourceError):
-                await self.listener.listeners[0].serve(self._line, task_group=self.own)
+                await self.listener.listeners[0].serve(self._serve_connection, task_group=self.task_group)
 
     async def close(self):
         await self.listener.aclose()
-        self.own.cancel_scope.cancel()
+        self.task_group.cancel_scope.cancel()
 
-    async def _line(self, stream):
+    async def _serve_connection(self, stream):
         reader = isup.Reader()
         self.connections.append(stream)
         try:
             async with stream:
                 async for data in stream:
-                    if is_a_strangers(data) and not reader.partial:
+                    if is_discovery_request(data) and not reader.partial:
                         return
                     for kind, id, parameters in reader.feed(data):
-                        self.heard.append((kind, id, parameters))
-                        await self.does(stream, kind, id, parameters)
+                        self.received.append((kind, id, parameters))
+                        await self.handler(stream, kind, id, parameters)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         finally:
             self.connections.remove(stream)
 
-    async def plays(self, connection, kind, id, parameters):
+    async def accept(self, connection, kind, id, parameters):
         if kind == isup.RELEASE:
             await connection.send(isup.released(id))
         if kind == isup.SET_UP:
@@ -75,25 +78,27 @@
         elif kind == isup.PROBE:
             await connection.send(isup.encode(isup.PROBED, id, (isup.CAUSE, b"\1"), (isup.REPORT, b"x0:0.5")))
 
-    async def silent(self, connection, kind, id, parameters):
+    async def ignore(self, connection, kind, id, parameters):
         pass
 
-    def says(self, data):
-        """Each set-up gets these bytes; `ID` in them is its id."""
+    def reply_with(self, data):
+        """Replies to each set-up with these bytes, in which the session id replaces `IDIDIDID`."""
 
-        async def does(connection, kind, id, parameters):
+        async def handler(connection, kind, id, parameters):
             if kind == isup.SET_UP:
                 await connection.send(data.replace(b"IDIDIDID", id))
 
-        self.does = does
+        self.handler = handler
+
+    def received_of(self, kind):
+        return [(id, parameters) for received_kind, id, parameters in self.received if received_kind == kind]
 
-    def had(self, kind):
-        return [(id, parameters) for heard, id, parameters in self.heard if heard == kind]
 
+class DiscoveryServer:
+    """Stand-in of the discovery service; events are sent by the tests."""
 
-class Bulletin:
     def __init__(self):
-        self.asked, self.connections = [], []
+        self.requests, self.connections = [], []
 
     async def open(self, tasks, port=0):
         self.listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
@@ -101,41 +106,41 @@
         tasks.start_soon(self._serve)
 
     async def _serve(self):
-        async with anyio.create_task_group() as own:
+        async with anyio.create_task_group() as task_group:
             with contextlib.suppress(anyio.ClosedResourceError):
-                await self.listener.listeners[0].serve(self._line, own)
+                await self.listener.listeners[0].serve(self._serve_connection, task_group)
 
-    async def _line(self, stream):
-        self.asked.append(int.from_bytes(await stream.receive(8), "big"))
+    async def _serve_connection(self, stream):
+        self.requests.append(int.from_bytes(await stream.receive(8), "big"))
         self.connections.append(stream)
         with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             async with stream:
                 await stream.receive()
         self.connections.remove(stream)
 
-    async def tell(self, number, *medias, kind=2):
+    async def send_event(self, number, *media_servers, kind=2):
         payload = b"".join(
             struct.pack(
                 ">I4sHBBBHIQ",
-                int(one.name[2:], 16),
+                int(media.name[2:], 16),
                 bytes((127, 0, 0, 1)),
-                one.port,
-                one.state,
+                media.port,
+                media.state,
                 0,
                 0,
-                one.cell,
+                media.cell,
                 1000,
-                one.started,
+                media.started,
             )
-            for one in medias
+            for media in media_servers
         )
         await self.connections[-1].send(struct.pack(">IQB", 9 + len(payload), number, kind) + payload)
 
 
-def set_up(id, package=LESSON, body=b"offer", patience=2000, more="", legs=""):
+def set_up(id, package=LESSON, body=b"offer", timeout_ms=2000, more="", legs=""):
     return (
         f"SETUP rtsp://media/00000000000000aa RTSP/1.0\r\nCSeq: 1\r\nSession: {id}\r\nX-Cos: {package}\r\n"
-        f"X-Timer-Ms: {patience}\r\nX-Legs: home:0;copies:4;top:1;viewer:00000000b4d65521{legs}\r\n{more}"
+        f"X-Timer-Ms: {timeout_ms}\r\nX-Legs: home:0;copies:4;top:1;viewer:00000000b4d65521{legs}\r\n{more}"
         f"Content-Length: {len(body)}\r\n\r\n".encode()
         + body
     )
@@ -146,59 +151,59 @@
 
 
 class Viewer:
-    """One connection to the node."""
+    """A viewer with one connection to the node."""
 
     async def open(self, port):
         self.stream = await anyio.connect_tcp("127.0.0.1", port)
-        self.reader, self.got = rtsp.Reader(), []
+        self.reader, self.buffered = rtsp.Reader(), []
         return self
 
-    async def ask(self, id, **how):
-        await self.stream.send(set_up(id, **how))
+    async def send_set_up(self, id, **options):
+        await self.stream.send(set_up(id, **options))
 
     async def tear_down(self, id, reason=""):
         await self.stream.send(torn_down(id, reason))
 
-    async def hear(self, within=3.0):
+    async def receive(self, within=3.0):
         """The next message; None at the end of the connection."""
         with anyio.fail_after(within):
-            while not self.got:
+            while not self.buffered:
                 try:
-                    self.got += self.reader.feed(await self.stream.receive())
+                    self.buffered += self.reader.feed(await self.stream.receive())
                 except (anyio.EndOfStream, anyio.BrokenResourceError):
                     return None
-        return self.got.pop(0)
+        return self.buffered.pop(0)
 
-    async def answer(self, id, **how):
-        await self.ask(id, **how)
-        return await self.hear()
+    async def request(self, id, **options):
+        await self.send_set_up(id, **options)
+        return await self.receive()
 
 
-class Plain:
-    """A viewer on a plain socket: what it says and its end are in the kernel as soon as the call returns, before the loop has
-    another turn."""
+class RawViewer:
+    """A viewer on a plain socket: data and closes are in the kernel as soon as the call returns, before the next iteration of the
+    event loop."""
 
     def __init__(self, port):
         self.socket = socket.create_connection(("127.0.0.1", port))
         self.socket.setblocking(False)
-        self.reader, self.got = rtsp.Reader(), []
+        self.reader, self.buffered = rtsp.Reader(), []
 
-    def say(self, data):
+    def send(self, data):
         self.socket.sendall(data)
 
-    def ask(self, id, **how):
-        self.say(set_up(id, **how))
+    def send_set_up(self, id, **options):
+        self.send(set_up(id, **options))
 
     def tear_down(self, id, reason=""):
-        self.say(torn_down(id, reason))
+        self.send(torn_down(id, reason))
 
     def close(self):
         self.socket.close()
 
-    async def hear(self, within=3.0):
+    async def receive(self, within=3.0):
         """The next message; None at the end of the connection."""
         with anyio.fail_after(within):
-            while not self.got:
+            while not self.buffered:
                 await anyio.wait_readable(self.socket)
                 try:
                     data = self.socket.recv(65536)
@@ -206,61 +211,64 @@
                     data = b""
                 if not data:
                     return None
-                self.got += self.reader.feed(data)
-        return self.got.pop(0)
+                self.buffered += self.reader.feed(data)
+        return self.buffered.pop(0)
+
 
+class DelayedReads:
+    """Delays reads and connects of the node.
 
-class Held:
-    """Connections of the node's whose sockets are in `sockets` are not read until `go` is set, whatever has come on them.
-    Those to media servers that are being made are up, and the node does not know it, while `dials` is set."""
+    The node does not read the connections whose sockets are in `sockets` until `resume_reads` is set. While `delay_connects` is
+    set, connects to media servers succeed without the node learning of it until `resume_connects` is set.
+    """
 
-    def __init__(self, dials=False):
-        self.go, self.sockets, self.dials = anyio.Event(), set(), dials
+    def __init__(self, delay_connects=False):
+        self.resume_reads, self.sockets, self.delay_connects = anyio.Event(), set(), delay_connects
 
     @contextlib.contextmanager
-    def all(self):
+    def applied(self):
         readable, dial = anyio.wait_readable, buffered_connection.dial
 
         async def read(sock):
             await readable(sock)
             if sock in self.sockets:
-                await self.go.wait()
+                await self.resume_reads.wait()
 
-        async def dialled(address, within):
-            sock = await dial(address, within)
-            if self.dials:
-                await self.up.wait()
+        async def delayed_dial(address, timeout_s):
+            sock = await dial(address, timeout_s)
+            if self.delay_connects:
+                await self.resume_connects.wait()
             return sock
 
-        self.up = anyio.Event()
+        self.resume_connects = anyio.Event()
         with (
             mock.patch.object(buffered_connection.anyio, "wait_readable", read),
-            mock.patch("curlewshift.node.server_pool.dial", dialled),
+            mock.patch("curlewshift.node.server_pool.dial", delayed_dial),
         ):
             yield self
 
 
-class Place:
-    """`medias` servers, one a cell; a fault that the node has logged fails the story."""
+class Testbed:
+    """A front node with a discovery service and media servers, one in each cell. A fault logged by the node fails the test."""
 
-    def __init__(self, medias=1, sockets=256, idle_close_ms=30000, **changed):
-        self.medias = [Media(f"s-{number + 1:08x}", number) for number in range(medias)]
-        self.bulletin, self.sockets, self.changed, self.obligations = Bulletin(), sockets, changed, {}
+    def __init__(self, media_servers=1, sockets=256, idle_close_ms=30000, **changed):
+        self.media_servers = [MediaServer(f"s-{number + 1:08x}", number) for number in range(media_servers)]
+        self.discovery, self.sockets, self.changed, self.obligations = DiscoveryServer(), sockets, changed, {}
         self.idle_close_ms = idle_close_ms
 
-    def told(self):
+    def config_document(self):
         rows = [
             dict(
-                id=one.name,
-                addr=f"127.0.0.1:{one.port}",
+                id=media.name,
+                addr=f"127.0.0.1:{media.port}",
                 zone="a",
                 kind="box",
-                cell=one.cell,
+                cell=media.cell,
                 state="active",
                 weight=1.0,
                 started_ms=0,
             )
-            for one in self.medias
+            for media in self.media_servers
         ]
         classes = [
             dict(name=LESSON, effect="safe", gain=1.0, goal_time_ms=800, give_up_ms=2000),
@@ -292,41 +300,41 @@
             listen=f"127.0.0.1:{self.port}",
             seed="0f",
             limits=dict(sockets=self.sockets),
-            bulletin=f"127.0.0.1:{self.bulletin.port}",
+            bulletin=f"127.0.0.1:{self.discovery.port}",
             settings=settings,
             known=dict(no=1, items=[dict(no=1, roster=dict(version=0, full=True, servers=rows))]),
             **self.changed,
         )
 
     @contextlib.asynccontextmanager
-    async def around(self):
-        """All but the node, and at `path` what it is told."""
+    async def without_node(self):
+        """Runs everything except the node, with the node's configuration file at `path`."""
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
-            for one in (*self.medias, self.bulletin):
-                await one.open(tasks)
+            for server in (*self.media_servers, self.discovery):
+                await server.open(tasks)
             spare = await anyio.create_tcp_listener(local_host="127.0.0.1")
             self.port = spare.listeners[0].extra(anyio.abc.SocketAttribute.local_port)
             await spare.aclose()
             with tempfile.TemporaryDirectory() as folder:
                 self.path = Path(folder) / "config.json"
-                self.path.write_text(json.dumps(self.told()))
+                self.path.write_text(json.dumps(self.config_document()))
                 try:
                     yield self
                 finally:
                     tasks.cancel_scope.cancel()
-                    for one in (*self.medias, self.bulletin):
+                    for server in (*self.media_servers, self.discovery):
                         with anyio.CancelScope(shield=True):
-                            await one.listener.aclose()
+                            await server.listener.aclose()
 
     @contextlib.asynccontextmanager
-    async def up(self):
-        async with self.around():
+    async def running(self):
+        async with self.without_node():
             self.node = Node(configuration.read(self.path), self.path, mock.Mock())
             self.tasks.start_soon(self.node.run)
             await until(lambda: self.node.ready)
             yield self
-            assert self.node.follower.address[1] not in [one.port for one in self.medias]
+            assert self.node.follower.address[1] not in [media.port for media in self.media_servers]
         faults = [call for call in self.node.log.error.call_args_list if call.args == ("fault",)]
         assert not faults, faults
 
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -1,7 +1,7 @@
-"""What the users accept the front node by, on real sockets and processes: those points that no other story shows.
+"""Acceptance criteria of the front node that no other test covers, on real sockets and processes.
 
-Idle clients that fill the descriptors while discovery is down: tests/test_crossings.py, NoDescriptors. Attempts for who has left:
-tests/test_attempts.py.
+Idle clients that use up the descriptors while discovery is down: tests/test_crossings.py, DescriptorLimit. Attempts for clients
+that have left: tests/test_attempts.py.
 """
 
 import contextlib
@@ -18,21 +18,21 @@
 import anyio
 
 from curlewshift.fault_injection.processes import ROOT, free_ports
-from tests.node_place import CLIP, Place, Plain
+from tests.node_testbed import CLIP, RawViewer, Testbed
 from tests.sockets import story
 
-READY_WITHIN = 10.0
-TEST = b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 0\r\n\r\n"
+READY_DEADLINE_S = 10.0
+PROBE = b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class Life:
-    """A node's processes, one after the other, at one port."""
+class RestartedNode:
+    """Successive processes of one node, at one port."""
 
-    def __init__(self, place, number):
+    def __init__(self, testbed, number):
         self.number, self.process = number, None
         [self.port] = free_ports(1, random.Random(os.getpid() * 10 + number))
-        self.path = Path(place.path).with_name(f"n{number}.json")
-        self.path.write_text(json.dumps({**place.told(), "name": f"n{number}", "listen": f"127.0.0.1:{self.port}"}))
+        self.path = Path(testbed.path).with_name(f"n{number}.json")
+        self.path.write_text(json.dumps({**testbed.config_document(), "name": f"n{number}", "listen": f"127.0.0.1:{self.port}"}))
 
     def start(self):
         self.process = subprocess.Popen(
@@ -48,65 +48,65 @@
             self.process.wait()
 
     async def ready(self):
-        """Seconds until a test on a connection of its own is passed; a little over the bound if it never is."""
-        began = time.monotonic()
-        while (took := time.monotonic() - began) <= READY_WITHIN:
+        """Returns the seconds until a probe on a new connection succeeds; just over the deadline if none does."""
+        started_at = time.monotonic()
+        while (elapsed := time.monotonic() - started_at) <= READY_DEADLINE_S:
             with contextlib.suppress(OSError, TimeoutError):
-                viewer = Plain(self.port)
+                viewer = RawViewer(self.port)
                 try:
-                    viewer.say(TEST)
-                    heard = await viewer.hear(1.0)
-                    if heard is not None and heard.status == 200:
-                        return time.monotonic() - began
+                    viewer.send(PROBE)
+                    message = await viewer.receive(1.0)
+                    if message is not None and message.status == 200:
+                        return time.monotonic() - started_at
                 finally:
                     viewer.close()
             await anyio.sleep(0.02)
-        return took
+        return elapsed
 
 
 class Restarts(unittest.TestCase):
     @story
-    async def test_nine_in_ten_processes_that_were_killed_are_ready_in_time_with_the_bulletin_there_or_not_and_then_serve(self):
-        took, answers = [], []
-        async with Place(2, sockets=200).around() as place:
+    async def test_nine_of_ten_killed_processes_are_ready_in_time_with_or_without_discovery_and_then_serve(self):
+        elapsed, answers = [], []
+        async with Testbed(2, sockets=200).without_node() as testbed:
 
-            async def restarted(number):
-                life = Life(place, number)
+            async def restart_repeatedly(number):
+                node = RestartedNode(testbed, number)
                 try:
-                    life.start()
-                    await life.ready()
+                    node.start()
+                    await node.ready()
                     for turn in range(5):
                         if turn == 2 and number == 0:
-                            # from here on there is no bulletin for any of them
-                            await place.bulletin.listener.aclose()
-                            for connection in list(place.bulletin.connections):
+                            # from here on discovery is down for all nodes
+                            await testbed.discovery.listener.aclose()
+                            for connection in list(testbed.discovery.connections):
                                 await connection.aclose()
-                        held = Plain(life.port)
-                        held.ask(f"{number * 10 + turn + 1:016x}", package=CLIP)
-                        life.kill()
-                        held.close()
-                        life.start()
-                        took.append(await life.ready())
-                        viewer = Plain(life.port)
-                        viewer.ask(f"{number * 10 + turn + 100:016x}", package=CLIP)
-                        answers.append((await viewer.hear(5)).status)
+                        interrupted = RawViewer(node.port)
+                        interrupted.send_set_up(f"{number * 10 + turn + 1:016x}", package=CLIP)
+                        node.kill()
+                        interrupted.close()
+                        node.start()
+                        elapsed.append(await node.ready())
+                        viewer = RawViewer(node.port)
+                        viewer.send_set_up(f"{number * 10 + turn + 100:016x}", package=CLIP)
+                        answers.append((await viewer.receive(5)).status)
                         viewer.close()
                 finally:
-                    life.kill()
+                    node.kill()
 
             async with anyio.create_task_group() as tasks:
                 for number in range(2):
-                    tasks.start_soon(restarted, number)
-        took.sort()
-        self.assertEqual(len(took), 10)
-        self.assertLessEqual(took[8], READY_WITHIN, took)
+                    tasks.start_soon(restart_repeatedly, number)
+        elapsed.sort()
+        self.assertEqual(len(elapsed), 10)
+        self.assertLessEqual(elapsed[8], READY_DEADLINE_S, elapsed)
         self.assertEqual(answers, [200] * 10)
 
     @story
-    async def test_one_that_never_comes_up_is_not_called_ready(self):
-        async with Place(1).around() as place:
-            with mock.patch(f"{__name__}.READY_WITHIN", 0.2):
-                self.assertGreater(await Life(place, 7).ready(), 0.2)
+    async def test_a_process_that_never_starts_is_not_reported_ready(self):
+        async with Testbed(1).without_node() as testbed:
+            with mock.patch(f"{__name__}.READY_DEADLINE_S", 0.2):
+                self.assertGreater(await RestartedNode(testbed, 7).ready(), 0.2)
 
 
 if __name__ == "__main__":
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -336,7 +336,7 @@
         self.assertEqual(row.verdict(ROOT), "not known: ×0.56 of 18 s in a smaller run, and not carried")
 
     def test_servers_of_a_list_are_what_they_add_and_more_than_a_frame_holds_is_over(self):
-        self.assertEqual((discovery.MOST - 9) // discovery.RECORD.size, MOST_LISTED)
+        self.assertEqual((discovery.MAX_FRAME_BYTES - 9) // discovery.RECORD.size, MOST_LISTED)
         measured = self.files(slope_list=line_file("memory-by-servers", 30_000_000, 4_000))
         self.assertAlmostEqual(self.row(measured, "a list of 2,000 servers").figure.value, 8.0)
         bent = self.files(slope_list=line_file("memory-by-servers", 30_000_000, 0, bend=1.0, xs=(1000, 2000, 3000, 4000)))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""What crosses the close of a connection, on real sockets."""
+"""Messages that cross the close of a connection are not lost, on real sockets."""
 
 import os
 import signal
@@ -13,263 +13,266 @@
 from curlewshift.fault_injection.processes import listens
 from curlewshift.node import isup
 from curlewshift.node.connections import Session
-from tests.node_place import CLIP, Held, Media, Place, Plain
+from tests.node_testbed import CLIP, DelayedReads, MediaServer, RawViewer, Testbed
 from tests.sockets import story, until
 
 FIRST, SECOND = "00000000000000a1", "00000000000000b2"
 
 
-class AtAMediaServer(unittest.TestCase):
+class MediaServerConnections(unittest.TestCase):
     @story
-    async def test_a_release_that_crosses_the_idle_close_of_its_connection_is_told_to_the_client(self):
-        held = Held()
-        async with Place(idle_close_ms=500).up() as place:
-            with held.all():
-                media, viewer = place.medias[0], Plain(place.port)
+    async def test_a_release_that_crosses_the_idle_close_of_its_connection_is_sent_to_the_client(self):
+        delayed = DelayedReads()
+        async with Testbed(idle_close_ms=500).running() as testbed:
+            with delayed.applied():
+                media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
                 for id in (FIRST, SECOND):
-                    viewer.ask(id)
+                    viewer.send_set_up(id)
                 for _ in (FIRST, SECOND):
-                    await viewer.hear()
-                endpoint = next(iter(place.node.server_pool.endpoints.values()))
+                    await viewer.receive()
+                endpoint = next(iter(testbed.node.server_pool.endpoints.values()))
                 closing, staying = endpoint.connections
-                staying.used_at += 10**10
-                held.sockets.add(closing.wire.socket)
+                staying.last_used_at += 10**10
+                delayed.sockets.add(closing.wire.socket)
                 port = closing.wire.socket.getsockname()[1]
-                connection = next(one for one in media.connections if one.extra(anyio.abc.SocketAttribute.remote_port) == port)
+                connection = next(
+                    stream for stream in media.connections if stream.extra(anyio.abc.SocketAttribute.remote_port) == port
+                )
                 await connection.send(isup.release(bytes.fromhex(FIRST), isup.OVER))
                 await until(lambda: closing not in endpoint.connections)
-                held.go.set()
-                told = await viewer.hear(within=1.0)
-            self.assertEqual((told.method, told.fields["session"]), ("TEARDOWN", FIRST))
+                delayed.resume_reads.set()
+                message = await viewer.receive(within=1.0)
+            self.assertEqual((message.method, message.fields["session"]), ("TEARDOWN", FIRST))
             viewer.close()
 
     @story
-    async def test_a_release_lost_with_its_connection_is_said_again_on_another(self):
-        async with Place().up() as place:
-            media, viewer = place.medias[0], Plain(place.port)
+    async def test_a_release_lost_with_its_connection_is_sent_again_on_another(self):
+        async with Testbed().running() as testbed:
+            media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
 
-            async def says_no_word_on_releases(connection, kind, id, parameters):
+            async def confirms_no_release(connection, kind, id, parameters):
                 if kind != isup.RELEASE:
-                    await media.plays(connection, kind, id, parameters)
+                    await media.accept(connection, kind, id, parameters)
 
-            media.does = says_no_word_on_releases
-            viewer.ask(FIRST)
-            await viewer.hear()
+            media.handler = confirms_no_release
+            viewer.send_set_up(FIRST)
+            await viewer.receive()
             viewer.tear_down(FIRST)
-            # by then it is taken as heard
+            # long enough that an unconfirmed release might wrongly count as received
             await anyio.sleep(0.4)
             await media.connections[0].send(b"\xff" * 32)
-            await until(lambda: len(media.had(isup.RELEASE)) == 2, 1.0)
+            await until(lambda: len(media.received_of(isup.RELEASE)) == 2, 1.0)
             viewer.close()
 
     @story
-    async def test_a_release_that_meets_a_reset_after_our_own_end_is_said_again(self):
+    async def test_a_release_lost_to_a_reset_after_a_graceful_close_is_sent_again(self):
         go = anyio.Event()
-        async with Place().up() as place:
-            media, viewer = place.medias[0], Plain(place.port)
+        async with Testbed().running() as testbed:
+            media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
 
             async def resets_unread(connection, kind, id, parameters):
-                if kind == isup.RELEASE and len(media.had(isup.RELEASE)) == 1:
+                if kind == isup.RELEASE and len(media.received_of(isup.RELEASE)) == 1:
                     await go.wait()
                     sock = connection.extra(anyio.abc.SocketAttribute.raw_socket)
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     await connection.aclose()
                 else:
-                    await media.plays(connection, kind, id, parameters)
+                    await media.accept(connection, kind, id, parameters)
 
-            media.does = resets_unread
-            viewer.ask(FIRST)
-            await viewer.hear()
+            media.handler = resets_unread
+            viewer.send_set_up(FIRST)
+            await viewer.receive()
             viewer.tear_down(FIRST)
-            connection = next(iter(place.node.server_pool.endpoints.values())).connections[0]
+            connection = next(iter(testbed.node.server_pool.endpoints.values())).connections[0]
             await anyio.sleep(0.4)
-            place.node.server_pool._retire(connection)
+            testbed.node.server_pool._retire(connection)
             await anyio.sleep(0.05)
             go.set()
-            await until(lambda: len(media.had(isup.RELEASE)) == 2, 1.0)
+            await until(lambda: len(media.received_of(isup.RELEASE)) == 2, 1.0)
             viewer.close()
 
     @story
-    async def test_two_ends_of_one_session_on_one_connection_are_both_counted_back(self):
-        async with Place().up() as place:
-            viewer, session_core = Plain(place.port), place.node.session_core
-            viewer.ask(FIRST)
-            await viewer.hear()
-            server = next(iter(place.node.server_pool.endpoints))
+    async def test_two_releases_of_one_session_are_both_completed(self):
+        async with Testbed().running() as testbed:
+            viewer, session_core = RawViewer(testbed.port), testbed.node.session_core
+            viewer.send_set_up(FIRST)
+            await viewer.receive()
+            server = next(iter(testbed.node.server_pool.endpoints))
             for _ in range(2):
                 session_core.orphaned(server, Session(bytes.fromhex(FIRST), server))
             await until(lambda: not len(session_core.session_ends), 1.0)
             viewer.close()
 
     @story
-    async def test_a_session_that_a_server_set_up_in_place_of_the_one_before_at_its_address_is_ended_there(self):
-        async with Place().up() as place:
-            old, viewer = place.medias[0], Plain(place.port)
-            viewer.ask(FIRST)
-            await viewer.hear()
-            new = Media("s-000000aa")
+    async def test_a_session_is_released_at_the_server_that_has_taken_over_the_address(self):
+        async with Testbed().running() as testbed:
+            old, viewer = testbed.media_servers[0], RawViewer(testbed.port)
+            viewer.send_set_up(FIRST)
+            await viewer.receive()
+            new = MediaServer("s-000000aa")
             new.port, new.started = old.port, 1
-            await until(lambda: place.bulletin.connections)
-            await place.bulletin.tell(2, new)
-            # the same process stands for both here: it answers to the new name
-            await until(lambda: old.had(isup.RELEASE), 1.0)
-            self.assertEqual((await viewer.hear()).method, "TEARDOWN")
+            await until(lambda: testbed.discovery.connections)
+            await testbed.discovery.send_event(2, new)
+            # the same stand-in serves both names: it receives the release that is addressed to the new one
+            await until(lambda: old.received_of(isup.RELEASE), 1.0)
+            self.assertEqual((await viewer.receive()).method, "TEARDOWN")
             viewer.close()
 
 
-class AtAClient(unittest.TestCase):
+class ClientConnections(unittest.TestCase):
     @story
-    async def test_a_session_answered_after_its_client_had_closed_is_ended_at_its_server(self):
-        held = Held()
-        async with Place().up() as place:
-            with held.all():
-                media, viewer = place.medias[0], Plain(place.port)
+    async def test_a_session_answered_after_its_client_had_closed_is_released_at_its_server(self):
+        delayed = DelayedReads()
+        async with Testbed().running() as testbed:
+            with delayed.applied():
+                media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
                 go = anyio.Event()
 
-                async def plays_late(connection, kind, id, parameters):
+                async def replies_late(connection, kind, id, parameters):
                     if kind == isup.SET_UP:
                         await go.wait()
-                    await media.plays(connection, kind, id, parameters)
+                    await media.accept(connection, kind, id, parameters)
 
-                media.does = plays_late
-                viewer.ask(FIRST)
-                await until(lambda: media.had(isup.SET_UP))
-                held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
+                media.handler = replies_late
+                viewer.send_set_up(FIRST)
+                await until(lambda: media.received_of(isup.SET_UP))
+                delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
                 viewer.close()
                 go.set()
-                await until(lambda: media.had(isup.RELEASE), 1.0)
-                held.go.set()
-
-    async def over_after_close(self, closes):
-        """Whether a session is ended at its server whose client closes its connection like that, with the answer unread."""
-        async with Place().up() as place:
-            media, viewer, other = place.medias[0], Plain(place.port), Plain(place.port)
-            other.ask(SECOND)
-            await other.hear()
-            viewer.ask(FIRST)
+                await until(lambda: media.received_of(isup.RELEASE), 1.0)
+                delayed.resume_reads.set()
+
+    async def released_after_close(self, close):
+        """Returns the sessions released at their server after a client has closed its connection in this way with the answer
+        unread, and the session of the TEARDOWN sent on another connection."""
+        async with Testbed().running() as testbed:
+            media, viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
+            other.send_set_up(SECOND)
+            await other.receive()
+            viewer.send_set_up(FIRST)
             await anyio.wait_readable(viewer.socket)
-            closes(viewer)
+            close(viewer)
             with anyio.move_on_after(1.0):
-                await until(lambda: media.had(isup.RELEASE))
-            ended = [id.hex() for id, _ in media.had(isup.RELEASE)]
-            told = (await other.hear()).fields["session"] if ended else ""
+                await until(lambda: media.received_of(isup.RELEASE))
+            ended = [id.hex() for id, _ in media.received_of(isup.RELEASE)]
+            notified = (await other.receive()).fields["session"] if ended else ""
             other.close()
-            return ended, told
+            return ended, notified
 
     @story
-    async def test_a_session_whose_client_closed_with_the_answer_unread_is_ended_and_told(self):
-        self.assertEqual(await self.over_after_close(lambda viewer: viewer.close()), ([FIRST], FIRST))
+    async def test_a_session_whose_client_closed_with_the_answer_unread_is_released_and_its_end_sent(self):
+        self.assertEqual(await self.released_after_close(lambda viewer: viewer.close()), ([FIRST], FIRST))
 
     @story
-    async def test_a_session_whose_client_ended_its_half_and_then_closed_with_the_answer_unread_is_ended_and_told(self):
+    async def test_a_session_whose_client_half_closed_and_then_closed_with_the_answer_unread_is_released_and_its_end_sent(self):
         def in_two_steps(viewer):
             viewer.socket.shutdown(socket.SHUT_WR)
             viewer.close()
 
-        self.assertEqual(await self.over_after_close(in_two_steps), ([FIRST], FIRST))
+        self.assertEqual(await self.released_after_close(in_two_steps), ([FIRST], FIRST))
 
     @story
-    async def test_a_session_whose_client_closes_once_it_has_read_the_answer_plays_on(self):
-        async with Place().up() as place:
-            media, viewer = place.medias[0], Plain(place.port)
-            viewer.ask(FIRST)
-            await viewer.hear()
+    async def test_a_session_whose_client_closes_after_reading_the_answer_continues(self):
+        async with Testbed().running() as testbed:
+            media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
+            viewer.send_set_up(FIRST)
+            await viewer.receive()
             viewer.close()
             await anyio.sleep(0.2)
-            self.assertEqual((len(place.node.session_core.front_sessions), media.had(isup.RELEASE)), (1, []))
+            self.assertEqual((len(testbed.node.session_core.front_sessions), media.received_of(isup.RELEASE)), (1, []))
 
     @story
-    async def test_an_end_that_its_client_closed_without_reading_is_told_on_another_connection(self):
-        async with Place().up() as place:
-            media, viewer, other = place.medias[0], Plain(place.port), Plain(place.port)
-            for one, id in ((viewer, FIRST), (other, SECOND)):
-                one.ask(id)
-                await one.hear()
+    async def test_a_teardown_left_unread_at_a_close_is_sent_on_another_connection(self):
+        async with Testbed().running() as testbed:
+            media, viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
+            for client, id in ((viewer, FIRST), (other, SECOND)):
+                client.send_set_up(id)
+                await client.receive()
             await anyio.sleep(1.1)
             await media.connections[0].send(isup.release(bytes.fromhex(FIRST), isup.OVER))
             await anyio.wait_readable(viewer.socket)
             viewer.close()
-            told = await other.hear(within=1.0)
-            self.assertEqual((told.method, told.fields["session"]), ("TEARDOWN", FIRST))
+            message = await other.receive(within=1.0)
+            self.assertEqual((message.method, message.fields["session"]), ("TEARDOWN", FIRST))
             other.close()
 
     @story
-    async def test_a_set_up_that_arrives_behind_its_own_end_on_another_connection_is_not_forwarded(self):
-        async with Place().up() as place:
-            media, viewer, other = place.medias[0], Plain(place.port), Plain(place.port)
+    async def test_a_set_up_that_arrives_after_its_own_teardown_on_another_connection_is_not_forwarded(self):
+        async with Testbed().running() as testbed:
+            media, viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
             other.tear_down(FIRST)
-            self.assertEqual((await other.hear()).status, 454)
-            viewer.ask(FIRST)
-            self.assertEqual((await viewer.hear()).status, 454)
-            self.assertEqual((media.had(isup.SET_UP), place.node.session_core.front_sessions), ([], {}))
+            self.assertEqual((await other.receive()).status, 454)
+            viewer.send_set_up(FIRST)
+            self.assertEqual((await viewer.receive()).status, 454)
+            self.assertEqual((media.received_of(isup.SET_UP), testbed.node.session_core.front_sessions), ([], {}))
             viewer.close()
             other.close()
 
     @story
-    async def test_what_a_client_sent_before_its_connection_failed_under_a_write_is_read(self):
-        held = Held()
-        async with Place().up() as place:
-            with held.all():
-                media, viewer = place.medias[0], Plain(place.port)
+    async def test_input_sent_before_the_connection_failed_on_a_write_is_read(self):
+        delayed = DelayedReads()
+        async with Testbed().running() as testbed:
+            with delayed.applied():
+                media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
                 for id in (FIRST, SECOND):
-                    viewer.ask(id)
-                await viewer.hear()
-                await viewer.hear()
+                    viewer.send_set_up(id)
+                await viewer.receive()
+                await viewer.receive()
                 await anyio.sleep(0.1)
-                connection = next(iter(place.node.listener.connections))
-                held.sockets.add(connection.wire.socket)
+                connection = next(iter(testbed.node.listener.connections))
+                delayed.sockets.add(connection.wire.socket)
                 viewer.tear_down(FIRST)
                 viewer.close()
                 for _ in range(3):
                     connection.wire.send(b"RTSP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")
                     await anyio.sleep(0.02)
-                held.go.set()
-                await until(lambda: media.had(isup.RELEASE), 1.0)
+                delayed.resume_reads.set()
+                await until(lambda: media.received_of(isup.RELEASE), 1.0)
 
     @story
-    async def test_a_release_that_crosses_the_close_of_its_connection_ends_the_session(self):
-        held = Held()
-        async with Place().up() as place:
-            with held.all():
-                media, viewer = place.medias[0], Plain(place.port)
-                viewer.ask(FIRST)
-                await viewer.hear()
-                connection = next(iter(place.node.listener.connections))
-                held.sockets.add(connection.wire.socket)
+    async def test_a_teardown_that_crosses_the_close_of_its_connection_ends_the_session(self):
+        delayed = DelayedReads()
+        async with Testbed().running() as testbed:
+            with delayed.applied():
+                media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
+                viewer.send_set_up(FIRST)
+                await viewer.receive()
+                connection = next(iter(testbed.node.listener.connections))
+                delayed.sockets.add(connection.wire.socket)
                 viewer.tear_down(FIRST)
-                connection.wire.end()
-                held.go.set()
-                await until(lambda: media.had(isup.RELEASE), 1.0)
+                connection.wire.close_gracefully()
+                delayed.resume_reads.set()
+                await until(lambda: media.received_of(isup.RELEASE), 1.0)
             viewer.close()
 
 
-class AtTheEndOfTheProcess(unittest.TestCase):
+class Shutdown(unittest.TestCase):
     @story
-    async def test_no_request_on_an_open_connection_is_unanswered_when_the_process_could_be_killed(self):
-        # the longest deadline of the place is 2 s, and the kill follows .7 s later
-        async with Place().around() as place:
+    async def test_every_request_on_an_open_connection_is_answered_before_the_process_could_be_killed(self):
+        # the longest deadline of the packages is 2 s, and the kill follows 0.7 s later
+        async with Testbed().without_node() as testbed:
             process = await anyio.open_process(
                 [sys.executable, "-m", "curlewshift.node"],
                 stderr=subprocess.DEVNULL,
-                env={**os.environ, "NODE_CONFIG": str(place.path)},
+                env={**os.environ, "NODE_CONFIG": str(testbed.path)},
             )
             try:
-                assert await listens(place.port, 20)
-                viewer = Plain(place.port)
-                viewer.ask(FIRST)
-                self.assertEqual((await viewer.hear()).status, 200)
+                assert await listens(testbed.port, 20)
+                viewer = RawViewer(testbed.port)
+                viewer.send_set_up(FIRST)
+                self.assertEqual((await viewer.receive()).status, 200)
                 process.send_signal(signal.SIGTERM)
-                told, number, answered = anyio.current_time(), 0, True
-                while answered is not None and anyio.current_time() < told + 2.7:
+                signalled_at, number, answered = anyio.current_time(), 0, True
+                while answered is not None and anyio.current_time() < signalled_at + 2.7:
                     number += 1
-                    viewer.ask(f"ff{number:014x}")
-                    answered = await viewer.hear()
-                    served = [200] if anyio.current_time() < told + 0.1 else []
+                    viewer.send_set_up(f"ff{number:014x}")
+                    answered = await viewer.receive()
+                    served = [200] if anyio.current_time() < signalled_at + 0.1 else []
                     self.assertTrue(answered is None or answered.status in (503, *served), answered)
                     await anyio.sleep(0.01)
                 with anyio.fail_after(0.7):
                     self.assertEqual(await process.wait(), 0)
-                self.assertTrue(2.0 < anyio.current_time() - told < 2.7, anyio.current_time() - told)
+                self.assertTrue(2.0 < anyio.current_time() - signalled_at < 2.7, anyio.current_time() - signalled_at)
                 self.assertGreater(number, 50)
                 viewer.close()
             finally:
@@ -277,23 +280,23 @@
                     process.kill()
 
     @story
-    async def test_who_waits_longer_than_the_process_has_is_answered_before_its_end(self):
-        async with Place().up() as place:
-            media = place.medias[0]
+    async def test_a_request_with_a_deadline_beyond_the_shutdown_is_answered_before_the_exit(self):
+        async with Testbed().running() as testbed:
+            media = testbed.media_servers[0]
 
-            async def answers_tests_alone(connection, kind, id, parameters):
+            async def answers_probes_only(connection, kind, id, parameters):
                 if kind == isup.PROBE:
-                    await media.plays(connection, kind, id, parameters)
+                    await media.accept(connection, kind, id, parameters)
 
-            media.does = answers_tests_alone
-            place.node.session_core.packages[CLIP].patience = 4 * 10**9
-            viewer = Plain(place.port)
-            viewer.ask(FIRST, package=CLIP, patience=4000)
-            await until(lambda: media.had(isup.SET_UP))
+            media.handler = answers_probes_only
+            testbed.node.session_core.packages[CLIP].patience = 4 * 10**9
+            viewer = RawViewer(testbed.port)
+            viewer.send_set_up(FIRST, package=CLIP, timeout_ms=4000)
+            await until(lambda: media.received_of(isup.SET_UP))
             os.kill(os.getpid(), signal.SIGTERM)
-            answer = await viewer.hear(within=3.6)
+            answer = await viewer.receive(within=3.6)
             self.assertEqual((answer.status, answer.fields["session"]), (500, FIRST))
-            await until(lambda: media.had(isup.RELEASE), 0.3)
+            await until(lambda: media.received_of(isup.RELEASE), 0.3)
             viewer.close()
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Where two events cross at the front node, on real sockets, the order forced. `docs/crossings.md` lists them."""
+"""Races between two events at the front node, on real sockets and in a forced order. `docs/crossings.md` lists them."""
 
 import contextlib
 import errno
@@ -18,7 +18,7 @@
 from curlewshift.node.buffered_connection import BufferedConnection, Listener
 from curlewshift.node.client_listener import ClientListener
 from curlewshift.node.node import Node
-from tests.node_place import CLIP, Bulletin, Held, Place, Plain, set_up
+from tests.node_testbed import CLIP, DelayedReads, DiscoveryServer, RawViewer, Testbed, set_up
 from tests.sockets import story, until
 
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
@@ -28,97 +28,97 @@
     return isup.encode(isup.ANSWER, bytes.fromhex(id), (isup.DESCRIPTION, description))
 
 
-async def quiet(what, turns=40):
-    """`what` stays as it is while nothing but the loop's turns pass, and so long after them as a slow step may take."""
-    before = what()
+async def assert_unchanged(value, turns=40):
+    """Asserts that `value()` does not change during `turns` iterations of the event loop and the 50 ms after them."""
+    before = value()
     for _ in range(turns):
         await anyio.sleep(0)
     await anyio.sleep(0.05)
-    assert what() == before, what()
+    assert value() == before, value()
 
 
-class WhoHasGone(unittest.TestCase):
-    """Nothing is begun for a viewer whose end is in the kernel, though nobody has read it."""
+class DepartedViewers(unittest.TestCase):
+    """No set-up is sent for a viewer whose close or cancel is in the kernel, even if it has not been read yet."""
 
-    async def left_behind(self, leaves):
-        """The set-ups that servers got for a hundred viewers that left by `leaves` while connections were being made."""
-        held = Held(dials=True)
-        async with Place(sockets=512).up() as place:
-            with held.all():
-                viewers = [Plain(place.port) for _ in range(100)]
+    async def set_ups_after_leaving(self, leaves):
+        """Returns the number of set-ups received for a hundred viewers that left by `leaves` during the connects."""
+        delayed = DelayedReads(delay_connects=True)
+        async with Testbed(sockets=512).running() as testbed:
+            with delayed.applied():
+                viewers = [RawViewer(testbed.port) for _ in range(100)]
                 ids = [f"{number:016x}" for number in range(1, 101)]
                 for viewer, id in zip(viewers, ids):
-                    viewer.ask(id, package=CLIP)
-                await until(lambda: len(place.node.server_pool.attempts) == 100)
-                held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
+                    viewer.send_set_up(id, package=CLIP)
+                await until(lambda: len(testbed.node.server_pool.attempts) == 100)
+                delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
                 for viewer, id in zip(viewers, ids):
                     leaves(viewer, id)
-                held.up.set()
-                await until(lambda: place.medias[0].connections)
-                await quiet(lambda: len(place.medias[0].had(isup.SET_UP)))
-                held.go.set()
-                await until(lambda: not place.node.listener.asked)
-            await quiet(lambda: len(place.medias[0].had(isup.SET_UP)))
-            self.assertFalse(place.node.session_core.front_sessions or place.node.server_pool.attempts)
+                delayed.resume_connects.set()
+                await until(lambda: testbed.media_servers[0].connections)
+                await assert_unchanged(lambda: len(testbed.media_servers[0].received_of(isup.SET_UP)))
+                delayed.resume_reads.set()
+                await until(lambda: not testbed.node.listener.asked)
+            await assert_unchanged(lambda: len(testbed.media_servers[0].received_of(isup.SET_UP)))
+            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.server_pool.attempts)
             for viewer in viewers:
                 viewer.close()
-            return len(place.medias[0].had(isup.SET_UP))
+            return len(testbed.media_servers[0].received_of(isup.SET_UP))
 
     @story
-    async def test_a_hundred_who_closed_while_connections_came_up_are_sent_nowhere(self):
-        self.assertEqual(await self.left_behind(lambda viewer, id: viewer.close()), 0)
+    async def test_no_set_up_is_sent_for_viewers_that_closed_during_connects(self):
+        self.assertEqual(await self.set_ups_after_leaving(lambda viewer, id: viewer.close()), 0)
 
     @story
-    async def test_nor_are_those_who_shut_down_their_side_alone(self):
-        self.assertEqual(await self.left_behind(lambda viewer, id: viewer.socket.shutdown(1)), 0)
+    async def test_no_set_up_is_sent_for_viewers_that_half_closed_during_connects(self):
+        self.assertEqual(await self.set_ups_after_leaving(lambda viewer, id: viewer.socket.shutdown(1)), 0)
 
     @story
-    async def test_nor_those_who_cancelled(self):
-        self.assertEqual(await self.left_behind(lambda viewer, id: viewer.tear_down(id)), 0)
+    async def test_no_set_up_is_sent_for_viewers_that_cancelled_during_connects(self):
+        self.assertEqual(await self.set_ups_after_leaving(lambda viewer, id: viewer.tear_down(id)), 0)
 
     @story
-    async def test_who_only_says_something_else_meanwhile_is_served(self):
-        held = Held(dials=True)
-        async with Place().up() as place:
-            with held.all():
-                viewer = Plain(place.port)
-                viewer.ask(A, package=CLIP)
-                await until(lambda: place.node.server_pool.attempts)
-                held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
-                viewer.say(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-                held.up.set()
-                await until(lambda: place.medias[0].connections)
-                await quiet(lambda: len(place.medias[0].had(isup.SET_UP)))
-                held.go.set()
-                heard = [await viewer.hear(), await viewer.hear()]
-            self.assertEqual([one.fields["cseq"] for one in heard], ["3", "1"])
-            self.assertEqual(heard[1].status, 200)
+    async def test_a_viewer_that_sends_another_request_during_the_connect_is_served(self):
+        delayed = DelayedReads(delay_connects=True)
+        async with Testbed().running() as testbed:
+            with delayed.applied():
+                viewer = RawViewer(testbed.port)
+                viewer.send_set_up(A, package=CLIP)
+                await until(lambda: testbed.node.server_pool.attempts)
+                delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
+                viewer.send(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+                delayed.resume_connects.set()
+                await until(lambda: testbed.media_servers[0].connections)
+                await assert_unchanged(lambda: len(testbed.media_servers[0].received_of(isup.SET_UP)))
+                delayed.resume_reads.set()
+                received = [await viewer.receive(), await viewer.receive()]
+            self.assertEqual([message.fields["cseq"] for message in received], ["3", "1"])
+            self.assertEqual(received[1].status, 200)
             viewer.close()
 
-    async def after_the_first(self, leaves, ends):
-        """How often a set-up went out whose viewer left by `leaves` before the first attempt ended by `ends`."""
-        held = Held()
-        async with Place(2).up() as place:
-            with held.all():
-                for media in place.medias:
-                    media.does = media.silent
-                viewer = Plain(place.port)
-                viewer.ask(A)
-                await until(lambda: any(media.had(isup.SET_UP) for media in place.medias))
-                first = next(media for media in place.medias if media.had(isup.SET_UP))
-                held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
+    async def set_ups_after_first_attempt(self, leaves, ends):
+        """Returns how often a set-up was sent whose viewer left by `leaves` before the first attempt ended by `ends`."""
+        delayed = DelayedReads()
+        async with Testbed(2).running() as testbed:
+            with delayed.applied():
+                for media in testbed.media_servers:
+                    media.handler = media.ignore
+                viewer = RawViewer(testbed.port)
+                viewer.send_set_up(A)
+                await until(lambda: any(media.received_of(isup.SET_UP) for media in testbed.media_servers))
+                first = next(media for media in testbed.media_servers if media.received_of(isup.SET_UP))
+                delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
                 leaves(viewer)
                 await ends(first)
-                await until(lambda: any(attempt.tune_in.number == 2 for attempt in place.node.server_pool.attempts.values()))
-                await quiet(lambda: sum(len(media.had(isup.SET_UP)) for media in place.medias))
-                held.go.set()
-                await until(lambda: not place.node.listener.asked)
-            await quiet(lambda: sum(len(media.had(isup.SET_UP)) for media in place.medias))
+                await until(lambda: any(attempt.tune_in.number == 2 for attempt in testbed.node.server_pool.attempts.values()))
+                await assert_unchanged(lambda: sum(len(media.received_of(isup.SET_UP)) for media in testbed.media_servers))
+                delayed.resume_reads.set()
+                await until(lambda: not testbed.node.listener.asked)
+            await assert_unchanged(lambda: sum(len(media.received_of(isup.SET_UP)) for media in testbed.media_servers))
             viewer.close()
-            return sum(len(media.had(isup.SET_UP)) for media in place.medias)
+            return sum(len(media.received_of(isup.SET_UP)) for media in testbed.media_servers)
 
     @story
-    async def test_no_further_attempt_follows_the_first_ones_end_once_its_viewer_has_closed_or_cancelled(self):
+    async def test_no_further_attempt_is_made_once_the_viewer_has_closed_or_cancelled(self):
         async def refuses(media):
             await media.connections[0].send(isup.release(bytes.fromhex(A), isup.FULL))
 
@@ -127,345 +127,350 @@
 
         for leaves in (lambda viewer: viewer.close(), lambda viewer: viewer.tear_down(A)):
             for ends in (refuses, breaks):
-                self.assertEqual(await self.after_the_first(leaves, ends), 1)
+                self.assertEqual(await self.set_ups_after_first_attempt(leaves, ends), 1)
 
     @story
-    async def test_a_set_up_moved_from_a_connection_that_broke_is_not_written_for_who_has_left(self):
-        held = Held()
-        async with Place().up() as place:
-            with held.all():
-                media, viewer = place.medias[0], Plain(place.port)
+    async def test_a_set_up_moved_from_a_broken_connection_is_not_written_for_a_departed_viewer(self):
+        delayed = DelayedReads()
+        async with Testbed().running() as testbed:
+            with delayed.applied():
+                media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
                 for id in (A, B):
-                    viewer.ask(id)
+                    viewer.send_set_up(id)
                 for id in (A, B):
-                    await viewer.hear()
+                    await viewer.receive()
                     viewer.tear_down(id)
-                    await viewer.hear()
-                endpoint = place.node.server_pool.endpoints[place.node.fleet.servers[media.name]]
+                    await viewer.receive()
+                endpoint = testbed.node.server_pool.endpoints[testbed.node.fleet.servers[media.name]]
                 await until(
                     lambda: (
                         len(endpoint.connections) == 2
-                        and not any(map(place.node.server_pool.teardowns.unconfirmed_on, endpoint.connections))
+                        and not any(map(testbed.node.server_pool.teardowns.unconfirmed_on, endpoint.connections))
                     )
                 )
-                with mock.patch.object(BufferedConnection, "_push", lambda wire: False):
-                    viewer.ask(C, package=CLIP)
-                    await until(lambda: place.node.server_pool.attempts)
-                    attempt = next(iter(place.node.server_pool.attempts.values()))
-                    held.sockets.update(connection.wire.socket for connection in place.node.listener.connections)
+                with mock.patch.object(BufferedConnection, "_write_queue", lambda wire: False):
+                    viewer.send_set_up(C, package=CLIP)
+                    await until(lambda: testbed.node.server_pool.attempts)
+                    attempt = next(iter(testbed.node.server_pool.attempts.values()))
+                    delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
                     viewer.close()
-                    place.node.server_pool._break(attempt.connection, "a fault of the test")
+                    testbed.node.server_pool._break(attempt.connection, "a fault of the test")
                     self.assertEqual(attempt.moves, 1)
-                await quiet(lambda: len(media.had(isup.SET_UP)))
-                held.go.set()
-                await until(lambda: not place.node.listener.asked)
-            self.assertEqual(len(media.had(isup.SET_UP)), 2)
+                await assert_unchanged(lambda: len(media.received_of(isup.SET_UP)))
+                delayed.resume_reads.set()
+                await until(lambda: not testbed.node.listener.asked)
+            self.assertEqual(len(media.received_of(isup.SET_UP)), 2)
 
     @story
-    async def test_one_whose_leaving_fails_inside_keeps_no_other_of_his_connection_waiting(self):
-        async with Place().up() as place:
-            place.medias[0].does = place.medias[0].silent
-            viewer, gave_up = Plain(place.port), place.node.session_core.gave_up
+    async def test_an_internal_fault_in_one_cancel_does_not_affect_other_requests_of_the_connection(self):
+        async with Testbed().running() as testbed:
+            testbed.media_servers[0].handler = testbed.media_servers[0].ignore
+            viewer, gave_up = RawViewer(testbed.port), testbed.node.session_core.gave_up
             for id in (A, B):
-                viewer.ask(id, package=CLIP)
-            await until(lambda: len(place.medias[0].had(isup.SET_UP)) == 2)
+                viewer.send_set_up(id, package=CLIP)
+            await until(lambda: len(testbed.media_servers[0].received_of(isup.SET_UP)) == 2)
 
             def fails_once(request):
-                place.node.session_core.gave_up = gave_up
+                testbed.node.session_core.gave_up = gave_up
                 raise RuntimeError("a fault of the test")
 
-            place.node.session_core.gave_up = fails_once
+            testbed.node.session_core.gave_up = fails_once
             viewer.close()
-            await until(lambda: place.medias[0].had(isup.RELEASE) and not place.node.listener.connections)
-            self.assertEqual([call.args for call in place.node.log.error.call_args_list], [("fault",)])
-            self.assertEqual(len(place.node.server_pool.attempts), 1)
-            place.node.log.error.reset_mock()
+            await until(lambda: testbed.media_servers[0].received_of(isup.RELEASE) and not testbed.node.listener.connections)
+            self.assertEqual([call.args for call in testbed.node.log.error.call_args_list], [("fault",)])
+            self.assertEqual(len(testbed.node.server_pool.attempts), 1)
+            testbed.node.log.error.reset_mock()
 
 
-class WhatIsBegunIsSeenOut(unittest.TestCase):
+class PendingOutput(unittest.TestCase):
     @story
-    async def test_an_answer_queued_a_moment_before_the_gate_makes_room_reaches_its_viewer(self):
-        async with Place().up() as place:
-            listener, answers = place.node.listener, []
+    async def test_an_answer_queued_just_before_the_gate_makes_room_reaches_its_viewer(self):
+        async with Testbed().running() as testbed:
+            listener, answers = testbed.node.listener, []
             listener.gate.idle_for = -1
             answer = listener.answer
 
-            def and_then_room_is_made(*args):
+            def answer_and_make_room(*args):
                 answer(*args)
                 answers.append(args)
                 listener.gate.make_room()
 
-            listener.answer = and_then_room_is_made
-            viewer = await place.viewer()
-            self.assertEqual((await viewer.answer(A)).status, 200)
+            listener.answer = answer_and_make_room
+            viewer = await testbed.viewer()
+            self.assertEqual((await viewer.request(A)).status, 200)
             self.assertEqual(len(answers), 1)
 
     @story
-    async def test_a_request_that_has_come_to_an_idle_connection_keeps_the_gate_from_closing_it(self):
-        async with Place().up() as place:
-            viewer = Plain(place.port)
-            await until(lambda: place.node.listener.connections)
-            place.node.listener.gate.idle_for = -1
-            # it is in the kernel, and nobody has read it
-            viewer.ask(A)
-            place.node.listener.gate.make_room()
-            self.assertEqual((await viewer.hear()).status, 200)
+    async def test_an_unread_request_on_an_idle_connection_keeps_the_gate_from_closing_it(self):
+        async with Testbed().running() as testbed:
+            viewer = RawViewer(testbed.port)
+            await until(lambda: testbed.node.listener.connections)
+            testbed.node.listener.gate.idle_for = -1
+            # the request is in the kernel and has not been read
+            viewer.send_set_up(A)
+            testbed.node.listener.gate.make_room()
+            self.assertEqual((await viewer.receive()).status, 200)
             viewer.close()
 
     @story
-    async def test_noise_after_a_request_is_told_off_at_once_and_the_request_is_answered_before_its_connection_ends(self):
-        async with Place().up() as place:
-            media = place.medias[0]
-            media.does = media.silent
-            viewer = Plain(place.port)
-            viewer.say(set_up(A, package=CLIP) + b"\x91\xf5noise")
-            self.assertEqual((await viewer.hear()).status, 400)
-            await until(lambda: media.had(isup.SET_UP))
+    async def test_garbage_after_a_request_gets_an_error_at_once_and_the_request_is_answered_before_the_close(self):
+        async with Testbed().running() as testbed:
+            media = testbed.media_servers[0]
+            media.handler = media.ignore
+            viewer = RawViewer(testbed.port)
+            viewer.send(set_up(A, package=CLIP) + b"\x91\xf5noise")
+            self.assertEqual((await viewer.receive()).status, 400)
+            await until(lambda: media.received_of(isup.SET_UP))
             await media.connections[0].send(answer_to(A))
-            heard = await viewer.hear()
-            self.assertEqual((heard.status, heard.fields["session"]), (200, A))
-            self.assertIsNone(await viewer.hear(1.0))
+            received = await viewer.receive()
+            self.assertEqual((received.status, received.fields["session"]), (200, A))
+            self.assertIsNone(await viewer.receive(1.0))
             viewer.close()
 
     @story
-    async def test_what_comes_after_noise_does_not_reset_the_connection_under_the_error_that_was_sent(self):
-        async with Place().up() as place:
-            viewer = Plain(place.port)
-            viewer.say(b"\x91\xf5noise")
-            await until(lambda: any(not connection.wire.open for connection in place.node.listener.connections))
-            viewer.say(b"more of it" * 1000)
-            await until(lambda: not place.node.listener.connections)
-            self.assertEqual((await viewer.hear()).status, 400)
+    async def test_input_after_garbage_does_not_reset_the_connection_before_the_error_is_read(self):
+        async with Testbed().running() as testbed:
+            viewer = RawViewer(testbed.port)
+            viewer.send(b"\x91\xf5noise")
+            await until(lambda: any(not connection.wire.open for connection in testbed.node.listener.connections))
+            viewer.send(b"more of it" * 1000)
+            await until(lambda: not testbed.node.listener.connections)
+            self.assertEqual((await viewer.receive()).status, 400)
             viewer.close()
 
     @story
-    async def test_a_peer_that_does_not_read_loses_its_connection_in_time_and_no_other(self):
-        async with Place().up() as place:
-            deaf, other = Plain(place.port), Plain(place.port)
+    async def test_a_peer_that_does_not_read_is_dropped_and_no_other(self):
+        async with Testbed().running() as testbed:
+            non_reading, other = RawViewer(testbed.port), RawViewer(testbed.port)
             with anyio.fail_after(10):
-                while place.node.listener.connections:
+                while testbed.node.listener.connections:
                     try:
-                        deaf.say(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n" * 500)
+                        non_reading.send(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n" * 500)
                     except (BlockingIOError, ConnectionError):
                         pass
                     await anyio.sleep(0)
-                    if len(place.node.listener.connections) == 1 and place.node.listener.gate.connections:
+                    if len(testbed.node.listener.connections) == 1 and testbed.node.listener.gate.connections:
                         break
-            other.ask(A)
-            self.assertEqual((await other.hear()).status, 200)
-            for viewer in (deaf, other):
+            other.send_set_up(A)
+            self.assertEqual((await other.receive()).status, 200)
+            for viewer in (non_reading, other):
                 viewer.close()
 
     @story
-    async def test_a_release_on_a_connection_that_ends_before_it_left_goes_out_on_another_and_once(self):
-        async with Place().up() as place:
-            media, own, other = place.medias[0], Plain(place.port), Plain(place.port)
-            own.ask(A)
-            await own.hear()
-            other.ask(B)
-            await other.hear()
-            connection = place.node.listener.asked[A].connection
-            with mock.patch.object(connection.wire, "_push", lambda: False):
+    async def test_a_release_queued_on_a_connection_that_ends_is_sent_once_on_another(self):
+        async with Testbed().running() as testbed:
+            media, own_viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
+            own_viewer.send_set_up(A)
+            await own_viewer.receive()
+            other.send_set_up(B)
+            await other.receive()
+            connection = testbed.node.listener.asked[A].connection
+            with mock.patch.object(connection.wire, "_write_queue", lambda: False):
                 await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
-                await until(lambda: connection.wire.waiting)
-                # it is owed for as long as it waits, and queued once
+                await until(lambda: connection.wire.queue)
+                # the release stays pending while it is queued, and is queued once
                 for _ in range(3):
-                    place.node.listener.sweep()
-                self.assertEqual(len(connection.wire.waiting), 1)
-                own.close()
-                heard = await other.hear()
-            self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", A))
-            await until(lambda: not place.node.listener.pending_releases)
+                    testbed.node.listener.sweep()
+                self.assertEqual(len(connection.wire.queue), 1)
+                own_viewer.close()
+                received = await other.receive()
+            self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", A))
+            await until(lambda: not testbed.node.listener.pending_releases)
             with self.assertRaises(TimeoutError):
-                await other.hear(0.3)
+                await other.receive(0.3)
             other.close()
 
     @story
-    async def test_a_release_that_has_left_is_not_told_again_when_its_connection_ends(self):
-        async with Place().up() as place:
-            media, own, other = place.medias[0], Plain(place.port), Plain(place.port)
-            for viewer, id in ((own, A), (other, B)):
-                viewer.ask(id)
-                await viewer.hear()
+    async def test_a_release_that_was_sent_is_not_repeated_when_its_connection_ends(self):
+        async with Testbed().running() as testbed:
+            media, own_viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
+            for viewer, id in ((own_viewer, A), (other, B)):
+                viewer.send_set_up(id)
+                await viewer.receive()
             await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
-            self.assertEqual((await own.hear()).method, "TEARDOWN")
-            own.close()
-            await until(lambda: len(place.node.listener.connections) == 1)
+            self.assertEqual((await own_viewer.receive()).method, "TEARDOWN")
+            own_viewer.close()
+            await until(lambda: len(testbed.node.listener.connections) == 1)
             with self.assertRaises(TimeoutError):
-                await other.hear(0.4)
-            self.assertFalse(place.node.listener.pending_releases)
+                await other.receive(0.4)
+            self.assertFalse(testbed.node.listener.pending_releases)
             other.close()
 
 
-class Trails(unittest.TestCase):
-    async def told(self, place, viewer, ends):
-        """The trails that are told of a request whose connection ends by `ends` while its answer waits for the kernel."""
-        viewer.ask(A)
-        viewer.ask(B, package=CLIP)
+class Traces(unittest.TestCase):
+    async def logged_traces(self, testbed, viewer, ends):
+        """Returns the traces logged for a request whose connection ends by `ends` while its answer is queued."""
+        viewer.send_set_up(A)
+        viewer.send_set_up(B, package=CLIP)
         for _ in range(2):
-            await viewer.hear()
-        connection = next(iter(place.node.listener.connections))
-        with mock.patch.object(connection.wire, "_push", lambda: False):
-            viewer.ask(C)
-            await until(lambda: connection.wire.waiting)
+            await viewer.receive()
+        connection = next(iter(testbed.node.listener.connections))
+        with mock.patch.object(connection.wire, "_write_queue", lambda: False):
+            viewer.send_set_up(C)
+            await until(lambda: connection.wire.queue)
             ends()
-            await until(lambda: not place.node.listener.connections)
-        return [call.kwargs for call in place.node.log.warning.call_args_list if call.args == ("trail",)]
+            await until(lambda: not testbed.node.listener.connections)
+        return [call.kwargs for call in testbed.node.log.warning.call_args_list if call.args == ("trail",)]
 
     @story
-    async def test_of_a_request_whose_connection_ended_under_its_answer_each_step_is_told_and_of_no_other(self):
+    async def test_each_step_is_logged_only_for_a_request_whose_connection_ended_before_its_answer_was_sent(self):
         with mock.patch.dict(os.environ, CURLEWSHIFT_TRAIL="1"):
-            async with Place().up() as place:
-                viewer = Plain(place.port)
-                [told] = await self.told(place, viewer, viewer.close)
-                self.assertEqual(told["session"], C)
+            async with Testbed().running() as testbed:
+                viewer = RawViewer(testbed.port)
+                [trace] = await self.logged_traces(testbed, viewer, viewer.close)
+                self.assertEqual(trace["session"], C)
                 self.assertEqual(
-                    [step.split(" ", 1)[1] for step in told["steps"]],
-                    ["taken", f"attempt 1 at {place.medias[0].name}", "answer queued"],
+                    [step.split(" ", 1)[1] for step in trace["steps"]],
+                    ["taken", f"attempt 1 at {testbed.media_servers[0].name}", "answer queued"],
                 )
-                self.assertFalse(place.node.listener.trail.trodden)
+                self.assertFalse(testbed.node.listener.tracer.traces)
 
     @story
-    async def test_without_the_environments_word_nothing_is_kept(self):
-        async with Place().up() as place:
-            viewer = Plain(place.port)
-            self.assertEqual(await self.told(place, viewer, viewer.close), [])
+    async def test_without_the_environment_variable_nothing_is_traced(self):
+        async with Testbed().running() as testbed:
+            viewer = RawViewer(testbed.port)
+            self.assertEqual(await self.logged_traces(testbed, viewer, viewer.close), [])
 
 
-class OneId(unittest.TestCase):
+class DuplicateIds(unittest.TestCase):
     @story
-    async def test_the_same_id_twice_at_once_and_after_the_answer_has_one_message_that_reads_as_its_answer(self):
-        async with Place().up() as place:
-            viewer, other = Plain(place.port), Plain(place.port)
-            viewer.say(set_up(A) + set_up(A, body=b"another"))
-            heard = [await viewer.hear(), await viewer.hear()]
-            viewer.ask(A)
-            other.ask(A)
-            heard += [await viewer.hear(), await other.hear()]
-            self.assertEqual(sorted(one.status for one in heard), [200, 455, 455, 455])
-            self.assertEqual([one.status for one in heard if one.fields.get("session") == A], [200])
-            self.assertEqual(len(place.medias[0].had(isup.SET_UP)), 1)
-            for one in (viewer, other):
-                one.close()
+    async def test_a_duplicate_id_at_once_or_after_the_answer_gets_one_answer_with_that_id(self):
+        async with Testbed().running() as testbed:
+            viewer, other = RawViewer(testbed.port), RawViewer(testbed.port)
+            viewer.send(set_up(A) + set_up(A, body=b"another"))
+            received = [await viewer.receive(), await viewer.receive()]
+            viewer.send_set_up(A)
+            other.send_set_up(A)
+            received += [await viewer.receive(), await other.receive()]
+            self.assertEqual(sorted(message.status for message in received), [200, 455, 455, 455])
+            self.assertEqual([message.status for message in received if message.fields.get("session") == A], [200])
+            self.assertEqual(len(testbed.media_servers[0].received_of(isup.SET_UP)), 1)
+            for client in (viewer, other):
+                client.close()
 
     @story
-    async def test_what_one_request_says_of_itself_never_goes_with_another_under_its_id_or_on_its_connections(self):
-        async with Place(sockets=5).up() as place:
-            viewer, media = Plain(place.port), place.medias[0]
-            viewer.ask(A, package=CLIP, body=b"first", more="X-Length: 9000.0\r\n")
-            self.assertEqual((await viewer.hear()).body, b"plays first")
+    async def test_the_properties_of_one_request_never_apply_to_another_with_its_id_or_connection(self):
+        async with Testbed(sockets=5).running() as testbed:
+            viewer, media = RawViewer(testbed.port), testbed.media_servers[0]
+            viewer.send_set_up(A, package=CLIP, body=b"first", more="X-Length: 9000.0\r\n")
+            self.assertEqual((await viewer.receive()).body, b"plays first")
             viewer.tear_down(A)
-            await viewer.hear()
-            await until(lambda: not place.node.session_core.front_sessions)
-            viewer.ask(A, body=b"second")
-            self.assertEqual((await viewer.hear()).body, b"plays second")
-            told = [parameters for _, parameters in media.had(isup.SET_UP)]
+            await viewer.receive()
+            await until(lambda: not testbed.node.session_core.front_sessions)
+            viewer.send_set_up(A, body=b"second")
+            self.assertEqual((await viewer.receive()).body, b"plays second")
+            set_ups = [parameters for _, parameters in media.received_of(isup.SET_UP)]
             self.assertEqual(
-                [(one[isup.CLASS], one[isup.DESCRIPTION]) for one in told], [(b"clip", b"first"), (b"lesson", b"second")]
+                [(received[isup.CLASS], received[isup.DESCRIPTION]) for received in set_ups],
+                [(b"clip", b"first"), (b"lesson", b"second")],
             )
             self.assertEqual(
-                [front_session.viewing.expected for front_session in place.node.session_core.front_sessions.values()], [0]
+                [front_session.viewing.expected for front_session in testbed.node.session_core.front_sessions.values()], [0]
             )
             viewer.close()
 
     @story
-    async def test_a_readable_request_that_is_wrong_costs_only_itself(self):
-        async with Place().up() as place:
-            viewer = Plain(place.port)
-            viewer.say(b"SETUP rtsp://media/00000000000000aa RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 1\r\n\r\nx" + set_up(A))
-            self.assertEqual([(await viewer.hear()).status for _ in range(2)], [400, 200])
+    async def test_an_invalid_but_decodable_request_does_not_affect_the_next(self):
+        async with Testbed().running() as testbed:
+            viewer = RawViewer(testbed.port)
+            viewer.send(b"SETUP rtsp://media/00000000000000aa RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 1\r\n\r\nx" + set_up(A))
+            self.assertEqual([(await viewer.receive()).status for _ in range(2)], [400, 200])
             viewer.close()
 
 
 class HandOvers(unittest.TestCase):
-    async def told(self, place, viewer, legs):
-        viewer.ask(A, legs=legs)
-        return await viewer.hear()
+    async def hand_over(self, testbed, viewer, legs):
+        viewer.send_set_up(A, legs=legs)
+        return await viewer.receive()
 
     @story
-    async def test_of_a_session_whose_server_ended_it_before_its_viewer_is_told_and_nothing_stands(self):
-        async with Place().up() as place:
-            media, viewer = place.medias[0], Plain(place.port)
-            viewer.ask(B)
-            await viewer.hear()
+    async def test_a_hand_over_after_the_servers_release_is_refused_with_a_teardown(self):
+        async with Testbed().running() as testbed:
+            media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
+            viewer.send_set_up(B)
+            await viewer.receive()
             await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
-            await until(lambda: place.node.server_pool.over)
-            heard = await self.told(place, viewer, f";at:{media.name}")
-            self.assertEqual((heard.method, heard.fields["session"], heard.fields["reason"]), ("TEARDOWN", A, "cause=41"))
-            self.assertEqual(len(place.node.session_core.front_sessions), 1)
+            await until(lambda: testbed.node.server_pool.early_releases)
+            received = await self.hand_over(testbed, viewer, f";at:{media.name}")
+            self.assertEqual(
+                (received.method, received.fields["session"], received.fields["reason"]), ("TEARDOWN", A, "cause=41")
+            )
+            self.assertEqual(len(testbed.node.session_core.front_sessions), 1)
             viewer.close()
 
     @story
-    async def test_of_a_session_at_a_server_that_is_not_listed_its_viewer_is_told(self):
-        async with Place().up() as place:
-            viewer = Plain(place.port)
-            heard = await self.told(place, viewer, ";at:s-0000dead")
-            self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", A))
-            self.assertFalse(place.node.session_core.front_sessions or place.node.listener.asked)
+    async def test_a_hand_over_at_an_unlisted_server_is_refused_with_a_teardown(self):
+        async with Testbed().running() as testbed:
+            viewer = RawViewer(testbed.port)
+            received = await self.hand_over(testbed, viewer, ";at:s-0000dead")
+            self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", A))
+            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.asked)
             viewer.close()
 
     @story
-    async def test_of_a_session_that_its_viewer_has_ended_on_another_connection_its_server_is_told_to_end_it(self):
-        async with Place().up() as place:
-            media, first, second = place.medias[0], Plain(place.port), Plain(place.port)
+    async def test_a_hand_over_after_the_viewers_teardown_on_another_connection_is_released_at_its_server(self):
+        async with Testbed().running() as testbed:
+            media, first, second = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
             second.tear_down(A, "Reason: cause=19\r\n")
-            self.assertEqual((await second.hear()).status, 454)
-            first.ask(A, legs=f";at:{media.name}")
-            await until(lambda: media.had(isup.RELEASE))
-            self.assertEqual(media.had(isup.RELEASE)[0], (bytes.fromhex(A), {isup.CAUSE: b"\x13"}))
-            self.assertFalse(place.node.session_core.front_sessions or place.node.listener.asked)
+            self.assertEqual((await second.receive()).status, 454)
+            first.send_set_up(A, legs=f";at:{media.name}")
+            await until(lambda: media.received_of(isup.RELEASE))
+            self.assertEqual(media.received_of(isup.RELEASE)[0], (bytes.fromhex(A), {isup.CAUSE: b"\x13"}))
+            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.asked)
             for viewer in (first, second):
                 viewer.close()
 
     @story
-    async def test_before_the_first_test_is_passed_it_stands(self):
-        async with Place().up() as place:
-            media, viewer = place.medias[0], Plain(place.port)
-            place.node.ready = False
-            viewer.ask(A, legs=f";at:{media.name}")
-            await until(lambda: place.node.session_core.front_sessions)
-            place.node.ready = True
+    async def test_a_hand_over_is_accepted_before_the_node_is_ready(self):
+        async with Testbed().running() as testbed:
+            media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
+            testbed.node.ready = False
+            viewer.send_set_up(A, legs=f";at:{media.name}")
+            await until(lambda: testbed.node.session_core.front_sessions)
+            testbed.node.ready = True
             await until(lambda: media.connections)
             await media.connections[0].send(isup.release(bytes.fromhex(A), isup.OVER))
-            self.assertEqual((await viewer.hear()).method, "TEARDOWN")
+            self.assertEqual((await viewer.receive()).method, "TEARDOWN")
             viewer.close()
 
 
-class Servers(unittest.TestCase):
-    async def played_once(self, place, viewer):
-        """The connection to the media server that a viewing has left idle."""
-        viewer.ask(A, package=CLIP)
-        await viewer.hear()
+class MediaServers(unittest.TestCase):
+    async def idle_connection(self, testbed, viewer):
+        """Plays and ends one session, and returns its idle connection to the media server."""
+        viewer.send_set_up(A, package=CLIP)
+        await viewer.receive()
         viewer.tear_down(A)
-        await viewer.hear()
-        connection = place.node.server_pool.endpoints[place.node.fleet.servers[place.medias[0].name]].connections[0]
+        await viewer.receive()
+        connection = testbed.node.server_pool.endpoints[testbed.node.fleet.servers[testbed.media_servers[0].name]].connections[0]
         await until(
-            lambda: not place.node.session_core.front_sessions and not place.node.server_pool.teardowns.unconfirmed_on(connection)
+            lambda: (
+                not testbed.node.session_core.front_sessions and not testbed.node.server_pool.teardowns.unconfirmed_on(connection)
+            )
         )
         return connection
 
     @story
-    async def test_an_idle_connection_that_its_server_has_just_closed_gets_no_paid_set_up(self):
-        held = Held()
-        async with Place().up() as place:
-            with held.all():
-                media, viewer = place.medias[0], Plain(place.port)
-                connection = await self.played_once(place, viewer)
-                held.sockets.add(connection.wire.socket)
-                # its end is in the kernel, and nobody has read that
+    async def test_no_paid_set_up_is_sent_on_an_idle_connection_that_its_server_has_just_closed(self):
+        delayed = DelayedReads()
+        async with Testbed().running() as testbed:
+            with delayed.applied():
+                media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
+                connection = await self.idle_connection(testbed, viewer)
+                delayed.sockets.add(connection.wire.socket)
+                # the close is in the kernel and has not been read
                 await media.connections[0].aclose()
-                viewer.ask(B, package=CLIP)
-                self.assertEqual((await viewer.hear()).status, 200)
-                self.assertTrue(connection.over)
-                self.assertEqual([id.hex() for id, _ in media.had(isup.SET_UP)], [A, B])
-                held.go.set()
+                viewer.send_set_up(B, package=CLIP)
+                self.assertEqual((await viewer.receive()).status, 200)
+                self.assertTrue(connection.closed)
+                self.assertEqual([id.hex() for id, _ in media.received_of(isup.SET_UP)], [A, B])
+                delayed.resume_reads.set()
             viewer.close()
 
     @story
-    async def test_a_drain_between_queue_and_kernel_is_obeyed_on_a_connection_that_is_up(self):
-        async with Place().up() as place:
-            node, media, viewer = place.node, place.medias[0], Plain(place.port)
-            await self.played_once(place, viewer)
+    async def test_a_drain_between_queueing_and_writing_is_obeyed_on_an_established_connection(self):
+        async with Testbed().running() as testbed:
+            node, media, viewer = testbed.node, testbed.media_servers[0], RawViewer(testbed.port)
+            await self.idle_connection(testbed, viewer)
             send = node.server_pool.tune_in
 
             def drained_after(tune_in):
@@ -473,73 +478,73 @@
                 tune_in.server.open = False
 
             node.server_pool.tune_in = drained_after
-            viewer.ask(B, package=CLIP)
-            self.assertEqual((await viewer.hear()).status, 453)
-            await quiet(lambda: len(media.had(isup.SET_UP)))
-            self.assertEqual(len(media.had(isup.SET_UP)), 1)
+            viewer.send_set_up(B, package=CLIP)
+            self.assertEqual((await viewer.receive()).status, 453)
+            await assert_unchanged(lambda: len(media.received_of(isup.SET_UP)))
+            self.assertEqual(len(media.received_of(isup.SET_UP)), 1)
             viewer.close()
 
     @story
-    async def test_a_slow_connection_whose_request_was_cancelled_or_is_past_its_time_carries_nothing(self):
-        for patience, cancels in ((2000, True), (150, False)):
-            held = Held(dials=True)
-            async with Place().up() as place:
-                with held.all():
-                    viewer = Plain(place.port)
-                    viewer.ask(A, package=CLIP, patience=patience)
-                    await until(lambda: place.node.server_pool.attempts)
+    async def test_nothing_is_sent_on_a_slow_connection_whose_request_was_cancelled_or_timed_out(self):
+        for timeout_ms, cancels in ((2000, True), (150, False)):
+            delayed = DelayedReads(delay_connects=True)
+            async with Testbed().running() as testbed:
+                with delayed.applied():
+                    viewer = RawViewer(testbed.port)
+                    viewer.send_set_up(A, package=CLIP, timeout_ms=timeout_ms)
+                    await until(lambda: testbed.node.server_pool.attempts)
                     if cancels:
                         viewer.tear_down(A)
-                    heard = await viewer.hear()
-                    self.assertEqual(heard.status, 200 if cancels else 453)
-                    held.up.set()
-                await quiet(lambda: place.medias[0].heard)
-                self.assertEqual(place.medias[0].had(isup.SET_UP), [])
+                    received = await viewer.receive()
+                    self.assertEqual(received.status, 200 if cancels else 453)
+                    delayed.resume_connects.set()
+                await assert_unchanged(lambda: testbed.media_servers[0].received)
+                self.assertEqual(testbed.media_servers[0].received_of(isup.SET_UP), [])
                 viewer.close()
 
     @story
-    async def test_a_connection_that_comes_up_after_its_address_went_to_another_server_carries_nothing_there(self):
-        held = Held(dials=True)
-        async with Place(2).up() as place:
-            node = place.node
-            with held.all():
-                viewer = Plain(place.port)
-                viewer.ask(A, package=CLIP)
+    async def test_nothing_is_sent_on_a_connection_established_after_its_address_moved_to_another_server(self):
+        delayed = DelayedReads(delay_connects=True)
+        async with Testbed(2).running() as testbed:
+            node = testbed.node
+            with delayed.applied():
+                viewer = RawViewer(testbed.port)
+                viewer.send_set_up(A, package=CLIP)
                 await until(lambda: node.server_pool.attempts)
                 attempt = next(iter(node.server_pool.attempts.values()))
-                old = next(media for media in place.medias if media.name == attempt.tune_in.server.name)
-                other = next(media for media in place.medias if media is not old)
-                await until(lambda: place.bulletin.connections)
+                old = next(media for media in testbed.media_servers if media.name == attempt.tune_in.server.name)
+                other = next(media for media in testbed.media_servers if media is not old)
+                await until(lambda: testbed.discovery.connections)
                 other.port, mine = old.port, other.port
-                await place.bulletin.tell(2, other)
+                await testbed.discovery.send_event(2, other)
                 await until(lambda: node.server_pool.endpoints[node.fleet.servers[old.name]].address is None)
-                held.up.set()
-                heard = await viewer.hear()
-            # it never ran there: it plays at whoever has the address now, as himself, or is refused
-            self.assertIn(heard.status, (200, 453))
-            self.assertLessEqual(len(old.had(isup.SET_UP)), 1)
-            self.assertEqual(other.had(isup.SET_UP), [])
-            if heard.status == 200:
+                delayed.resume_connects.set()
+                received = await viewer.receive()
+            # the set-up never ran at the old server: it plays at the server that now has the address, or is refused
+            self.assertIn(received.status, (200, 453))
+            self.assertLessEqual(len(old.received_of(isup.SET_UP)), 1)
+            self.assertEqual(other.received_of(isup.SET_UP), [])
+            if received.status == 200:
                 self.assertEqual(node.listener.asked[A].front_session.viewing.server.name, other.name)
             viewer.close()
             other.port = mine
 
     @story
-    async def test_the_time_an_answer_a_cancel_and_a_drain_in_one_turn_in_each_order_of_two_leave_one_answer(self):
-        """Each of two is put into the kernel, or done, before the loop has a turn, the one before the other."""
+    async def test_any_two_of_answer_cancel_drain_and_time_out_in_one_loop_iteration_give_one_answer(self):
+        """Both events happen, or are in the kernel, one before the other, before the next iteration of the event loop."""
         for first in ("answer", "cancel", "drain", "due"):
             for second in ("answer", "cancel", "drain", "due"):
                 if first == second:
                     continue
                 with self.subTest(first=first, second=second):
-                    await self.crossed(first, second)
-
-    async def crossed(self, first, second):
-        async with Place().up() as place:
-            node, media, viewer = place.node, place.medias[0], Plain(place.port)
-            media.does = media.silent
-            viewer.ask(A, package=CLIP, patience=1500)
-            await until(lambda: media.had(isup.SET_UP))
+                    await self.two_events(first, second)
+
+    async def two_events(self, first, second):
+        async with Testbed().running() as testbed:
+            node, media, viewer = testbed.node, testbed.media_servers[0], RawViewer(testbed.port)
+            media.handler = media.ignore
+            viewer.send_set_up(A, package=CLIP, timeout_ms=1500)
+            await until(lambda: media.received_of(isup.SET_UP))
             tune_in = next(iter(node.server_pool.attempts))
             server = node.fleet.servers[media.name]
             for event in (first, second):
@@ -551,196 +556,198 @@
                     server.open = False
                 else:
                     node.session_core._time_out(tune_in)
-            heard = await viewer.hear()
-            if heard.fields["cseq"] == "2":
-                # the cancel was heard; what stood for a moment has to end at its server
+            received = await viewer.receive()
+            if received.fields["cseq"] == "2":
+                # the cancel was processed; a session established meanwhile has to end at its server
                 await until(lambda: not node.listener.asked and not node.session_core.front_sessions)
-            elif "due" in (first, second) and heard.status == 500:
+            elif "due" in (first, second) and received.status == 500:
                 await until(lambda: not node.session_core.front_sessions)
             else:
-                self.assertEqual(heard.status, 200)
+                self.assertEqual(received.status, 200)
             await anyio.sleep(0.05)
-            answers = [heard, *viewer.got]
-            self.assertLessEqual(sum(one.fields.get("cseq") == "1" for one in answers), 1)
-            self.assertEqual(len(media.had(isup.SET_UP)), 1)
+            answers = [received, *viewer.buffered]
+            self.assertLessEqual(sum(message.fields.get("cseq") == "1" for message in answers), 1)
+            self.assertEqual(len(media.received_of(isup.SET_UP)), 1)
             self.assertFalse(node.server_pool.attempts)
             viewer.close()
 
     @story
-    async def test_an_answer_that_crosses_its_withdrawal_twice_and_late_is_ended_and_told_to_nobody(self):
-        async with Place().up() as place:
-            media, viewer = place.medias[0], Plain(place.port)
-            media.does = media.silent
-            viewer.ask(A, package=CLIP, patience=150)
-            self.assertEqual((await viewer.hear()).status, 500)
+    async def test_a_late_and_duplicate_answer_to_a_timed_out_attempt_is_released_and_not_forwarded(self):
+        async with Testbed().running() as testbed:
+            media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
+            media.handler = media.ignore
+            viewer.send_set_up(A, package=CLIP, timeout_ms=150)
+            self.assertEqual((await viewer.receive()).status, 500)
             for _ in range(2):
                 await media.connections[0].send(answer_to(A))
-            await until(lambda: len(media.had(isup.RELEASE)) == 2)
-            await quiet(lambda: (viewer.got, len(media.had(isup.SET_UP))))
-            self.assertFalse(place.node.session_core.front_sessions)
+            await until(lambda: len(media.received_of(isup.RELEASE)) == 2)
+            await assert_unchanged(lambda: (viewer.buffered, len(media.received_of(isup.SET_UP))))
+            self.assertFalse(testbed.node.session_core.front_sessions)
             viewer.close()
 
 
-class TheEnd(unittest.TestCase):
-    async def ended(self, place):
-        await until(lambda: place.node.tasks.cancel_scope.cancel_called, 8)
+class Shutdown(unittest.TestCase):
+    async def ended(self, testbed):
+        await until(lambda: testbed.node.tasks.cancel_scope.cancel_called, 8)
 
     @story
-    async def test_who_came_last_is_answered_and_what_is_queued_goes_out_before_the_end(self):
-        async with Place().up() as place:
-            early = Plain(place.port)
-            early.ask(A)
-            await early.hear()
+    async def test_the_last_requests_are_answered_and_queued_output_is_written_before_the_exit(self):
+        async with Testbed().running() as testbed:
+            early = RawViewer(testbed.port)
+            early.send_set_up(A)
+            await early.receive()
             early.tear_down(A)
-            await early.hear()
+            await early.receive()
             finish, late = ClientListener.finish, []
 
-            async def with_a_late_one(listener, *by):
-                # one connects and asks, one asks on an open connection: both are in the kernel, and nobody has looked
-                late.append(Plain(place.port))
-                late[0].ask(B)
-                early.ask(C)
+            async def finish_with_late_requests(listener, *by):
+                # one request on a new connection, one on an open connection: both are in the kernel and unread
+                late.append(RawViewer(testbed.port))
+                late[0].send_set_up(B)
+                early.send_set_up(C)
                 await finish(listener, *by)
 
-            with mock.patch.object(ClientListener, "finish", with_a_late_one):
+            with mock.patch.object(ClientListener, "finish", finish_with_late_requests):
                 os.kill(os.getpid(), signal.SIGTERM)
-                await self.ended(place)
+                await self.ended(testbed)
             for viewer, id in ((late[0], B), (early, C)):
-                heard = await viewer.hear()
-                self.assertEqual((heard.status, heard.fields["session"], int(heard.fields["x-pause"]) > 0), (503, id, True))
-                self.assertIsNone(await viewer.hear())
+                received = await viewer.receive()
+                self.assertEqual(
+                    (received.status, received.fields["session"], int(received.fields["x-pause"]) > 0), (503, id, True)
+                )
+                self.assertIsNone(await viewer.receive())
                 viewer.close()
-            self.assertEqual(len(place.medias[0].had(isup.SET_UP)), 1)
+            self.assertEqual(len(testbed.media_servers[0].received_of(isup.SET_UP)), 1)
 
     @story
-    async def test_twice_and_with_a_new_configuration_during_the_drain_it_ends_once_and_answers_what_is_open(self):
-        async with Place().up() as place:
-            media, viewer, other = place.medias[0], Plain(place.port), Bulletin()
-            media.does = media.silent
-            viewer.ask(A, package=CLIP)
-            await until(lambda: media.had(isup.SET_UP))
+    async def test_two_sigterms_and_a_reload_during_the_drain_shut_down_once_and_answer_open_requests(self):
+        async with Testbed().running() as testbed:
+            media, viewer, other = testbed.media_servers[0], RawViewer(testbed.port), DiscoveryServer()
+            media.handler = media.ignore
+            viewer.send_set_up(A, package=CLIP)
+            await until(lambda: media.received_of(isup.SET_UP))
             os.kill(os.getpid(), signal.SIGTERM)
-            await until(lambda: place.node.draining)
+            await until(lambda: testbed.node.draining)
             os.kill(os.getpid(), signal.SIGTERM)
-            await other.open(place.tasks)
-            place.bulletin.port = other.port
-            place.path.write_text(json.dumps(place.told()))
+            await other.open(testbed.tasks)
+            testbed.discovery.port = other.port
+            testbed.path.write_text(json.dumps(testbed.config_document()))
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: other.asked == [1])
+            await until(lambda: other.requests == [1])
             await media.connections[0].send(answer_to(A) + isup.release(bytes.fromhex(A), isup.OVER))
-            self.assertEqual([(await viewer.hear()).fields["cseq"] for _ in range(2)], ["1", "2"])
-            await self.ended(place)
-            self.assertEqual([call.args[0] for call in place.node.log.info.call_args_list].count("drain"), 1)
+            self.assertEqual([(await viewer.receive()).fields["cseq"] for _ in range(2)], ["1", "2"])
+            await self.ended(testbed)
+            self.assertEqual([call.args[0] for call in testbed.node.log.info.call_args_list].count("drain"), 1)
             viewer.close()
 
     @story
-    async def test_under_a_connection_that_is_being_made_it_ends_with_every_answer(self):
-        held = Held(dials=True)
-        async with Place().up() as place:
-            with held.all():
-                viewer = Plain(place.port)
-                viewer.ask(A, package=CLIP, patience=700)
-                await until(lambda: place.node.server_pool.attempts)
+    async def test_a_shutdown_during_a_connect_answers_every_request(self):
+        delayed = DelayedReads(delay_connects=True)
+        async with Testbed().running() as testbed:
+            with delayed.applied():
+                viewer = RawViewer(testbed.port)
+                viewer.send_set_up(A, package=CLIP, timeout_ms=700)
+                await until(lambda: testbed.node.server_pool.attempts)
                 os.kill(os.getpid(), signal.SIGTERM)
-                self.assertEqual((await viewer.hear()).status, 503)
-                held.up.set()
-                await self.ended(place)
-            self.assertEqual(place.medias[0].had(isup.SET_UP), [])
+                self.assertEqual((await viewer.receive()).status, 503)
+                delayed.resume_connects.set()
+                await self.ended(testbed)
+            self.assertEqual(testbed.media_servers[0].received_of(isup.SET_UP), [])
             viewer.close()
 
     @story
-    async def test_a_session_answered_in_its_last_turn_is_looked_after_to_its_end(self):
-        async with Place().up() as place:
-            media, viewer = place.medias[0], Plain(place.port)
-            media.does = media.silent
-            viewer.ask(A, package=CLIP)
-            await until(lambda: media.had(isup.SET_UP))
+    async def test_a_session_answered_late_in_the_drain_is_served_to_its_end(self):
+        async with Testbed().running() as testbed:
+            media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
+            media.handler = media.ignore
+            viewer.send_set_up(A, package=CLIP)
+            await until(lambda: media.received_of(isup.SET_UP))
             os.kill(os.getpid(), signal.SIGTERM)
             await anyio.sleep(1.2)
-            self.assertFalse(place.node.tasks.cancel_scope.cancel_called)
+            self.assertFalse(testbed.node.tasks.cancel_scope.cancel_called)
             await media.connections[0].send(answer_to(A))
-            self.assertEqual((await viewer.hear()).status, 200)
-            await quiet(lambda: place.node.tasks.cancel_scope.cancel_called)
+            self.assertEqual((await viewer.receive()).status, 200)
+            await assert_unchanged(lambda: testbed.node.tasks.cancel_scope.cancel_called)
             viewer.tear_down(A)
-            self.assertEqual((await viewer.hear()).status, 200)
-            await until(lambda: media.had(isup.RELEASE))
-            await self.ended(place)
+            self.assertEqual((await viewer.receive()).status, 200)
+            await until(lambda: media.received_of(isup.RELEASE))
+            await self.ended(testbed)
             viewer.close()
 
     @story
-    async def test_a_signal_during_the_start_ends_it_once_it_has_started(self):
-        async with Place().around() as place:
-            node, opened = Node(configuration.read(place.path), place.path, mock.Mock()), Listener.__init__
+    async def test_a_sigterm_during_the_start_shuts_down_once_started(self):
+        async with Testbed().without_node() as testbed:
+            node, opened = Node(configuration.read(testbed.path), testbed.path, mock.Mock()), Listener.__init__
 
-            def and_is_told_to_end(listener, *args):
+            def listen_and_send_sigterm(listener, *args):
                 opened(listener, *args)
                 os.kill(os.getpid(), signal.SIGTERM)
 
-            with mock.patch.object(Listener, "__init__", and_is_told_to_end), anyio.fail_after(8):
+            with mock.patch.object(Listener, "__init__", listen_and_send_sigterm), anyio.fail_after(8):
                 await node.run()
             self.assertTrue(node.draining)
 
     @story
-    async def test_cut_short_with_an_answer_queued_in_the_same_turn_it_ends_all_the_same(self):
-        async with Place().around() as place:
-            node, ended = Node(configuration.read(place.path), place.path, mock.Mock()), anyio.Event()
+    async def test_a_cancellation_with_an_answer_queued_in_the_same_loop_iteration_still_ends_the_node(self):
+        async with Testbed().without_node() as testbed:
+            node, ended = Node(configuration.read(testbed.path), testbed.path, mock.Mock()), anyio.Event()
 
             async def run():
                 await node.run()
                 ended.set()
 
-            place.tasks.start_soon(run)
+            testbed.tasks.start_soon(run)
             await until(lambda: node.ready)
             answer = node.listener.answer
 
-            def and_is_cut_short(*args):
+            def answer_and_cancel(*args):
                 answer(*args)
                 node.tasks.cancel_scope.cancel()
 
-            node.listener.answer = and_is_cut_short
-            viewer = Plain(place.port)
-            viewer.ask(A)
+            node.listener.answer = answer_and_cancel
+            viewer = RawViewer(testbed.port)
+            viewer.send_set_up(A)
             with anyio.fail_after(3):
                 await ended.wait()
             viewer.close()
 
 
-class TheList(unittest.TestCase):
+class DiscoveryClient(unittest.TestCase):
     @story
-    async def test_empty_frames_whose_number_has_moved_are_asked_about_again_and_again(self):
-        async with Place().up() as place:
-            bulletin, asked = place.bulletin, place.bulletin.asked
-            with mock.patch("curlewshift.node.follower.ASK_AGAIN", 0.2):
+    async def test_keep_alives_with_a_newer_number_cause_repeated_requests(self):
+        async with Testbed().running() as testbed:
+            discovery, requests = testbed.discovery, testbed.discovery.requests
+            with mock.patch("curlewshift.node.follower.REQUEST_AGAIN_AFTER_S", 0.2):
                 with anyio.fail_after(8):
-                    while len(asked) < 4:
-                        if bulletin.connections:
-                            await bulletin.connections[-1].send(struct.pack(">IQB", 9, 5, 0))
+                    while len(requests) < 4:
+                        if discovery.connections:
+                            await discovery.connections[-1].send(struct.pack(">IQB", 9, 5, 0))
                         await anyio.sleep(0.02)
-            self.assertEqual(set(asked), {1})
-            # and when it tells them at last they are acted on
-            one = place.medias[0]
-            one.state = 1
-            await until(lambda: bulletin.connections)
-            await bulletin.tell(2, one)
-            await until(lambda: not place.node.fleet.servers[one.name].open)
-
-    @story
-    async def test_one_that_takes_the_question_and_says_nothing_is_left_sooner_than_one_that_fell_silent(self):
-        async with Place().up() as place:
-            began = anyio.current_time()
-            await until(lambda: len(place.bulletin.asked) == 3, 6)
-            self.assertLess(anyio.current_time() - began, 4.0)
-
-    @story
-    async def test_moved_between_two_connections_during_one_and_twice_it_asks_at_the_last_address_at_once(self):
-        async with Place().up() as place:
-            node, first, second = place.node, Bulletin(), Bulletin()
-            for one in (first, second):
-                await one.open(place.tasks)
-            await place.bulletin.listener.aclose()
-            for connection in list(place.bulletin.connections):
+            self.assertEqual(set(requests), {1})
+            # once the events are delivered they are applied
+            media = testbed.media_servers[0]
+            media.state = 1
+            await until(lambda: discovery.connections)
+            await discovery.send_event(2, media)
+            await until(lambda: not testbed.node.fleet.servers[media.name].open)
+
+    @story
+    async def test_a_connection_without_a_first_frame_is_abandoned_sooner_than_one_that_fell_silent(self):
+        async with Testbed().running() as testbed:
+            started_at = anyio.current_time()
+            await until(lambda: len(testbed.discovery.requests) == 3, 6)
+            self.assertLess(anyio.current_time() - started_at, 4.0)
+
+    @story
+    async def test_address_changes_between_and_during_connects_switch_to_the_last_address_at_once(self):
+        async with Testbed().running() as testbed:
+            node, first, second = testbed.node, DiscoveryServer(), DiscoveryServer()
+            for service in (first, second):
+                await service.open(testbed.tasks)
+            await testbed.discovery.listener.aclose()
+            for connection in list(testbed.discovery.connections):
                 await connection.aclose()
-            # between two connections: nobody listens, and the pause has grown
+            # between two connects: nothing listens, and the back-off has grown
             await until(lambda: node.follower.scope is None)
             node.follower.move(("127.0.0.1", first.port))
             await until(lambda: first.connections, 0.9)
@@ -750,40 +757,40 @@
                 for _ in range(4):
                     tasks.start_soon(anyio.connect_tcp, "127.0.0.1", hangs)
                 await anyio.sleep(0.05)
-                # under a connection that hangs, and twice in one turn
+                # during a connect that hangs, and twice in one loop iteration
                 node.follower.move(("127.0.0.1", hangs))
                 await until(lambda: not first.connections)
                 node.follower.move(("127.0.0.1", first.port))
                 node.follower.move(("127.0.0.1", second.port))
                 await until(lambda: second.connections, 0.9)
                 tasks.cancel_scope.cancel()
-            self.assertEqual(second.asked, [1])
-            await quiet(lambda: (len(first.asked), len(second.asked)))
+            self.assertEqual(second.requests, [1])
+            await assert_unchanged(lambda: (len(first.requests), len(second.requests)))
             await never.aclose()
 
     @story
-    async def test_the_old_ones_last_event_and_the_new_ones_first_are_the_same_event_once(self):
-        async with Place().up() as place:
-            node, other, one = place.node, Bulletin(), place.medias[0]
-            await other.open(place.tasks)
-            await until(lambda: place.bulletin.connections)
-            one.state = 1
-            await place.bulletin.tell(2, one)
-            # the old one's event is in the kernel as the address changes
+    async def test_the_same_event_from_the_old_and_the_new_service_is_applied_once(self):
+        async with Testbed().running() as testbed:
+            node, other, media = testbed.node, DiscoveryServer(), testbed.media_servers[0]
+            await other.open(testbed.tasks)
+            await until(lambda: testbed.discovery.connections)
+            media.state = 1
+            await testbed.discovery.send_event(2, media)
+            # the event of the old service is in the kernel when the address changes
             node.follower.move(("127.0.0.1", other.port))
             await until(lambda: other.connections)
-            if other.asked == [1]:
-                await other.tell(2, one)
-            one.state = 0
-            await other.tell(3, one)
+            if other.requests == [1]:
+                await other.send_event(2, media)
+            media.state = 0
+            await other.send_event(3, media)
             await until(lambda: node.follower.last == 3)
-            self.assertTrue(node.fleet.servers[one.name].open)
-            told = [call.kwargs for call in node.log.info.call_args_list if call.args == ("list",)]
-            self.assertEqual(len(told), 3)
+            self.assertTrue(node.fleet.servers[media.name].open)
+            list_events = [call.kwargs for call in node.log.info.call_args_list if call.args == ("list",)]
+            self.assertEqual(len(list_events), 3)
 
 
-# Has forty descriptors in all, and becomes the node.
-FEW = """
+# Limits the process to 40 descriptors, and then runs the node.
+FEW_DESCRIPTORS = """
 import resource, runpy, sys
 resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
 sys.argv = ["curlewshift.node"]
@@ -791,33 +798,35 @@
 """
 
 
-class NoDescriptors(unittest.TestCase):
+class DescriptorLimit(unittest.TestCase):
     @story
-    async def test_the_list_is_dialled_with_the_descriptor_that_is_kept_and_never_with_one_more(self):
-        taken = []
+    async def test_discovery_is_connected_with_the_reserved_descriptor_and_no_other(self):
+        opened = []
 
-        def only_one():
-            if taken and taken[-1].fileno() >= 0:
+        def one_open_socket():
+            if opened and opened[-1].fileno() >= 0:
                 raise OSError(errno.EMFILE, "no descriptor left")
-            taken.append(socket.socket())
-            return taken[-1]
+            opened.append(socket.socket())
+            return opened[-1]
 
-        with mock.patch("curlewshift.node.follower._socket", only_one):
-            async with Place().up() as place:
+        with mock.patch("curlewshift.node.follower._new_socket", one_open_socket):
+            async with Testbed().running() as testbed:
                 for again in range(3):
-                    await until(lambda: len(place.bulletin.asked) == again + 1 and place.bulletin.connections)
-                    await place.bulletin.connections[0].aclose()
-                await until(lambda: len(place.bulletin.asked) == 4)
-        self.assertGreaterEqual(len(taken), 4)
+                    await until(lambda: len(testbed.discovery.requests) == again + 1 and testbed.discovery.connections)
+                    await testbed.discovery.connections[0].aclose()
+                await until(lambda: len(testbed.discovery.requests) == 4)
+        self.assertGreaterEqual(len(opened), 4)
 
     @story
-    async def test_idle_clients_fill_every_place_while_the_list_is_down_and_then_it_is_found_servers_reached_and_clients_taken(
+    async def test_after_idle_clients_took_every_descriptor_during_an_outage_discovery_servers_and_clients_are_connected(
         self,
     ):
-        """A real process whose kernel gives it fewer descriptors than its settings say."""
-        async with Place(2, sockets=200).around() as place:
+        """A real process that the kernel allows fewer descriptors than its settings say."""
+        async with Testbed(2, sockets=200).without_node() as testbed:
             process = await anyio.open_process(
-                [sys.executable, "-c", FEW], env={**os.environ, "NODE_CONFIG": str(place.path)}, stderr=subprocess.PIPE
+                [sys.executable, "-c", FEW_DESCRIPTORS],
+                env={**os.environ, "NODE_CONFIG": str(testbed.path)},
+                stderr=subprocess.PIPE,
             )
             logged = []
 
@@ -826,46 +835,50 @@
                     async for piece in process.stderr:
                         logged.append(piece)
 
-            place.tasks.start_soon(logs)
+            testbed.tasks.start_soon(logs)
             idle = []
             try:
                 await until(lambda: b'"event":"open"' in b"".join(logged), 20)
-                first = Plain(place.port)
-                first.ask(A, package=CLIP)
-                self.assertEqual((await first.hear(5)).status, 200)
-                await until(lambda: place.bulletin.connections)
-                await place.bulletin.listener.aclose()
-                for connection in list(place.bulletin.connections):
+                first = RawViewer(testbed.port)
+                first.send_set_up(A, package=CLIP)
+                self.assertEqual((await first.receive(5)).status, 200)
+                await until(lambda: testbed.discovery.connections)
+                await testbed.discovery.listener.aclose()
+                for connection in list(testbed.discovery.connections):
                     await connection.aclose()
-                idle = [Plain(place.port) for _ in range(100)]
+                idle = [RawViewer(testbed.port) for _ in range(100)]
                 await until(lambda: b"bulletin-broke" in b"".join(logged))
                 await anyio.sleep(0.3)
-                back, told = Bulletin(), len(place.bulletin.asked)
-                await back.open(place.tasks, place.bulletin.port)
+                back, requests_before = DiscoveryServer(), len(testbed.discovery.requests)
+                await back.open(testbed.tasks, testbed.discovery.port)
                 await until(lambda: back.connections, 3)
-                place.medias[0].state = place.medias[1].state = 1
-                await back.tell(2, *place.medias)
-                for media in place.medias:
+                testbed.media_servers[0].state = testbed.media_servers[1].state = 1
+                await back.send_event(2, *testbed.media_servers)
+                for media in testbed.media_servers:
                     media.state = 0
-                await back.tell(3, *place.medias)
-                clean = Plain(place.port)
-                clean.ask(B, package=CLIP)
-                self.assertEqual((await clean.hear(5)).status, 200)
-                self.assertEqual(told, 1)
-                # the first viewer's connection rested among those that went, and was spared, as its viewing stands: its end is
-                # told there; and where it has gone itself, on the other
-                played = next(media for media in place.medias if bytes.fromhex(A) in dict(media.had(isup.SET_UP)))
+                await back.send_event(3, *testbed.media_servers)
+                clean = RawViewer(testbed.port)
+                clean.send_set_up(B, package=CLIP)
+                self.assertEqual((await clean.receive(5)).status, 200)
+                self.assertEqual(requests_before, 1)
+                # the first viewer's connection was as idle as those that were dropped, but was spared for its session: the
+                # release is sent there, and after the viewer has closed it on the other
+                played = next(
+                    media for media in testbed.media_servers if bytes.fromhex(A) in dict(media.received_of(isup.SET_UP))
+                )
                 await played.connections[-1].send(isup.release(bytes.fromhex(A), isup.OVER))
-                heard = await first.hear()
-                self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", A))
-                first.ask(C, package=CLIP)
-                self.assertEqual((await first.hear(5)).status, 200)
+                received = await first.receive()
+                self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", A))
+                first.send_set_up(C, package=CLIP)
+                self.assertEqual((await first.receive(5)).status, 200)
                 first.close()
-                played = next(media for media in place.medias if bytes.fromhex(C) in dict(media.had(isup.SET_UP)))
+                played = next(
+                    media for media in testbed.media_servers if bytes.fromhex(C) in dict(media.received_of(isup.SET_UP))
+                )
                 await until(lambda: played.connections)
                 await played.connections[-1].send(isup.release(bytes.fromhex(C), isup.OVER))
-                heard = await clean.hear()
-                self.assertEqual((heard.method, heard.fields["session"]), ("TEARDOWN", C))
+                received = await clean.receive()
+                self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", C))
                 self.assertNotIn(b'"event":"fault"', b"".join(logged))
                 self.assertIsNone(process.returncode)
             finally:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Stories of the front node, one for each failure met, on loopback."""
+"""Integration tests of the front node on loopback, with scripted media servers and a scripted discovery service."""
 
 import errno
 import json
@@ -15,7 +15,7 @@
 
 from curlewshift.node import configuration, isup
 from tests.fake import SECOND
-from tests.node_place import CLIP, Bulletin, Media, Place, set_up
+from tests.node_testbed import CLIP, DiscoveryServer, MediaServer, Testbed, set_up
 from tests.sockets import story, until
 
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
@@ -23,68 +23,70 @@
 REFUSED, FAILED = (453, 503), (500,)
 
 
-class OneViewing(unittest.TestCase):
+class SessionLifecycle(unittest.TestCase):
     @story
-    async def test_from_set_up_to_the_viewers_release(self):
-        async with Place().up() as place:
-            viewer, media = await place.viewer(), place.medias[0]
-            answer = await viewer.answer(A, body=b"\r\n\0offer")
+    async def test_a_session_from_set_up_to_the_viewers_teardown(self):
+        async with Testbed().running() as testbed:
+            viewer, media = await testbed.viewer(), testbed.media_servers[0]
+            answer = await viewer.request(A, body=b"\r\n\0offer")
             self.assertEqual((answer.status, answer.fields["session"], answer.body), (200, A, b"plays \r\n\0offer"))
-            told = media.had(isup.SET_UP)[0][1]
-            self.assertEqual((told[isup.CLASS], told[isup.TITLE], told[isup.LEVEL]), (b"lesson", b"00000000000000aa", b"1"))
-            self.assertLessEqual(int(told[isup.WAIT]), 2000)
-            self.assertEqual(place.node.fleet.servers[media.name].link.told, True)
+            parameters = media.received_of(isup.SET_UP)[0][1]
+            self.assertEqual(
+                (parameters[isup.CLASS], parameters[isup.TITLE], parameters[isup.LEVEL]), (b"lesson", b"00000000000000aa", b"1")
+            )
+            self.assertLessEqual(int(parameters[isup.WAIT]), 2000)
+            self.assertEqual(testbed.node.fleet.servers[media.name].link.told, True)
             await viewer.tear_down(A, "Reason: cause=19\r\n")
-            await until(lambda: media.had(isup.RELEASE))
-            self.assertEqual(media.had(isup.RELEASE), [(bytes.fromhex(A), {isup.CAUSE: b"\x13"})])
-            self.assertFalse(place.node.session_core.front_sessions or place.node.listener.asked)
+            await until(lambda: media.received_of(isup.RELEASE))
+            self.assertEqual(media.received_of(isup.RELEASE), [(bytes.fromhex(A), {isup.CAUSE: b"\x13"})])
+            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.asked)
 
     @story
-    async def test_its_servers_release_reaches_it_on_another_connection_if_its_own_has_gone(self):
-        async with Place().up() as place:
-            first, second = await place.viewer(), await place.viewer()
-            await first.answer(A)
-            await second.answer(B)
+    async def test_a_release_is_sent_on_another_connection_if_the_viewers_own_has_closed(self):
+        async with Testbed().running() as testbed:
+            first, second = await testbed.viewer(), await testbed.viewer()
+            await first.request(A)
+            await second.request(B)
             await first.stream.aclose()
-            await until(lambda: len(place.node.listener.connections) == 1)
-            media = place.medias[0]
+            await until(lambda: len(testbed.node.listener.connections) == 1)
+            media = testbed.media_servers[0]
             await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
-            release = await second.hear()
+            release = await second.receive()
             self.assertEqual((release.method, release.fields["session"], release.fields["reason"]), ("TEARDOWN", A, "cause=41"))
-            await until(lambda: media.had(isup.RELEASED))
+            await until(lambda: media.received_of(isup.RELEASED))
 
     @story
-    async def test_handed_over_it_is_not_answered_counts_and_is_told_of_on_a_connection_opened_for_it(self):
-        async with Place().up() as place:
-            viewer, media = await place.viewer(), place.medias[0]
-            await viewer.ask(A, legs=f";at:{media.name}")
-            await viewer.ask(A, legs=f";at:{media.name}")
+    async def test_a_handed_over_session_is_not_answered_is_counted_and_has_a_connection_opened_for_its_release(self):
+        async with Testbed().running() as testbed:
+            viewer, media = await testbed.viewer(), testbed.media_servers[0]
+            await viewer.send_set_up(A, legs=f";at:{media.name}")
+            await viewer.send_set_up(A, legs=f";at:{media.name}")
             await until(lambda: media.connections)
-            server = place.node.fleet.servers[media.name]
+            server = testbed.node.fleet.servers[media.name]
             self.assertEqual((server.link.own, len(server.link.playing)), (100, 1))
             note = isup.encode(isup.NOTE, bytes.fromhex(A), (isup.KIND, b"tier"), (isup.FIGURE, b"1"))
             await media.connections[0].send(note + isup.release(bytes.fromhex(A), isup.OVER))
-            self.assertEqual((await viewer.hear()).method, "TEARDOWN")
+            self.assertEqual((await viewer.receive()).method, "TEARDOWN")
             self.assertEqual(server.link.own, 0)
 
 
-class WhatMayHaveRun(unittest.TestCase):
-    """A package paid at set-up: one answer of the right kind, and one tune-in unless the first provably never ran."""
+class AmbiguousOutcomes(unittest.TestCase):
+    """A package paid at set-up gets one answer, and a second attempt only if the first provably never ran."""
 
-    async def paid(self, place, *does):
-        for media, what in zip(place.medias, does):
-            if isinstance(what, bytes):
-                media.says(what)
-            elif what is not None:
-                media.does = what
-        viewer = await place.viewer()
-        answer = await viewer.answer(A, package=CLIP, patience=500)
-        return answer, [len(media.had(isup.SET_UP)) for media in place.medias]
+    async def paid(self, testbed, *handlers):
+        for media, handler in zip(testbed.media_servers, handlers):
+            if isinstance(handler, bytes):
+                media.reply_with(handler)
+            elif handler is not None:
+                media.handler = handler
+        viewer = await testbed.viewer()
+        answer = await viewer.request(A, package=CLIP, timeout_ms=500)
+        return answer, [len(media.received_of(isup.SET_UP)) for media in testbed.media_servers]
 
     @story
-    async def test_lost_spoilt_cut_reset_or_an_error_it_fails_and_goes_nowhere_else(self):
+    async def test_a_lost_corrupt_truncated_reset_or_error_answer_fails_the_request_without_another_attempt(self):
         cut = isup.encode(isup.ANSWER, b"IDIDIDID", (isup.DESCRIPTION, b"d"))[:14]
-        for says in (
+        for reply in (
             b"",
             b"\xff\xff\xff",
             cut,
@@ -93,165 +95,165 @@
             isup.release(b"IDIDIDID", isup.RESET),
             isup.release(b"IDIDIDID", 99),
         ):
-            async with Place(2).up() as place:
-                answer, sent = await self.paid(place, says, says)
-                self.assertIn(answer.status, FAILED, says)
-                self.assertEqual(sum(sent), 1, says)
+            async with Testbed(2).running() as testbed:
+                answer, sent = await self.paid(testbed, reply, reply)
+                self.assertIn(answer.status, FAILED, reply)
+                self.assertEqual(sum(sent), 1, reply)
                 self.assertNotIn("x-pause", answer.fields)
 
     @story
-    async def test_a_connection_that_ends_under_it_may_have_run_it(self):
+    async def test_a_connection_closed_after_the_set_up_fails_the_request(self):
         async def hangs_up(connection, kind, id, parameters):
             await connection.aclose()
 
-        async with Place(2).up() as place:
-            answer, sent = await self.paid(place, hangs_up, hangs_up)
+        async with Testbed(2).running() as testbed:
+            answer, sent = await self.paid(testbed, hangs_up, hangs_up)
             self.assertEqual((answer.status, sum(sent)), (500, 1))
 
     @story
-    async def test_full_moot_or_a_refused_connection_prove_that_it_never_ran(self):
-        for says in (isup.release(b"IDIDIDID", isup.FULL), isup.release(b"IDIDIDID", isup.MOOT)):
-            async with Place(2).up() as place:
-                answer, sent = await self.paid(place, says, says)
+    async def test_full_moot_or_a_refused_connection_allows_another_attempt(self):
+        for reply in (isup.release(b"IDIDIDID", isup.FULL), isup.release(b"IDIDIDID", isup.MOOT)):
+            async with Testbed(2).running() as testbed:
+                answer, sent = await self.paid(testbed, reply, reply)
                 self.assertIn(answer.status, REFUSED)
                 self.assertGreaterEqual(min(sent), 1)
-        async with Place(2).up() as place:
-            for media in place.medias:
+        async with Testbed(2).running() as testbed:
+            for media in testbed.media_servers:
                 await media.close()
-            answer, sent = await self.paid(place)
+            answer, sent = await self.paid(testbed)
             self.assertIn(answer.status, REFUSED)
             self.assertLessEqual(int(answer.fields["x-pause"]) > 0, 2000)
 
     @story
-    async def test_a_spoilt_answer_ends_its_connection_for_all_that_is_out_on_it(self):
-        async with Place(sockets=5).up() as place:
-            media = place.medias[0]
-            media.does = media.silent
-            viewer = await place.viewer()
+    async def test_a_corrupt_answer_fails_all_attempts_on_its_connection(self):
+        async with Testbed(sockets=5).running() as testbed:
+            media = testbed.media_servers[0]
+            media.handler = media.ignore
+            viewer = await testbed.viewer()
             for id in (A, B, C):
-                await viewer.ask(id, package=CLIP)
-            await until(lambda: len(media.had(isup.SET_UP)) == 3)
+                await viewer.send_set_up(id, package=CLIP)
+            await until(lambda: len(media.received_of(isup.SET_UP)) == 3)
             shared = max(
                 media.connections,
                 key=lambda connection: sum(
                     attempt.connection.wire is not None
                     and attempt.connection.wire.socket.getsockname()[1] == connection.extra(anyio.abc.SocketAttribute.remote_port)
-                    for attempt in place.node.server_pool.attempts.values()
+                    for attempt in testbed.node.server_pool.attempts.values()
                 ),
             )
             await shared.send(b"\0\2no")
-            self.assertEqual([(await viewer.hear(0.5)).status for _ in range(2)], [500, 500])
+            self.assertEqual([(await viewer.receive(0.5)).status for _ in range(2)], [500, 500])
 
     @story
-    async def test_an_answer_that_crosses_its_giving_up_is_released_and_a_second_copy_is_not(self):
-        async with Place().up() as place:
-            viewer, media = await place.viewer(), place.medias[0]
-            media.does = media.silent
-            await viewer.ask(A)
-            await until(lambda: media.had(isup.SET_UP))
+    async def test_an_answer_that_crosses_its_release_is_released_again_and_a_duplicate_is_not(self):
+        async with Testbed().running() as testbed:
+            viewer, media = await testbed.viewer(), testbed.media_servers[0]
+            media.handler = media.ignore
+            await viewer.send_set_up(A)
+            await until(lambda: media.received_of(isup.SET_UP))
             await viewer.tear_down(A)
-            await until(lambda: media.had(isup.RELEASE))
+            await until(lambda: media.received_of(isup.RELEASE))
             await media.connections[0].send(ANSWER.replace(b"IDIDIDID", bytes.fromhex(A)))
-            await until(lambda: len(media.had(isup.RELEASE)) == 2)
-            media.says(ANSWER * 2 + ANSWER.replace(b"IDIDIDID", b"nobody's"))
-            await viewer.hear()
-            self.assertEqual((await viewer.answer(B)).status, 200)
-            await viewer.answer(C)
-            self.assertEqual(len(media.had(isup.RELEASE)), 2)
-            self.assertEqual(len(place.node.session_core.front_sessions), 2)
+            await until(lambda: len(media.received_of(isup.RELEASE)) == 2)
+            media.reply_with(ANSWER * 2 + ANSWER.replace(b"IDIDIDID", b"nobody's"))
+            await viewer.receive()
+            self.assertEqual((await viewer.request(B)).status, 200)
+            await viewer.request(C)
+            self.assertEqual(len(media.received_of(isup.RELEASE)), 2)
+            self.assertEqual(len(testbed.node.session_core.front_sessions), 2)
 
 
-class Forgotten(unittest.TestCase):
+class UnansweredRequests(unittest.TestCase):
     @story
-    async def test_a_request_that_nobody_answered_in_its_time_is_answered_all_the_same_once_and_told_of(self):
-        async with Place().up() as place:
-            place.medias[0].does = place.medias[0].silent
+    async def test_a_request_past_its_deadline_is_answered_once_by_the_sweep_and_logged(self):
+        async with Testbed().running() as testbed:
+            testbed.media_servers[0].handler = testbed.media_servers[0].ignore
             with (
-                mock.patch.object(place.node.session_core.timers, "run", lambda now: None),
-                mock.patch.object(place.node.listener.log, "error") as told,
+                mock.patch.object(testbed.node.session_core.timers, "run", lambda now: None),
+                mock.patch.object(testbed.node.listener.log, "error") as log_error,
             ):
-                viewer = await place.viewer()
-                answer = await viewer.answer(A, package=CLIP, patience=300)
-            self.assertEqual((answer.status, told.call_args.args), (500, ("unanswered",)))
+                viewer = await testbed.viewer()
+                answer = await viewer.request(A, package=CLIP, timeout_ms=300)
+            self.assertEqual((answer.status, log_error.call_args.args), (500, ("unanswered",)))
             self.assertFalse(
-                place.node.listener.asked or any(connection.waiting for connection in place.node.listener.connections)
+                testbed.node.listener.asked or any(connection.waiting for connection in testbed.node.listener.connections)
             )
-            place.node.session_core.time()
-            # a second answer would come first
-            self.assertEqual((await viewer.answer(B)).fields["session"], B)
+            testbed.node.session_core.time()
+            # a second answer to A would be received before this one
+            self.assertEqual((await viewer.request(B)).fields["session"], B)
 
 
-class Servers(unittest.TestCase):
+class MediaServerFailures(unittest.TestCase):
     @story
-    async def test_what_played_on_a_process_that_died_is_released_to_its_viewer(self):
-        async with Place().up() as place:
-            viewer = await place.viewer()
-            await viewer.answer(A)
-            await place.medias[0].close()
-            self.assertEqual((await viewer.hear()).fields["reason"], "cause=41")
+    async def test_sessions_of_a_dead_process_are_released_to_their_viewers(self):
+        async with Testbed().running() as testbed:
+            viewer = await testbed.viewer()
+            await viewer.request(A)
+            await testbed.media_servers[0].close()
+            self.assertEqual((await viewer.receive()).fields["reason"], "cause=41")
 
     @story
-    async def test_also_if_a_connection_to_it_stays_open_and_silent(self):
-        async with Place().up() as place:
-            viewer, media = await place.viewer(), place.medias[0]
-            await viewer.answer(A)
-            media.does = media.silent
+    async def test_sessions_of_a_dead_process_are_released_even_if_a_connection_stays_open_and_silent(self):
+        async with Testbed().running() as testbed:
+            viewer, media = await testbed.viewer(), testbed.media_servers[0]
+            await viewer.request(A)
+            media.handler = media.ignore
             await media.listener.aclose()
-            release = await viewer.hear(7.5)
+            release = await viewer.receive(7.5)
             self.assertEqual(release.fields["reason"], "cause=41")
 
     @story
-    async def test_and_on_a_machine_that_vanished_before_eight_seconds_are_over(self):
-        async with Place().up() as place:
-            viewer, media = await place.viewer(), place.medias[0]
-            await viewer.answer(A)
-            media.does = media.silent
+    async def test_sessions_of_a_vanished_machine_are_released_within_eight_seconds(self):
+        async with Testbed().running() as testbed:
+            viewer, media = await testbed.viewer(), testbed.media_servers[0]
+            await viewer.request(A)
+            media.handler = media.ignore
             never = await anyio.create_tcp_listener(local_host="127.0.0.1", backlog=1)
             port = never.listeners[0].extra(anyio.abc.SocketAttribute.local_port)
-            # its queue is full, so that nothing more comes up; no address has changed for the node
+            # the accept queue is full, so that no more connects succeed; for the node the address has not changed
             async with anyio.create_task_group() as tasks:
                 for _ in range(4):
                     tasks.start_soon(anyio.connect_tcp, "127.0.0.1", port)
-                endpoint = place.node.server_pool.endpoints[place.node.fleet.servers[media.name]]
+                endpoint = testbed.node.server_pool.endpoints[testbed.node.fleet.servers[media.name]]
                 endpoint.address = ("127.0.0.1", port)
-                release = await viewer.hear(7.5)
+                release = await viewer.receive(7.5)
                 tasks.cancel_scope.cancel()
             self.assertEqual(release.fields["reason"], "cause=41")
             await never.aclose()
 
     @story
-    async def test_a_silent_process_that_still_takes_connections_keeps_its_sessions(self):
-        async with Place().up() as place:
-            viewer, media = await place.viewer(), place.medias[0]
-            await viewer.answer(A)
-            media.does = media.silent
+    async def test_a_silent_process_that_still_accepts_connections_keeps_its_sessions(self):
+        async with Testbed().running() as testbed:
+            viewer, media = await testbed.viewer(), testbed.media_servers[0]
+            await viewer.request(A)
+            media.handler = media.ignore
             with self.assertRaises(TimeoutError):
-                await viewer.hear(4.5)
-            self.assertTrue(media.had(isup.PROBE))
-            self.assertLess(len(place.node.server_pool.endpoints[place.node.fleet.servers[media.name]].connections), 4)
+                await viewer.receive(4.5)
+            self.assertTrue(media.received_of(isup.PROBE))
+            self.assertLess(len(testbed.node.server_pool.endpoints[testbed.node.fleet.servers[media.name]].connections), 4)
 
     @story
-    async def test_a_new_server_at_an_old_address_has_nothing_of_the_one_that_has_gone(self):
-        async with Place().up() as place:
-            viewer, old = await place.viewer(), place.medias[0]
-            await viewer.answer(A)
-            before = place.node.fleet.servers[old.name]
-            new = Media("s-000000ff", 0)
-            new.port, new.started, old.state = old.port, int(place.node.now() / 1e6), 2
-            await until(lambda: place.bulletin.connections)
-            await place.bulletin.tell(2, old, new)
-            self.assertEqual((await viewer.hear()).fields["session"], A)
-            now = place.node.fleet.servers[new.name]
-            self.assertIsNot(place.node.server_pool.endpoints[now], place.node.server_pool.endpoints.get(before))
+    async def test_a_new_server_at_the_address_of_a_removed_one_inherits_no_state(self):
+        async with Testbed().running() as testbed:
+            viewer, old = await testbed.viewer(), testbed.media_servers[0]
+            await viewer.request(A)
+            before = testbed.node.fleet.servers[old.name]
+            new = MediaServer("s-000000ff", 0)
+            new.port, new.started, old.state = old.port, int(testbed.node.now() / 1e6), 2
+            await until(lambda: testbed.discovery.connections)
+            await testbed.discovery.send_event(2, old, new)
+            self.assertEqual((await viewer.receive()).fields["session"], A)
+            now = testbed.node.fleet.servers[new.name]
+            self.assertIsNot(testbed.node.server_pool.endpoints[now], testbed.node.server_pool.endpoints.get(before))
             self.assertFalse(before.open)
             self.assertEqual((now.started, now.link.own), (new.started * 1_000_000, 0))
-            self.assertEqual((await viewer.answer(B)).status, 200)
-            self.assertIs(place.node.listener.asked[B].front_session.viewing.server, now)
+            self.assertEqual((await viewer.request(B)).status, 200)
+            self.assertIs(testbed.node.listener.asked[B].front_session.viewing.server, now)
 
     @story
-    async def test_a_drain_told_between_pick_and_send_is_obeyed(self):
-        async with Place(2).up() as place:
-            node, picked = place.node, []
+    async def test_a_drain_received_between_selection_and_sending_is_obeyed(self):
+        async with Testbed(2).running() as testbed:
+            node, picked = testbed.node, []
             send = node.server_pool.tune_in
 
             def drained_first(tune_in):
@@ -261,94 +263,96 @@
                     tune_in.server.open = False
 
             node.server_pool.tune_in = drained_first
-            viewer = await place.viewer()
-            self.assertEqual((await viewer.answer(A, package=CLIP)).status, 200)
-            self.assertEqual([len(media.had(isup.SET_UP)) for media in place.medias if media.name == picked[0].name], [0])
+            viewer = await testbed.viewer()
+            self.assertEqual((await viewer.request(A, package=CLIP)).status, 200)
+            self.assertEqual(
+                [len(media.received_of(isup.SET_UP)) for media in testbed.media_servers if media.name == picked[0].name], [0]
+            )
 
 
-class TheList(unittest.TestCase):
+class ServerListUpdates(unittest.TestCase):
     @story
-    async def test_doubled_events_are_dropped_and_after_a_break_the_last_number_is_asked_from(self):
-        async with Place(2).up() as place:
-            bulletin, one = place.bulletin, place.medias[0]
-            await until(lambda: bulletin.connections)
-            one.state = 1
-            await bulletin.tell(2, one)
-            await until(lambda: not place.node.fleet.servers[one.name].open)
-            one.state = 0
-            await bulletin.tell(2, one)
-            await bulletin.connections[0].send(b"\0\0\0\x0ahalf")
-            await bulletin.connections[0].aclose()
-            await until(lambda: len(bulletin.asked) == 2 and bulletin.connections)
-            self.assertEqual((bulletin.asked, place.node.fleet.servers[one.name].open), ([1, 2], False))
-            await bulletin.tell(4, one)
-            await until(lambda: len(bulletin.asked) == 3)
-            self.assertEqual(bulletin.asked[2], 2)
+    async def test_duplicate_events_are_dropped_and_a_new_connection_requests_from_the_last_number(self):
+        async with Testbed(2).running() as testbed:
+            discovery, media = testbed.discovery, testbed.media_servers[0]
+            await until(lambda: discovery.connections)
+            media.state = 1
+            await discovery.send_event(2, media)
+            await until(lambda: not testbed.node.fleet.servers[media.name].open)
+            media.state = 0
+            await discovery.send_event(2, media)
+            await discovery.connections[0].send(b"\0\0\0\x0ahalf")
+            await discovery.connections[0].aclose()
+            await until(lambda: len(discovery.requests) == 2 and discovery.connections)
+            self.assertEqual((discovery.requests, testbed.node.fleet.servers[media.name].open), ([1, 2], False))
+            await discovery.send_event(4, media)
+            await until(lambda: len(discovery.requests) == 3)
+            self.assertEqual(discovery.requests[2], 2)
 
     @story
-    async def test_a_list_that_answers_late_each_time_is_heard_in_the_end(self):
-        async with Place(2).up() as place:
-            one = place.medias[0]
-            one.state = 1
+    async def test_a_discovery_service_that_always_answers_late_is_received_in_the_end(self):
+        async with Testbed(2).running() as testbed:
+            media = testbed.media_servers[0]
+            media.state = 1
 
             async def answers_late(connection):
                 await anyio.sleep(2.0)
-                if connection in place.bulletin.connections:
-                    await place.bulletin.tell(2, one)
+                if connection in testbed.discovery.connections:
+                    await testbed.discovery.send_event(2, media)
 
             seen = []
             with anyio.fail_after(6):
-                while place.node.fleet.servers[one.name].open:
-                    for connection in [connection for connection in place.bulletin.connections if connection not in seen]:
+                while testbed.node.fleet.servers[media.name].open:
+                    for connection in [connection for connection in testbed.discovery.connections if connection not in seen]:
                         seen.append(connection)
-                        place.tasks.start_soon(answers_late, connection)
+                        testbed.tasks.start_soon(answers_late, connection)
                     await anyio.sleep(0.01)
 
     @story
-    async def test_a_silence_is_a_break(self):
-        async with Place().up() as place:
-            await until(lambda: len(place.bulletin.asked) == 2, 4)
+    async def test_a_silent_discovery_connection_is_replaced(self):
+        async with Testbed().running() as testbed:
+            await until(lambda: len(testbed.discovery.requests) == 2, 4)
 
     @story
-    async def test_sighup_moves_to_the_new_bulletin_and_a_bad_file_changes_nothing(self):
-        async with Place().up() as place:
-            viewer, other = await place.viewer(), Bulletin()
-            await viewer.answer(A)
-            place.path.write_text("{")
+    async def test_sighup_switches_to_the_new_discovery_address_and_an_invalid_file_changes_nothing(self):
+        async with Testbed().running() as testbed:
+            viewer, other = await testbed.viewer(), DiscoveryServer()
+            await viewer.request(A)
+            testbed.path.write_text("{")
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: place.node.log.error.called)
-            self.assertTrue(place.node.ready)
-            place.node.log.error.reset_mock()
-            await other.open(place.tasks)
-            place.bulletin.port = other.port
-            place.path.write_text(json.dumps(place.told()))
+            await until(lambda: testbed.node.log.error.called)
+            self.assertTrue(testbed.node.ready)
+            testbed.node.log.error.reset_mock()
+            await other.open(testbed.tasks)
+            testbed.discovery.port = other.port
+            testbed.path.write_text(json.dumps(testbed.config_document()))
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: other.asked == [1])
-            self.assertEqual((await viewer.answer(B)).status, 200)
-            self.assertEqual(len(place.node.session_core.front_sessions), 2)
+            await until(lambda: other.requests == [1])
+            self.assertEqual((await viewer.request(B)).status, 200)
+            self.assertEqual(len(testbed.node.session_core.front_sessions), 2)
 
 
-class Life(unittest.TestCase):
+class StartAndShutdown(unittest.TestCase):
     @story
-    async def test_sigterm_answers_what_was_taken_refuses_what_comes_and_ends_once_nothing_plays(self):
-        async with Place().up() as place:
-            viewer, media = await place.viewer(), place.medias[0]
-            await viewer.answer(A)
-            media.does = media.silent
-            await viewer.ask(B)
-            await until(lambda: len(media.had(isup.SET_UP)) == 2)
+    async def test_sigterm_answers_accepted_requests_refuses_new_ones_and_exits_once_no_session_is_left(self):
+        async with Testbed().running() as testbed:
+            viewer, media = await testbed.viewer(), testbed.media_servers[0]
+            await viewer.request(A)
+            media.handler = media.ignore
+            await viewer.send_set_up(B)
+            await until(lambda: len(media.received_of(isup.SET_UP)) == 2)
             os.kill(os.getpid(), signal.SIGTERM)
-            await until(lambda: place.node.draining)
-            late = await (await place.viewer()).answer(C)
+            await until(lambda: testbed.node.draining)
+            late = await (await testbed.viewer()).request(C)
             self.assertEqual((late.status, int(late.fields["x-pause"]) > 0), (503, True))
-            await media.connections[0].send(ANSWER.replace(b"IDIDIDID", media.had(isup.SET_UP)[1][0]))
-            await media.connections[-1].send(ANSWER.replace(b"IDIDIDID", media.had(isup.SET_UP)[1][0]))
-            self.assertEqual((await viewer.hear()).status, 200)
+            await media.connections[0].send(ANSWER.replace(b"IDIDIDID", media.received_of(isup.SET_UP)[1][0]))
+            await media.connections[-1].send(ANSWER.replace(b"IDIDIDID", media.received_of(isup.SET_UP)[1][0]))
+            self.assertEqual((await viewer.receive()).status, 200)
             await media.connections[0].send(isup.release(bytes.fromhex(A), 16) + isup.release(bytes.fromhex(B), 16))
-            self.assertEqual({(await viewer.hear()).method for _ in range(2)}, {"TEARDOWN"})
-            await until(lambda: place.node.tasks.cancel_scope.cancel_called)
+            self.assertEqual({(await viewer.receive()).method for _ in range(2)}, {"TEARDOWN"})
+            await until(lambda: testbed.node.tasks.cancel_scope.cancel_called)
 
-    def test_without_a_configuration_it_exits_2_with_one_plain_line(self):
+    def test_without_a_configuration_it_exits_2_with_one_line(self):
         for path in ("", "/nowhere/config.json"):
             for start in (("curlewshift.node",), ("curlewshift", "node")):
                 ran = subprocess.run(
@@ -361,280 +365,287 @@
                 self.assertEqual((ran.returncode, ran.stderr.count("\n"), ran.stdout), (2, 1, ""))
 
 
-class Settings(unittest.TestCase):
+class InvalidSettings(unittest.TestCase):
     def refused(self, change):
-        place = Place()
-        for one in place.medias:
-            one.port = 1
-        place.bulletin.port = place.port = 1
-        told = place.told()
-        change(told, told["settings"])
+        testbed = Testbed()
+        for media in testbed.media_servers:
+            media.port = 1
+        testbed.discovery.port = testbed.port = 1
+        document = testbed.config_document()
+        change(document, document["settings"])
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
-            path.write_text(json.dumps(told))
-            with self.assertRaises(configuration.Unreadable) as caught:
+            path.write_text(json.dumps(document))
+            with self.assertRaises(configuration.InvalidConfiguration) as caught:
                 configuration.read(path)
         self.assertNotIn("\n", str(caught.exception))
         return str(caught.exception)
 
-    def test_what_makes_no_sense_is_refused_in_a_line_that_names_the_field(self):
+    def test_an_invalid_value_is_refused_in_one_line_that_names_the_field(self):
         for field, change in {
-            "limits.sockets": lambda told, settings: told["limits"].update(sockets=0),
-            "my_number": lambda told, settings: settings.update(my_number=1),
-            "balancers": lambda told, settings: settings.update(balancers=-1),
-            "classes[1].give_up_ms": lambda told, settings: settings["classes"][1].update(give_up_ms=-5),
-            "classes[0].name": lambda told, settings: settings["classes"][0].update(name=""),
-            "classes[0].gain": lambda told, settings: settings["classes"][0].update(gain="much"),
-            "classes": lambda told, settings: settings["classes"].append(settings["classes"][0]),
-            "bounds.max_attempts": lambda told, settings: settings["bounds"].update(max_attempts=1.5),
-            "bounds.connect_timeout_ms": lambda told, settings: settings["bounds"].update(connect_timeout_ms=True),
-            "bounds": lambda told, settings: settings.update(bounds=7),
-            "extra.rung_kb": lambda told, settings: settings["extra"].update(rung_kb=[200, 100]),
-            "extra.rung_kb[1]": lambda told, settings: settings["extra"].update(rung_kb=[100, float("nan")]),
-            "extra.floor_by_class[0]": lambda told, settings: settings["extra"].update(floor_by_class=[2]),
-            "extra.floor_by_class[1]": lambda told, settings: settings["extra"].update(
+            "limits.sockets": lambda document, settings: document["limits"].update(sockets=0),
+            "my_number": lambda document, settings: settings.update(my_number=1),
+            "balancers": lambda document, settings: settings.update(balancers=-1),
+            "classes[1].give_up_ms": lambda document, settings: settings["classes"][1].update(give_up_ms=-5),
+            "classes[0].name": lambda document, settings: settings["classes"][0].update(name=""),
+            "classes[0].gain": lambda document, settings: settings["classes"][0].update(gain="much"),
+            "classes": lambda document, settings: settings["classes"].append(settings["classes"][0]),
+            "bounds.max_attempts": lambda document, settings: settings["bounds"].update(max_attempts=1.5),
+            "bounds.connect_timeout_ms": lambda document, settings: settings["bounds"].update(connect_timeout_ms=True),
+            "bounds": lambda document, settings: settings.update(bounds=7),
+            "extra.rung_kb": lambda document, settings: settings["extra"].update(rung_kb=[200, 100]),
+            "extra.rung_kb[1]": lambda document, settings: settings["extra"].update(rung_kb=[100, float("nan")]),
+            "extra.floor_by_class[0]": lambda document, settings: settings["extra"].update(floor_by_class=[2]),
+            "extra.floor_by_class[1]": lambda document, settings: settings["extra"].update(
                 floor_by_class=[0, 1], top_by_class=[1, 0]
             ),
-            "extra.cells": lambda told, settings: settings["extra"].update(cells=-4),
-            "obligations.fall_ms": lambda told, settings: settings.update(obligations=dict(fall_ms=-1)),
+            "extra.cells": lambda document, settings: settings["extra"].update(cells=-4),
+            "obligations.fall_ms": lambda document, settings: settings.update(obligations=dict(fall_ms=-1)),
         }.items():
             self.assertIn(f"'{field}'", self.refused(change), field)
 
     @story
-    async def test_one_that_names_little_more_than_its_classes_serves(self):
-        place = Place()
-        told = place.told
-        place.told = lambda: {
-            **told(),
+    async def test_a_configuration_with_little_more_than_classes_is_accepted(self):
+        testbed = Testbed()
+        config_document = testbed.config_document
+        testbed.config_document = lambda: {
+            **config_document(),
             "settings": {
-                **{key: told()["settings"][key] for key in ("areas", "flavors")},
+                **{key: config_document()["settings"][key] for key in ("areas", "flavors")},
                 "classes": [{"name": "lesson"}],
                 "extra": {"cells": 4},
             },
         }
-        async with place.up():
-            viewer = await place.viewer()
+        async with testbed.running():
+            viewer = await testbed.viewer()
             await viewer.stream.send(set_up(A).replace(b"top:1", b"top:0"))
-            self.assertEqual((await viewer.hear()).status, 200)
+            self.assertEqual((await viewer.receive()).status, 200)
 
 
-class FleetTroubles(unittest.TestCase):
+class FleetFailures(unittest.TestCase):
     @story
-    async def test_all_servers_replaced_at_once_at_each_others_addresses(self):
-        async with Place(4).up() as place:
-            viewer, olds = await place.viewer(), place.medias
-            await viewer.answer(A)
-            for old in olds:
-                old.does = old.silent
-            await viewer.ask(B, package=CLIP)
-            await until(lambda: sum(len(old.had(isup.SET_UP)) for old in olds) == 2)
-            news = [Media(f"s-000000f{number}", number) for number in range(4)]
-            for number, old in enumerate(olds):
-                old.state, old.does = 2, old.plays
-                news[number].port, news[number].started = olds[number - 1].port, int(place.node.now() / 1e6) - 60_000
-            await until(lambda: place.bulletin.connections)
-            await place.bulletin.tell(2, *olds, *news)
-            # what played is released, what may have run has failed; each is told once
-            ends = {message.fields["session"]: message for message in (await viewer.hear(), await viewer.hear())}
-            self.assertEqual((ends[A].method, ends[B].status), ("TEARDOWN", 500))
-            self.assertEqual((await viewer.answer(C)).status, 200)
-            self.assertIn(place.node.listener.asked[C].front_session.viewing.server.name, [new.name for new in news])
-            self.assertEqual((len(place.node.session_core.front_sessions), viewer.got), (1, []))
+    async def test_all_servers_replaced_at_once_by_new_ones_at_exchanged_addresses(self):
+        async with Testbed(4).running() as testbed:
+            viewer, old_servers = await testbed.viewer(), testbed.media_servers
+            await viewer.request(A)
+            for old in old_servers:
+                old.handler = old.ignore
+            await viewer.send_set_up(B, package=CLIP)
+            await until(lambda: sum(len(old.received_of(isup.SET_UP)) for old in old_servers) == 2)
+            new_servers = [MediaServer(f"s-000000f{number}", number) for number in range(4)]
+            for number, old in enumerate(old_servers):
+                old.state, old.handler = 2, old.accept
+                new_servers[number].port, new_servers[number].started = (
+                    old_servers[number - 1].port,
+                    int(testbed.node.now() / 1e6) - 60_000,
+                )
+            await until(lambda: testbed.discovery.connections)
+            await testbed.discovery.send_event(2, *old_servers, *new_servers)
+            # the established session is released, the attempt that may have run has failed; each is reported once
+            messages = {message.fields["session"]: message for message in (await viewer.receive(), await viewer.receive())}
+            self.assertEqual((messages[A].method, messages[B].status), ("TEARDOWN", 500))
+            self.assertEqual((await viewer.request(C)).status, 200)
+            self.assertIn(testbed.node.listener.asked[C].front_session.viewing.server.name, [new.name for new in new_servers])
+            self.assertEqual((len(testbed.node.session_core.front_sessions), viewer.buffered), (1, []))
 
     @story
-    async def test_a_zone_that_is_cut_off_and_comes_back_cold_costs_no_answer_resends_nothing_paid_and_is_not_pushed_over(self):
-        place, arrivals = Place(3), {}
-        place.obligations = dict(warm_within_ms=4000, start_capacity=0.1, fall_multiple=2.0, fall_ms=1000)
-        async with place.up():
-            viewer, zone, other = await place.viewer(), place.medias[:2], place.medias[2]
+    async def test_a_zone_partitioned_and_restarted_cold_loses_no_answer_repeats_no_paid_set_up_and_is_not_overloaded(self):
+        testbed, arrivals = Testbed(3), {}
+        testbed.obligations = dict(warm_within_ms=4000, start_capacity=0.1, fall_multiple=2.0, fall_ms=1000)
+        async with testbed.running():
+            viewer, zone, other = await testbed.viewer(), testbed.media_servers[:2], testbed.media_servers[2]
             for media in zone:
-                media.does = media.silent
+                media.handler = media.ignore
             paid, free = [f"{number:016x}" for number in range(1, 9)], [f"{number:016x}" for number in range(11, 15)]
             for id in paid:
-                await viewer.ask(id, package=CLIP, patience=600)
+                await viewer.send_set_up(id, package=CLIP, timeout_ms=600)
             for id in free:
-                await viewer.ask(id, patience=2000)
-            ends = [await viewer.hear() for _ in (*paid, *free)]
-            told = {message.fields["session"]: message.status for message in ends}
-            self.assertEqual(set(told), {*paid, *free})
-            self.assertNotIn(500, {told[id] for id in free})
-            cut = [id for media in zone for id, _ in media.had(isup.SET_UP)]
-            sent = cut + [id for id, _ in other.had(isup.SET_UP)]
+                await viewer.send_set_up(id, timeout_ms=2000)
+            answers = [await viewer.receive() for _ in (*paid, *free)]
+            statuses = {message.fields["session"]: message.status for message in answers}
+            self.assertEqual(set(statuses), {*paid, *free})
+            self.assertNotIn(500, {statuses[id] for id in free})
+            cut = [id for media in zone for id, _ in media.received_of(isup.SET_UP)]
+            sent = cut + [id for id, _ in other.received_of(isup.SET_UP)]
             for id in paid:
-                # refused only if it was sent nowhere; failed if it may have run in the zone, and never sent again
+                # refused only if no server received it; failed if it may have run in the zone, and never repeated
                 self.assertLessEqual(sent.count(bytes.fromhex(id)), 1, id)
-                self.assertEqual(told[id], 453 if bytes.fromhex(id) not in sent else 500 if bytes.fromhex(id) in cut else 200)
-            self.assertIn(500, told.values())
-            await until(lambda: place.bulletin.connections)
+                self.assertEqual(statuses[id], 453 if bytes.fromhex(id) not in sent else 500 if bytes.fromhex(id) in cut else 200)
+            self.assertIn(500, statuses.values())
+            await until(lambda: testbed.discovery.connections)
             for media in zone:
                 media.state = 2
-            await place.bulletin.tell(2, *zone)
-            # it is back where it was, and has just come up
+            await testbed.discovery.send_event(2, *zone)
+            # the servers are back at their addresses, and have just started
             for media in zone:
                 for connection in list(media.connections):
                     await connection.aclose()
-                media.state, media.started = 0, int(place.node.now() / 1e6)
+                media.state, media.started = 0, int(testbed.node.now() / 1e6)
 
-                async def noted(connection, kind, id, parameters, media=media):
+                async def count_arrival(connection, kind, id, parameters, media=media):
                     if kind == isup.SET_UP:
                         arrivals.setdefault(media.name, []).append(anyio.current_time())
-                    await media.plays(connection, kind, id, parameters)
+                    await media.accept(connection, kind, id, parameters)
 
-                media.does = noted
-            await place.bulletin.tell(3, *zone)
-            servers = place.node.fleet.servers
+                media.handler = count_arrival
+            await testbed.discovery.send_event(3, *zone)
+            servers = testbed.node.fleet.servers
             await until(lambda: all(servers[media.name].cold_until for media in zone))
-            # in its first window a front sends less, as an earlier life of its own may have sent too
-            await until(lambda: place.node.now() > place.node.session_core.rules.born + SECOND)
-            crowd = [f"{number:016x}" for number in range(100, 140)]
-            for id in crowd:
-                await viewer.ask(id, patience=2000)
-            ends = [await viewer.hear() for _ in crowd]
-            self.assertEqual({message.fields["session"] for message in ends}, set(crowd))
-            self.assertGreater(sum(message.status == 200 for message in ends), 3)
+            # in its first window a front sends less, as an earlier run of the process may have sent set-ups too
+            await until(lambda: testbed.node.now() > testbed.node.session_core.rules.born + SECOND)
+            ids = [f"{number:016x}" for number in range(100, 140)]
+            for id in ids:
+                await viewer.send_set_up(id, timeout_ms=2000)
+            answers = [await viewer.receive() for _ in ids]
+            self.assertEqual({message.fields["session"] for message in answers}, set(ids))
+            self.assertGreater(sum(message.status == 200 for message in answers), 3)
             self.assertTrue(arrivals)
             for times in arrivals.values():
-                # five in a second is what 100 places bear at the start, with one front
-                self.assertLessEqual(max(sum(at <= one < at + 1 for one in times) for at in times), 5)
-            self.assertEqual(viewer.got, [])
+                # a cold server with 100 seats can take five set-ups in a second at the start, with one front
+                self.assertLessEqual(max(sum(at <= time < at + 1 for time in times) for at in times), 5)
+            self.assertEqual(viewer.buffered, [])
 
     @story
-    async def test_without_a_descriptor_left_a_viewing_is_refused_in_words_and_no_server_is_held_for_it(self):
-        async with Place(2).up() as place:
-            viewer, none_left = await place.viewer(), OSError(errno.EMFILE, "no descriptor left")
+    async def test_without_a_free_descriptor_a_request_is_refused_with_a_pause_and_no_server_is_blamed(self):
+        async with Testbed(2).running() as testbed:
+            viewer, none_left = await testbed.viewer(), OSError(errno.EMFILE, "no descriptor left")
             with mock.patch("curlewshift.node.server_pool.dial", side_effect=none_left):
-                answer = await viewer.answer(A, package=CLIP)
+                answer = await viewer.request(A, package=CLIP)
             self.assertEqual((answer.status, int(answer.fields["x-pause"]) > 0), (453, True))
-            self.assertEqual([server.trouble for server in place.node.fleet.servers.values()], [0.0, 0.0])
-            self.assertEqual((await viewer.answer(B, package=CLIP)).status, 200)
+            self.assertEqual([server.trouble for server in testbed.node.fleet.servers.values()], [0.0, 0.0])
+            self.assertEqual((await viewer.request(B, package=CLIP)).status, 200)
 
     @story
-    async def test_who_gives_up_a_paid_set_up_and_comes_again_at_once_has_one_of_each_and_one_answer(self):
-        async with Place().up() as place:
-            viewer, media = await place.viewer(), place.medias[0]
-            media.does = media.silent
-            await viewer.ask(A, package=CLIP)
-            await until(lambda: media.had(isup.SET_UP))
-            media.does = media.plays
+    async def test_a_paid_set_up_cancelled_and_repeated_at_once_is_sent_once_per_id_and_answered_once(self):
+        async with Testbed().running() as testbed:
+            viewer, media = await testbed.viewer(), testbed.media_servers[0]
+            media.handler = media.ignore
+            await viewer.send_set_up(A, package=CLIP)
+            await until(lambda: media.received_of(isup.SET_UP))
+            media.handler = media.accept
             await viewer.tear_down(A)
-            await viewer.ask(B, package=CLIP, legs=";again:1")
-            heard = [await viewer.hear(), await viewer.hear()]
-            self.assertEqual({(one.fields["session"], one.status) for one in heard}, {(A, 200), (B, 200)})
-            self.assertEqual([id.hex() for id, _ in media.had(isup.SET_UP)], [A, B])
-            await until(lambda: [id.hex() for id, _ in media.had(isup.RELEASE)] == [A])
-            self.assertEqual((len(place.node.session_core.front_sessions), viewer.got), (1, []))
+            await viewer.send_set_up(B, package=CLIP, legs=";again:1")
+            messages = [await viewer.receive(), await viewer.receive()]
+            self.assertEqual({(message.fields["session"], message.status) for message in messages}, {(A, 200), (B, 200)})
+            self.assertEqual([id.hex() for id, _ in media.received_of(isup.SET_UP)], [A, B])
+            await until(lambda: [id.hex() for id, _ in media.received_of(isup.RELEASE)] == [A])
+            self.assertEqual((len(testbed.node.session_core.front_sessions), viewer.buffered), (1, []))
 
     @story
-    async def test_no_file_at_sighup_leaves_the_old_one_in_force_and_one_line_says_so(self):
-        async with Place().up() as place:
-            place.path.unlink()
+    async def test_a_missing_file_at_sighup_keeps_the_configuration_and_logs_one_line(self):
+        async with Testbed().running() as testbed:
+            testbed.path.unlink()
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: place.node.log.error.called)
-            self.assertEqual([call.args for call in place.node.log.error.call_args_list], [("configuration",)])
-            self.assertIn("No such file", place.node.log.error.call_args.kwargs["cause"])
-            self.assertEqual((await (await place.viewer()).answer(A)).status, 200)
+            await until(lambda: testbed.node.log.error.called)
+            self.assertEqual([call.args for call in testbed.node.log.error.call_args_list], [("configuration",)])
+            self.assertIn("No such file", testbed.node.log.error.call_args.kwargs["cause"])
+            self.assertEqual((await (await testbed.viewer()).request(A)).status, 200)
 
 
-class Connections(unittest.TestCase):
-    async def unused(self, place, viewer, id):
-        """The connection on which a viewing has been played and ended."""
-        await viewer.answer(id)
+class IdleConnections(unittest.TestCase):
+    async def unused(self, testbed, viewer, id):
+        """Plays and ends one session, and returns its idle connection to the media server."""
+        await viewer.request(id)
         await viewer.tear_down(id)
-        connection = next(iter(place.node.server_pool.endpoints.values())).connections[0]
+        connection = next(iter(testbed.node.server_pool.endpoints.values())).connections[0]
         await until(
-            lambda: not place.node.session_core.front_sessions and not place.node.server_pool.teardowns.unconfirmed_on(connection)
+            lambda: (
+                not testbed.node.session_core.front_sessions and not testbed.node.server_pool.teardowns.unconfirmed_on(connection)
+            )
         )
         return connection
 
     @story
-    async def test_an_unused_one_is_kept_while_its_server_keeps_it_unless_all_there_may_be_are_open(self):
-        async with Place().up() as place:
-            viewer, server_pool = await place.viewer(), place.node.server_pool
-            connection = await self.unused(place, viewer, A)
-            server_pool._look_after(connection, connection.used_at + 10 * SECOND)
-            self.assertFalse(connection.over)
-            self.assertIs(await self.unused(place, viewer, B), connection)
-            server_pool.most_connections = 1
-            server_pool._look_after(connection, connection.used_at + 10 * SECOND)
+    async def test_an_idle_connection_is_kept_unless_the_connection_limit_is_reached(self):
+        async with Testbed().running() as testbed:
+            viewer, server_pool = await testbed.viewer(), testbed.node.server_pool
+            connection = await self.unused(testbed, viewer, A)
+            server_pool._maintain(connection, connection.last_used_at + 10 * SECOND)
+            self.assertFalse(connection.closed)
+            self.assertIs(await self.unused(testbed, viewer, B), connection)
+            server_pool.max_connections = 1
+            server_pool._maintain(connection, connection.last_used_at + 10 * SECOND)
             self.assertNotIn(connection, connection.endpoint.connections)
-            await until(lambda: connection.over, 1.0)
+            await until(lambda: connection.closed, 1.0)
 
     @story
-    async def test_it_goes_before_its_server_would_close_it_under_a_set_up(self):
-        async with Place().up() as place:
-            connection = await self.unused(place, await place.viewer(), A)
-            place.node.server_pool._look_after(connection, connection.used_at + 25 * SECOND)
+    async def test_an_idle_connection_is_closed_before_its_server_would_close_it_under_a_set_up(self):
+        async with Testbed().running() as testbed:
+            connection = await self.unused(testbed, await testbed.viewer(), A)
+            testbed.node.server_pool._maintain(connection, connection.last_used_at + 25 * SECOND)
             self.assertNotIn(connection, connection.endpoint.connections)
-            await until(lambda: connection.over, 1.0)
+            await until(lambda: connection.closed, 1.0)
 
 
-class BadClients(unittest.TestCase):
+class FaultyClients(unittest.TestCase):
     @story
-    async def test_full_of_idle_connections_it_drops_those_and_takes_who_comes(self):
-        async with Place(sockets=120).up() as place:
-            held, most = [], place.node.listener.gate.most
+    async def test_idle_connections_are_dropped_to_accept_new_ones(self):
+        async with Testbed(sockets=120).running() as testbed:
+            viewers, max_connections = [], testbed.node.listener.gate.most
             with anyio.fail_after(8):
-                for _ in range(4 * most):
-                    held.append(await place.viewer())
-                    await held[-1].stream.send(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-                    self.assertEqual((await held[-1].hear(1.0)).status, 200)
-            self.assertLessEqual(len(place.node.listener.connections), most)
-            self.assertEqual((await (await place.viewer()).answer(A)).status, 200)
+                for _ in range(4 * max_connections):
+                    viewers.append(await testbed.viewer())
+                    await viewers[-1].stream.send(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+                    self.assertEqual((await viewers[-1].receive(1.0)).status, 200)
+            self.assertLessEqual(len(testbed.node.listener.connections), max_connections)
+            self.assertEqual((await (await testbed.viewer()).request(A)).status, 200)
 
     @story
-    async def test_each_is_told_or_closed_in_time_and_an_open_request_goes_on(self):
-        async with Place().up() as place:
-            media = place.medias[0]
-            media.does = media.silent
-            usual = await place.viewer()
-            await usual.ask(A, package=CLIP)
-            await until(lambda: media.had(isup.SET_UP))
-            say = "SETUP rtsp://media/00000000000000aa RTSP/1.0\r\nCSeq: 1\r\n%sContent-Length: 1\r\n\r\nx"
-            figures = "Session: %s\r\nX-Cos: lesson\r\nX-Timer-Ms: 900\r\nX-Legs: home:0;copies:1;top:1;viewer:%s\r\n"
-
-            async def told(bad):
-                viewer = await place.viewer()
-                await viewer.stream.send(bad)
-                got = await viewer.hear(2.5)
-                self.assertTrue(got is None or (400 <= got.status < 500 and got.status not in REFUSED), (bad[:250], got))
-
-            for bad in (
+    async def test_each_faulty_client_gets_an_error_or_is_closed_in_time_and_an_open_request_is_not_affected(self):
+        async with Testbed().running() as testbed:
+            media = testbed.media_servers[0]
+            media.handler = media.ignore
+            other_viewer = await testbed.viewer()
+            await other_viewer.send_set_up(A, package=CLIP)
+            await until(lambda: media.received_of(isup.SET_UP))
+            request = "SETUP rtsp://media/00000000000000aa RTSP/1.0\r\nCSeq: 1\r\n%sContent-Length: 1\r\n\r\nx"
+            valid_fields = "Session: %s\r\nX-Cos: lesson\r\nX-Timer-Ms: 900\r\nX-Legs: home:0;copies:1;top:1;viewer:%s\r\n"
+
+            async def assert_rejected(invalid):
+                viewer = await testbed.viewer()
+                await viewer.stream.send(invalid)
+                answer = await viewer.receive(2.5)
+                self.assertTrue(
+                    answer is None or (400 <= answer.status < 500 and answer.status not in REFUSED), (invalid[:250], answer)
+                )
+
+            for invalid in (
                 b"\x91\xf5noise",
                 b"SETUP rtsp://media/a RTSP/1.0\r\nX: " + b"y" * 40_000,
                 *(
-                    (say % one).encode()
-                    for one in (
+                    (request % fields).encode()
+                    for fields in (
                         "",
-                        figures % (A, "0" * 16),
-                        figures % (B, "0" * 15),
+                        valid_fields % (A, "0" * 16),
+                        valid_fields % (B, "0" * 15),
                         "Session: x\r\n",
-                        f"Session: {B}\r\n" + figures % (C, "0" * 16),
-                        figures.replace("900", "-5") % (B, "0" * 16),
-                        figures.replace("lesson", "lesson_x") % (B, "0" * 16),
-                        figures.replace("home:0", "home:9999") % (B, "0" * 16),
+                        f"Session: {B}\r\n" + valid_fields % (C, "0" * 16),
+                        valid_fields.replace("900", "-5") % (B, "0" * 16),
+                        valid_fields.replace("lesson", "lesson_x") % (B, "0" * 16),
+                        valid_fields.replace("home:0", "home:9999") % (B, "0" * 16),
                     )
                 ),
             ):
-                await told(bad)
-            self.assertEqual(len(media.had(isup.SET_UP)), 1)
+                await assert_rejected(invalid)
+            self.assertEqual(len(media.received_of(isup.SET_UP)), 1)
             await media.connections[0].send(ANSWER.replace(b"IDIDIDID", bytes.fromhex(A)))
-            self.assertEqual((await usual.hear()).body, b"late")
+            self.assertEqual((await other_viewer.receive()).body, b"late")
             for half in (b"", b"SETUP rtsp://media/"):
-                await told(half)
+                await assert_rejected(half)
 
     @story
-    async def test_a_flood_down_one_connection_and_its_withdrawals_leave_nothing_behind(self):
-        async with Place().up() as place:
-            media = place.medias[0]
-            media.does = media.silent
-            viewer = await place.viewer()
+    async def test_a_flood_of_requests_and_cancels_on_one_connection_leaves_no_state_behind(self):
+        async with Testbed().running() as testbed:
+            media = testbed.media_servers[0]
+            media.handler = media.ignore
+            viewer = await testbed.viewer()
             for number in range(300):
-                await viewer.ask(f"{number:016x}", package=CLIP)
+                await viewer.send_set_up(f"{number:016x}", package=CLIP)
             for number in range(300):
                 await viewer.tear_down(f"{number:016x}")
-            await until(lambda: not place.node.session_core.waiting and not place.node.listener.asked)
-            self.assertFalse(place.node.server_pool.attempts or place.node.session_core.front_sessions)
-            self.assertEqual(place.node.fleet.servers[media.name].link.own, 0)
+            await until(lambda: not testbed.node.session_core.waiting and not testbed.node.listener.asked)
+            self.assertFalse(testbed.node.server_pool.attempts or testbed.node.session_core.front_sessions)
+            self.assertEqual(testbed.node.fleet.servers[media.name].link.own, 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -1,4 +1,4 @@
-"""The node serves where other programs, fork, sendfile, splice and Unix sockets are refused, imports included."""
+"""The node works where fork, subprocesses, sendfile, splice and Unix sockets are forbidden, during imports too."""
 
 import os
 import signal
@@ -8,14 +8,14 @@
 
 import anyio
 
-from tests.node_place import Place
+from tests.node_testbed import Testbed
 from tests.sockets import story
 
 A = "00000000000000a1"
-# Refuses the calls in its own process before anything of the node is imported, says on standard output which were made, and
-# then becomes the node; with an argument, that call is made as well once a viewing is asked for. The event loop's own pair of
-# sockets, by which it wakes itself, is not refused: nobody comes to it.
-REFUSING = r"""
+# Refuses the calls in its own process before anything of the node is imported, prints each attempted call on standard output, and
+# then runs the node. With an argument, that call is also attempted when a session is requested. The event loop's own socket pair,
+# which wakes the loop, is not refused: nobody can connect to it.
+PROGRAM = r"""
 import errno, os, runpy, socket, sys
 
 def refused(name):
@@ -29,41 +29,42 @@
         setattr(os, name, refused(name))
 import _posixsubprocess
 _posixsubprocess.fork_exec = refused("fork_exec")
-plain = socket.socket.__init__
+original_init = socket.socket.__init__
 
-def opened(self, family=-1, type=-1, proto=-1, fileno=None):
+def init(self, family=-1, type=-1, proto=-1, fileno=None):
     if fileno is None and family not in (-1, socket.AF_INET):
         refused(f"socket of {family!r}")()
-    plain(self, family, type, proto, fileno)
+    original_init(self, family, type, proto, fileno)
 
-socket.socket.__init__ = opened
+socket.socket.__init__ = init
 if len(sys.argv) > 1:
     from curlewshift.node.client_listener import ClientListener
-    planted, taken = sys.argv[1], ClientListener._set_up
+    planted_call, set_up = sys.argv[1], ClientListener._set_up
 
-    def used(self, *args):
-        if planted == "socket":
+    def set_up_with_call(self, *args):
+        if planted_call == "socket":
             socket.socket(socket.AF_UNIX)
-        elif planted == "subprocess":
+        elif planted_call == "subprocess":
             import subprocess
             subprocess.Popen(["true"])
         else:
-            getattr(os, planted)(0, 0, 0, 0)
-        taken(self, *args)
+            getattr(os, planted_call)(0, 0, 0, 0)
+        set_up(self, *args)
 
-    ClientListener._set_up = used
+    ClientListener._set_up = set_up_with_call
 sys.argv = ["curlewshift.node"]
 runpy.run_module("curlewshift.node", run_name="__main__")
 """
 
 
 class RefusedCalls(unittest.TestCase):
-    async def served(self, *planted):
-        """The answer to a viewing at a node that is refused these calls, and which of them it made."""
-        async with Place().around() as place:
+    async def answer_and_calls(self, *planted_call):
+        """Requests a session from a node to which the calls are refused; returns the status, the attempted calls and the exit
+        status."""
+        async with Testbed().without_node() as testbed:
             process = await anyio.open_process(
-                [sys.executable, "-c", REFUSING, *planted],
-                env={**os.environ, "NODE_CONFIG": str(place.path)},
+                [sys.executable, "-c", PROGRAM, *planted_call],
+                env={**os.environ, "NODE_CONFIG": str(testbed.path)},
                 stderr=subprocess.PIPE,
             )
             try:
@@ -71,12 +72,12 @@
                     async for line in process.stderr:
                         if b'"event":"open"' in line:
                             break
-                    viewer = await place.viewer()
-                    answer = await viewer.answer(A)
+                    viewer = await testbed.viewer()
+                    answer = await viewer.request(A)
                     await viewer.tear_down(A)
                     process.send_signal(signal.SIGTERM)
-                    made = b"".join([piece async for piece in process.stdout])
-                    return answer.status, made.decode().split("\n")[:-1], await process.wait()
+                    calls = b"".join([piece async for piece in process.stdout])
+                    return answer.status, calls.decode().split("\n")[:-1], await process.wait()
             finally:
                 if process.returncode is None:
                     process.kill()
@@ -84,11 +85,11 @@
                     await process.aclose()
 
     @story
-    async def test_none_is_made_from_import_to_end(self):
-        self.assertEqual(await self.served(), (200, [], 0))
+    async def test_no_refused_call_is_made_from_import_to_exit(self):
+        self.assertEqual(await self.answer_and_calls(), (200, [], 0))
 
     @story
-    async def test_each_would_be_seen(self):
-        for planted in ("sendfile", "splice", "subprocess", "socket"):
-            status, made, _ = await self.served(planted)
-            self.assertEqual((status, len(made)), (500, 1), planted)
+    async def test_each_planted_call_is_detected(self):
+        for planted_call in ("sendfile", "splice", "subprocess", "socket"):
+            status, calls, _ = await self.answer_and_calls(planted_call)
+            self.assertEqual((status, len(calls)), (500, 1), planted_call)
