--- a/curlewshift/node/buffered_connection.py
+++ b/curlewshift/node/buffered_connection.py
@@ -125,6 +125,8 @@
 
 
 class State(Enum):
+    """Life cycle of a `BufferedConnection`."""
+
     OPEN = "open"
     # accepts no new output; the queue is still written and input is still read
     CLOSING = "closing"
@@ -169,10 +171,12 @@
 
     @property
     def open(self) -> bool:
+        """Output is accepted."""
         return self.state is State.OPEN
 
     @property
     def gone(self) -> bool:
+        """The connection is closed."""
         return self.state is State.CLOSED
 
     # ---- output
--- a/curlewshift/node/client_listener.py
+++ b/curlewshift/node/client_listener.py
@@ -129,11 +129,12 @@
 
     @property
     def spared(self) -> bool:
-        """Established sessions have their releases sent here. After a crowd of clients that each send one request and stay
-        connected, no other connection of those viewers might be left."""
+        """The gate closes this connection last, as releases of established sessions are sent on it. Clients that each send one
+        request and stay connected might otherwise displace every connection on which a release can be sent."""
         return self.session_count > 0
 
     def drop(self) -> None:
+        """Closes the connection at once."""
         self.wire.drop()
 
     def mark_corrupt(self) -> None:
@@ -142,6 +143,7 @@
         self.end_if_done()
 
     def end_if_done(self) -> None:
+        """Closes a corrupt connection gracefully once all requests on it have been answered."""
         if self.corrupt and not self.waiting:
             self.wire.close_gracefully()
 
@@ -195,6 +197,7 @@
             self.gate.closed(connection)
 
     def _left(self, connection: ClientConnection) -> None:
+        """Cancels the open requests of a connection that has ended; its pending releases are sent on others."""
         self.connections.pop(connection, None)
         if self.last_proven is connection:
             self.last_proven = None
--- a/curlewshift/node/connections.py
+++ b/curlewshift/node/connections.py
@@ -83,6 +83,7 @@
 
     @property
     def up(self) -> bool:
+        """The connection is established."""
         return self.wire is not None and not self.wire.gone
 
     @property
@@ -106,6 +107,7 @@
         self.probes[name] = self.send(isup.probe(name))
 
     def withdraw(self, attempt: Attempt) -> None:
+        """Removes a set-up that has not been sent from the queue."""
         self.unsent = [entry for entry in self.unsent if entry[1] is not attempt]
         if self.wire is not None:
             self.wire.withdraw(attempt)
--- a/curlewshift/node/isup.py
+++ b/curlewshift/node/isup.py
@@ -36,6 +36,7 @@
 
     @property
     def partial(self) -> bool:
+        """Part of a message has been received."""
         return bool(self.buffer)
 
     def feed(self, data: bytes) -> list[tuple[int, bytes, dict[int, bytes]]]:
--- a/curlewshift/node/node.py
+++ b/curlewshift/node/node.py
@@ -178,6 +178,7 @@
         return min(MAX_DEADLINE_S, max(deadlines) / NS) if all(deadlines) else MAX_DEADLINE_S
 
     def end_waiting(self) -> None:
+        """Answers all requests that are still open and withdraws their attempts, at shutdown."""
         self.session_core.end_waiting()
 
     def _log_counts(self) -> None:
@@ -252,6 +253,8 @@
         arrived_at: int,
         description: bytes,
     ) -> Request:
+        """Passes a viewer's set-up to the session core. `timeout`, `arrived_at` and `expected`, the expected duration, are in
+        nanoseconds; `base` and `span` select the servers that have the title (its holders), `top` is the highest rung."""
         return self.session_core.asked(
             name,
             package,
@@ -269,6 +272,7 @@
     def accept_hand_over(
         self, name: str, package: str, title: str, base: int, span: int, top: int, placement_hash: int, expected: int, at: str
     ) -> FrontSession:
+        """Takes over a session that is established at the server `at`."""
         server = self.fleet.servers[at]
         front_session = self.session_core.plays_at(
             package,
@@ -301,6 +305,7 @@
         self.session_core.timers.at(self.now(), call)
 
     def gave_up(self, request: Request) -> None:
+        """The viewer has cancelled the request, or its connection has ended."""
         self.session_core.gave_up(request)
 
     def released(self, front_session: FrontSession, cause: int) -> None:
