--- a/curlewshift/membership/__init__.py
+++ b/curlewshift/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which fronts of a site are in, suspected and gone, free of I/O."""
+"""Failure detection and membership of the fronts of a site, free of I/O."""
--- a/curlewshift/membership/member.py
+++ b/curlewshift/membership/member.py
@@ -1,8 +1,9 @@
-"""What is held of one member, and which of two claims about it prevails.
+"""What is known of one member of a site, and which of two claims about it takes precedence.
 
-A claim is ordered by life, then incarnation, then how bad it is; the higher one prevails. That order is total, so views
-merge to the same whatever the order, however often (a join semilattice; Shapiro et al. 2011). Lives and incarnations are
-raised by the member itself alone: it is the only one that can contradict.
+Claims are ordered by life (one run of a process, numbered; a restart is a new life), then incarnation, then rank; the greater one
+wins. The order is total, so views converge to the same state whatever the order of the claims and however often they are repeated
+(a join semilattice; Shapiro et al. 2011). Only the member itself raises its life and incarnation: it alone can refute a claim
+about itself.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Rank(IntEnum):
-    """How a member stands; `LEFT` in its own words, `GONE` in those of others."""
+    """Status of a member. `LEFT` was announced by the member itself, `GONE` was concluded by others."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -22,7 +23,7 @@
 
 
 class Claim(NamedTuple):
-    """What is said of a member. `accusers`: who has found a suspect silent by trying for itself."""
+    """A statement about a member. `accusers` are the members that found a suspect unreachable by their own probes."""
 
     name: str
     host: str
@@ -32,17 +33,18 @@
     rank: int
     accusers: tuple[str, ...] = ()
 
-    def over(self, other: Claim | Member) -> bool:
+    def supersedes(self, other: Claim | Member) -> bool:
         return (self.life, self.incarnation, self.rank) > (other.life, other.incarnation, other.rank)
 
     def size(self) -> int:
-        """Bytes in a datagram, at the most (msgpack: up to 9 a number, 2 before a string)."""
+        """Upper bound of the encoded size in bytes (msgpack: up to 9 a number, 2 before a string)."""
         return 32 + len(self.name) + len(self.host) + sum(len(name) + 2 for name in self.accusers)
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """`since`: steady ns of the last change of rank; `by`: whose word that was; `heard`: when it last spoke itself."""
+    """`since` is the steady time (ns) of the last change of rank, `by` the name of the member whose claim changed it, and `heard`
+    the steady time (ns) of the last datagram from the member itself (-1: none yet)."""
 
     name: str
     host: str
--- a/curlewshift/membership/membership.py
+++ b/curlewshift/membership/membership.py
@@ -1,7 +1,7 @@
-"""Which fronts are in, suspected and gone: SWIM with Lifeguard's local health, free of I/O. Held by peering/channel.py.
+"""Membership and failure detection by SWIM with Lifeguard's local health, free of I/O. Driven by peering/channel.py.
 
-Each thing that can happen is a method; what is to be done is called on `driver`. Nothing here is trusted for safety: it
-makes things quick, and is wrong for as long as it takes to find out.
+Each event is a method; what has to be done is called on `driver`. Nothing that must hold for safety relies on this view: it makes
+reactions quick, and it is wrong until a change has been detected and passed on.
 """
 
 from __future__ import annotations
@@ -14,12 +14,14 @@
 
 from curlewshift.membership.member import Claim, Member, Rank
 from curlewshift.membership.terms import MembershipTerms
-from curlewshift.membership.updates import News, spread
+from curlewshift.membership.updates import UpdateQueue, spread
 from curlewshift.membership.views import BUCKETS, Views, bucket_of
 from curlewshift.schedule.steady_clock import SteadyClock
 
 
 class Driver(Protocol):
+    """What `Membership` calls on its environment: clock, wake-ups, datagrams and notifications. Times are ns."""
+
     def now(self) -> int: ...
     def wake(self, at: int) -> None: ...
     def ping(self, to: Member, number: int) -> None: ...
@@ -31,23 +33,23 @@
     def compare(self, address: tuple[str, int]) -> None: ...
     def pieces(self, address: tuple[str, int], claims: list[Claim]) -> None: ...
     def changed(self, member: Member, before: Rank | None, cause: str) -> None: ...
-    def outlived(self, over: bool) -> None: ...
+    def outlived(self, superseded: bool) -> None: ...
 
 
 class Probe:
-    """One that is out: ours, or one made for another that asked (`asker` and the asker's `number`)."""
+    """An outstanding probe of this member's own, or one made on behalf of `requester`, under the requester's `number`."""
 
-    __slots__ = ("answered", "asked", "asker", "nacks", "number", "of", "target")
+    __slots__ = ("answered", "helpers_asked", "nacks", "number", "requester", "target", "target_version")
 
-    def __init__(self, target: Member, asker: Member | None = None, number: int = 0):
-        self.target, self.asker, self.number = target, asker, number
-        self.of = (target.life, target.incarnation)
-        self.asked, self.answered, self.nacks = 0, False, {}
+    def __init__(self, target: Member, requester: Member | None = None, number: int = 0):
+        self.target, self.requester, self.number = target, requester, number
+        self.target_version = (target.life, target.incarnation)
+        self.helpers_asked, self.answered, self.nacks = 0, False, {}
 
 
 class Membership:
-    """`life` is greater than that of any earlier process of this name, as far as it knows; where peers know better it is
-    raised. `seeds` are addresses. `driver.now()` may be any clock that goes on, even one that stalls or steps."""
+    """`life` has to be greater than that of any earlier process of this name that this one knows of; where peers know a greater
+    one it is raised. `seeds` are addresses. `driver.now()` (ns) may be any clock that advances, even one that stalls or steps."""
 
     def __init__(
         self,
@@ -64,143 +66,146 @@
         self.now = self.steady.last
         self.me = Member(name, *address, life, 0, Rank.ALIVE, self.now, name)
         self.members: dict[str, Member] = {}
-        # those that are in, in the order in which they are probed (SWIM, section 4.3)
+        # members that are alive or suspect, in the order in which they are probed (SWIM, section 4.3)
         self.ring: list[Member] = []
-        self.at = 0
-        self.views, self.news = Views(), News()
-        self.views.flip(self.me.name, life, 0)
+        self.ring_index = 0
+        self.views, self.news = Views(), UpdateQueue()
+        self.views.toggle(self.me.name, life, 0)
         self.health = 0
-        # not from 1: an answer to an earlier life's probe must not pass for one to this one's
+        # starts at a random number, so that an answer to a probe of an earlier life does not match a probe of this one
         self.numbers = count(rng.getrandbits(40))
         self.probes: dict[int, Probe] = {}
         self.timers: list[tuple[int, int, Callable, tuple]] = []
-        self.order = count()
-        self.begun = self.joined = self.leaving = False
-        # another process has this name and came later: nothing is said until that one is gone
+        self.timer_sequence = count()
+        self.started = self.joined = self.leaving = False
+        # a later process has this member's name: this one sends nothing until the later one is gone
         self.superseded = False
-        # since when peers have shown another view than this one, and when one was last compared
-        self.differs: int | None = None
-        self.pulled = self.now
-        # most buckets differed when views were last compared, as after a cut: then they are compared more often
-        self.apart = False
-        # whom to look at next: in turn, as by chance one of few was left out for long (history 9355)
-        self.looks = rng.getrandbits(16)
-        self.armed: int | None = None
-        self.refuted = self.no_room = self.old_words = 0
+        # since when peers have shown a digest other than this member's own, and when views were last compared
+        self.differs_since: int | None = None
+        self.last_pull_at = self.now
+        # most buckets differed in the last comparison, as after a partition: views are then compared more often
+        self.mostly_differs = False
+        # index of the next absent member to contact: they are taken in turn, since random draws left one of a few out for long
+        # (random history 9355)
+        self.contacts = rng.getrandbits(16)
+        self.armed_at: int | None = None
+        self.refuted = self.no_room = self.stale_claims = 0
 
     @property
     def size(self) -> int:
         return len(self.ring) + 1
 
-    # ---- the life of this front
+    # ---- start, leave and timers
 
     def start(self) -> None:
-        self._read()
-        self.begun = True
-        self._after(self.rng.randrange(self.membership_terms.period), self._each_period)
-        self._after(self.membership_terms.news_every, self._pass_news_on)
-        self._look()
-        self._arm()
+        self._read_clock()
+        self.started = True
+        self._schedule(self.rng.randrange(self.membership_terms.period), self._start_probe)
+        self._schedule(self.membership_terms.update_interval, self._send_updates)
+        self._contact_absent()
+        self._arm_wakeup()
 
     def leave(self) -> None:
-        """In words, to as many as there is news for: a member that says so is not suspected first."""
-        self._read()
+        """Announces the departure to twice as many members as one round of updates, so that this member is not suspected
+        first."""
+        self._read_clock()
         self.leaving = True
         self.me.rank = Rank.LEFT
-        for member in spread(self.ring, 2 * self.membership_terms.news_to, self.rng):
+        for member in spread(self.ring, 2 * self.membership_terms.update_fanout, self.rng):
             self.driver.tell(member.address, [self.me.claim()])
 
     def time(self) -> None:
-        self._read()
+        self._read_clock()
         while self.timers and self.timers[0][0] <= self.now and not self.leaving:
-            _, _, call, arguments = heapq.heappop(self.timers)
-            call(*arguments)
-        self.armed = None
-        self._arm()
+            _, _, callback, arguments = heapq.heappop(self.timers)
+            callback(*arguments)
+        self.armed_at = None
+        self._arm_wakeup()
 
-    # ---- what comes in; each tells whether the sender may be answered
+    # ---- received messages
 
     def heard(self, claim: Claim) -> Member | None:
-        """A datagram came from this member itself; None if it is of an earlier life, or of one that is not let in."""
-        self._read()
+        """A datagram was received from this member itself. Returns None if it is of an earlier life or the member is not
+        admitted."""
+        self._read_clock()
         if claim.name == self.me.name:
             if claim.life != self.me.life:
                 self._own_name(claim)
             return None
-        held = self.members.get(claim.name)
-        if held is not None and claim.life < held.life:
-            self.old_words += 1
-            self.driver.tell((claim.host, claim.port), [held.claim()])
+        member = self.members.get(claim.name)
+        if member is not None and claim.life < member.life:
+            self.stale_claims += 1
+            self.driver.tell((claim.host, claim.port), [member.claim()])
             return None
         self.joined = True
-        self._take(claim, claim.name)
-        held = self.members.get(claim.name)
-        if held is None:
+        self._apply_claim(claim, claim.name)
+        member = self.members.get(claim.name)
+        if member is None:
             return None
-        held.heard = self.now
-        if held.rank is not Rank.ALIVE and held.rank is not Rank.LEFT:
-            # it can contradict only what it has heard (Lifeguard's buddy system)
-            self.driver.tell(held.address, [held.claim()])
-        self._arm()
-        return held
+        member.heard = self.now
+        if member.rank is not Rank.ALIVE and member.rank is not Rank.LEFT:
+            # a member can refute only the claims that it has received (Lifeguard's buddy system)
+            self.driver.tell(member.address, [member.claim()])
+        self._arm_wakeup()
+        return member
 
     def told(self, claims: list[Claim], by: str) -> None:
-        self._read()
+        self._read_clock()
         for claim in claims:
-            self._take(claim, by)
-        self._arm()
+            self._apply_claim(claim, by)
+        self._arm_wakeup()
 
     def acked(self, number: int, by: Member) -> None:
-        """`by` answered the probe of that number; a second answer finds nothing."""
-        self._read()
+        """`by` answered the probe of this number; a repeated answer has no effect."""
+        self._read_clock()
         probe = self.probes.get(number)
         if probe is None:
             return
-        if probe.asker is not None:
+        if probe.requester is not None:
             if probe.target is by:
                 del self.probes[number]
-                self.driver.ack_for(probe.asker, probe.number)
-        elif not probe.answered and (probe.target is by or probe.asked):
+                self.driver.ack_for(probe.requester, probe.number)
+        elif not probe.answered and (probe.target is by or probe.helpers_asked):
             probe.answered = True
-            self._healthier(-1)
-
-    def asked(self, asker: Member, number: int, target: str) -> None:
-        """Another could not reach the target and asks for a try."""
-        self._read()
-        held = self.members.get(target)
-        if held is None or not held.there:
-            self.driver.nack(asker, number)
+            self._adjust_health(-1)
+
+    def asked(self, requester: Member, number: int, target: str) -> None:
+        """Another member could not reach `target` and requests an indirect probe."""
+        self._read_clock()
+        member = self.members.get(target)
+        if member is None or not member.there:
+            self.driver.nack(requester, number)
             return
-        mine = next(self.numbers)
-        self.probes[mine] = Probe(held, asker, number)
-        self.driver.ping(held, mine)
-        self._after(self.membership_terms.answer_within, self._tried_for_another, mine)
-        self._arm()
+        own_number = next(self.numbers)
+        self.probes[own_number] = Probe(member, requester, number)
+        self.driver.ping(member, own_number)
+        self._schedule(self.membership_terms.answer_within, self._indirect_probe_timed_out, own_number)
+        self._arm_wakeup()
 
     def nacked(self, number: int, by: Member) -> None:
-        self._read()
+        self._read_clock()
         probe = self.probes.get(number)
-        if probe is not None and probe.asker is None:
+        if probe is not None and probe.requester is None:
             probe.nacks[by.name] = None
 
     def digest_seen(self, by: Member, whole: int) -> None:
-        """A view that goes on being another one is compared: news was lost, or there was a cut."""
+        """Starts a comparison when a peer's digest has differed for a period: updates were lost, or there was a partition."""
         if whole == self.views.whole or self.superseded:
-            self.differs, self.apart = None, False
-        elif self.differs is None:
-            self.differs = self.now
-        elif self.apart or self.now - self.differs >= self.membership_terms.period:
+            self.differs_since, self.mostly_differs = None, False
+        elif self.differs_since is None:
+            self.differs_since = self.now
+        elif self.mostly_differs or self.now - self.differs_since >= self.membership_terms.period:
             self._pull(by)
 
     def _pull(self, by: Member) -> None:
-        if self.now - self.pulled >= self.membership_terms.period // (4 if self.apart else 1):
-            self.pulled = self.now
+        if self.now - self.last_pull_at >= self.membership_terms.period // (4 if self.mostly_differs else 1):
+            self.last_pull_at = self.now
             self.driver.compare(by.address)
 
     def compared(self, by: Member, written: bytes) -> None:
-        """What lies in the buckets that differ goes out, and what the other has in them is asked for."""
-        self._read()
-        buckets = set(self.views.differ(written))
+        """Sends the members in the buckets that differ, and requests the peer's own."""
+        self._read_clock()
+        buckets = set(self.views.differing_buckets(written))
         if not buckets:
             return
         self.driver.pieces(
@@ -208,17 +213,17 @@
             [self.me.claim()] * (bucket_of(self.me.name) in buckets)
             + [member.claim() for member in self.members.values() if bucket_of(member.name) in buckets],
         )
-        self.apart = 2 * len(buckets) > BUCKETS
+        self.mostly_differs = 2 * len(buckets) > BUCKETS
         self._pull(by)
-        self._arm()
+        self._arm_wakeup()
 
     # ---- probing
 
-    def _each_period(self) -> None:
-        # who is slow waits longer for answers, but asks as often (Lifeguard asks less often too): the last one left of many
-        # would otherwise need nine periods for each of the others
+    def _start_probe(self) -> None:
+        # a member with a bad health score waits longer for answers but probes as often; Lifeguard probes less often too, but then
+        # the last survivor of many members would need nine periods to detect each of the others
         health = self.health if self.membership_terms.lifeguard else 0
-        self._after(self.membership_terms.period, self._each_period)
+        self._schedule(self.membership_terms.period, self._start_probe)
         if self.superseded:
             return
         self._forget()
@@ -228,270 +233,275 @@
         number = next(self.numbers)
         self.probes[number] = Probe(target)
         self.driver.ping(target, number)
-        self._after(self.membership_terms.answer_within * (1 + health), self._ask_others, number)
-        self._after(self.membership_terms.period * (1 + health) - 1, self._probe_over, number)
+        self._schedule(self.membership_terms.answer_within * (1 + health), self._request_indirect_probes, number)
+        self._schedule(self.membership_terms.period * (1 + health) - 1, self._probe_timed_out, number)
 
     def _next_target(self) -> Member | None:
         if not self.ring:
             return None
-        if self.at >= len(self.ring):
-            self.at = 0
+        if self.ring_index >= len(self.ring):
+            self.ring_index = 0
             self.rng.shuffle(self.ring)
-        self.at += 1
-        return self.ring[self.at - 1]
+        self.ring_index += 1
+        return self.ring[self.ring_index - 1]
 
-    def _ask_others(self, number: int) -> None:
+    def _request_indirect_probes(self, number: int) -> None:
         probe = self.probes.get(number)
         if probe is None or probe.answered:
             return
-        for helper in spread(self.ring, self.membership_terms.helpers, self.rng, but=probe.target):
-            probe.asked += 1
+        for helper in spread(self.ring, self.membership_terms.indirect_probes, self.rng, exclude=probe.target):
+            probe.helpers_asked += 1
             self.driver.ask(helper, number, probe.target)
 
-    def _probe_over(self, number: int) -> None:
+    def _probe_timed_out(self, number: int) -> None:
         probe = self.probes.pop(number, None)
         if probe is None or probe.answered:
             return
-        # who could not even be told that the others failed too has reason to look at itself (Lifeguard, section IV-A)
-        self._healthier(max(1, probe.asked - len(probe.nacks)))
+        # a helper that sent no nack either is evidence that this member itself is slow (Lifeguard, section IV-A)
+        self._adjust_health(max(1, probe.helpers_asked - len(probe.nacks)))
         target = probe.target
-        # it may have contradicted since: a probe from before a cut healed says nothing of after
-        if target.there and self.members.get(target.name) is target and probe.of == (target.life, target.incarnation):
-            self._accuse(target, [self.me.name, *probe.nacks])
+        # the target may have refuted since: a probe from before a partition healed says nothing about the time after
+        if target.there and self.members.get(target.name) is target and probe.target_version == (target.life, target.incarnation):
+            self._suspect(target, [self.me.name, *probe.nacks])
 
-    def _tried_for_another(self, mine: int) -> None:
-        probe = self.probes.pop(mine, None)
+    def _indirect_probe_timed_out(self, own_number: int) -> None:
+        probe = self.probes.pop(own_number, None)
         if probe is not None:
-            self.driver.nack(probe.asker, probe.number)
+            self.driver.nack(probe.requester, probe.number)
 
-    def _healthier(self, by: int) -> None:
-        self.health = min(self.membership_terms.health_most, max(0, self.health + by))
+    def _adjust_health(self, by: int) -> None:
+        self.health = min(self.membership_terms.max_health, max(0, self.health + by))
 
-    def _accuse(self, member: Member, accusers: list[str]) -> None:
-        claim = member.claim()._replace(rank=int(Rank.SUSPECT), accusers=tuple(accusers[: self.membership_terms.witnesses + 1]))
-        self._take(claim, self.me.name)
+    def _suspect(self, member: Member, accusers: list[str]) -> None:
+        claim = member.claim()._replace(
+            rank=int(Rank.SUSPECT), accusers=tuple(accusers[: self.membership_terms.max_confirmations + 1])
+        )
+        self._apply_claim(claim, self.me.name)
 
     # ---- claims
 
-    def _take(self, claim: Claim, by: str) -> None:
-        """The one place where a view changes."""
+    def _apply_claim(self, claim: Claim, by: str) -> None:
+        """All changes of the view go through here."""
         if claim.name == self.me.name:
             self._own_name(claim)
             return
-        held = self.members.get(claim.name)
-        if held is None:
-            self._newcomer(claim, by)
-        elif claim.over(held):
-            if self._may_be_true(claim, held, by):
-                self._change(held, claim, by)
-        elif claim.rank == held.rank == Rank.SUSPECT and claim[3:5] == (held.life, held.incarnation):
-            self._also_accused(held, claim, by)
-
-    def _newcomer(self, claim: Claim, by: str) -> None:
-        # what is told of one that is gone, and of whom nothing is known, would bring back what was forgotten
+        member = self.members.get(claim.name)
+        if member is None:
+            self._add_member(claim, by)
+        elif claim.supersedes(member):
+            if self._accepts(claim, member, by):
+                self._update_member(member, claim, by)
+        elif claim.rank == member.rank == Rank.SUSPECT and claim[3:5] == (member.life, member.incarnation):
+            self._add_accusers(member, claim, by)
+
+    def _add_member(self, claim: Claim, by: str) -> None:
+        # a claim that an unknown member is gone would bring back a member that has been forgotten
         if claim.rank >= Rank.GONE:
             return
         if len(self.members) >= self.membership_terms.most_members and not self._make_room():
             self.no_room += 1
             return
         member = Member(claim.name, claim.host, claim.port, claim.life, claim.incarnation, Rank(claim.rank), self.now, by)
-        member.accusers = dict.fromkeys(claim.accusers[: self.membership_terms.witnesses + 1])
+        member.accusers = dict.fromkeys(claim.accusers[: self.membership_terms.max_confirmations + 1])
         self.members[member.name] = member
-        self._comes_in(member)
+        self._join_ring(member)
         self.news.put(member.claim())
-        self.driver.changed(member, None, f"told by {by}" if by != member.name else "spoke")
+        self.driver.changed(member, None, f"reported by {by}" if by != member.name else "message received from it")
         if member.rank is Rank.SUSPECT:
-            self._suspected(member)
+            self._start_suspicion_timer(member)
 
-    def _may_be_true(self, claim: Claim, held: Member, by: str) -> bool:
-        """Others' word that one is gone, whom this front holds to be in, makes it a suspect first: after a cut each side
-        holds the other for gone, and would otherwise call its own gone by the other's word."""
-        hearsay = claim.rank == Rank.GONE and by != self.me.name and claim.life == held.life
-        if not hearsay or not held.there:
+    def _accepts(self, claim: Claim, member: Member, by: str) -> bool:
+        """A report by another that a present member is gone makes it a suspect first. After a partition each side holds the other
+        for gone, and would otherwise declare its own members gone on the other's reports."""
+        hearsay = claim.rank == Rank.GONE and by != self.me.name and claim.life == member.life
+        if not hearsay or not member.there:
             return True
         if (
-            held.rank is Rank.SUSPECT
-            and claim.incarnation == held.incarnation
-            and (self.now - held.since >= self.membership_terms.period * 2)
+            member.rank is Rank.SUSPECT
+            and claim.incarnation == member.incarnation
+            and (self.now - member.since >= self.membership_terms.period * 2)
         ):
             return True
         accused = claim._replace(rank=int(Rank.SUSPECT), accusers=(by,))
-        if accused.over(held):
-            self._change(held, accused, by)
-            # it may contradict at once, before others are told the same
-            self.driver.tell(held.address, [held.claim()])
+        if accused.supersedes(member):
+            self._update_member(member, accused, by)
+            # lets the member refute at once, before others receive the same claim
+            self.driver.tell(member.address, [member.claim()])
         else:
-            self._also_accused(held, accused, by)
+            self._add_accusers(member, accused, by)
         return False
 
-    def _change(self, held: Member, claim: Claim, by: str) -> None:
-        before, there = held.rank, held.there
-        if there:
-            self.views.flip(held.name, held.life, held.incarnation)
-        another = claim.life != held.life
-        again = claim.rank == Rank.SUSPECT and claim.incarnation != held.incarnation
-        held.host, held.port, held.life, held.incarnation = claim[1:5]
-        held.rank = Rank(claim.rank)
-        if held.rank is not before or another or again:
-            held.since, held.by = self.now, by
-        held.accusers = dict.fromkeys(claim.accusers[: self.membership_terms.witnesses + 1])
-        if held.there:
-            if there:
-                self.views.flip(held.name, held.life, held.incarnation)
+    def _update_member(self, member: Member, claim: Claim, by: str) -> None:
+        before, was_present = member.rank, member.there
+        if was_present:
+            self.views.toggle(member.name, member.life, member.incarnation)
+        new_life = claim.life != member.life
+        accused_again = claim.rank == Rank.SUSPECT and claim.incarnation != member.incarnation
+        member.host, member.port, member.life, member.incarnation = claim[1:5]
+        member.rank = Rank(claim.rank)
+        if member.rank is not before or new_life or accused_again:
+            member.since, member.by = self.now, by
+        member.accusers = dict.fromkeys(claim.accusers[: self.membership_terms.max_confirmations + 1])
+        if member.there:
+            if was_present:
+                self.views.toggle(member.name, member.life, member.incarnation)
             else:
-                self._comes_in(held)
-        elif there:
-            self._goes_out(held)
-        if held.rank is Rank.SUSPECT:
-            self._suspected(held)
-        self.news.put(held.claim())
-        if held.rank is not before or another:
+                self._join_ring(member)
+        elif was_present:
+            self._leave_ring(member)
+        if member.rank is Rank.SUSPECT:
+            self._start_suspicion_timer(member)
+        self.news.put(member.claim())
+        if member.rank is not before or new_life:
             self.driver.changed(
-                held,
+                member,
                 before,
-                "spoke"
-                if by == held.name
-                else f"told by {by}"
+                "message received from it"
+                if by == member.name
+                else f"reported by {by}"
                 if by != self.me.name
-                else "silent to " + ", ".join(held.accusers or [by]),
+                else "no answer to probes of " + ", ".join(member.accusers or [by]),
             )
 
-    def _comes_in(self, member: Member) -> None:
-        self.views.flip(member.name, member.life, member.incarnation)
+    def _join_ring(self, member: Member) -> None:
+        self.views.toggle(member.name, member.life, member.incarnation)
         self.ring.insert(self.rng.randrange(len(self.ring) + 1), member)
 
-    def _goes_out(self, member: Member) -> None:
+    def _leave_ring(self, member: Member) -> None:
         index = self.ring.index(member)
         del self.ring[index]
-        self.at -= index < self.at
+        self.ring_index -= index < self.ring_index
 
-    def _suspected(self, member: Member) -> None:
-        self._after(self._patience(member), self._suspicion_over, member, member.incarnation, member.life)
+    def _start_suspicion_timer(self, member: Member) -> None:
+        self._schedule(self._suspicion_timeout(member), self._suspicion_timed_out, member, member.incarnation, member.life)
 
-    def _patience(self, member: Member) -> int:
-        return self.membership_terms.patience(self.size, len(member.accusers) - 1)
+    def _suspicion_timeout(self, member: Member) -> int:
+        return self.membership_terms.suspicion_timeout(self.size, len(member.accusers) - 1)
 
-    def _also_accused(self, member: Member, claim: Claim, by: str) -> None:
-        """More witnesses make the suspicion shorter, and are news as long as they do (Lifeguard, section IV-B)."""
+    def _add_accusers(self, member: Member, claim: Claim, by: str) -> None:
+        """Further accusers shorten the suspicion time-out; each one that does is passed on (Lifeguard, section IV-B)."""
         known = len(member.accusers)
         for name in claim.accusers:
-            if len(member.accusers) <= self.membership_terms.witnesses:
+            if len(member.accusers) <= self.membership_terms.max_confirmations:
                 member.accusers[name] = None
         if len(member.accusers) > known:
             self.news.put(member.claim())
-            self._suspicion_over(member, member.incarnation, member.life)
+            self._suspicion_timed_out(member, member.incarnation, member.life)
 
-    def _suspicion_over(self, member: Member, incarnation: int, life: int) -> None:
-        held = (member.rank, member.incarnation, member.life) == (Rank.SUSPECT, incarnation, life)
-        if not held or self.members.get(member.name) is not member:
+    def _suspicion_timed_out(self, member: Member, incarnation: int, life: int) -> None:
+        unchanged = (member.rank, member.incarnation, member.life) == (Rank.SUSPECT, incarnation, life)
+        if not unchanged or self.members.get(member.name) is not member:
             return
-        rest = member.since + self._patience(member) - self.now
-        if rest > 0:
-            # the fleet has grown since this was set: more could have accused it
-            self._after(rest, self._suspicion_over, member, incarnation, life)
+        remaining = member.since + self._suspicion_timeout(member) - self.now
+        if remaining > 0:
+            # the site has grown since the timer was set: more members could have confirmed the suspicion
+            self._schedule(remaining, self._suspicion_timed_out, member, incarnation, life)
         else:
-            self._change(member, member.claim()._replace(rank=int(Rank.GONE)), self.me.name)
+            self._update_member(member, member.claim()._replace(rank=int(Rank.GONE)), self.me.name)
 
-    # ---- what is said of this front
+    # ---- claims about this member
 
     def _own_name(self, claim: Claim) -> None:
-        """It alone can contradict: by a higher incarnation, or by a higher life where an earlier one's is still around."""
-        me = self.me
-        if claim.life < me.life or self.leaving:
+        """Refutes by a higher incarnation, or by a higher life where claims about an earlier life are still in circulation."""
+        local = self.me
+        if claim.life < local.life or self.leaving:
             return
-        if claim.life > me.life:
+        if claim.life > local.life:
             if not self.joined or claim.rank >= Rank.GONE:
-                self._be(claim.life + 1, 0)
-                self._outlived(False)
+                self._set_own_life(claim.life + 1, 0)
+                self._set_superseded(False)
                 self.joined = True
             else:
-                # a later process of this name is in: two would each undo what the other says
-                self._outlived(True)
-        elif claim.rank != Rank.ALIVE and claim.incarnation >= me.incarnation and not self.superseded:
+                # a later process of this name is in service: each of the two would undo the other's claims
+                self._set_superseded(True)
+        elif claim.rank != Rank.ALIVE and claim.incarnation >= local.incarnation and not self.superseded:
             self.refuted += 1
-            self._healthier(1)
-            self._be(me.life, claim.incarnation + 1)
+            self._adjust_health(1)
+            self._set_own_life(local.life, claim.incarnation + 1)
         elif claim.rank == Rank.ALIVE and self.superseded:
-            # the later one has been forgotten, and this one is taken for in
-            self._outlived(False)
+            # the later process has been forgotten, and this one is considered alive
+            self._set_superseded(False)
 
-    def _be(self, life: int, incarnation: int) -> None:
-        self.views.flip(self.me.name, self.me.life, self.me.incarnation)
+    def _set_own_life(self, life: int, incarnation: int) -> None:
+        self.views.toggle(self.me.name, self.me.life, self.me.incarnation)
         self.me.life, self.me.incarnation = life, incarnation
-        self.views.flip(self.me.name, life, incarnation)
+        self.views.toggle(self.me.name, life, incarnation)
         self.news.put(self.me.claim())
 
-    def _outlived(self, over: bool) -> None:
-        if over is not self.superseded:
-            self.superseded = over
-            self.driver.outlived(over)
+    def _set_superseded(self, superseded: bool) -> None:
+        if superseded is not self.superseded:
+            self.superseded = superseded
+            self.driver.outlived(superseded)
 
-    # ---- news, looks, and what is forgotten
+    # ---- updates, contact with absent members, expiry
 
     def take_news(self, room: int) -> list[Claim]:
-        return [] if self.superseded else self.news.take(room, self.membership_terms.tellings(self.size))
+        return [] if self.superseded else self.news.take(room, self.membership_terms.max_transmissions(self.size))
 
-    def _pass_news_on(self) -> None:
-        self._after(self.membership_terms.news_every, self._pass_news_on)
+    def _send_updates(self) -> None:
+        self._schedule(self.membership_terms.update_interval, self._send_updates)
         if not self.superseded:
-            for member in spread(self.ring, self.membership_terms.news_to, self.rng):
+            for member in spread(self.ring, self.membership_terms.update_fanout, self.rng):
                 if not len(self.news):
                     break
                 self.driver.pass_on(member)
 
-    def _look(self) -> None:
-        """At one that is gone, or at a seed that is not in; before it is in itself, at every seed."""
-        self._after(self.membership_terms.period * (self.membership_terms.look_each if self.joined else 1), self._look)
-        there = {member.address for member in self.ring}
-        seeds = [seed for seed in self.seeds if seed not in there and seed != self.me.address]
+    def _contact_absent(self) -> None:
+        """Sends this member's buckets to one member that is gone or one seed that is not in the view, in turn; until this member
+        has joined, to every seed."""
+        self._schedule(
+            self.membership_terms.period * (self.membership_terms.contact_periods if self.joined else 1), self._contact_absent
+        )
+        present = {member.address for member in self.ring}
+        seeds = [seed for seed in self.seeds if seed not in present and seed != self.me.address]
         if not self.joined:
             for seed in seeds:
                 self.driver.compare(seed)
             return
         gone = [member.address for member in self.members.values() if member.rank is Rank.GONE]
-        others = list(dict.fromkeys(gone + seeds))
+        targets = list(dict.fromkeys(gone + seeds))
         if self.superseded:
-            others += [member.address for member in spread(self.ring, 1, self.rng)]
-        if others:
-            self.looks += 1
-            self.driver.compare(others[self.looks % len(others)])
+            targets += [member.address for member in spread(self.ring, 1, self.rng)]
+        if targets:
+            self.contacts += 1
+            self.driver.compare(targets[self.contacts % len(targets)])
 
     def _forget(self) -> None:
-        old = [
+        expired = [
             member
             for member in self.members.values()
             if not member.there and self.now - member.since > self.membership_terms.forget_after
         ]
-        for member in old:
+        for member in expired:
             self._drop(member)
 
     def _make_room(self) -> bool:
-        """The one that is gone longest makes room; nobody that is in does."""
-        gone = [member for member in self.members.values() if not member.there]
-        if gone:
-            self._drop(min(gone, key=lambda member: member.since))
-        return bool(gone)
+        """Drops the member that has been absent longest; a present member is never dropped."""
+        absent = [member for member in self.members.values() if not member.there]
+        if absent:
+            self._drop(min(absent, key=lambda member: member.since))
+        return bool(absent)
 
     def _drop(self, member: Member) -> None:
         del self.members[member.name]
         self.news.drop(member.name)
 
-    # ---- time
+    # ---- clock and timers
 
-    def _read(self) -> None:
+    def _read_clock(self) -> None:
         stalls = self.steady.stalls
         self.now = self.steady.read(self.driver.now())
         if self.steady.stalls != stalls:
-            self._healthier(1)
+            self._adjust_health(1)
 
-    def _after(self, wait: int, call: Callable, *arguments) -> None:
-        heapq.heappush(self.timers, (self.now + wait, next(self.order), call, arguments))
+    def _schedule(self, wait: int, callback: Callable, *arguments) -> None:
+        heapq.heappush(self.timers, (self.now + wait, next(self.timer_sequence), callback, arguments))
 
-    def _arm(self) -> None:
-        """Wakes are asked for again where the clock has been found to be off."""
-        if self.begun and self.timers and not self.leaving:
+    def _arm_wakeup(self) -> None:
+        """Requests a wake-up for the next timer; again where the clock turned out to have stalled or stepped."""
+        if self.started and self.timers and not self.leaving:
             due = max(self.timers[0][0], self.now)
             at = self.steady.reading_of(due)
-            if (due, at) != (self.steady.due, self.armed):
-                self.steady.due, self.armed = due, at
+            if (due, at) != (self.steady.due, self.armed_at):
+                self.steady.due, self.armed_at = due, at
                 self.driver.wake(at)
--- a/curlewshift/membership/terms.py
+++ b/curlewshift/membership/terms.py
@@ -1,4 +1,4 @@
-"""The figures of membership, from the settings of a site; and how they scale."""
+"""Parameters of membership, and how they scale with its size."""
 
 from __future__ import annotations
 
@@ -8,54 +8,56 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipTerms:
-    """Times in ns. The names in brackets are the papers': SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips,
-    Currey 2018)."""
+    """Times in ns. The names in brackets are those of the papers: SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar,
+    Phillips, Currey 2018)."""
 
     # one member is probed each period (T')
     period: int
-    # a probe is answered within this, or others are asked to try (k of them)
+    # a probe not answered within this time is followed by indirect probes through so many other members (k)
     answer_within: int
-    helpers: int = 3
-    # a suspect is gone after so many periods, times the decimal logarithm of the size if that is more (alpha), if so many
-    # others than the first have accused it too (K); and after so many times as long if nobody has (beta)
-    suspect_for: float = 3.0
-    for_each_decade: float = 4 / 3
-    witnesses: int = 3
-    alone_times: float = 6.0
-    # a front that fails at what should work takes itself for slow, up to so many times as slow as usual (S)
-    health_most: int = 8
-    # each piece of news is told so many times the decimal logarithm of the size (lambda)
-    repeats: float = 4.0
-    # between probes news goes to so many others, so often: on probes alone it takes too long at a thousand (docs/peers.md)
-    news_every: int = 0
-    news_to: int = 3
-    # one that is gone or a seed that is not in is looked at each so many periods: otherwise no cut would ever heal
-    look_each: int = 3
+    indirect_probes: int = 3
+    # a suspect is declared gone after so many periods, or after so many times the decimal logarithm of the size if that is more
+    # (alpha), once this many members beside the first have accused it too (K); with no other accuser the time-out is longer by
+    # the factor (beta)
+    min_suspicion_periods: float = 3.0
+    suspicion_periods_per_decade: float = 4 / 3
+    max_confirmations: int = 3
+    unconfirmed_factor: float = 6.0
+    # upper bound of the health score, the factor by which a member that misses answers lengthens its own time-outs (S)
+    max_health: int = 8
+    # each update is sent at most so many times the decimal logarithm of the size (lambda)
+    transmission_factor: float = 4.0
+    # updates also go out between probes, at this interval to so many members: on probes alone they take too long to spread among
+    # a thousand members (docs/peers.md)
+    update_interval: int = 0
+    update_fanout: int = 3
+    # an absent member or seed is contacted every so many periods: otherwise a partition would never heal
+    contact_periods: int = 3
     forget_after: int = 60_000_000_000
     most_members: int = 4096
-    # Lifeguard's three parts; without them it is SWIM with suspicion as first published
+    # Lifeguard's three extensions; without them this is SWIM with suspicion as first published
     lifeguard: bool = True
 
-    def least(self, size: int) -> int:
-        """How long one stays suspect at the least (ns)."""
-        return int(self.period * max(self.suspect_for, self.for_each_decade * log10(size + 1)))
+    def min_suspicion_timeout(self, size: int) -> int:
+        """Shortest suspicion time-out (ns), reached once `max_confirmations` others have accused the suspect."""
+        return int(self.period * max(self.min_suspicion_periods, self.suspicion_periods_per_decade * log10(size + 1)))
 
-    def patience(self, size: int, others: int) -> int:
-        """How long one stays suspect (ns) whom `others` have accused besides the first (Lifeguard, section IV-B)."""
-        least = self.least(size)
-        # there may be fewer who could accuse it
-        wanted, others = min(self.witnesses, size - 2), max(0, others)
-        if not self.lifeguard or wanted < 1:
-            return least
-        most = least * self.alone_times
-        return int(max(least, most - (most - least) * log(min(others, wanted) + 1) / log(wanted + 1)))
+    def suspicion_timeout(self, size: int, confirmations: int) -> int:
+        """Suspicion time-out (ns) of a member accused by `confirmations` others besides the first (Lifeguard, section IV-B)."""
+        shortest = self.min_suspicion_timeout(size)
+        # in a small site fewer members are left to confirm
+        expected, confirmations = min(self.max_confirmations, size - 2), max(0, confirmations)
+        if not self.lifeguard or expected < 1:
+            return shortest
+        longest = shortest * self.unconfirmed_factor
+        return int(max(shortest, longest - (longest - shortest) * log(min(confirmations, expected) + 1) / log(expected + 1)))
 
-    def tellings(self, size: int) -> int:
-        return max(1, ceil(self.repeats * log10(size + 1)))
+    def max_transmissions(self, size: int) -> int:
+        return max(1, ceil(self.transmission_factor * log10(size + 1)))
 
 
-def default_membership_terms(period: int, **more) -> MembershipTerms:
-    """What is not said follows from the period."""
+def default_membership_terms(period: int, **overrides) -> MembershipTerms:
+    """Parameters derived from the period (ns), except those given."""
     return MembershipTerms(
-        period, **{"answer_within": 3 * period // 10, "news_every": period // 5, "forget_after": 60 * period, **more}
+        period, **{"answer_within": 3 * period // 10, "update_interval": period // 5, "forget_after": 60 * period, **overrides}
     )
--- a/curlewshift/membership/updates.py
+++ b/curlewshift/membership/updates.py
@@ -1,4 +1,4 @@
-"""News to pass on: each piece a bounded number of times, the least told first (SWIM, section 4.1)."""
+"""Queue of updates to pass on: each is sent a bounded number of times, the least often sent first (SWIM, section 4.1)."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from curlewshift.membership.member import Claim
 
 
-class News:
-    """One piece a member: a newer claim takes the place of an older one. Bounded by the number of members."""
+class UpdateQueue:
+    """Holds one claim for each member: a newer claim replaces an older one. Bounded by the number of members."""
 
     def __init__(self):
-        # pieces by how often they have been told
-        self.levels: list[dict[str, Claim]] = [{}]
+        # claims by the number of times they have been sent
+        self.by_transmissions: list[dict[str, Claim]] = [{}]
         self.level: dict[str, int] = {}
 
     def __len__(self) -> int:
@@ -20,47 +20,47 @@
 
     def put(self, claim: Claim) -> None:
         self.drop(claim.name)
-        self.levels[0][claim.name] = claim
+        self.by_transmissions[0][claim.name] = claim
         self.level[claim.name] = 0
 
     def drop(self, name: str) -> None:
-        level = self.level.pop(name, None)
-        if level is not None:
-            del self.levels[level][name]
+        transmissions = self.level.pop(name, None)
+        if transmissions is not None:
+            del self.by_transmissions[transmissions][name]
 
-    def take(self, room: int, most: int) -> list[Claim]:
-        """Pieces for one datagram with so many bytes left; what has been told `most` times now is dropped."""
-        taken: list[tuple[int, Claim]] = []
-        for level, pieces in enumerate(self.levels):
-            for claim in pieces.values():
+    def take(self, room: int, max_transmissions: int) -> list[Claim]:
+        """Claims for one datagram with `room` bytes left; a claim sent `max_transmissions` times is dropped."""
+        selected: list[tuple[int, Claim]] = []
+        for transmissions, claims in enumerate(self.by_transmissions):
+            for claim in claims.values():
                 size = claim.size()
                 if size > room:
                     break
                 room -= size
-                taken.append((level, claim))
+                selected.append((transmissions, claim))
             else:
                 continue
             break
-        for level, claim in taken:
-            del self.levels[level][claim.name]
-            if level + 1 >= most:
+        for transmissions, claim in selected:
+            del self.by_transmissions[transmissions][claim.name]
+            if transmissions + 1 >= max_transmissions:
                 del self.level[claim.name]
                 continue
-            if level + 1 == len(self.levels):
-                self.levels.append({})
-            self.levels[level + 1][claim.name] = claim
-            self.level[claim.name] = level + 1
-        return [claim for _, claim in taken]
+            if transmissions + 1 == len(self.by_transmissions):
+                self.by_transmissions.append({})
+            self.by_transmissions[transmissions + 1][claim.name] = claim
+            self.level[claim.name] = transmissions + 1
+        return [claim for _, claim in selected]
 
 
-def spread(members: list, count: int, rng: Random, but=None) -> list:
-    """`count` of the members, or all there are, drawn without the one left out; constant work for a long list."""
+def spread(members: list, count: int, rng: Random, exclude=None) -> list:
+    """`count` random members (all, if there are fewer) other than `exclude`; constant work for a long list."""
     if len(members) <= 2 * count + 1:
-        rest = [member for member in members if member is not but]
-        return rest if len(rest) <= count else rng.sample(rest, count)
+        candidates = [member for member in members if member is not exclude]
+        return candidates if len(candidates) <= count else rng.sample(candidates, count)
     drawn: dict = {}
     while len(drawn) < count:
         member = members[rng.randrange(len(members))]
-        if member is not but:
+        if member is not exclude:
             drawn[member] = None
     return list(drawn)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -67,7 +67,7 @@
         self.judge.running = {"a", "b", "c"}
         self.views = Views()
         for name in "abc":
-            self.views.flip(name, 7, 0)
+            self.views.toggle(name, 7, 0)
 
     def shows(self, name, view, life=7, incarnation=0, number=1, gone=()):
         self.judge.saw({"shown": {name: [life, incarnation, view, number, 0.0]}, "gone": list(gone)})
@@ -85,7 +85,7 @@
         self.assertEqual(self.judge.astray(everyone), 0, "an earlier datagram that came by another relay changes nothing")
 
     def test_views_that_agree_on_something_else_are_astray(self):
-        self.views.flip("c", 7, 0)
+        self.views.toggle("c", 7, 0)
         for name in "abc":
             self.shows(name, self.views.whole)
         self.assertEqual(self.judge.astray([{"a", "b", "c"}]), 3)
@@ -94,10 +94,10 @@
 
     def test_each_side_of_a_cut_is_to_know_its_own(self):
         side = Views()
-        side.flip("a", 7, 0)
-        side.flip("b", 7, 0)
+        side.toggle("a", 7, 0)
+        side.toggle("b", 7, 0)
         other = Views()
-        other.flip("c", 7, 0)
+        other.toggle("c", 7, 0)
         self.judge.strikes("abc", 5.0, down=False)
         self.shows("a", side.whole)
         self.shows("b", side.whole)
