--- a/curlewshift/sharing/__init__.py
+++ b/curlewshift/sharing/__init__.py
@@ -1,1 +1,1 @@
-"""What fronts share: rights lent for a term, counts with ages, evidence on media servers. Free of I/O."""
+"""What the fronts of a site share: rights lent for a term, counts with ages, evidence on media servers. Free of I/O."""
--- a/curlewshift/sharing/budgets.py
+++ b/curlewshift/sharing/budgets.py
@@ -1,7 +1,8 @@
-"""Budgets beside those of cold servers: free further tune-ins of all fronts together, and seats of a title over all fronts.
+"""Budgets beside those of cold servers: the free further tune-ins (retries past the first attempt) of all fronts together, and
+the seats (concurrency slots) of a title over all fronts.
 
-Each is a pool of loans of its own, as its uses have to be remembered for another time. Held by sharing.py, which hands on the
-words; keys have a space, which no name of a server has. Facts go to the rules as those of cold servers do.
+Each is a pool with loans of its own, as its uses count for a different time. Owned by sharing.py, which passes on the messages;
+keys contain a space, which no server name does. Rights are passed to the rules as those of cold servers are.
 """
 
 from __future__ import annotations
@@ -18,7 +19,8 @@
 
 
 class Pool:
-    """One kind of budget. `rights(key)` is how many all fronts have together; keys are dealt out by their hash."""
+    """One kind of budget. `rights(key)` is how many all fronts have together; a hash of the key decides who gets the
+    remainder."""
 
     loans_class = Loans
 
@@ -26,11 +28,11 @@
         self.sharing, self.me, self.order = sharing, sharing.me, sharing.order
         self.loans = (loans_class or self.loans_class)(self, self.me, terms, sharing.rng.getrandbits(40))
         self.told: dict[str, list] = {}
-        # Before anything can be begun or taken up: what nobody told the rules of they hold for this front's own, all of it. A
-        # front that started took up what it found remembered, without a right and for as long as its viewers liked.
+        # Before anything can be started or restored: the rules take a budget they were told nothing of for entirely their own. A
+        # restarted front restored sessions without a right, and kept them for as long as its viewers liked.
         self.write(self.keys())
 
-    # ---- the loans' outside
+    # ---- driver of the loans
 
     def now(self) -> int:
         return self.sharing.now()
@@ -45,30 +47,30 @@
         self.sharing.give_back(lender, number, key)
 
     def part(self, key: str) -> int:
-        return dealt(self.rights(key), self.me, len(self.order), _mark(key))
+        return dealt(self.rights(key), self.me, len(self.order), _key_hash(key))
 
-    # ---- time
+    # ---- rounds
 
-    def owners(self, key: str, there: set[int], turn: int) -> list[int]:
-        """Fronts that are in and have a part of this budget, each round from another on."""
-        rights, fronts, mark = self.rights(key), len(self.order), _mark(key)
-        owners = [number for number in there if dealt(rights, number, fronts, mark)]
-        start = (turn + mark) % len(owners) if owners else 0
+    def owners(self, key: str, present: set[int], rotation: int) -> list[int]:
+        """Present fronts with a share of this budget, rotated each round."""
+        rights, fronts, key_hash = self.rights(key), len(self.order), _key_hash(key)
+        owners = [number for number in present if dealt(rights, number, fronts, key_hash)]
+        start = (rotation + key_hash) % len(owners) if owners else 0
         return owners[start:] + owners[:start]
 
-    def time(self, there: set[int], turn: int) -> None:
+    def time(self, present: set[int], rotation: int) -> None:
         for key in self.wanted_keys():
             self.loans.wants(key)
-        self.loans.time(lambda key: self.owners(key, there, turn))
+        self.loans.time(lambda key: self.owners(key, present, rotation))
         self.write(self.keys())
 
     def write(self, keys: Iterable[str]) -> None:
-        """What has changed, as facts for the rules."""
+        """Passes on to the rules what has changed."""
         for key in keys:
             rights = self.loans.in_hand(key)
             if rights != self.told.get(key):
                 self.told[key] = rights
-                self.tell(key, rights)
+                self.notify_rules(key, rights)
 
     def rights(self, key: str) -> int:
         raise NotImplementedError
@@ -79,12 +81,12 @@
     def wanted_keys(self) -> Iterable[str]:
         raise NotImplementedError
 
-    def tell(self, key: str, rights: list) -> None:
+    def notify_rules(self, key: str, rights: list) -> None:
         raise NotImplementedError
 
 
-class Further(Pool):
-    """`free` are those of all fronts together. A front's share of its requests is its own to use beside them."""
+class FurtherTuneIns(Pool):
+    """`free` further tune-ins of all fronts together. Besides them each front has a share of its own requests."""
 
     def __init__(self, sharing, terms: SharingTerms, free: int, loans_class: type[Loans] | None = None):
         self.free, self.wanted_at = free, 0
@@ -103,12 +105,12 @@
         self.wanted_at = at
         return (FURTHER,)
 
-    def tell(self, key: str, rights: list) -> None:
+    def notify_rules(self, key: str, rights: list) -> None:
         self.sharing.driver.further_held(rights)
 
 
 class Seats(Pool):
-    """`titles` that may be asked for, and `seats` of each by package, over all fronts."""
+    """`seats` of each of the `titles` by package, over all fronts."""
 
     loans_class = StandingLoans
 
@@ -127,13 +129,13 @@
         return self.named
 
     def wanted_keys(self) -> list[str]:
-        found = []
+        keys = []
         for (package, title), at in self.sharing.driver.seats_wanted_at().items():
             key = f"{SEAT}{package} {title}"
             if key in self.named and self.wanted_at.get(key) != at:
                 self.wanted_at[key] = at
-                found.append(key)
-        return found
+                keys.append(key)
+        return keys
 
     def in_use(self, key: str) -> int:
         return self.sharing.driver.seats_in_use(*self.named[key])
@@ -141,13 +143,13 @@
     def ending(self, key: str) -> bool:
         return self.sharing.driver.seats_ending(*self.named[key])
 
-    def end_some(self, key: str, count: int) -> None:
+    def end_uses(self, key: str, count: int) -> None:
         self.sharing.driver.seats_over(*self.named[key], count)
 
-    def tell(self, key: str, rights: list) -> None:
+    def notify_rules(self, key: str, rights: list) -> None:
         self.sharing.driver.seats_held(*self.named[key], rights)
 
 
 @lru_cache(maxsize=1 << 16)
-def _mark(key: str) -> int:
+def _key_hash(key: str) -> int:
     return int.from_bytes(blake2b(key.encode(), digest_size=2).digest())
--- a/curlewshift/sharing/sharing.py
+++ b/curlewshift/sharing/sharing.py
@@ -1,7 +1,8 @@
-"""All that one front shares, brought together: loans of rights, counts of use, evidence on servers. Free of I/O.
+"""One front's part in sharing: loans of rights, counts of use, and evidence on media servers. Free of I/O.
 
-Held by peering/shared.py on sockets and by the emulator; both call `time` each `every`, hand on what comes, and carry out
-what is asked of `driver`. It reads the rules' own facts of servers and links, and writes facts that they read.
+Driven by peering/shared.py on sockets and by the emulator; both call `time` once each `every`, pass on received messages, and
+carry out what is called on `driver`. It reads the facts that the rules (the policy) hold about servers and links, and provides
+facts that the rules read.
 """
 
 from __future__ import annotations
@@ -12,26 +13,28 @@
 
 from curlewshift.model import Server
 from curlewshift.schedule.steady_clock import SteadyClock
-from curlewshift.sharing.budgets import FURTHER, SEAT, Further, Pool, Seats
+from curlewshift.sharing.budgets import FURTHER, SEAT, FurtherTuneIns, Pool, Seats
 from curlewshift.sharing.clock_watch import ClockWatch
-from curlewshift.sharing.counts import AGAIN, Counts, picked
-from curlewshift.sharing.evidence import FADES, Evidence
+from curlewshift.sharing.counts import RESEND_ROUNDS, Counts, picked
+from curlewshift.sharing.evidence import FADE_NS, Evidence
 from curlewshift.sharing.loans import Loans, dealt
 from curlewshift.sharing.standing import StandingLoans
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 
-# Rows of one message, of use a few less, as its answer has more to say of each; evidence is told to so many others a round, what
-# is worst or newest first.
-MOST_ROWS, MOST_USES = 16, 12
-TELL_EVIDENCE_TO = 3
-# A front that starts asks so many others for all that they have seen, each of whom tells of so many servers at the most.
-LEARN_OF, MOST_KNOWN = 3, 256
-# Links of no use to this front now whose use by others it asks for in one round.
-MOST_INTEREST = 64
+# Maximum rows of one message; rows of use are fewer, as the answer has longer rows. Each round, observations go to so many random
+# peers, those of servers found bad first.
+MAX_ROWS, MAX_USE_ROWS = 16, 12
+EVIDENCE_FANOUT = 3
+# A front that starts asks so many peers for all that they have observed; each answers with at most so many servers.
+LEARN_FANOUT, MAX_LEARNED_ROWS = 3, 256
+# Links this front does not use itself whose use by others it requests in one round.
+MAX_UNUSED_LINKS = 64
 UPLINK = "uplink "
 
 
 class Driver(Protocol):
+    """What `Sharing` calls on its environment: clock, messages to peers, facts of the rules and facts for them."""
+
     def now(self) -> int: ...
     def servers(self) -> Iterable[Server]: ...
     def rights_of(self, server: Server) -> int: ...
@@ -60,8 +63,9 @@
     def ask_what_is_known(self, to: str) -> None: ...
 
 
-class Watch:
-    """What this front has seen of one server of late: faded counts, and since when it answers without a break."""
+class OwnObservations:
+    """This front's own recent observations of one server: faded counts of good and bad signs, and `since` when (steady ns) it has
+    answered without a failure; -1 while it has not."""
 
     __slots__ = ("at", "bad", "good", "heard_at", "since", "trouble_at")
 
@@ -72,9 +76,9 @@
 
 
 class Sharing:
-    """`order` are the fronts' names as in the settings, the same at every front; `me` is this one's number in it. `life` is
-    the channel's. `warm_within` (ns) is how long a server takes to get warm. `together` are the budgets that all fronts have
-    together, beside those of cold servers."""
+    """One front's part in sharing. `order` are the fronts' names as in the settings, the same at every front; `me` is this
+    front's index in it. `life` is the channel's (one run of a process, numbered; a restart is a new life). `warm_within` (ns) is
+    how long a server takes to get warm. `together` are the budgets shared by all fronts, besides those of cold servers."""
 
     loans_class, seats_class, evidence_class = Loans, StandingLoans, Evidence
 
@@ -96,18 +100,18 @@
         self.loans = self.loans_class(self, me, terms, rng.getrandbits(40))
         self.pools: dict[str, Pool] = {}
         if together.free is not None:
-            self.pools[FURTHER] = Further(self, together.further_terms(terms), together.free, self.loans_class)
+            self.pools[FURTHER] = FurtherTuneIns(self, together.further_terms(terms), together.free, self.loans_class)
         if together.seats:
             self.pools[SEAT] = Seats(self, together.seat_terms(terms), together.titles, together.seats, self.seats_class)
         self.counts = Counts(self.name, terms)
         self.evidence = self.evidence_class(self.name, terms)
         self.clocks = ClockWatch(terms.drift)
         self.steady = SteadyClock(driver.now(), terms.window)
-        self.born = self.steady.last
-        self.watches: dict[Server, Watch] = {}
+        self.started_at = self.steady.last
+        self.own_observations: dict[Server, OwnObservations] = {}
         self.servers: dict[str, Server] = {}
         self.wanted_at: dict[Server, int] = {}
-        self.turn = rng.randrange(1 << 16)
+        self.rotation = rng.randrange(1 << 16)
         self.out = False
         self.reported_at: dict[str, int] = {}
         self.learning_of: set[str] = set()
@@ -118,21 +122,21 @@
     def time(self) -> None:
         now = self._now()
         servers = {server.name: server for server in self.driver.servers()}
-        names = [name for name in self.driver.members() if name in self.number_of and name != self.name]
-        self._watch_clock(set(names))
+        peers = [name for name in self.driver.members() if name in self.number_of and name != self.name]
+        self._check_clock(set(peers))
         if SEAT in self.pools:
-            # nothing that goes wrong further on keeps what has no right from being ended
+            # first, so that no error in a later step keeps sessions without a right from being ended
             self.pools[SEAT].loans.end_overdue()
-        self._lend_and_borrow(servers, names)
-        self._tell_use(servers, names, now)
-        self._look(servers, now)
-        self._tell_seen(servers, names, now)
-        self._believe(servers, now)
+        self._lend_and_borrow(servers, peers)
+        self._send_use(servers, peers, now)
+        self._observe_servers(servers, now)
+        self._send_observations(servers, peers, now)
+        self._apply_evidence(servers, now)
         self.counts.forget(now)
         self.evidence.forget(now)
 
-    def _watch_clock(self, names: set[str]) -> None:
-        self.clocks.forget(names)
+    def _check_clock(self, peers: set[str]) -> None:
+        self.clocks.forget(peers)
         if self.clocks.past_bound() is not self.out:
             self.out = not self.out
             for loans in (self.loans, *(pool.loans for pool in self.pools.values())):
@@ -141,52 +145,52 @@
 
     # ---- rights
 
-    def _lend_and_borrow(self, servers: dict[str, Server], names: list[str]) -> None:
+    def _lend_and_borrow(self, servers: dict[str, Server], peers: list[str]) -> None:
         for server in servers.values():
             if server.wanted_at != self.wanted_at.get(server, 0):
                 self.wanted_at[server] = server.wanted_at
                 self.loans.wants(server.name)
         self.servers = servers
-        self.turn += self.terms.most_asks
-        there = {self.number_of[name] for name in names}
-        self.loans.time(lambda key: self._owners(key, there))
+        self.rotation += self.terms.most_asks
+        present = {self.number_of[name] for name in peers}
+        self.loans.time(lambda key: self._owners(key, present))
         for pool in self.pools.values():
-            pool.time(there, self.turn)
-        self._write_rights(servers.values())
+            pool.time(present, self.rotation)
+        self._update_rights(servers.values())
         if len(self.reported_at) > 2 * len(servers) + 64:
             self.reported_at = {key: at for key, at in self.reported_at.items() if key in servers}
         if len(self.wanted_at) > 2 * len(servers) + 64:
             self.wanted_at = {server: at for server, at in self.wanted_at.items() if server.name in servers}
 
-    def _owners(self, key: str, there: set[int]) -> list[int]:
-        """Fronts that are in and have a part of this budget, each round from another on, so that all are asked in time."""
+    def _owners(self, key: str, present: set[int]) -> list[int]:
+        """Present fronts with a share of this budget, rotated each round so that each is asked in turn."""
         server, fronts = self.servers.get(key), len(self.order)
         if server is None:
             return []
         rights = self.driver.rights_of(server)
-        owners = [number for number in there if dealt(rights, number, fronts, server.mark)]
-        start = (self.turn + server.mark) % len(owners) if owners else 0
+        owners = [number for number in present if dealt(rights, number, fronts, server.mark)]
+        start = (self.rotation + server.mark) % len(owners) if owners else 0
         return owners[start:] + owners[:start]
 
     def part(self, key: str) -> int:
         server = self.servers.get(key)
         return dealt(self.driver.rights_of(server), self.me, len(self.order), server.mark) if server is not None else 0
 
-    def _write_rights(self, servers: Iterable[Server]) -> None:
-        """As facts for the rules: how many are in this front's hands, from when and until when."""
+    def _update_rights(self, servers: Iterable[Server]) -> None:
+        """Passes on to the rules how many rights this front has, from when and until when."""
         for server in servers:
             rights = self.loans.in_hand(server.name)
             if rights != server.rights:
                 self.driver.rights_held(server, rights)
 
     def sent(self, server: Server, further: bool = False) -> None:
-        """A set-up goes to this server now; `further` if it is not the first of its viewing."""
+        """A set-up is sent to this server now; `further` if it is not the first tune-in (set-up attempt) of its viewing."""
         self.loans.uses(server.name)
         if further and FURTHER in self.pools:
             self.pools[FURTHER].loans.uses(FURTHER)
 
     def _pool(self, key: str) -> Pool | None:
-        """The budget that this key is one of, where it is not a server's."""
+        """The budget this key belongs to; None for a server's."""
         return self.pools.get(SEAT if key.startswith(SEAT) else key)
 
     def ask(self, lender: int, number: int, keys: list[str]) -> None:
@@ -207,7 +211,7 @@
         return self.driver.now()
 
     def asked(self, by: str, life: int, number: int, keys: list[str]) -> None:
-        """The keys of one ask are all of one kind."""
+        """Handles a request for rights; all keys of one request belong to one budget."""
         if by not in self.number_of or not keys:
             return
         pool = self._pool(keys[0])
@@ -216,8 +220,8 @@
             pool.write([key for key in keys if key in pool.told])
             return
         self.loans.asked(self.number_of[by], number, keys)
-        # it is lent from this moment on, not from the next round
-        self._write_rights(self.servers[key] for key in keys if key in self.servers)
+        # the rights are lent from this moment on, not from the next round
+        self._update_rights(self.servers[key] for key in keys if key in self.servers)
 
     def lent(self, by: str, number: int, rights: list[tuple[str, int]]) -> None:
         if by not in self.number_of or not rights:
@@ -228,180 +232,181 @@
             pool.write([key for key, _ in rights if key in pool.told])
             return
         self.loans.lends(self.number_of[by], number, rights)
-        self._write_rights(self.servers[key] for key, _ in rights if key in self.servers)
+        self._update_rights(self.servers[key] for key, _ in rights if key in self.servers)
 
     # ---- counts
 
-    def _tell_use(self, servers: dict[str, Server], names: list[str], now: int) -> None:
+    def _send_use(self, servers: dict[str, Server], peers: list[str], now: int) -> None:
         counts = self.counts
-        # whose use by others this front wants to know: what it uses, and others in turn, as it may place there next
+        # the links whose use by others is of interest: those in use here, and a rotating part of the rest, as this front may
+        # place a viewing there next
         used = [server for server in servers.values() if server.link.own > 0]
         rest = [server for server in servers.values() if server.link.own <= 0]
         if rest:
-            start = counts.round * MOST_INTEREST // AGAIN % len(rest)
-            used += (rest[start:] + rest[:start])[:MOST_INTEREST]
+            start = counts.round * MAX_UNUSED_LINKS // RESEND_ROUNDS % len(rest)
+            used += (rest[start:] + rest[:start])[:MAX_UNUSED_LINKS]
         interest = {server.name: server.link.own for server in used}
-        # uplinks count as links do: what several servers share is where fronts that know one server each err most
+        # uplinks are counted as links are: fronts err most on what several servers share, as each front knows only some of them
         interest |= {UPLINK + server.rack.name: server.rack.link.own for server in used if server.rack.name}
-        counts.wanted(interest)
-        together: dict[str, list[tuple[str, float]]] = {}
-        everyone = [*names, self.name]
-        for key, value in counts.due():
-            together.setdefault(picked(key, everyone), []).append((key, value))
-        for adder, rows in together.items():
-            for at in range(0, len(rows), MOST_USES):
-                part = rows[at : at + MOST_USES]
+        counts.set_own_use(interest)
+        by_adder: dict[str, list[tuple[str, float]]] = {}
+        candidates = [*peers, self.name]
+        for key, value in counts.rows_due():
+            by_adder.setdefault(picked(key, candidates), []).append((key, value))
+        for adder, rows in by_adder.items():
+            for offset in range(0, len(rows), MAX_USE_ROWS):
+                batch = rows[offset : offset + MAX_USE_ROWS]
                 if adder == self.name:
-                    counts.heard(self.name, self.life, self.counts.round, part, now)
-                    counts.told(
+                    counts.use_received(self.name, self.life, self.counts.round, batch, now)
+                    counts.sums_received(
                         self.name,
                         self.life,
-                        self.counts.round * 1000 + at,
-                        counts.sums(self.name, [key for key, _ in part], now),
+                        self.counts.round * 1000 + offset,
+                        counts.sums(self.name, [key for key, _ in batch], now),
                         now,
                     )
                 else:
-                    self.driver.tell_use(adder, part)
+                    self.driver.tell_use(adder, batch)
 
     def use_told(self, by: str, life: int, number: int, rows: list[tuple[str, float]]) -> None:
-        """One of the others uses so much; it hears what the rest does."""
+        """A peer reported its own use; it is answered with the use by all others."""
         now = self._now()
-        self.counts.heard(by, life, number, rows, now)
+        self.counts.use_received(by, life, number, rows, now)
         self.driver.tell_sums(by, self.counts.sums(by, [key for key, _ in rows], now))
 
     def sums_told(self, by: str, life: int, number: int, rows: list[tuple[str, float, int, float, int]]) -> None:
-        self.counts.told(by, life, number, rows, self._now())
+        self.counts.sums_received(by, life, number, rows, self._now())
 
     def found_for_all(self, server: Server, use: float) -> None:
-        """This front asks that server for all, and was told how full its link is: it goes on with the sums."""
+        """This front probes the server for all fronts and learned the use of its link; the report goes out with the sums."""
         names = [name for name in self.driver.members() if name in self.number_of]
         adder = picked(server.name, [*{*names, self.name}])
         if adder == self.name:
-            self.counts.reported(server.name, use, self._now())
+            self.counts.link_use_reported(server.name, use, self._now())
         else:
             self.driver.tell_report(adder, [(server.name, use)])
 
     def report_told(self, by: str, rows: list[tuple[str, float]]) -> None:
         now = self._now()
         for key, use in rows:
-            self.counts.reported(key, use, now)
+            self.counts.link_use_reported(key, use, now)
 
     # ---- evidence
 
-    def _look(self, servers: dict[str, Server], now: int) -> None:
-        """What the rules hold of each server, as counts of good and bad signs."""
-        for server in [server for server in self.watches if server.name not in servers]:
-            del self.watches[server]
+    def _observe_servers(self, servers: dict[str, Server], now: int) -> None:
+        """Counts good and bad signs from what the rules know of each server."""
+        for server in [server for server in self.own_observations if server.name not in servers]:
+            del self.own_observations[server]
         for server in servers.values():
-            watch = self.watches.get(server)
-            if watch is None:
+            own = self.own_observations.get(server)
+            if own is None:
                 if not server.heard_at and not server.trouble_at:
                     continue
-                watch = self.watches[server] = Watch(now)
-            left = max(0.0, 1 - (now - watch.at) / FADES)
-            watch.good, watch.bad, watch.at = watch.good * left, watch.bad * left, now
-            if server.trouble_at != watch.trouble_at:
-                watch.trouble_at, watch.bad, watch.since = server.trouble_at, watch.bad + 1, -1
-            if server.heard_at != watch.heard_at:
-                # it could have started again in a long silence
-                silent = server.heard_at - watch.heard_at > self.warm_within // 2
-                watch.heard_at, watch.good = server.heard_at, watch.good + 1
-                if not server.failed and (watch.since < 0 or silent):
-                    watch.since = now
-
-    def _tell_seen(self, servers: dict[str, Server], names: list[str], now: int) -> None:
-        rows = self._seen_here(now)
-        self.evidence.heard(self.name, self.life, self.counts.round, rows, now)
-        # the bad first, then in turn: all are told some time
+                own = self.own_observations[server] = OwnObservations(now)
+            remaining = max(0.0, 1 - (now - own.at) / FADE_NS)
+            own.good, own.bad, own.at = own.good * remaining, own.bad * remaining, now
+            if server.trouble_at != own.trouble_at:
+                own.trouble_at, own.bad, own.since = server.trouble_at, own.bad + 1, -1
+            if server.heard_at != own.heard_at:
+                # the server could have restarted during a long silence
+                after_silence = server.heard_at - own.heard_at > self.warm_within // 2
+                own.heard_at, own.good = server.heard_at, own.good + 1
+                if not server.failed and (own.since < 0 or after_silence):
+                    own.since = now
+
+    def _send_observations(self, servers: dict[str, Server], peers: list[str], now: int) -> None:
+        rows = self._own_observation_rows(now)
+        self.evidence.observations_received(self.name, self.life, self.counts.round, rows, now)
+        # servers found bad first, then the others in rotation, so that all are reported in time
         rows.sort(key=lambda row: row[2] < 0.5)
-        bad = [row for row in rows if row[2] >= 0.5][: MOST_ROWS // 2]
-        well = rows[len(bad) :]
-        if well:
-            start = self.counts.round * (MOST_ROWS - len(bad)) % len(well)
-            bad += (well[start:] + well[:start])[: MOST_ROWS - len(bad)]
-        if bad and names:
-            for name in self.rng.sample(names, min(TELL_EVIDENCE_TO, len(names))):
+        bad = [row for row in rows if row[2] >= 0.5][: MAX_ROWS // 2]
+        good = rows[len(bad) :]
+        if good:
+            start = self.counts.round * (MAX_ROWS - len(bad)) % len(good)
+            bad += (good[start:] + good[:start])[: MAX_ROWS - len(bad)]
+        if bad and peers:
+            for name in self.rng.sample(peers, min(EVIDENCE_FANOUT, len(peers))):
                 self.driver.tell_seen(name, bad)
 
-    def _seen_here(self, now: int) -> list[tuple[str, float, float, int]]:
-        """What this front has seen itself; what the list says of a server's start is every front's to read."""
+    def _own_observation_rows(self, now: int) -> list[tuple[str, float, float, int]]:
+        """This front's own observations; the start time in the server list is not included, as every front reads it there."""
         return [
-            (server.name, round(watch.good, 2), round(watch.bad, 2), now - watch.since if watch.since >= 0 else 0)
-            for server, watch in self.watches.items()
-            if watch.good + watch.bad > 0.2
+            (server.name, round(own.good, 2), round(own.bad, 2), now - own.since if own.since >= 0 else 0)
+            for server, own in self.own_observations.items()
+            if own.good + own.bad > 0.2
         ]
 
     def seen_told(self, by: str, life: int, number: int, rows: list[tuple[str, float, float, int]]) -> None:
         self.learned_of.add(by)
-        self.evidence.heard(by, life, number, rows, self._now())
+        self.evidence.observations_received(by, life, number, rows, self._now())
 
-    def _believe(self, servers: dict[str, Server], now: int) -> None:
+    def _apply_evidence(self, servers: dict[str, Server], now: int) -> None:
         doubted, reading = self.evidence.doubts(now), self.driver.now()
         racks = {server.rack.name: server for server in servers.values() if server.rack.name}
         for name, server in racks.items():
-            told = self.counts.of_others(UPLINK + name, now)
-            if told is not None:
-                self.driver.uplink_counted(server, *told)
-        for key, (use, at) in self.counts.found.items():
+            use_of_others = self.counts.use_of_others(UPLINK + name, now)
+            if use_of_others is not None:
+                self.driver.uplink_counted(server, *use_of_others)
+        for key, (use, at) in self.counts.link_use.items():
             if key in servers and at > self.reported_at.get(key, -1):
                 self.reported_at[key] = at
                 self.driver.link_reported(servers[key], use)
         for server in servers.values():
             if server.doubted is not (server.name in doubted):
                 self.driver.doubted(server, server.name in doubted)
-            told = self.counts.of_others(server.name, now)
-            if told is not None:
-                self.driver.counted(server, *told)
-            if server.unproven_until > reading and self.evidence.warm(server.name, self.warm_within, self.born, now):
+            use_of_others = self.counts.use_of_others(server.name, now)
+            if use_of_others is not None:
+                self.driver.counted(server, *use_of_others)
+            if server.unproven_until > reading and self.evidence.warm(server.name, self.warm_within, self.started_at, now):
                 self.driver.seen_warm(server)
 
     def clock_told(self, by: str, life: int, reading: int) -> None:
-        self.clocks.heard(by, life, reading, self.driver.now())
+        self.clocks.add_reading(by, life, reading, self.driver.now())
 
-    # ---- a start
+    # ---- learning from peers at start
 
     def learn(self) -> None:
-        """Asks some peers for all that they have seen themselves, as a front that starts does before its door opens."""
-        names = [name for name in self.driver.members() if name in self.number_of and name != self.name]
-        for name in self.rng.sample(names, min(LEARN_OF, len(names))):
+        """Asks some peers for all their observations, as a front that starts does before it accepts viewers."""
+        peers = [name for name in self.driver.members() if name in self.number_of and name != self.name]
+        for name in self.rng.sample(peers, min(LEARN_FANOUT, len(peers))):
             if name not in self.learning_of:
                 self.learning_of.add(name)
                 self.driver.ask_what_is_known(name)
 
     def learned(self) -> bool:
-        """Whether all that were asked have answered."""
+        """Whether all peers that were asked have answered."""
         return bool(self.learning_of) and self.learning_of <= self.learned_of
 
     def known_asked(self, by: str) -> None:
-        rows = sorted(self._seen_here(self._now()), key=lambda row: row[2] < 0.5)[:MOST_KNOWN]
-        for at in range(0, max(1, len(rows)), MOST_ROWS):
-            # one that has seen nothing says so too
-            self.driver.tell_seen(by, rows[at : at + MOST_ROWS])
+        rows = sorted(self._own_observation_rows(self._now()), key=lambda row: row[2] < 0.5)[:MAX_LEARNED_ROWS]
+        for offset in range(0, max(1, len(rows)), MAX_ROWS):
+            # a front without observations answers with an empty message
+            self.driver.tell_seen(by, rows[offset : offset + MAX_ROWS])
 
     def snapshot(self) -> dict:
-        """What is worth knowing after a restart, as plain data with ages (ns): no rights, they are a life's own."""
+        """State worth keeping over a restart, as plain data with ages (ns). Rights are left out: they belong to one life."""
         now = self.steady.last
         return {
             "counts": [[key, value, now - at] for key, (value, at) in self.counts.others.items()],
             "seen": [
-                [server, front, word.life, word.number, word.good, word.bad, now - word.at]
-                for server, words in self.evidence.words.items()
-                for front, word in words.items()
+                [server, front, observation.life, observation.number, observation.good, observation.bad, now - observation.at]
+                for server, observations in self.evidence.words.items()
+                for front, observation in observations.items()
             ],
         }
 
-    def restore(self, kept: dict, away: int) -> None:
-        """A snapshot of an earlier life, so long (ns) ago. It dates from before this start: it doubts, and proves nothing
-        warm."""
+    def restore(self, snapshot: dict, away: int) -> None:
+        """Restores a snapshot of an earlier life, taken `away` ns ago. As it dates from before this start it can raise doubts
+        about a server, but cannot prove one warm."""
         now = self._now()
-        for key, value, age in kept["counts"]:
+        for key, value, age in snapshot["counts"]:
             if 0 <= age + away < 4 * self.terms.ages:
                 self.counts.others[key] = (value, now - age - away)
-        for server, front, life, number, good, bad, age in kept["seen"]:
-            if front != self.name and 0 <= age + away < 4 * FADES:
-                self.evidence.heard(front, life, number, [(server, good, bad, 0)], now - age - away)
+        for server, front, life, number, good, bad, age in snapshot["seen"]:
+            if front != self.name and 0 <= age + away < 4 * FADE_NS:
+                self.evidence.observations_received(front, life, number, [(server, good, bad, 0)], now - age - away)
 
-    # ---- time
+    # ---- clock
 
     def _now(self) -> int:
         now = self.steady.read(self.driver.now())
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,4 +1,5 @@
-"""Budgets that all fronts have together beside cold servers': seats and further tune-ins; what a start learns of its peers."""
+"""Tests of budgets shared by all fronts beside those of cold servers: seats and further tune-ins; and what a front learns from
+its peers at start."""
 
 import random
 import unittest
@@ -24,41 +25,41 @@
 )
 
 
-class SeatNet:
-    """Two fronts and one seat, the first's own; words are handed on by the test, or lost by it."""
+class SeatNetwork:
+    """Two fronts and one seat, the first front's own; the test delivers or drops messages."""
 
     def __init__(self):
-        self.clock, self.words, self.stands, self.ended = 100 * SECOND, [], [0, 0], []
+        self.clock, self.messages, self.sessions, self.ended = 100 * SECOND, [], [0, 0], []
         self.ending, self.out = False, [False, False]
         self.fronts = [
-            StandingLoans(SeatEnd(self, number), number, TOGETHER.seat_terms(TERMS), 1000 * number) for number in range(2)
+            StandingLoans(SeatEndpoint(self, number), number, TOGETHER.seat_terms(TERMS), 1000 * number) for number in range(2)
         ]
         for front in self.fronts:
             front.quiet_until = 0
 
-    def later(self, seconds, heard=True):
+    def advance(self, seconds, delivered=True):
         for _ in range(round(seconds * 4)):
             self.clock += SECOND // 4
             for front in self.fronts:
                 front.time(lambda key: [0])
-                if heard:
-                    self.hand_on()
-            self.words = self.words if heard else []
+                if delivered:
+                    self.deliver()
+            self.messages = self.messages if delivered else []
 
-    def hand_on(self):
-        while self.words:
-            to, what, arguments = self.words.pop(0)
+    def deliver(self):
+        while self.messages:
+            to, what, arguments = self.messages.pop(0)
             getattr(self.fronts[to], what)(*arguments)
 
-    def seat_at_the_other(self):
+    def with_seat_lent(self):
         self.fronts[1].wants("k")
-        self.later(0.5)
-        self.stands[1] = 1
+        self.advance(0.5)
+        self.sessions[1] = 1
         self.fronts[1].uses("k")
         return self
 
 
-class SeatEnd:
+class SeatEndpoint:
     def __init__(self, net, number, life=1):
         self.net, self.number, self.life = net, number, life
 
@@ -69,106 +70,106 @@
         return int(self.number == 0)
 
     def in_use(self, key):
-        return self.net.stands[self.number]
+        return self.net.sessions[self.number]
 
     def ending(self, key):
         return self.net.ending
 
-    def end_some(self, key, count):
+    def end_uses(self, key, count):
         if self.net.out[self.number]:
             return
         self.net.ended.append((self.net.clock, self.number, count))
-        self.net.stands[self.number] -= count
+        self.net.sessions[self.number] -= count
 
     def ask(self, lender, number, keys):
-        self.net.words.append((lender, "asked", (self.number, number, keys, self.life)))
+        self.net.messages.append((lender, "asked", (self.number, number, keys, self.life)))
 
     def lend(self, borrower, number, rights):
-        self.net.words.append((borrower, "lends", (self.number, number, rights)))
+        self.net.messages.append((borrower, "lends", (self.number, number, rights)))
 
     def give_back(self, lender, number, key):
-        self.net.words.append((lender, "given_back", (self.number, number, key)))
+        self.net.messages.append((lender, "given_back", (self.number, number, key)))
 
 
 class Seats(unittest.TestCase):
-    def test_a_seat_stays_lent_for_as_long_as_somebody_sits_on_it_and_returns_after(self):
-        net = SeatNet().seat_at_the_other()
-        net.later(60)
+    def test_seat_stays_lent_while_in_use_and_returns_after(self):
+        net = SeatNetwork().with_seat_lent()
+        net.advance(60)
         self.assertEqual(([front.may_use("k") for front in net.fronts], net.ended), ([0, 1], []))
-        net.stands[1] = 0
-        net.later(0.5)
+        net.sessions[1] = 0
+        net.advance(0.5)
         self.assertEqual([front.may_use("k") for front in net.fronts], [0, 0])
-        net.later(8)
+        net.advance(8)
         self.assertEqual([front.may_use("k") for front in net.fronts], [1, 0])
 
-    def test_a_borrower_that_hears_nothing_ends_what_stands_on_it_before_the_lender_has_it_back(self):
-        net = SeatNet().seat_at_the_other()
-        net.later(30, heard=False)
-        self.assertEqual((len(net.ended), net.stands), (1, [0, 0]))
-        net = SeatNet().seat_at_the_other()
+    def test_cut_off_borrower_ends_its_session_before_the_seat_returns(self):
+        net = SeatNetwork().with_seat_lent()
+        net.advance(30, delivered=False)
+        self.assertEqual((len(net.ended), net.sessions), (1, [0, 0]))
+        net = SeatNetwork().with_seat_lent()
         began = net.clock
         while not net.fronts[0].may_use("k"):
-            net.later(0.25, heard=False)
+            net.advance(0.25, delivered=False)
         self.assertLess(net.ended[0][0], net.clock - TOGETHER.lingers // 2)
         self.assertLess(net.ended[0][0], began + TOGETHER.seat_term)
 
-    def test_a_later_life_of_the_borrower_does_not_get_what_an_earlier_one_left_somebody_sitting_on(self):
-        net = SeatNet().seat_at_the_other()
-        net.fronts[1] = StandingLoans(SeatEnd(net, 1, life=2), 1, TOGETHER.seat_terms(TERMS), 5000)
-        net.fronts[1].quiet_until, net.stands[1] = 0, 0
+    def test_later_life_of_the_borrower_does_not_get_a_seat_in_use(self):
+        net = SeatNetwork().with_seat_lent()
+        net.fronts[1] = StandingLoans(SeatEndpoint(net, 1, life=2), 1, TOGETHER.seat_terms(TERMS), 5000)
+        net.fronts[1].quiet_until, net.sessions[1] = 0, 0
         net.fronts[1].wants("k")
-        net.later(2)
+        net.advance(2)
         self.assertEqual(net.fronts[1].may_use("k"), 0)
 
-    def test_who_sits_on_its_own_seat_lends_it_to_nobody(self):
-        net = SeatNet()
-        net.stands[0] = 1
+    def test_own_seat_in_use_is_not_lent(self):
+        net = SeatNetwork()
+        net.sessions[0] = 1
         net.fronts[1].wants("k")
-        net.later(2)
+        net.advance(2)
         self.assertEqual([front.may_use("k") for front in net.fronts], [1, 0])
 
-    def test_what_stands_on_a_loan_ends_when_the_loan_is_lost_by_a_doubted_clock_or_a_step_back(self):
-        net = SeatNet().seat_at_the_other()
+    def test_session_ends_when_its_loan_is_lost_by_clock_doubt_or_step_back(self):
+        net = SeatNetwork().with_seat_lent()
         net.fronts[1].withdraw(True)
-        net.later(0.25)
-        self.assertEqual((len(net.ended), net.stands), (1, [0, 0]))
-        net = SeatNet().seat_at_the_other()
+        net.advance(0.25)
+        self.assertEqual((len(net.ended), net.sessions), (1, [0, 0]))
+        net = SeatNetwork().with_seat_lent()
         net.clock -= SECOND
-        net.later(0.25)
-        self.assertEqual((len(net.ended), net.stands), (1, [0, 0]))
+        net.advance(0.25)
+        self.assertEqual((len(net.ended), net.sessions), (1, [0, 0]))
 
-    def test_a_set_up_that_is_out_when_its_loan_ends_is_ended_once_it_plays(self):
-        net = SeatNet().seat_at_the_other()
+    def test_set_up_under_way_when_its_loan_ends_is_ended_once_it_plays(self):
+        net = SeatNetwork().with_seat_lent()
         net.out[1] = True
-        net.later(TOGETHER.seat_term // SECOND + 1, heard=False)
-        self.assertEqual((net.ended, net.stands), ([], [0, 1]))
+        net.advance(TOGETHER.seat_term // SECOND + 1, delivered=False)
+        self.assertEqual((net.ended, net.sessions), ([], [0, 1]))
         net.out[1] = False
-        net.later(0.25, heard=False)
-        self.assertEqual((len(net.ended), net.stands), (1, [0, 0]))
+        net.advance(0.25, delivered=False)
+        self.assertEqual((len(net.ended), net.sessions), (1, [0, 0]))
 
-    def test_the_lender_waits_for_a_set_up_that_was_out_when_the_loan_ended(self):
+    def test_lender_waits_for_a_set_up_under_way_when_the_loan_ended(self):
         patient = TOGETHER.patient(lambda package: 3 * SECOND)
         self.assertGreater(patient.seat_terms(TERMS).back_after, TOGETHER.seat_terms(TERMS).back_after + 3 * SECOND)
 
-    def test_an_ask_that_is_older_than_the_loan_does_not_name_it(self):
-        net = SeatNet().seat_at_the_other()
+    def test_request_older_than_the_loan_does_not_renumber_it(self):
+        net = SeatNetwork().with_seat_lent()
         lender, (_, borrower, number) = net.fronts[0], net.fronts[0].lent["k"]
         lender.asked(borrower, number - 1, ["k"], 1)
         lender.given_back(borrower, number - 1, "k")
         until, *named = lender.lent["k"]
         self.assertEqual((named, until > lender.steady.last + lender.terms.rest), ([borrower, number], True))
 
-    def test_a_seat_whose_end_its_server_may_not_have_heard_of_is_lent_to_nobody(self):
-        net = SeatNet()
+    def test_seat_whose_session_end_is_unconfirmed_is_not_lent(self):
+        net = SeatNetwork()
         net.ending = True
         net.fronts[1].wants("k")
-        net.later(1)
+        net.advance(1)
         self.assertEqual([front.may_use("k") for front in net.fronts], [1, 0])
         net.ending = False
-        net.later(0.5)
+        net.advance(0.5)
         self.assertEqual([front.may_use("k") for front in net.fronts], [0, 1])
 
-    def test_no_more_ever_sit_than_there_are_seats(self):
+    def test_histories_never_use_more_seats_than_there_are(self):
         self.assertEqual(overdrawn(range(40), StandingLoans, SeatHistory), [])
 
     def test_each_planted_fault_is_found(self):
@@ -178,14 +179,14 @@
 
 
 class Fleet:
-    """Fronts with desks whose words arrive at once, or not at all for who is `cut` off."""
+    """Fronts with session cores whose messages arrive at once, or not at all for the names in `cut`."""
 
     def __init__(self, size=3, together=TOGETHER):
         self.clock, self.cut, self.size, self.together = 1000 * SECOND, set(), size, together
         self.fakes = [FakeDriver(fronts=size, me=number) for number in range(size)]
         self.ends = [End(self, number) for number in range(size)]
 
-    def later(self, seconds):
+    def advance(self, seconds):
         for _ in range(round(seconds * 4)):
             self.clock += SECOND // 4
             for end in self.ends:
@@ -195,20 +196,20 @@
 
 class End:
     def __init__(self, fleet, number, life=1):
-        self.fleet, self.fake, self.life, self.spoken = fleet, fleet.fakes[number], life, 0
+        self.fleet, self.fake, self.life, self.messages_sent = fleet, fleet.fakes[number], life, 0
         self.session_core = self.fake.session_core
         self.sharing = Sharing(
             self, [f"f{n}" for n in range(fleet.size)], number, life, TERMS, 8 * SECOND, random.Random(number), fleet.together
         )
 
     def __getattr__(self, name):
-        """Facts go to the desk."""
+        """Passes facts on to the session core."""
         return getattr(self.session_core, name)
 
-    def say(self, to, what, *words):
+    def send(self, to, what, *arguments):
         if {to, self.sharing.name} & self.fleet.cut:
             return
-        getattr(self.fleet.ends[int(to[1:])].sharing, what)(self.sharing.name, *words)
+        getattr(self.fleet.ends[int(to[1:])].sharing, what)(self.sharing.name, *arguments)
 
     def now(self):
         return self.fleet.clock
@@ -223,32 +224,32 @@
         return [f"f{n}" for n in range(self.fleet.size)]
 
     def ask(self, to, number, keys):
-        self.say(to, "asked", self.life, number, keys)
+        self.send(to, "asked", self.life, number, keys)
 
     def lend(self, to, number, rights):
-        self.say(to, "lent", number, rights)
+        self.send(to, "lent", number, rights)
 
     def give_back_to(self, to, number, key):
-        self.say(to, "given_back", number, key)
+        self.send(to, "given_back", number, key)
 
-    def told(self, to, what, rows):
-        self.spoken += 1
-        self.say(to, what, self.life, self.spoken, rows)
+    def send_rows(self, to, what, rows):
+        self.messages_sent += 1
+        self.send(to, what, self.life, self.messages_sent, rows)
 
     def tell_use(self, to, rows):
-        self.told(to, "use_told", rows)
+        self.send_rows(to, "use_told", rows)
 
     def tell_sums(self, to, rows):
-        self.told(to, "sums_told", rows)
+        self.send_rows(to, "sums_told", rows)
 
     def tell_seen(self, to, rows):
-        self.told(to, "seen_told", rows)
+        self.send_rows(to, "seen_told", rows)
 
     def tell_report(self, to, rows):
-        self.say(to, "report_told", rows)
+        self.send(to, "report_told", rows)
 
     def ask_what_is_known(self, to):
-        self.say(to, "known_asked")
+        self.send(to, "known_asked")
 
     def further_wanted_at(self):
         return self.session_core.rules.further_wanted_at
@@ -280,47 +281,47 @@
             end.session_core.played(tune_in, f"session {name}")
         return bool(out)
 
-    def test_one_seat_of_all_fronts_goes_to_who_asks_and_to_nobody_else_meanwhile(self):
+    def test_single_seat_of_all_fronts_is_used_by_one_front_at_a_time(self):
         fleet = Fleet()
-        fleet.later(12)
+        fleet.advance(12)
         self.assertEqual([self.plays(end, f"a{n}") for n, end in enumerate(fleet.ends)].count(True), 1)
-        fleet.later(4)
+        fleet.advance(4)
         self.assertEqual([self.plays(end, f"b{n}") for n, end in enumerate(fleet.ends)].count(True), 0)
         self.assertEqual(sum(end.seats_in_use("clip", "t1") for end in fleet.ends), 1)
 
-    def test_a_front_that_starts_takes_nothing_up_that_it_has_no_right_for(self):
+    def test_starting_front_restores_no_session_without_a_right(self):
         fleet = Fleet()
         for end in fleet.ends:
             with self.assertRaises(InvalidRequest):
                 end.session_core.handed_over("clip", "t1", 1, end.servers()[0], "remembered", 1)
 
-    def test_what_sits_on_a_lent_seat_ends_when_its_front_hears_nobody(self):
+    def test_session_on_a_lent_seat_ends_when_its_front_is_cut_off(self):
         fleet = Fleet()
-        fleet.later(12)
+        fleet.advance(12)
         owner = next(end for end in fleet.ends if end.sharing.pools[SEAT].part(f"{SEAT}clip t1"))
         other = next(end for end in fleet.ends if end is not owner)
         self.assertFalse(self.plays(other, "a"))
-        fleet.later(1)
+        fleet.advance(1)
         self.assertTrue(self.plays(other, "b"))
-        fleet.later(20)
+        fleet.advance(20)
         self.assertEqual(other.seats_in_use("clip", "t1"), 1)
         fleet.cut.add(other.sharing.name)
-        fleet.later(5)
+        fleet.advance(5)
         self.assertEqual((other.seats_in_use("clip", "t1"), owner.seats_in_use("clip", "t1")), (0, 0))
 
-    def test_the_free_further_tune_ins_are_the_fleets_and_not_each_fronts(self):
+    def test_free_further_tune_ins_are_shared_by_all_fronts(self):
         fleet = Fleet()
-        fleet.later(30)
+        fleet.advance(30)
         held = [end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends]
         self.assertEqual(sum(held), 1)
         other = fleet.ends[held.index(0)]
         rules = other.session_core.rules
         self.assertFalse(rules._budget_left(SimpleNamespace(tune_ins=1)))
-        fleet.later(1)
+        fleet.advance(1)
         self.assertTrue(rules._budget_left(SimpleNamespace(tune_ins=1)))
         rules.further.append(fleet.clock)
         other.sharing.sent(other.servers()[0], True)
-        fleet.later(1)
+        fleet.advance(1)
         self.assertEqual(sum(end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends), 0)
         self.assertEqual(other.sharing.pools[FURTHER].loans.got, 1)
 
@@ -328,28 +329,28 @@
         fleet = Fleet(2)
         rack = fleet.ends[0].servers()[0].rack
         rack.link.own = fleet.ends[0].servers()[0].link.own = 700.0
-        fleet.later(2)
+        fleet.advance(2)
         there = fleet.ends[1].servers()[0].rack.link
         self.assertAlmostEqual(there.counted, 700.0)
 
-    def test_what_one_finds_for_all_reaches_the_others_as_a_report_and_not_as_a_sign_of_life(self):
+    def test_probe_result_reaches_others_as_report_and_not_as_sign_of_life(self):
         fleet = Fleet(3)
-        fleet.later(1)
+        fleet.advance(1)
         for end in fleet.ends:
             for server in end.servers():
                 server.link.own = 10.0
         one = fleet.ends[0]
         one.sharing.found_for_all(one.servers()[0], 0.75)
-        fleet.later(1.5)
+        fleet.advance(1.5)
         others = [end.servers()[0] for end in fleet.ends]
         self.assertEqual([server.link.told for server in others], [True] * 3)
         self.assertEqual([server.heard_at for server in others], [0] * 3)
         at = [server.link.told_at for server in others]
-        fleet.later(1)
+        fleet.advance(1)
         self.assertEqual([server.link.told_at for server in others], at)
 
-    def test_with_rights_dealt_out_nothing_goes_beside_them_to_a_server_that_may_be_cold(self):
-        # two fronts that had just started sent by their ration what no right was there for: 4 set-ups where 3 were borne
+    def test_possibly_cold_server_gets_set_ups_by_rights_only(self):
+        # Two fronts that had just started sent set-ups by their ration without a right: 4 set-ups where the server could take 3.
         story = Story(1, fronts=40)
         server = story.servers[0]
         server.unproven_until = story.host.clock + 8 * SECOND
@@ -360,8 +361,8 @@
         server.rights = [(story.host.clock + SECOND, 2**63, 1)]
         self.assertFalse(story.rules._may_send(server))
 
-    def test_a_server_that_is_new_gets_nothing_before_its_rights_are_told(self):
-        # of two rights three were used: one by a front that had them, two by one whose turn it was by the clock
+    def test_new_server_gets_nothing_before_its_rights_are_known(self):
+        # Three set-ups were sent on two rights: one by a front that had a right, two by a front whose turn it was by the clock.
         story = Story(1, fronts=1)
         server = story.servers[0]
         story.list(server, started=story.host.clock)
@@ -372,20 +373,20 @@
         self.assertTrue(story.rules._may_send(server))
 
 
-class AtAStart(unittest.TestCase):
+class LearningAtStart(unittest.TestCase):
     def seen(self):
         fleet = Fleet()
         for end in fleet.ends[1:]:
             for server in end.servers():
                 server.heard_at = fleet.clock
         for _ in range(12):
-            fleet.later(1)
+            fleet.advance(1)
             for end in fleet.ends[1:]:
                 for server in end.servers():
                     server.heard_at = fleet.clock
         return fleet
 
-    def test_it_asks_what_its_peers_know_and_their_proofs_make_servers_warm(self):
+    def test_start_learns_from_peers_that_servers_are_warm(self):
         fleet = self.seen()
         fleet.fakes[0] = FakeDriver(fronts=3, me=0)
         end = fleet.ends[0] = End(fleet, 0, life=2)
@@ -395,29 +396,29 @@
         self.assertFalse(end.sharing.learned())
         end.sharing.learn()
         self.assertTrue(end.sharing.learned())
-        fleet.later(0.25)
+        fleet.advance(0.25)
         self.assertEqual([server.unproven_until for server in end.servers()], [0] * 4)
 
-    def test_alone_it_goes_on_asking_and_is_held_up_by_whoever_holds_it_up(self):
+    def test_cut_off_front_has_not_learned(self):
         fleet = Fleet()
         fleet.cut = {"f1", "f2"}
         fleet.ends[0].sharing.learn()
         self.assertFalse(fleet.ends[0].sharing.learned())
 
-    def test_what_was_kept_comes_back_older_by_the_time_between_and_proves_nothing_warm(self):
+    def test_restored_evidence_is_aged_and_proves_nothing_warm(self):
         fleet = self.seen()
         for end in fleet.ends[1:]:
             end.servers()[0].trouble_at = fleet.clock
-        fleet.later(1)
+        fleet.advance(1)
         kept = fleet.ends[0].sharing.snapshot()
         again = End(fleet, 0, life=2)
         again.sharing.restore(kept, 5 * SECOND)
         name = fleet.ends[0].servers()[0].name
         self.assertLess(
-            again.sharing.evidence.lean(name, "f1", fleet.clock)[1],
-            fleet.ends[0].sharing.evidence.lean(name, "f1", fleet.clock)[1],
+            again.sharing.evidence.faded_counts(name, "f1", fleet.clock)[1],
+            fleet.ends[0].sharing.evidence.faded_counts(name, "f1", fleet.clock)[1],
         )
-        self.assertGreater(again.sharing.evidence.lean(name, "f1", fleet.clock)[1], 0)
+        self.assertGreater(again.sharing.evidence.faded_counts(name, "f1", fleet.clock)[1], 0)
         self.assertFalse(any(again.sharing.evidence.warm(server.name, 8 * SECOND, 0, fleet.clock) for server in again.servers()))
         empty = End(fleet, 0, life=3)
         empty.sharing.restore(kept, 1000 * SECOND)
@@ -442,7 +443,7 @@
 )
 
 
-class Judging(unittest.TestCase):
+class BudgetVerdict(unittest.TestCase):
     def day(self, *rows):
         events = [{"ev": "front-up", "at": 0, "front": front, "life": f"{front}.1"} for front in ("a", "b")]
         return judge_bounds(events + list(rows), FIGURES, frozenset(("further-tune-ins", "seats")))
@@ -466,7 +467,7 @@
         self.assertEqual((apart["further"]["overdrawn"], apart["further"]["checked"]), (0, 2))
         self.assertEqual(self.day(*self.setup(1, "a", "v1", 2, 2), *self.setup(5, "b", "v2", 2, 6))["further"]["overdrawn"], 1)
 
-    def test_what_a_front_without_a_path_takes_from_the_others_is_told(self):
+    def test_harm_to_others_by_a_front_without_a_path_is_reported(self):
         def day(status):
             rows = [{"ev": "bad-path", "at": 20 * SECOND, "lasts": 8, "fronts": ["a"]}]
             for at in range(10, 28):
