--- a/curlewshift/leases/__init__.py
+++ b/curlewshift/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Who may do a fleet-wide task now, and the number that fences it. Free of I/O."""
+"""Leases: which front may do a fleet-wide task now, and the fencing token of its tenure. Free of I/O."""
--- a/curlewshift/leases/acceptor.py
+++ b/curlewshift/leases/acceptor.py
@@ -1,7 +1,8 @@
-"""One of those whose majority decides who holds a lease (an acceptor of PaxosLease; Trencseni, Gazso, Reinhardt 2012).
+"""An acceptor of PaxosLease (Trencseni, Gazso, Reinhardt 2012): a majority of the acceptors decides who holds a lease.
 
-Nothing is on a disk: a keeper that starts keeps still until all that an earlier life may have accepted is over. Its time
-leaves out what it slept through and any step ahead: it may hold to a lease for too long, and never for too short.
+Nothing is stored on disk: an acceptor that starts stays silent until everything an earlier life (run of its process) may have
+accepted has expired. Its clock leaves out the time it was suspended and any step ahead: it may hold on to a lease for too long,
+but never for too short a time.
 """
 
 from __future__ import annotations
@@ -13,11 +14,13 @@
 from curlewshift.leases.terms import LeaseTerms
 from curlewshift.schedule.steady_clock import SteadyClock
 
-# Leases that one keeper knows; who asks for more is not answered.
-MOST = 8192
+# Maximum leases of one acceptor; requests for further ones are not answered.
+MAX_LEASES = 8192
 
 
 class Driver(Protocol):
+    """What the acceptor calls on its environment: the clock (ns) and its answers to proposers."""
+
     def now(self) -> int: ...
     def promise(self, proposer: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None: ...
     def accept(self, proposer: int, lease: str, ballot: Ballot) -> None: ...
@@ -26,7 +29,8 @@
 
 @dataclass(slots=True)
 class AcceptedLease:
-    """`fence` is the highest number that a tenure accepted here had; it outlasts the tenure."""
+    """The acceptor's state of one lease. `fence` is the highest fencing token of any tenure accepted here; it outlasts the
+    tenure."""
 
     promised: Ballot = NONE
     accepted: Ballot = NONE
@@ -36,6 +40,8 @@
 
 
 class LeaseAcceptor:
+    """The acceptor of all leases at one front."""
+
     def __init__(self, driver: Driver, terms: LeaseTerms):
         self.driver, self.terms = driver, terms
         self.steady = SteadyClock(driver.now(), terms.every)
@@ -44,53 +50,54 @@
         self.leases: dict[str, AcceptedLease] = {}
 
     def time(self) -> None:
-        """Each `every`: between two of them nothing else tells a stall from time."""
+        """Called each `every`: only regular calls make it possible to tell a stall from time that passed."""
         self.steady.due = self._now() + self.terms.every
 
     def silent(self) -> bool:
         return self._now() < self.silent_until
 
     def prepare(self, proposer: int, lease: str, ballot: Ballot) -> None:
-        """An asker wants to know who holds, and that no lower ballot comes through here any more."""
+        """A proposer asks who holds the lease, and that no lower ballot is accepted here from now on."""
         now = self._now()
-        kept = self._heard(proposer, lease, ballot, now)
-        if kept is None:
+        state = self._admit(proposer, lease, ballot, now)
+        if state is None:
             return
-        kept.promised = ballot
-        self._let_go(kept, now)
-        self.driver.promise(proposer, lease, ballot, kept.holder, kept.accepted, kept.fence)
+        state.promised = ballot
+        self._expire(state, now)
+        self.driver.promise(proposer, lease, ballot, state.holder, state.accepted, state.fence)
 
     def propose(self, proposer: int, lease: str, ballot: Ballot, fence: int) -> None:
         now = self._now()
-        kept = self._heard(proposer, lease, ballot, now)
-        if kept is None:
+        state = self._admit(proposer, lease, ballot, now)
+        if state is None:
             return
-        kept.promised = kept.accepted = ballot
-        kept.holder, kept.until, kept.fence = proposer, now + self.terms.kept, max(kept.fence, fence)
+        state.promised = state.accepted = ballot
+        state.holder, state.until, state.fence = proposer, now + self.terms.kept, max(state.fence, fence)
         self.driver.accept(proposer, lease, ballot)
 
     def released(self, proposer: int, lease: str, ballot: Ballot) -> None:
-        """The holder has stopped. A word on another ballot than the one held to changes nothing."""
-        kept = self.leases.get(lease)
-        if kept is not None and kept.accepted == ballot and kept.holder == proposer:
-            kept.accepted, kept.holder, kept.until = NONE, -1, 0
-
-    def _heard(self, proposer: int, lease: str, ballot: Ballot, now: int) -> AcceptedLease | None:
-        """What is kept of the lease; None if this word is not to be answered, or has been: a higher ballot came before it."""
+        """The holder has given the lease back. A release of another ballot than the accepted one has no effect."""
+        state = self.leases.get(lease)
+        if state is not None and state.accepted == ballot and state.holder == proposer:
+            state.accepted, state.holder, state.until = NONE, -1, 0
+
+    def _admit(self, proposer: int, lease: str, ballot: Ballot, now: int) -> AcceptedLease | None:
+        """The state of the lease; None if the message gets no answer, or has been answered because a higher ballot came before
+        it."""
         if now < self.silent_until:
             return None
-        kept = self.leases.get(lease)
-        if kept is None and len(self.leases) < MOST:
-            kept = self.leases[lease] = AcceptedLease()
-        if kept is not None and ballot < kept.promised:
-            self.driver.outbid(proposer, lease, ballot, kept.promised)
+        state = self.leases.get(lease)
+        if state is None and len(self.leases) < MAX_LEASES:
+            state = self.leases[lease] = AcceptedLease()
+        if state is not None and ballot < state.promised:
+            self.driver.outbid(proposer, lease, ballot, state.promised)
             return None
-        return kept
+        return state
 
     @staticmethod
-    def _let_go(kept: AcceptedLease, now: int) -> None:
-        if kept.holder >= 0 and now >= kept.until:
-            kept.accepted, kept.holder, kept.until = NONE, -1, 0
+    def _expire(state: AcceptedLease, now: int) -> None:
+        if state.holder >= 0 and now >= state.until:
+            state.accepted, state.holder, state.until = NONE, -1, 0
 
     def _now(self) -> int:
         return self.steady.read(self.driver.now())
--- a/curlewshift/leases/ballots.py
+++ b/curlewshift/leases/ballots.py
@@ -1,4 +1,4 @@
-"""Numbers of tries, ordered and never twice the same: a count, the front, and its life."""
+"""Ballot numbers, totally ordered and unique: a count, the front's index, and its life."""
 
 from __future__ import annotations
 
@@ -6,6 +6,8 @@
 
 
 class Ballot(NamedTuple):
+    """The number of one attempt, ordered by `count` first."""
+
     count: int
     front: int
     life: int
--- a/curlewshift/leases/proposer.py
+++ b/curlewshift/leases/proposer.py
@@ -1,7 +1,7 @@
-"""One that wants leases, holds them and gives them back (a proposer of PaxosLease; Trencseni, Gazso, Reinhardt 2012).
+"""A proposer of PaxosLease (Trencseni, Gazso, Reinhardt 2012): acquires leases, renews them and gives them back.
 
-It holds by its own clock from before it asked, so that it stops before any keeper lets another begin. `may_act` is to be
-asked at the moment of each act: a process that was stopped finds there that its time is over.
+It counts its term by its own clock from before its request, so that it stops before any acceptor lets another begin. Call
+`may_act` immediately before each act: a process that was suspended finds there that its term is over.
 """
 
 from __future__ import annotations
@@ -15,6 +15,8 @@
 
 
 class Driver(Protocol):
+    """What the proposer calls on its environment: clocks (ns), messages to acceptors, and starts and ends of tenures."""
+
     def now(self) -> int: ...
     def wall(self) -> int: ...
     def prepare(self, acceptor: int, lease: str, ballot: Ballot) -> None: ...
@@ -26,7 +28,8 @@
 
 @dataclass(slots=True)
 class LeaseView:
-    """What is known of one lease. `until` is 0 while it is not held; `asked_at` is when the try under way began."""
+    """What is known of one lease. `until` is 0 while it is not held; `asked_at` is when the attempt under way began (-1:
+    none)."""
 
     wanted: bool = True
     ballot: Ballot = NONE
@@ -45,17 +48,18 @@
 
 
 class LeaseProposer:
-    """`me` is this front's number, `life` its life; `acceptors` are numbers of fronts."""
+    """`local_index` is this front's index, `life` its life (one run of its process, numbered); `acceptors` are indices of
+    fronts."""
 
-    def __init__(self, driver: Driver, me: int, life: int, acceptors: list[int], terms: LeaseTerms, rng: Random):
-        self.driver, self.me, self.life, self.acceptors, self.terms = driver, me, life, acceptors, terms
+    def __init__(self, driver: Driver, local_index: int, life: int, acceptors: list[int], terms: LeaseTerms, rng: Random):
+        self.driver, self.local_index, self.life, self.acceptors, self.terms = driver, local_index, life, acceptors, terms
         self.rng = rng
         self.majority = len(acceptors) // 2 + 1
         self.tries: dict[str, LeaseView] = {}
         self.count = 0
         self.latest = driver.now()
 
-    # ---- what this front wants
+    # ---- acquiring and releasing
 
     def want(self, lease: str) -> None:
         if lease not in self.tries:
@@ -63,125 +67,129 @@
         self.tries[lease].wanted = True
 
     def leave(self, lease: str) -> None:
-        """Gives it back in words: another need not wait for its end."""
-        held = self.tries.get(lease)
-        if held is None:
+        """Releases the lease explicitly, so that another front need not wait for its end."""
+        view = self.tries.get(lease)
+        if view is None:
             return
-        held.wanted = False
-        ballot = held.ballot
-        if held.until:
-            self._stop(lease, held, "given back")
+        view.wanted = False
+        ballot = view.ballot
+        if view.until:
+            self._stop(lease, view, "released by this front")
             for acceptor in self.acceptors:
                 self.driver.release(acceptor, lease, ballot)
-        held.asked_at = -1
+        view.asked_at = -1
 
     def may_act(self, lease: str) -> int:
-        """The number to act with at this moment; 0 if this front does not hold the lease."""
+        """The fencing token to act with at this moment; 0 if this front does not hold the lease."""
         now = self._now()
-        held = self.tries.get(lease)
-        if held is None or not held.until:
+        view = self.tries.get(lease)
+        if view is None or not view.until:
             return 0
-        if now >= held.until:
-            self._stop(lease, held, "its term was over")
+        if now >= view.until:
+            self._stop(lease, view, "its term ended")
             return 0
-        return held.fence
+        return view.fence
 
     def time(self) -> None:
-        """Each `every`."""
+        """Called each `every`."""
         now = self._now()
-        for lease, held in list(self.tries.items()):
-            if held.until and now >= held.until:
-                self._stop(lease, held, "no majority renewed it")
-            if held.asked_at >= 0 and now - held.asked_at > self.terms.term:
-                held.asked_at = -1
-            due = now >= (held.since + self.terms.renewed_after if held.until else held.next_at)
-            if held.wanted and due and (held.asked_at < 0 or now >= held.next_at):
-                self._ask(lease, held, now)
+        for lease, view in list(self.tries.items()):
+            if view.until and now >= view.until:
+                self._stop(lease, view, "not renewed by a majority within its term")
+            if view.asked_at >= 0 and now - view.asked_at > self.terms.term:
+                view.asked_at = -1
+            due = now >= (view.since + self.terms.renewed_after if view.until else view.next_at)
+            if view.wanted and due and (view.asked_at < 0 or now >= view.next_at):
+                self._ask(lease, view, now)
 
-    # ---- what comes in
+    # ---- received messages
 
     def promise(self, acceptor: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None:
-        """A keeper tells who holds as far as it knows (-1: nobody), by which ballot, and the highest number it has seen."""
+        """An acceptor reports the holder it knows (-1: none), by which ballot, and the highest fencing token it has seen."""
         now = self._now()
-        held = self.tries.get(lease)
-        if held is None or held.ballot != ballot or held.asked_at < 0 or held.proposing:
+        view = self.tries.get(lease)
+        if view is None or view.ballot != ballot or view.asked_at < 0 or view.proposing:
             return
-        held.promised[acceptor] = (holder, of)
-        held.highest_fence = max(held.highest_fence, fence)
-        if holder >= 0 and holder != self.me:
-            held.holder = holder
-        # what this life holds or has held is its own to take: it knows whether it acts
-        free = [one for one, (who, by) in held.promised.items() if who < 0 or (who == self.me and by.life == self.life)]
+        view.promised[acceptor] = (holder, of)
+        view.highest_fence = max(view.highest_fence, fence)
+        if holder >= 0 and holder != self.local_index:
+            view.holder = holder
+        # a lease that this life holds or held counts as free: it knows itself whether it acts
+        free = [
+            front
+            for front, (known_holder, known_ballot) in view.promised.items()
+            if known_holder < 0 or (known_holder == self.local_index and known_ballot.life == self.life)
+        ]
         if len(free) >= self.majority:
-            self._propose(lease, held, now)
+            self._propose(lease, view, now)
 
     def accepted(self, acceptor: int, lease: str, ballot: Ballot) -> None:
         now = self._now()
-        held = self.tries.get(lease)
-        if held is None or held.ballot != ballot or not held.proposing:
+        view = self.tries.get(lease)
+        if view is None or view.ballot != ballot or not view.proposing:
             return
-        held.accepted.add(acceptor)
-        if len(held.accepted) < self.majority:
+        view.accepted.add(acceptor)
+        if len(view.accepted) < self.majority:
             return
-        until = held.proposed_at + self.terms.term
-        held.asked_at, held.proposing = -1, False
-        if now >= until or not held.wanted:
+        until = view.proposed_at + self.terms.term
+        view.asked_at, view.proposing = -1, False
+        if now >= until or not view.wanted:
             return
-        begins = not held.until
-        if begins and held.renews:
-            # it was to be a renewal, and its number is that of a tenure that has ended meanwhile
+        begins = not view.until
+        if begins and view.renews:
+            # a renewal whose tenure has ended meanwhile: its fencing token must not be used again
             return
-        held.until, held.since, held.holder = until, held.proposed_at, self.me
+        view.until, view.since, view.holder = until, view.proposed_at, self.local_index
         if begins:
-            self.driver.begins(lease, held.fence)
+            self.driver.begins(lease, view.fence)
 
     def outbid(self, acceptor: int, lease: str, ballot: Ballot, by: Ballot) -> None:
-        """Another's ballot is higher: this one rests for a while by chance, or both go on outbidding each other."""
+        """Another's ballot is higher. This one backs off for a random time; otherwise both go on outbidding each other."""
         self.count = max(self.count, by.count)
-        held = self.tries.get(lease)
-        if held is not None and held.ballot == ballot and held.asked_at >= 0:
-            if held.proposing and not held.until:
-                # who accepted it would keep it for a term against everyone, for a tenure that will never be: two that
-                # proposed at once left the lease without a holder for 2.7 terms
-                for one in self.acceptors:
-                    self.driver.release(one, lease, ballot)
-            held.asked_at, held.proposing = -1, False
-            held.next_at = self._now() + int(self.terms.every * self.rng.uniform(0.25, 2))
-
-    # ---- the course of a try
-
-    def _ask(self, lease: str, held: LeaseView, now: int) -> None:
+        view = self.tries.get(lease)
+        if view is not None and view.ballot == ballot and view.asked_at >= 0:
+            if view.proposing and not view.until:
+                # acceptors that accepted it would keep it for a term against everyone, for a tenure that never begins: two
+                # simultaneous proposals left the lease without a holder for 2.7 terms
+                for proposed_to in self.acceptors:
+                    self.driver.release(proposed_to, lease, ballot)
+            view.asked_at, view.proposing = -1, False
+            view.next_at = self._now() + int(self.terms.every * self.rng.uniform(0.25, 2))
+
+    # ---- steps of an attempt
+
+    def _ask(self, lease: str, view: LeaseView, now: int) -> None:
         self.count += 1
-        held.ballot = Ballot(self.count, self.me, self.life)
-        held.asked_at, held.proposing = now, False
-        held.promised.clear()
-        held.accepted.clear()
-        held.next_at = now + int(self.terms.every * self.rng.uniform(1, 3))
+        view.ballot = Ballot(self.count, self.local_index, self.life)
+        view.asked_at, view.proposing = now, False
+        view.promised.clear()
+        view.accepted.clear()
+        view.next_at = now + int(self.terms.every * self.rng.uniform(1, 3))
         for acceptor in self.acceptors:
-            self.driver.prepare(acceptor, lease, held.ballot)
+            self.driver.prepare(acceptor, lease, view.ballot)
 
-    def _propose(self, lease: str, held: LeaseView, now: int) -> None:
-        held.proposing, held.proposed_at, held.renews = True, now, held.until > now
-        if not held.renews:
-            # over restarts of all keepers nothing is remembered but the time of day
-            held.fence = max(held.highest_fence + 1, self.driver.wall() // 1_000_000)
+    def _propose(self, lease: str, view: LeaseView, now: int) -> None:
+        view.proposing, view.proposed_at, view.renews = True, now, view.until > now
+        if not view.renews:
+            # after a restart of all acceptors only the time of day still rises
+            view.fence = max(view.highest_fence + 1, self.driver.wall() // 1_000_000)
         for acceptor in self.acceptors:
-            self.driver.propose(acceptor, lease, held.ballot, held.fence)
+            self.driver.propose(acceptor, lease, view.ballot, view.fence)
 
-    def _stop(self, lease: str, held: LeaseView, why: str) -> None:
-        held.until = 0
+    def _stop(self, lease: str, view: LeaseView, why: str) -> None:
+        view.until = 0
         self.driver.stops(lease, why)
 
     def give_up_all(self, why: str) -> None:
-        for lease, held in self.tries.items():
-            held.asked_at = -1
-            if held.until:
-                self._stop(lease, held, why)
+        for lease, view in self.tries.items():
+            view.asked_at = -1
+            if view.until:
+                self._stop(lease, view, why)
 
     def _now(self) -> int:
         now = self.driver.now()
         if now < self.latest:
-            # how long it really was nobody knows
+            # how much time passed is unknown
             self.latest = now
             self.give_up_all("the clock went back")
         self.latest = now
--- a/curlewshift/tasks/__init__.py
+++ b/curlewshift/tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide tasks over leases: begin, act, stop. Free of I/O."""
+"""Fleet-wide tasks under leases: begin, act, stop. Free of I/O."""
--- a/curlewshift/tasks/planning.py
+++ b/curlewshift/tasks/planning.py
@@ -1,7 +1,7 @@
-"""One front divides the room that is held for an announced peak by where the peak is asked for. Free of I/O.
+"""One front divides the room reserved for an announced demand peak by where viewings of it are requested. Free of I/O.
 
-Each front tells how fast it is asked for each package of which a peak is on the calendar; the holder of the lease tells all what
-part of the hold is each one's. A front that hears no plan holds an even part, as without one.
+Each front reports its rate of requests for each package with a peak on the calendar; the holder of the lease announces to all
+what share of the reservation each front has. A front that receives no plan reserves an even share, as without planning.
 """
 
 from __future__ import annotations
@@ -11,19 +11,21 @@
 
 from curlewshift.tasks.tasks import Fences
 
-EACH = 1_000_000_000
-# What was told so long ago counts no more, asks and plans alike (ns).
-LASTS = 3 * EACH
+PLAN_INTERVAL_NS = 1_000_000_000
+# Reports and plans expire after this time (ns).
+PLAN_TTL_NS = 3 * PLAN_INTERVAL_NS
 LEASE = "peaks/0"
-# Each front is reckoned to be asked for this part of its even share beside what it tells: one that nobody asks yet holds some.
-PRIOR = 0.25
+# Weight of an even share beside the reported rates: a front without requests yet also reserves some room.
+EVEN_WEIGHT = 0.25
 
 
 class Driver(Protocol):
+    """What `Planning` calls on its environment: the clock (ns), demand at this front, messages, and the resulting share."""
+
     def now(self) -> int: ...
     def front_names(self) -> list[str]: ...
     def asked_for(self) -> dict[str, float]:
-        """Asks a second at this front, by package of a peak that is on the calendar."""
+        """Requests a second at this front, by package with a peak on the calendar."""
 
     def tell_asked(self, to: str, asked: dict[str, float]) -> None: ...
     def tell_plan(self, number: int, package: str, parts: dict[str, float]) -> None: ...
@@ -31,14 +33,16 @@
 
 
 class Planning:
+    """The task of planning reservations, and each front's part in it."""
+
     name, shards = "peaks", 1
 
-    def __init__(self, driver: Driver, me: str):
-        self.driver, self.me, self.fences = driver, me, Fences()
-        self.heard: dict[str, tuple[int, dict[str, float]]] = {}
+    def __init__(self, driver: Driver, local_name: str):
+        self.driver, self.local_name, self.fences = driver, local_name, Fences()
+        self.demand: dict[str, tuple[int, dict[str, float]]] = {}
         self.due = 0
 
-    # ---- as the one that plans
+    # ---- as the planner
 
     def begin(self, shard: int, number: int) -> None:
         self.due = 0
@@ -47,11 +51,13 @@
         now = self.driver.now()
         if now < self.due:
             return
-        self.due = now + EACH
-        self.heard[self.me] = now, self.driver.asked_for()
-        self.heard = {name: told for name, told in self.heard.items() if now - told[0] <= LASTS}
-        for package in {package for _, asked in self.heard.values() for package in asked}:
-            parts = divided(self.driver.front_names(), {name: asked.get(package, 0.0) for name, (_, asked) in self.heard.items()})
+        self.due = now + PLAN_INTERVAL_NS
+        self.demand[self.local_name] = now, self.driver.asked_for()
+        self.demand = {name: report for name, report in self.demand.items() if now - report[0] <= PLAN_TTL_NS}
+        for package in {package for _, asked in self.demand.values() for package in asked}:
+            parts = shares_by_demand(
+                self.driver.front_names(), {name: asked.get(package, 0.0) for name, (_, asked) in self.demand.items()}
+            )
             self.driver.tell_plan(number, package, parts)
             self.plan_told(number, package, parts)
 
@@ -59,27 +65,28 @@
         pass
 
     def asked_told(self, by: str, asked: dict[str, float]) -> None:
-        self.heard[by] = self.driver.now(), asked
+        self.demand[by] = self.driver.now(), asked
 
-    # ---- as each
+    # ---- as any front
 
     def tell(self, planner: str) -> None:
-        """Each second, to the one that would plan."""
+        """Called each second: reports this front's demand to the front that plans."""
         asked = self.driver.asked_for()
-        if asked and planner != self.me:
+        if asked and planner != self.local_name:
             self.driver.tell_asked(planner, asked)
 
     def plan_told(self, number: int, package: str, parts: dict[str, float]) -> None:
-        if self.me in parts and self.fences.passes(LEASE, number):
-            self.driver.planned(package, parts[self.me], self.driver.now() + LASTS)
+        if self.local_name in parts and self.fences.passes(LEASE, number):
+            self.driver.planned(package, parts[self.local_name], self.driver.now() + PLAN_TTL_NS)
 
 
-def divided(names: Iterable[str], asked: dict[str, float]) -> dict[str, float]:
-    """Parts that add up to 1: by what is asked for at each, and a little evenly. All fronts of the site have one, whether they
-    are heard or not: who is not heard holds an even part by itself, and room held twice is the lesser evil."""
+def shares_by_demand(names: Iterable[str], asked: dict[str, float]) -> dict[str, float]:
+    """Shares that add up to 1: in proportion to the requests at each front, and to a small part evenly. All fronts of the site
+    get one, whether they report or not: a front without a plan reserves an even share by itself, and reserving some room twice
+    does less harm than too little."""
     names = list(names)
-    whole = sum(asked.get(name, 0.0) for name in names)
+    total = sum(asked.get(name, 0.0) for name in names)
     even = 1 / len(names)
-    if whole <= 0:
+    if total <= 0:
         return dict.fromkeys(names, even)
-    return {name: (asked.get(name, 0.0) / whole + PRIOR * even) / (1 + PRIOR) for name in names}
+    return {name: (asked.get(name, 0.0) / total + EVEN_WEIGHT * even) / (1 + EVEN_WEIGHT) for name in names}
--- a/curlewshift/tasks/servers.py
+++ b/curlewshift/tasks/servers.py
@@ -1,7 +1,7 @@
-"""Tasks at media servers: one asks each for all fronts, and one ends what a front that is gone left there. Free of I/O.
+"""Tasks at media servers: probing each server for all fronts, and ending sessions left by a front that is gone. Free of I/O.
 
-Both divide the servers into shards by their names, and act once in a while on each server of a shard. A server refuses the
-number of an earlier tenure, so that an act that was under way when its front was stopped comes to nothing.
+Both divide the servers into shards by name, and act periodically on each server of a shard. A server refuses the fencing token of
+an earlier tenure, so that an act under way when its front was suspended has no effect.
 """
 
 from __future__ import annotations
@@ -14,6 +14,8 @@
 
 
 class Driver(Protocol):
+    """What the tasks call on their environment: the clock (ns), the servers, and the requests to them."""
+
     def now(self) -> int: ...
     def servers(self) -> Iterable[Server]: ...
     def probe_for_all(self, server: Server, lease: str, number: int) -> None: ...
@@ -21,17 +23,17 @@
 
 
 def shard_of(server: Server, shards: int) -> int:
-    """The shard of a server, by its name."""
+    """The shard of a server, from a hash of its name."""
     return blake2b(server.name.encode(), digest_size=2).digest()[0] % shards
 
 
-class AtServers:
-    """`each` (ns) is how often a server of a shard that is held is seen to."""
+class ServerTask:
+    """A task on each server of a shard; `interval` (ns) is how often it acts on each."""
 
     name = ""
 
-    def __init__(self, driver: Driver, shards: int, each: int):
-        self.driver, self.shards, self.each = driver, shards, each
+    def __init__(self, driver: Driver, shards: int, interval: int):
+        self.driver, self.shards, self.interval = driver, shards, interval
         self.due: dict[int, int] = {}
 
     def begin(self, shard: int, number: int) -> None:
@@ -41,36 +43,37 @@
         now = self.driver.now()
         if now < self.due.get(shard, 0):
             return
-        self.due[shard] = now + self.each
+        self.due[shard] = now + self.interval
         for server in self.driver.servers():
             if server.open and shard_of(server, self.shards) == shard:
-                self.see_to(server, f"{self.name}/{shard}", number)
+                self.act_on(server, f"{self.name}/{shard}", number)
 
     def stop(self, shard: int) -> None:
         self.due.pop(shard, None)
 
-    def see_to(self, server: Server, lease: str, number: int) -> None:
+    def act_on(self, server: Server, lease: str, number: int) -> None:
         raise NotImplementedError
 
 
-class Probing(AtServers):
-    """Whether it runs and how full it is. What is found goes to all, who need not ask for themselves."""
+class Probing(ServerTask):
+    """Probes whether a server runs and how full it is. All fronts receive the result, and need not probe themselves."""
 
     name = "probe"
 
-    def see_to(self, server: Server, lease: str, number: int) -> None:
+    def act_on(self, server: Server, lease: str, number: int) -> None:
         self.driver.probe_for_all(server, lease, number)
 
 
-class Orphans(AtServers):
-    """Sessions whose front has not been there for `away` (ns), and that nobody watches, are ended. That a front is away is
-    its server's to say, and the server's again at the end: one that came back, or another that took the session up, keeps it."""
+class Orphans(ServerTask):
+    """Ends sessions whose front has been absent for `away` (ns) and that nobody watches. The server says whether the front is
+    absent, and checks it again when a session is ended: a front that returned, or another that took the session over, keeps
+    it."""
 
     name = "orphans"
 
-    def __init__(self, driver: Driver, shards: int, each: int, away: int):
-        super().__init__(driver, shards, each)
+    def __init__(self, driver: Driver, shards: int, interval: int, away: int):
+        super().__init__(driver, shards, interval)
         self.away = away
 
-    def see_to(self, server: Server, lease: str, number: int) -> None:
+    def act_on(self, server: Server, lease: str, number: int) -> None:
         self.driver.look_for_orphans(server, self.away, lease, number)
--- a/curlewshift/tasks/tasks.py
+++ b/curlewshift/tasks/tasks.py
@@ -1,8 +1,9 @@
-"""Work that is done once for the whole fleet: each shard of a task by the front that holds its lease, as long as it does.
+"""Work that is done once for the whole fleet: each shard of a task by the front that holds its lease, while it holds it.
 
-Which front tries for a shard is picked by rendezvous hashing (Thaler, Ravishankar 1998) of those that are in, so that no
-front does all and only the shards of who comes or goes move. That pick is for speed alone: if two fronts pick differently
-both ask, and the keepers let one have it. Each act is preceded by a look at the lease, and carries its number.
+Which front applies for a shard is decided by rendezvous hashing (Thaler, Ravishankar 1998) among the present members, so that the
+load is spread and only the shards of members that come or go move. The choice only avoids contention: if two fronts choose
+differently both apply, and the acceptors grant the lease to one. The lease is checked before each act, and the act carries its
+fencing token (`number`).
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Task(Protocol):
-    """`act` is called each round while the lease is held; what it does has to be idempotent or bear the number."""
+    """`act` is called each round while the lease is held; what it does has to be idempotent or carry the fencing token."""
 
     name: str
     shards: int
@@ -25,22 +26,22 @@
 
 
 class Tasks:
-    """`me` is this front's name. `members()` are the names of those that are in, without it."""
+    """`local_name` is this front's name. `members()` are the names of the other present fronts."""
 
-    def __init__(self, me: str, proposer: LeaseProposer, tasks: list[Task], members):
-        self.me, self.proposer, self.members = me, proposer, members
+    def __init__(self, local_name: str, proposer: LeaseProposer, tasks: list[Task], members):
+        self.local_name, self.proposer, self.members = local_name, proposer, members
         self.tasks = {task.name: task for task in tasks}
-        # leases that an operator had given up here are left alone for a while: until when (ns of the asker's clock)
-        self.left_alone: dict[str, int] = {}
+        # leases that an operator had released here are not requested again until then (ns of the proposer's clock)
+        self.released_until: dict[str, int] = {}
 
     def time(self) -> None:
-        """Each round."""
-        names, now = [*self.members(), self.me], self.proposer.driver.now()
-        self.left_alone = {lease: until for lease, until in self.left_alone.items() if until > now}
+        """Called each round."""
+        names, now = [*self.members(), self.local_name], self.proposer.driver.now()
+        self.released_until = {lease: until for lease, until in self.released_until.items() if until > now}
         for task in self.tasks.values():
             for shard in range(task.shards):
                 lease = f"{task.name}/{shard}"
-                if picked(lease, names) == self.me and lease not in self.left_alone:
+                if picked(lease, names) == self.local_name and lease not in self.released_until:
                     self.proposer.want(lease)
                 elif lease in self.proposer.tries:
                     self.proposer.leave(lease)
@@ -52,12 +53,13 @@
                     task.act(shard, number)
 
     def release(self, lease: str) -> None:
-        """An operator's word: given back, and not asked for again for two terms, so that another can begin."""
-        self.left_alone[lease] = self.proposer.driver.now() + 2 * self.proposer.terms.term
+        """Releases the lease at an operator's command, and does not request it again for two terms, so that another front can
+        begin."""
+        self.released_until[lease] = self.proposer.driver.now() + 2 * self.proposer.terms.term
         self.proposer.leave(lease)
 
     def drain(self) -> None:
-        """Everything is given back before this front goes: the others need not wait for the terms."""
+        """Releases all leases before this front stops: the others need not wait for the terms."""
         for lease in list(self.proposer.tries):
             self.proposer.leave(lease)
 
@@ -71,7 +73,7 @@
 
 
 class Fences:
-    """The highest number that each lease has come with: what comes with a lower one is of a tenure that is over."""
+    """The highest fencing token seen for each lease; a message with a lower one is of an earlier tenure."""
 
     def __init__(self):
         self.highest: dict[str, int] = {}
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are done once for all fronts: orphans, the list, a peak's plan, and what an act of an earlier tenure comes to."""
+"""Tests of fleet-wide tasks: orphans, the server list, the plan for a peak, and acts of an earlier tenure."""
 
 import unittest
 from types import SimpleNamespace
@@ -7,8 +7,8 @@
 from curlewshift.peaks.calendar import Calendar, Peak
 from curlewshift.peaks.peaks import Peaks
 from curlewshift.signalling.bodies import ListNews, ListRow, SessionList, decode
-from curlewshift.tasks.listing import EACH, LATE, ListReading
-from curlewshift.tasks.planning import LASTS, Planning, divided
+from curlewshift.tasks.listing import ANNOUNCE_INTERVAL_NS, MAX_SILENT_INTERVALS, ListReading
+from curlewshift.tasks.planning import PLAN_TTL_NS, Planning, shares_by_demand
 from curlewshift.tasks.servers import Orphans, Probing, shard_of
 from curlewshift.tasks.tasks import Fences
 from curlewshift.verdict.leases import judge_orphans
@@ -19,8 +19,8 @@
 SECOND = 1000 * MS
 
 
-class Shards(unittest.TestCase):
-    """Tasks at servers, with what they ask for in a list."""
+class ServerShards(unittest.TestCase):
+    """Tasks at servers; their calls are recorded in a list."""
 
     def now(self):
         return self.clock
@@ -34,14 +34,16 @@
     def look_for_orphans(self, server, away, lease, number):
         self.done.append((server.name, lease, number))
 
-    def test_each_open_server_is_seen_to_by_the_holder_of_its_shard_once_a_period_and_by_nobody_else(self):
+    def test_holder_of_a_shard_acts_on_its_open_servers_once_a_period(self):
         for task in (Probing(self, 4, SECOND), Orphans(self, 4, SECOND, 5 * SECOND)):
             self.clock, self.done = 10 * SECOND, []
             for shard in range(4):
                 task.begin(shard, 7)
                 task.act(shard, 7)
                 task.act(shard, 7)
-            self.assertEqual(sorted(name for name, _, _ in self.done), sorted(one.name for one in self.servers() if one.open))
+            self.assertEqual(
+                sorted(name for name, _, _ in self.done), sorted(server.name for server in self.servers() if server.open)
+            )
             self.assertTrue(
                 all(lease == f"{task.name}/{shard_of(SimpleNamespace(name=name), 4)}" for name, lease, _ in self.done)
             )
@@ -49,7 +51,7 @@
             task.act(0, 7)
             self.assertGreater(len(self.done), 19)
 
-    def test_a_number_of_an_earlier_tenure_does_not_pass(self):
+    def test_fencing_token_of_an_earlier_tenure_is_refused(self):
         fences = Fences()
         self.assertEqual(
             [fences.passes("a", 2), fences.passes("a", 1), fences.passes("a", 2), fences.passes("b", 1), fences.refused],
@@ -57,8 +59,8 @@
         )
 
 
-class Reader:
-    """One front's list and what it does about it."""
+class ListReader:
+    """One front's copy of the list, and whether it reads the list itself."""
 
     def __init__(self, fleet):
         self.fleet, self.held, self.itself, self.taken = fleet, ("e", 1), True, []
@@ -71,7 +73,7 @@
         return self.held
 
     def tell_list(self, number, epoch, generation, news):
-        self.fleet.said.append((number, epoch, generation, news))
+        self.fleet.sent.append((number, epoch, generation, news))
 
     def take_news(self, news):
         self.taken.append(news)
@@ -85,59 +87,59 @@
 
 
 class OneReader(unittest.TestCase):
-    """News here are the generation that they follow on."""
+    """An update is represented by the generation that it follows on."""
 
     def setUp(self):
-        self.clock, self.said = 100 * SECOND, []
-        self.holder, self.other = Reader(self), Reader(self)
+        self.clock, self.sent = 100 * SECOND, []
+        self.holder, self.other = ListReader(self), ListReader(self)
         self.holder.task.begin(0, 5)
 
-    def hand_on(self):
-        said, self.said = self.said, []
-        for words in said:
-            self.other.task.told(*words)
+    def deliver(self):
+        sent, self.sent = self.sent, []
+        for message in sent:
+            self.other.task.told(*message)
 
     def round(self):
         self.holder.task.act(0, 5)
-        self.hand_on()
+        self.deliver()
 
-    def test_the_others_rest_once_they_have_what_the_reader_has_and_hear_of_news(self):
+    def test_others_stop_reading_once_current_and_take_updates(self):
         self.round()
         self.assertEqual((self.holder.itself, self.other.itself), (True, False))
         self.holder.held = ("e", 2)
         self.holder.task.read("e", 2, 1)
-        self.hand_on()
+        self.deliver()
         self.assertEqual((self.other.held, self.other.itself), (("e", 2), False))
 
-    def test_silence_of_the_reader_has_each_read_for_itself(self):
+    def test_silent_reader_makes_each_front_read_itself(self):
         self.round()
-        for _ in range(LATE + 1):
-            self.clock += EACH
+        for _ in range(MAX_SILENT_INTERVALS + 1):
+            self.clock += ANNOUNCE_INTERVAL_NS
             self.other.task.time()
         self.assertTrue(self.other.itself)
 
-    def test_news_that_do_not_follow_and_another_life_of_the_list_have_it_read(self):
+    def test_gap_in_updates_or_another_epoch_makes_it_read_itself(self):
         self.round()
         self.holder.held = ("e", 4)
         self.holder.task.read("e", 4, 3)
-        self.hand_on()
+        self.deliver()
         self.assertTrue(self.other.itself)
         self.other.held = ("e", 4)
-        self.clock += EACH
+        self.clock += ANNOUNCE_INTERVAL_NS
         self.round()
         self.assertFalse(self.other.itself)
         self.holder.held = ("another", 0)
-        self.clock += EACH
+        self.clock += ANNOUNCE_INTERVAL_NS
         self.round()
         self.assertTrue(self.other.itself)
 
-    def test_a_reader_of_an_earlier_tenure_is_not_listened_to(self):
+    def test_reader_of_an_earlier_tenure_is_ignored(self):
         self.round()
         self.other.task.told(6, "e", 1, None)
         self.other.task.told(5, "e", 1, 1)
         self.assertEqual((self.other.held, self.other.taken), (("e", 1), []))
 
-    def test_who_becomes_the_reader_reads_itself_and_hears_no_other(self):
+    def test_new_reader_reads_itself_and_ignores_others(self):
         self.round()
         self.other.task.begin(0, 9)
         self.assertTrue(self.other.itself)
@@ -156,40 +158,40 @@
         return {"clip": 6.0}
 
     def tell_asked(self, to, asked):
-        self.said.append((to, asked))
+        self.sent.append((to, asked))
 
     def tell_plan(self, number, package, parts):
-        self.said.append((number, package, parts))
+        self.sent.append((number, package, parts))
 
     def planned(self, package, part, until):
         self.plans.append((package, part, until))
 
     def setUp(self):
-        self.clock, self.said, self.plans = 100 * SECOND, [], []
+        self.clock, self.sent, self.plans = 100 * SECOND, [], []
         self.planning = Planning(self, "a")
 
-    def test_parts_go_by_what_is_asked_for_and_add_up(self):
+    def test_shares_follow_demand_and_add_up(self):
         self.planning.asked_told("b", {"clip": 2.0})
         self.planning.act(0, 3)
-        number, name, parts = self.said[0]
+        number, name, parts = self.sent[0]
         self.assertEqual((number, name), (3, "clip"))
         self.assertAlmostEqual(sum(parts.values()), 1.0)
         self.assertTrue(parts["a"] > 2 * parts["b"] > 0 and parts["c"] > 0)
-        self.assertEqual(self.plans, [("clip", parts["a"], self.clock + LASTS)])
+        self.assertEqual(self.plans, [("clip", parts["a"], self.clock + PLAN_TTL_NS)])
 
-    def test_what_was_told_long_ago_counts_no_more_and_with_nothing_asked_parts_are_even(self):
+    def test_old_reports_expire_and_without_demand_shares_are_even(self):
         self.planning.asked_told("b", {"clip": 50.0})
-        self.clock += LASTS + 1
+        self.clock += PLAN_TTL_NS + 1
         self.planning.act(0, 3)
-        self.assertGreater(self.said[0][2]["a"], 0.5)
-        self.assertEqual(divided(["a", "b"], {}), {"a": 0.5, "b": 0.5})
+        self.assertGreater(self.sent[0][2]["a"], 0.5)
+        self.assertEqual(shares_by_demand(["a", "b"], {}), {"a": 0.5, "b": 0.5})
 
-    def test_a_plan_of_an_earlier_tenure_is_not_taken(self):
+    def test_plan_of_an_earlier_tenure_is_ignored(self):
         self.planning.plan_told(4, "clip", {"a": 0.5})
         self.planning.plan_told(3, "clip", {"a": 0.9})
         self.assertEqual([part for _, part, _ in self.plans], [0.5])
 
-    def test_a_front_holds_its_part_while_the_plan_stands_and_an_even_one_after(self):
+    def test_front_reserves_its_share_while_the_plan_is_valid(self):
         pack = package(name="clip")
         peaks = Peaks(Calendar([pack]), 4, 0)
         peaks.planned(pack, 0.5, 10 * SECOND)
@@ -200,7 +202,7 @@
 
 
 class AtAServer(unittest.TestCase):
-    """A stand-in server on a socket; sessions of a front that is gone stay until who may end them does."""
+    """A stand-in server on a socket; sessions of a front that is gone stay until the holder of the lease ends them."""
 
     async def left(self, site):
         await site.ask()
@@ -222,7 +224,7 @@
         return answered.status, decode(answered.body, SessionList).sessions if answered.status == 200 else None
 
     @story
-    async def test_what_a_front_that_is_gone_left_is_told_of_and_ended_by_who_may(self):
+    async def test_sessions_of_a_front_that_is_gone_are_listed_and_ended(self):
         async with SmallSite(servers=1).up() as site:
             server, _session = await self.left(site)
             status, rows = await self.sessions(server, 5)
@@ -233,7 +235,7 @@
             self.assertEqual(site.traffic.all("session-end")[-1]["why"], "left by a front that is gone")
 
     @story
-    async def test_one_that_is_watched_or_was_taken_up_meanwhile_or_whose_front_is_there_stays(self):
+    async def test_session_watched_or_taken_over_or_of_a_present_front_stays(self):
         async with SmallSite(servers=1).up() as site:
             server, session = await self.left(site)
             self.assertEqual((await self.sessions(server, 5, away=60_000))[1], [])
@@ -253,7 +255,7 @@
             self.assertEqual((answered.status, len(server.sessions)), (409, 1))
 
     @story
-    async def test_an_act_of_an_earlier_tenure_comes_to_nothing(self):
+    async def test_act_of_an_earlier_tenure_is_refused(self):
         async with SmallSite(servers=1).up() as site:
             server, session = await self.left(site)
             self.assertEqual((await self.sessions(server, 9))[0], 200)
@@ -270,7 +272,7 @@
             self.assertEqual([act["accepted"] for act in site.traffic.all("act")], [True, False, False])
 
     @story
-    async def test_a_front_that_rests_from_the_list_takes_anothers_news_and_goes_on_where_it_was(self):
+    async def test_front_not_reading_the_list_takes_updates_and_resumes(self):
         async with SmallSite(servers=1).up() as site:
             lists, server_list = site.front.lists, site.front.session_core.server_list
             lists.read_itself(False)
@@ -287,8 +289,8 @@
             await until(lambda: next(iter(site.front.session_core.rules.servers)).open, 8)
 
 
-class Judging(unittest.TestCase):
-    def test_what_a_killed_front_left_counts_until_it_is_ended_and_not_if_it_was_taken_up(self):
+class OrphanVerdict(unittest.TestCase):
+    def test_orphans_count_until_ended_unless_taken_over(self):
         def day(*more):
             return judge_orphans(
                 [
