--- a/curlewshift/overload/__init__.py
+++ b/curlewshift/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Who is let in when not all can be, the same at every front; and how what is done again is kept from adding up. Free of I/O."""
+"""Overload control: which viewings are admitted when not all can be, alike at every front, and bounds on retries. Free of I/O."""
--- a/curlewshift/overload/retry_budget.py
+++ b/curlewshift/overload/retry_budget.py
@@ -1,13 +1,13 @@
-"""What is done again, and how it is kept from adding up: tune-ins beyond the first, and viewers who come back.
+"""Bounds on retries: tune-ins beyond the first at other servers, and viewers that return after a refusal.
 
-A budget for the former is a share of successes (the retry budgets of the SRE book, chapter 21): while the fleet serves, there is
-plenty; when nothing succeeds, what is tried again is what is free and no more, whatever each front thinks of its chances.
+The budget of the former is a share of successes (the retry budgets of the SRE book, chapter 21): while the fleet serves there is
+plenty; when nothing succeeds, only the free retries are made, whatever each front expects of a further one.
 
-Advice to the latter is spread so that those who come back follow the room that returns. With a level that moves by parts of what
-is let in, the sum of those who are away drains at the pace at which room returns if each is told to stay away for as long as the
-line before it takes at that pace, and no two are told the same: the line is then a delay and no feedback, which is stable at any
-gain. What breaks that is a common return (all told the same), and one that is too soon (told less than the line takes): both make
-the line's length drive the next round's asks.
+Waits advised to the latter are spread so that viewers return as room does. With a level that moves in proportion to what is
+admitted, the crowd of waiting viewers drains at the pace at which room returns if each is told to wait for as long as the queue
+before it takes at that pace, and no two are told the same: the queue is then a pure delay without feedback, which is stable at
+any gain. A common return time (all told the same) breaks that, and so does one that is too early (shorter than the queue takes):
+in both cases the length of the queue drives the asks of the next round.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from curlewshift.overload.terms import OverloadTerms
 
 SECOND = 1_000_000_000
-LEAST, SHORTEST_LONG = SECOND // 4, 2 * SECOND
-# The line is reckoned from what was refused and what began over about so long (ns).
-LATELY = 5 * SECOND
-# Who comes before it was told to is told to stay away for twice as long each time, up to this many times; so many are known.
-STRIKES, MOST_KNOWN = 4, 20_000
+MIN_WAIT_NS, MIN_LONGEST_WAIT_NS = SECOND // 4, 2 * SECOND
+# The queue is estimated from what was refused and what began over about this time (ns).
+RATE_WINDOW_NS = 5 * SECOND
+# A viewer that returns early is told to wait twice as long each time, doubled at most so many times; so many viewers are known.
+MAX_STRIKES, MAX_KNOWN_VIEWERS = 4, 20_000
 
 
 class RetryBudget:
-    """One front's part of the budget: its share of the free ones, and a share of its own successes."""
+    """One front's share of the budget: its part of the free retries, and a share of its own successes."""
 
     def __init__(self, terms: OverloadTerms, now: int):
         self.terms, self.at = terms, now
@@ -37,7 +37,7 @@
 
     def succeeded(self, now: int) -> None:
         self._age(now)
-        self.left = min(self.left + self.terms.again_share, self.most)
+        self.left = min(self.left + self.terms.again_share, self.max_left)
 
     def spends(self, now: int) -> None:
         self._age(now)
@@ -49,55 +49,56 @@
         return self.left >= 1 - 1e-9
 
     @property
-    def most(self) -> float:
-        """What is not used is not kept for ever: it would be a crowd of its own."""
+    def max_left(self) -> float:
+        """Unused retries are not accumulated for ever: they would be a crowd of their own."""
         return max(1.0, 5 * self.free)
 
     def _age(self, now: int) -> None:
-        # the free ones come back evenly over the time that they are counted in; of many fronts each has less than one, and is
-        # one of the few that may use it now and then
-        full = max(self.free, 1.0)
-        if self.left < full:
-            self.left = min(full, self.left + max(0, now - self.at) * self.free / self.terms.look_back)
+        # free retries come back evenly over the time in which they are counted; with many fronts each has less than one, and may
+        # use one now and then
+        refill_to = max(self.free, 1.0)
+        if self.left < refill_to:
+            self.left = min(refill_to, self.left + max(0, now - self.at) * self.free / self.terms.look_back)
         self.at = max(now, self.at)
 
 
 class RetryAdvice:
-    """How long who is refused is to stay away."""
+    """How long a refused viewer is told to wait."""
 
     def __init__(self, terms: OverloadTerms, now: int, rng: Random):
         self.terms, self.rng, self.at = terms, rng, now
         self.refused = self.begun = 0.0
-        # who was told to stay away until when, and how often it did not
-        self.told: OrderedDict[str, list[int]] = OrderedDict()
+        # by viewer: until when it was told to wait, and how often it returned early
+        self.advised: OrderedDict[str, list[int]] = OrderedDict()
 
     def began(self, now: int) -> None:
         self._age(now)
         self.begun += 1
 
     def early(self, who: str, now: int) -> bool:
-        """Whether it comes before it was told to: it is refused at once, whatever its rank."""
-        held = self.told.get(who)
-        return held is not None and now < held[0]
-
-    def wait(self, who: str, now: int, behind: float = 0.0, lasts: int = 1 << 62) -> int:
-        """`behind` (0 to 1) is how far below the level it is: who is far below need not ask soon. `lasts` (ns) is for how long
-        somebody has been shed: nobody is told to stay away for longer than that, as what is short may be back as soon."""
+        """Whether the viewer returns before the advised time: it is refused at once, whatever its rank."""
+        advice = self.advised.get(who)
+        return advice is not None and now < advice[0]
+
+    def wait(self, who: str, now: int, distance: float = 0.0, shed_for: int = 1 << 62) -> int:
+        """Advises a wait (ns). `distance` (0 to 1) is how far below the level the viewer ranks: far below it need not ask soon.
+        `shed_for` (ns) is how long viewings have been shed: nobody is told to wait for longer, as the shortage may end as soon as
+        it came."""
         self._age(now)
-        held = self.told.pop(who, None)
+        advice = self.advised.pop(who, None)
         strikes = 0
-        if held is not None:
-            strikes = min(STRIKES, held[1] + 1) if now < held[0] else max(0, held[1] - 1)
+        if advice is not None:
+            strikes = min(MAX_STRIKES, advice[1] + 1) if now < advice[0] else max(0, advice[1] - 1)
         self.refused += 1
-        line = int(self.refused / max(self.begun, 1.0) * LATELY)
-        longest = min(self.terms.longest_wait, max(SHORTEST_LONG, lasts))
-        span = max(2 * LEAST, min(longest, line), int(longest * behind))
-        wait = min(longest, max(LEAST, int(span * self.rng.uniform(0.4, 1.0))) << strikes)
-        self.told[who] = [now + wait, strikes]
-        while len(self.told) > MOST_KNOWN:
-            self.told.popitem(last=False)
+        queue_time = int(self.refused / max(self.begun, 1.0) * RATE_WINDOW_NS)
+        longest = min(self.terms.longest_wait, max(MIN_LONGEST_WAIT_NS, shed_for))
+        span = max(2 * MIN_WAIT_NS, min(longest, queue_time), int(longest * distance))
+        wait = min(longest, max(MIN_WAIT_NS, int(span * self.rng.uniform(0.4, 1.0))) << strikes)
+        self.advised[who] = [now + wait, strikes]
+        while len(self.advised) > MAX_KNOWN_VIEWERS:
+            self.advised.popitem(last=False)
         return wait
 
     def _age(self, now: int) -> None:
-        fades = exp(-max(0, now - self.at) / LATELY)
-        self.refused, self.begun, self.at = self.refused * fades, self.begun * fades, max(now, self.at)
+        factor = exp(-max(0, now - self.at) / RATE_WINDOW_NS)
+        self.refused, self.begun, self.at = self.refused * factor, self.begun * factor, max(now, self.at)
