--- a/curlewshift/membership/membership.py
+++ b/curlewshift/membership/membership.py
@@ -360,7 +360,7 @@
                 if by == member.name
                 else f"reported by {by}"
                 if by != self.me.name
-                else "no answer to probes of " + ", ".join(member.accusers or [by]),
+                else "no answer to probes by " + ", ".join(member.accusers or [by]),
             )
 
     def _join_ring(self, member: Member) -> None:
