--- a/curlewshift/peering/__init__.py
+++ b/curlewshift/peering/__init__.py
@@ -1,1 +1,1 @@
-"""Datagrams between the fronts of a site: frames, the channel (free of I/O), and one UDP socket."""
+"""Datagrams between the members of a site: frames, the channel (free of I/O), its UDP socket, and the subsystems on it."""
--- a/curlewshift/peering/channel.py
+++ b/curlewshift/peering/channel.py
@@ -1,7 +1,8 @@
-"""What one front says to its peers and hears of them, free of I/O: membership, frames, numbers, bounds.
+"""A member's channel to its peers, free of I/O: membership, frames, sequence numbers and rate limits.
 
-The same object stands behind a socket (peering/wire.py), on virtual links (emulator/peers.py) and in tests. Other subsystems
-register a kind with `carries` and speak with `say`; they are served after probes and answers, and within the same bounds.
+The same object is used behind a socket (peering/wire.py), on virtual links (emulator/peers.py) and in tests. Other subsystems
+register a frame kind with `carries` and send with `say`. Probes and their answers take precedence; all other frames share one
+rate limit.
 """
 
 from __future__ import annotations
@@ -16,39 +17,43 @@
 from curlewshift.membership.terms import MembershipTerms
 from curlewshift.peering.frames import (
     ACK,
-    ASK,
     COMPARE,
-    FIRST_OF_OTHERS,
-    MOST_BYTES,
+    FIRST_SUBSYSTEM_KIND,
+    MAX_DATAGRAM_BYTES,
+    MEMBER_LIST,
     NACK,
-    NEWS,
-    PIECE,
     PING,
+    PING_REQUEST,
     REASONS,
+    UPDATES,
+    DatagramRejected,
     Frame,
-    Refused,
-    Window,
+    ReplayWindow,
     decode,
     encode,
 )
-from curlewshift.peering.rates import Allowance, Spent
+from curlewshift.peering.rates import DecayingSum, TokenBucket
 
-# A frame without claims, at the most; and what a list of claims takes itself.
+# Maximum size of a frame without claims, including the overhead of an empty list of claims (bytes).
 PLAIN = 330
-# What is read of one second's datagrams: a flood beyond it is dropped unread, so that viewings go on.
-MOST_READ_A_SECOND = 4 * 1024 * 1024
+# Datagrams beyond this rate are dropped undecoded, so that a flood does not take processor time from viewings.
+MAX_READ_BYTES_PER_SECOND = 4 * 1024 * 1024
 
 
 class Host(Protocol):
+    """The channel's I/O. Times are in ns; `wake` asks for a call of `Channel.time` at that time. `outlived` reports that a later
+    process with this member's name has joined (True), or is gone again (False)."""
+
     def now(self) -> int: ...
     def wake(self, at: int) -> None: ...
     def post(self, address: tuple[str, int], data: bytes) -> None: ...
     def member_changed(self, member: Member, before: Rank | None, cause: str) -> None: ...
-    def outlived(self, over: bool) -> None: ...
+    def outlived(self, superseded: bool) -> None: ...
 
 
 class Channel:
-    """`most_bytes` a second bound what goes out beyond probes and their answers."""
+    """`life` numbers this run of the process; a restart is a new life. `most_bytes` limits what is sent besides probes and their
+    answers (bytes/s). `seeds` are the addresses of the members to contact first."""
 
     def __init__(
         self,
@@ -64,19 +69,19 @@
         membership: type[Membership] = Membership,
     ):
         self.host, self.site = host, site
-        self.allowance = Allowance(most_bytes, host.now())
-        self.readable = Allowance(MOST_READ_A_SECOND, host.now())
-        self.sent, self.received_bytes = Spent(host.now()), Spent(host.now())
+        self.allowance = TokenBucket(most_bytes, host.now())
+        self.read_allowance = TokenBucket(MAX_READ_BYTES_PER_SECOND, host.now())
+        self.sent, self.received_bytes = DecayingSum(host.now()), DecayingSum(host.now())
         self.refused = dict.fromkeys(REASONS, 0)
         self.held_back = self.flooded = 0
         self.numbers = count(1)
-        self.windows: dict[str, Window] = {}
+        self.windows: dict[str, ReplayWindow] = {}
         self.carried: dict[int, Callable[[Member, bytes], None]] = {}
-        # what rides on probes and their answers, and who hears it: with nothing registered they are what they were
-        self.riding: tuple[Callable[[], bytes], Callable[[Member, bytes], None]] | None = None
+        # source and handler of the data piggybacked on probes and their answers; without them these frames have no body
+        self.piggyback: tuple[Callable[[], bytes], Callable[[Member, bytes], None]] | None = None
         self.membership = membership(self, name, address, life, seeds, membership_terms, rng)
 
-    # ---- what happens
+    # ---- events
 
     def start(self) -> None:
         self.membership.start()
@@ -87,36 +92,37 @@
     def leave(self) -> None:
         self.membership.leave()
 
-    def carries(self, kind: int, heard: Callable[[Member, bytes], None]) -> None:
-        """Bodies of this kind go to `heard`, with who sent them."""
-        if kind < FIRST_OF_OTHERS or kind in self.carried:
-            raise ValueError(f"kind {kind} is taken")
-        self.carried[kind] = heard
+    def carries(self, kind: int, handler: Callable[[Member, bytes], None]) -> None:
+        """Registers the handler for frames of this kind; it is called with the sender and the body."""
+        if kind < FIRST_SUBSYSTEM_KIND or kind in self.carried:
+            raise ValueError(f"frame kind {kind} is reserved or already registered")
+        self.carried[kind] = handler
 
-    def rides(self, rider: Callable[[], bytes], heard: Callable[[Member, bytes], None]) -> None:
-        """`rider` is asked with each probe and answer that goes out, for some 60 bytes at the most; `heard` has what came on
-        others'. It goes where probes go and costs no datagram, and the allowance does not hold it back."""
-        if self.riding is not None:
-            raise ValueError("something rides already")
-        self.riding = rider, heard
+    def rides(self, source: Callable[[], bytes], handler: Callable[[Member, bytes], None]) -> None:
+        """Piggybacks data on probes and their answers. `source` is called for each one sent and returns about 60 bytes at most;
+        `handler` is called with what other members piggyback. This takes no extra datagram and is not rate limited."""
+        if self.piggyback is not None:
+            raise ValueError("piggybacked data is already registered")
+        self.piggyback = source, handler
 
     def received(self, data: bytes) -> None:
-        """A datagram came; whatever is in it, nothing is raised and no other is worse off."""
+        """Handles a datagram. Nothing is raised, whatever it contains, and other members' datagrams are not affected."""
         now = self.host.now()
-        if not self.readable.take(now, len(data)):
+        if not self.read_allowance.take(now, len(data)):
             self.flooded += 1
             return
         self.received_bytes.add(now, len(data))
         try:
             frame = decode(data, self.site)
-            sender = self._let_in(frame)
-        except Refused as why:
-            self.refused[str(why)] += 1
+            sender = self._accept_sender(frame)
+        except DatagramRejected as rejected:
+            self.refused[str(rejected)] += 1
             return
         if sender is not None:
-            self._take(frame, sender)
+            self._dispatch(frame, sender)
 
-    def _let_in(self, frame: Frame) -> Member | None:
+    def _accept_sender(self, frame: Frame) -> Member | None:
+        """The member that sent the frame. Raises `DatagramRejected` for replayed frames, earlier lives and unknown senders."""
         members = self.membership.members
         window = self.windows.get(frame.name)
         if window is not None and window.life == frame.life:
@@ -124,46 +130,47 @@
         sender = self.membership.heard(frame.sender())
         if sender is None:
             held = members.get(frame.name)
-            raise Refused("old-life" if held is not None and frame.life < held.life else "unknown")
+            raise DatagramRejected("old-life" if held is not None and frame.life < held.life else "unknown")
         if window is None or window.life != frame.life:
             if len(self.windows) > 2 * self.membership.membership_terms.most_members:
                 self.windows = {name: kept for name, kept in self.windows.items() if name in members}
-            window = self.windows[frame.name] = Window(frame.life)
+            window = self.windows[frame.name] = ReplayWindow(frame.life)
             window.take(frame.number)
         return sender
 
-    def _take(self, frame: Frame, sender: Member) -> None:
-        known = self.membership
+    def _dispatch(self, frame: Frame, sender: Member) -> None:
+        membership = self.membership
         if frame.claims:
-            known.told([Claim(*claim) for claim in frame.claims], sender.name)
-        if known.superseded:
-            # it listens for the end of the process that has its name, and answers nobody
+            membership.told([Claim(*claim) for claim in frame.claims], sender.name)
+        if membership.superseded:
+            # a later process has this name: this one answers nobody, and waits for that process to end
             return
         if frame.kind == PING:
-            self._send(sender.address, ACK, probe=frame.probe, body=self._rider())
-            known.digest_seen(sender, frame.view)
+            self._send(sender.address, ACK, probe=frame.probe, body=self._piggyback_body())
+            membership.digest_seen(sender, frame.view)
         elif frame.kind == ACK:
-            known.acked(frame.probe, sender)
-            known.digest_seen(sender, frame.view)
-        elif frame.kind == ASK:
-            known.asked(sender, frame.probe, frame.target)
+            membership.acked(frame.probe, sender)
+            membership.digest_seen(sender, frame.view)
+        elif frame.kind == PING_REQUEST:
+            membership.asked(sender, frame.probe, frame.target)
         elif frame.kind == NACK:
-            known.nacked(frame.probe, sender)
+            membership.nacked(frame.probe, sender)
         elif frame.kind == COMPARE:
-            known.compared(sender, frame.body)
+            membership.compared(sender, frame.body)
         elif frame.kind in self.carried:
             self.carried[frame.kind](sender, frame.body)
-        if frame.body and frame.kind in (PING, ACK) and self.riding is not None:
-            self.riding[1](sender, frame.body)
+        if frame.body and frame.kind in (PING, ACK) and self.piggyback is not None:
+            self.piggyback[1](sender, frame.body)
 
-    def _rider(self) -> bytes:
-        return self.riding[0]() if self.riding is not None else b""
+    def _piggyback_body(self) -> bytes:
+        return self.piggyback[0]() if self.piggyback is not None else b""
 
     def say(self, to: Member, kind: int, body: bytes) -> bool:
-        """False where the allowance is used up, or it is too large: it is not sent, and not owed."""
-        return self._send(to.address, kind, body=body, bound=True, news=False)
+        """Sends a body of a registered kind. False if the rate limit is reached or the body is too large: it is dropped, not
+        queued."""
+        return self._send(to.address, kind, body=body, limited=True, with_updates=False)
 
-    # ---- membership's outside
+    # ---- membership's driver
 
     def now(self) -> int:
         return self.host.now()
@@ -172,48 +179,48 @@
         self.host.wake(at)
 
     def ping(self, to: Member, number: int) -> None:
-        # a suspect hears of it in the very probe that could clear it
+        # a suspected member learns of the suspicion from the probe itself, so that it can refute it at once
         first = [to.claim()] if to.rank is Rank.SUSPECT else []
-        self._send(to.address, PING, probe=number, claims=first, body=self._rider())
+        self._send(to.address, PING, probe=number, claims=first, body=self._piggyback_body())
 
     def ask(self, to: Member, number: int, target: Member) -> None:
-        self._send(to.address, ASK, probe=number, target=target.name)
+        self._send(to.address, PING_REQUEST, probe=number, target=target.name)
 
     def nack(self, to: Member, number: int) -> None:
         self._send(to.address, NACK, probe=number)
 
     def ack_for(self, to: Member, number: int) -> None:
-        self._send(to.address, ACK, probe=number, body=self._rider())
+        self._send(to.address, ACK, probe=number, body=self._piggyback_body())
 
     def tell(self, address: tuple[str, int], claims: list[Claim]) -> None:
-        self._send(address, NEWS, claims=claims, bound=True, news=False)
+        self._send(address, UPDATES, claims=claims, limited=True, with_updates=False)
 
     def pass_on(self, to: Member) -> None:
-        self._send(to.address, NEWS, bound=True)
+        self._send(to.address, UPDATES, limited=True)
 
     def compare(self, address: tuple[str, int]) -> None:
-        self._send(address, COMPARE, body=self.membership.views.written(), bound=True, news=False)
+        self._send(address, COMPARE, body=self.membership.views.written(), limited=True, with_updates=False)
 
     def pieces(self, address: tuple[str, int], claims: list[Claim]) -> None:
-        """In datagrams as full as they may be; what the allowance does not bear waits for the next comparison, which begins
-        elsewhere."""
+        """Sends all claims in full datagrams, from a random start. What the rate limit does not allow is left to the next
+        comparison, which starts elsewhere."""
         start = self.membership.rng.randrange(len(claims)) if claims else 0
-        piece, room = [], MOST_BYTES - PLAIN
+        batch, space = [], MAX_DATAGRAM_BYTES - PLAIN
         for claim in claims[start:] + claims[:start]:
-            if claim.size() > room:
-                if not self._send(address, PIECE, claims=piece, bound=True, news=False):
+            if claim.size() > space:
+                if not self._send(address, MEMBER_LIST, claims=batch, limited=True, with_updates=False):
                     return
-                piece, room = [], MOST_BYTES - PLAIN
-            piece.append(claim)
-            room -= claim.size()
-        if piece:
-            self._send(address, PIECE, claims=piece, bound=True, news=False)
+                batch, space = [], MAX_DATAGRAM_BYTES - PLAIN
+            batch.append(claim)
+            space -= claim.size()
+        if batch:
+            self._send(address, MEMBER_LIST, claims=batch, limited=True, with_updates=False)
 
     def changed(self, member: Member, before: Rank | None, cause: str) -> None:
         self.host.member_changed(member, before, cause)
 
-    def outlived(self, over: bool) -> None:
-        self.host.outlived(over)
+    def outlived(self, superseded: bool) -> None:
+        self.host.outlived(superseded)
 
     def _send(
         self,
@@ -223,44 +230,46 @@
         target: str = "",
         claims: list[Claim] = (),
         body: bytes = b"",
-        bound: bool = False,
-        news: bool = True,
+        limited: bool = False,
+        with_updates: bool = True,
     ) -> bool:
-        me = self.membership.me
-        told = list(claims)
-        if news:
-            told += self.membership.take_news(MOST_BYTES - PLAIN - len(body) - sum(claim.size() for claim in told))
+        local = self.membership.me
+        sent_claims = list(claims)
+        if with_updates:
+            sent_claims += self.membership.take_news(
+                MAX_DATAGRAM_BYTES - PLAIN - len(body) - sum(claim.size() for claim in sent_claims)
+            )
         data = encode(
             Frame(
                 self.site,
-                me.name,
-                me.host,
-                me.port,
-                me.life,
-                me.incarnation,
+                local.name,
+                local.host,
+                local.port,
+                local.life,
+                local.incarnation,
                 next(self.numbers),
                 kind,
                 probe,
                 target,
                 self.membership.views.whole,
-                told,
+                sent_claims,
                 body,
             )
         )
         now = self.host.now()
-        if len(data) > MOST_BYTES or (bound and not self.allowance.take(now, len(data))):
+        if len(data) > MAX_DATAGRAM_BYTES or (limited and not self.allowance.take(now, len(data))):
             self.held_back += 1
             return False
         self.sent.add(now, len(data))
         self.host.post(address, data)
         return True
 
-    # ---- for people
+    # ---- for operators
 
     def show(self) -> dict:
-        """Plain data: who is in, suspected and gone, since when (s ago), and by whose word."""
-        known, now = self.membership, self.host.now()
-        steady = known.steady.read(now)
+        """Plain data: members that are in, suspected and gone, since when (s ago), and which member reported it."""
+        membership, now = self.membership, self.host.now()
+        steady = membership.steady.read(now)
         rows = [
             {
                 "name": member.name,
@@ -273,23 +282,23 @@
                 "accusers": list(member.accusers),
                 "heard_s": round((steady - member.heard) / 1e9, 3) if member.heard >= 0 else None,
             }
-            for member in sorted(known.members.values(), key=lambda member: member.name)
+            for member in sorted(membership.members.values(), key=lambda member: member.name)
         ]
         return {
-            "me": known.me.name,
-            "life": known.me.life,
-            "incarnation": known.me.incarnation,
-            "size": known.size,
-            "view": f"{known.views.whole:016x}",
-            "outlived": known.superseded,
-            "health": known.health,
-            "refuted": known.refuted,
-            "stalls": known.steady.stalls,
+            "me": membership.me.name,
+            "life": membership.me.life,
+            "incarnation": membership.me.incarnation,
+            "size": membership.size,
+            "view": f"{membership.views.whole:016x}",
+            "outlived": membership.superseded,
+            "health": membership.health,
+            "refuted": membership.refuted,
+            "stalls": membership.steady.stalls,
             "members": rows,
             "refused": dict(self.refused),
             "held_back": self.held_back,
             "flooded": self.flooded,
-            "no_room": known.no_room,
-            "sent_a_second": round(self.sent.a_second(now)),
-            "received_a_second": round(self.received_bytes.a_second(now)),
+            "no_room": membership.no_room,
+            "sent_a_second": round(self.sent.per_second(now)),
+            "received_a_second": round(self.received_bytes.per_second(now)),
         }
--- a/curlewshift/peering/frames.py
+++ b/curlewshift/peering/frames.py
@@ -1,7 +1,7 @@
-"""Datagrams between fronts as bytes. docs/peers.md has the form, so that a judge can read it without this.
+"""The byte format of datagrams between members. docs/peers.md specifies it, so that tests can decode datagrams independently.
 
-`CWP`, a version byte, a msgpack array, and the CRC-32 of all before it: what was changed on the way is dropped and not
-believed. There is no signature: who can reach the port can speak on it.
+A datagram is `CWP`, a version byte, a msgpack array, and the CRC-32 of everything before it: a datagram that was altered on the
+way is dropped. There is no signature: anyone who can reach the port can send valid datagrams.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from curlewshift.membership.member import Claim
 
 PREFIX, VERSION = b"CWP", 1
-MOST_BYTES = 1200
-PING, ACK, ASK, NACK, NEWS, COMPARE, PIECE = range(1, 8)
-# Kinds from here on belong to what stands on the channel, a kind a subsystem.
-FIRST_OF_OTHERS = 16
+MAX_DATAGRAM_BYTES = 1200
+PING, ACK, PING_REQUEST, NACK, UPDATES, COMPARE, MEMBER_LIST = range(1, 8)
+# Kinds from here on are registered by subsystems that use the channel, one kind each.
+FIRST_SUBSYSTEM_KIND = 16
 
-Word = Annotated[str, Meta(min_length=1, max_length=64)]
+ShortText = Annotated[str, Meta(min_length=1, max_length=64)]
 Port = Annotated[int, Meta(ge=1, le=65535)]
-Number = Annotated[int, Meta(ge=0, lt=2**62)]
-Names = Annotated[tuple[Word, ...], Meta(max_length=8)]
-WireClaim = tuple[Word, Word, Port, Number, Number, Annotated[int, Meta(ge=0, le=3)], Names]
+UnsignedInt = Annotated[int, Meta(ge=0, lt=2**62)]
+Names = Annotated[tuple[ShortText, ...], Meta(max_length=8)]
+WireClaim = tuple[ShortText, ShortText, Port, UnsignedInt, UnsignedInt, Annotated[int, Meta(ge=0, le=3)], Names]
 
 
-class Refused(Exception):
-    """Why a datagram was not read: one of `REASONS`."""
+class DatagramRejected(Exception):
+    """A datagram was dropped; the message is one of `REASONS`."""
 
 
 REASONS = (
@@ -46,21 +46,22 @@
 
 
 class Frame(msgspec.Struct, array_like=True):
-    """One datagram. `number` rises with each one that a life sends; `probe` is what an answer refers to."""
+    """One datagram. `number` increases with each one sent in a life (run of a process); `probe` is the number of the probe that
+    an answer refers to, and `view` the sender's digest of the member list."""
 
-    site: Word
-    name: Word
-    host: Word
+    site: ShortText
+    name: ShortText
+    host: ShortText
     port: Port
-    life: Number
-    incarnation: Number
-    number: Number
+    life: UnsignedInt
+    incarnation: UnsignedInt
+    number: UnsignedInt
     kind: Annotated[int, Meta(ge=1, le=255)]
-    probe: Number = 0
+    probe: UnsignedInt = 0
     target: Annotated[str, Meta(max_length=64)] = ""
-    view: Number = 0
+    view: UnsignedInt = 0
     claims: Annotated[list[WireClaim], Meta(max_length=256)] = []
-    body: Annotated[bytes, Meta(max_length=MOST_BYTES)] = b""
+    body: Annotated[bytes, Meta(max_length=MAX_DATAGRAM_BYTES)] = b""
 
     def sender(self) -> Claim:
         return Claim(self.name, self.host, self.port, self.life, self.incarnation, 0)
@@ -77,41 +78,42 @@
 
 
 def decode(data: bytes, site: str) -> Frame:
-    """Raises `Refused`, and nothing else, whatever came."""
-    if len(data) > MOST_BYTES:
-        raise Refused("oversized")
+    """Raises `DatagramRejected`, and nothing else, for any input that is not a frame of this site."""
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise DatagramRejected("oversized")
     if len(data) < 8 or data[:3] != PREFIX:
-        raise Refused("other-form")
+        raise DatagramRejected("other-form")
     if data[3] != VERSION:
-        raise Refused("other-version")
+        raise DatagramRejected("other-version")
     if zlib.crc32(data[:-4]) != int.from_bytes(data[-4:], "big"):
-        raise Refused("spoilt")
+        raise DatagramRejected("spoilt")
     try:
         frame = DECODER.decode(data[4:-4])
     except (msgspec.DecodeError, RecursionError):
-        raise Refused("malformed") from None
+        raise DatagramRejected("malformed") from None
     if frame.site != site:
-        raise Refused("other-site")
+        raise DatagramRejected("other-site")
     return frame
 
 
-class Window:
-    """Numbers of one life that have been seen: doubled and very late ones are told apart, reordered ones are let through."""
+class ReplayWindow:
+    """The sequence numbers received in one life, as a sliding window: duplicates and numbers older than the window are rejected,
+    reordered ones are accepted."""
 
-    KEPT = 1024
+    SIZE = 1024
 
     def __init__(self, life: int):
         self.life, self.last, self.seen = life, -1, 0
 
     def take(self, number: int) -> None:
-        """Raises `Refused`."""
+        """Raises `DatagramRejected`."""
         ahead = number - self.last
         if ahead > 0:
-            self.seen = (self.seen << ahead | 1) & (1 << self.KEPT) - 1 if ahead < self.KEPT else 1
+            self.seen = (self.seen << ahead | 1) & (1 << self.SIZE) - 1 if ahead < self.SIZE else 1
             self.last = number
-        elif ahead <= -self.KEPT:
-            raise Refused("late")
+        elif ahead <= -self.SIZE:
+            raise DatagramRejected("late")
         elif self.seen >> -ahead & 1:
-            raise Refused("doubled")
+            raise DatagramRejected("doubled")
         else:
             self.seen |= 1 << -ahead
--- a/curlewshift/peering/overloaded.py
+++ b/curlewshift/peering/overloaded.py
@@ -1,6 +1,7 @@
-"""Shedding as one, on the channel: rounds and levels as bodies of one kind, and their time. Held by front/front.py.
+"""Coordinated load shedding on the channel: rounds and levels are bodies of one frame kind. Held by front/front.py.
 
-Without peers the same object sheds by what its front sees alone.
+A round is a member's measured load, a level the amount of shedding in a zone. Without peers the same object sheds by the load
+of its own front alone.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class Body(msgspec.Struct, array_like=True, omit_defaults=True):
-    """A round (`cut` under 0) or a level."""
+    """A round (if `cut` is negative) or a level."""
 
     number: Count
     zone: Zone
@@ -41,29 +42,29 @@
 
 
 class OverloadWire(Shedding):
-    """Overload's outside. `channel` is None where the front has no peers."""
+    """Driver of `Overload`. `channel` is None if the front has no peers."""
 
     overload_class = Overload
 
-    def __init__(self, channel, front, me: str, names: frozenset[str], terms: OverloadTerms, log, rng: Random):
+    def __init__(self, channel, front, local_name: str, names: frozenset[str], terms: OverloadTerms, log, rng: Random):
         super().__init__(lambda: front.session_core, front.site.packages)
         self.channel, self.front, self.names, self.log = channel, front, names, log
         self.life = channel.membership.me.life if channel is not None else 0
-        self.numbers = self.malformed = 0
-        self.overload = self.overload_class(self, me, front.site.packages, terms, rng)
+        self.message_count = self.malformed = 0
+        self.overload = self.overload_class(self, local_name, front.site.packages, terms, rng)
         if channel is not None:
-            channel.carries(KIND, self.heard)
+            channel.carries(KIND, self.handle_message)
 
     async def run(self) -> None:
         every = self.overload.terms.every / NS
         while True:
             try:
                 self.round()
-            except Exception as fault:
-                self.log.error("fault", what="overload", cause=repr(fault), exc_info=fault)
+            except Exception as error:
+                self.log.error("fault", what="overload", cause=repr(error), exc_info=error)
             await anyio.sleep(every)
 
-    def heard(self, sender: Member, data: bytes) -> None:
+    def handle_message(self, sender: Member, data: bytes) -> None:
         try:
             body = DECODER.decode(data)
         except msgspec.DecodeError:
@@ -76,7 +77,7 @@
         else:
             self.overload.level_told(body.zone, body.cut, body.why)
 
-    # ---- overload's outside
+    # ---- the driver of `Overload`
 
     def now(self) -> int:
         return self.front.now()
@@ -92,18 +93,18 @@
     def turned_off(self) -> int:
         return self.front.gate.none_left + self.front.gate.dropped
 
-    def _say(self, to: str, body: Body) -> None:
+    def _send(self, to: str, body: Body) -> None:
         member = self.channel.membership.members.get(to)
         if member is not None and member.there:
             self.channel.say(member, KIND, ENCODER.encode(body))
 
     def tell_round(self, to: str, zone: str, asks: list[tuple[int, float]], begun: float, short: float) -> None:
-        self.numbers += 1
-        self._say(to, Body(self.numbers, zone, asks=asks, begun=begun, short=short))
+        self.message_count += 1
+        self._send(to, Body(self.message_count, zone, asks=asks, begun=begun, short=short))
 
     def tell_level(self, to: str, zone: str, cut: int, why: str) -> None:
-        self.numbers += 1
-        self._say(to, Body(self.numbers, zone, cut, why[:120]))
+        self.message_count += 1
+        self._send(to, Body(self.message_count, zone, cut, why[:120]))
 
     def level_changed(self, zone: str, cut: int, before: int, why: str) -> None:
         if not cut or not before:
--- a/curlewshift/peering/rates.py
+++ b/curlewshift/peering/rates.py
@@ -1,4 +1,4 @@
-"""Bytes a second: what was spent of late, and what may still be. No I/O; times are ns."""
+"""Byte rates: a decaying sum of what was spent recently, and a token bucket for what may be spent. No I/O; times are in ns."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 SECOND = 1_000_000_000
 
 
-class Spent:
-    """A decaying sum, brought up to date when it is read: `over` (ns) is the time in which a spurt fades to 1/e."""
+class DecayingSum:
+    """An exponentially decaying sum, updated when it is read: `time_constant` (ns) is the time in which a burst decays to 1/e."""
 
-    def __init__(self, now: int, over: int = 10 * SECOND):
-        self.at, self.over, self.sum, self.whole = now, over, 0.0, 0
+    def __init__(self, now: int, time_constant: int = 10 * SECOND):
+        self.at, self.time_constant, self.sum, self.total = now, time_constant, 0.0, 0
 
     def add(self, now: int, count: int) -> None:
         self.sum = self.read(now) + count
         self.at = max(now, self.at)
-        self.whole += count
+        self.total += count
 
     def read(self, now: int) -> float:
-        return self.sum * exp(-max(0, now - self.at) / self.over)
+        return self.sum * exp(-max(0, now - self.at) / self.time_constant)
 
-    def a_second(self, now: int) -> float:
-        return self.read(now) * SECOND / self.over
+    def per_second(self, now: int) -> float:
+        return self.read(now) * SECOND / self.time_constant
 
 
-class Allowance:
-    """`rate` bytes a second, a second's worth at once."""
+class TokenBucket:
+    """Refills at `rate` bytes/s; the burst is one second's worth."""
 
     def __init__(self, rate: float, now: int):
-        self.rate, self.left, self.at = rate, rate, now
+        self.rate, self.tokens, self.at = rate, rate, now
 
     def take(self, now: int, count: int) -> bool:
-        """Whether so many may go; what does not go is not owed."""
-        self.left = min(self.rate, self.left + max(0, now - self.at) * self.rate / SECOND)
+        """Takes `count` bytes if they are available; otherwise False, and nothing is taken or queued."""
+        self.tokens = min(self.rate, self.tokens + max(0, now - self.at) * self.rate / SECOND)
         self.at = max(now, self.at)
-        if self.left < count:
+        if self.tokens < count:
             return False
-        self.left -= count
+        self.tokens -= count
         return True
--- a/curlewshift/peering/shared.py
+++ b/curlewshift/peering/shared.py
@@ -1,6 +1,6 @@
-"""What a front shares, on the channel: words of sharing/ as bodies of one kind, and their time. Held by front/front.py.
+"""Shared budgets on the channel: the messages of sharing/ are bodies of one frame kind. Held by front/front.py.
 
-A body that is not well formed is counted and dropped: it costs its sender's words and nothing else.
+A malformed body is counted and dropped, without further effect.
 """
 
 from __future__ import annotations
@@ -21,27 +21,28 @@
 
 KIND = 16
 NS = 1_000_000_000
-# Between looks whether peers have answered a front that starts (s).
-LOOK = 0.02
+# Interval at which a starting front checks whether its peers have answered (s).
+POLL_INTERVAL_S = 0.02
 ASK, LEND, GIVE_BACK, USE, SUMS, SEEN, KNOWN, REPORT = range(1, 9)
 
-Word = Annotated[str, Meta(min_length=1, max_length=192)]
+BudgetKey = Annotated[str, Meta(min_length=1, max_length=192)]
 Count = Annotated[int, Meta(ge=0, lt=2**62)]
 Use = Annotated[float, Meta(ge=-1, le=1e6)]
 Amount = Annotated[float, Meta(ge=0, le=1e12)]
 
 
 class Body(msgspec.Struct, array_like=True):
-    """`reading` is the sender's clock (ns), for the watch over clocks; `number` rises within a life, or is an ask's."""
+    """One message. `reading` is the sender's clock (ns), from which clock drift is estimated; `number` increases within a life
+    (run of the process), or is the number of the request that is answered."""
 
     what: Annotated[int, Meta(ge=1, le=8)]
     number: Count
     reading: Count
-    keys: Annotated[list[Word], Meta(max_length=64)] = []
-    rights: Annotated[list[tuple[Word, Count]], Meta(max_length=64)] = []
-    uses: Annotated[list[tuple[Word, Amount]], Meta(max_length=64)] = []
-    sums: Annotated[list[tuple[Word, Amount, Count, Use, Count]], Meta(max_length=64)] = []
-    seen: Annotated[list[tuple[Word, Amount, Amount, Count]], Meta(max_length=64)] = []
+    keys: Annotated[list[BudgetKey], Meta(max_length=64)] = []
+    rights: Annotated[list[tuple[BudgetKey, Count]], Meta(max_length=64)] = []
+    uses: Annotated[list[tuple[BudgetKey, Amount]], Meta(max_length=64)] = []
+    sums: Annotated[list[tuple[BudgetKey, Amount, Count, Use, Count]], Meta(max_length=64)] = []
+    seen: Annotated[list[tuple[BudgetKey, Amount, Amount, Count]], Meta(max_length=64)] = []
 
 
 ENCODER = msgspec.msgpack.Encoder()
@@ -49,7 +50,8 @@
 
 
 class SharedWire:
-    """Sharing's outside on a channel. `session_core` is this front's; `order` are the fronts' names as in the settings."""
+    """Driver of `Sharing`. `order` has the fronts' names as in the settings, `local_index` is this front's position there, and
+    `warm_within` (ns) the time that a server takes to warm up."""
 
     sharing_class = Sharing
 
@@ -58,7 +60,7 @@
         channel: Channel,
         session_core: SessionCore,
         order: list[str],
-        me: int,
+        local_index: int,
         terms: SharingTerms,
         together: SharedBudgets,
         warm_within: int,
@@ -67,20 +69,20 @@
         rng: Random,
     ):
         self.channel, self.session_core, self.log, self.now = channel, session_core, log, now
-        self.numbers, self.malformed = 0, 0
-        # control machines are in as well, and share nothing
+        self.message_count, self.malformed = 0, 0
+        # control machines are members as well, but share no budgets
         self.names = frozenset(order)
         self.sharing = self.sharing_class(
             self,
             order,
-            me,
+            local_index,
             channel.membership.me.life,
             terms,
             warm_within,
             rng,
             together.patient(lambda name: session_core.packages[name].patience),
         )
-        channel.carries(KIND, self.heard)
+        channel.carries(KIND, self.handle_message)
         session_core.share_rights()
 
     async def run(self) -> None:
@@ -88,11 +90,11 @@
         while True:
             try:
                 self.sharing.time()
-            except Exception as fault:
-                self.log.error("fault", what="sharing", cause=repr(fault), exc_info=fault)
+            except Exception as error:
+                self.log.error("fault", what="sharing", cause=repr(error), exc_info=error)
             await anyio.sleep(every)
 
-    def heard(self, sender: Member, data: bytes) -> None:
+    def handle_message(self, sender: Member, data: bytes) -> None:
         try:
             body = DECODER.decode(data)
         except msgspec.DecodeError:
@@ -119,21 +121,24 @@
             sharing.report_told(name, body.uses)
 
     async def learn(self, within: float) -> None:
-        """What peers know, before the door opens: for so long (s) at the most, and no longer than it takes them to answer."""
+        """Asks the peers for their state before the front accepts clients; returns when they have answered, or after `within`
+        (s)."""
         with anyio.move_on_after(within):
             while not self.sharing.learned():
                 self.sharing.learn()
-                await anyio.sleep(LOOK)
+                await anyio.sleep(POLL_INTERVAL_S)
         self.log.info("learned", of=sorted(self.sharing.learned_of), asked=sorted(self.sharing.learning_of))
 
-    def _say(self, to: str, what: int, number: int | None = None, **more) -> None:
+    def _send(self, to: str, what: int, number: int | None = None, **more) -> None:
         member = self.channel.membership.members.get(to)
         if member is None or not member.there:
             return
-        self.numbers += 1
-        self.channel.say(member, KIND, ENCODER.encode(Body(what, self.numbers if number is None else number, self.now(), **more)))
+        self.message_count += 1
+        self.channel.say(
+            member, KIND, ENCODER.encode(Body(what, self.message_count if number is None else number, self.now(), **more))
+        )
 
-    # ---- sharing's outside
+    # ---- the driver of `Sharing`
 
     def servers(self):
         return list(self.session_core.rules.servers)
@@ -145,38 +150,42 @@
         return [member.name for member in self.channel.membership.ring if member.name in self.names]
 
     def ask(self, to: str, number: int, keys: list[str]) -> None:
-        self._say(to, ASK, number, keys=keys)
+        self._send(to, ASK, number, keys=keys)
 
     def lend(self, to: str, number: int, rights: list[tuple[str, int]]) -> None:
-        self._say(to, LEND, number, rights=rights)
+        self._send(to, LEND, number, rights=rights)
 
     def give_back_to(self, to: str, number: int, key: str) -> None:
-        self._say(to, GIVE_BACK, number, keys=[key])
+        self._send(to, GIVE_BACK, number, keys=[key])
 
     def tell_use(self, to: str, rows: list[tuple[str, float]]) -> None:
-        self._say(to, USE, uses=rows)
+        self._send(to, USE, uses=rows)
 
     def tell_sums(self, to: str, rows: list[tuple[str, float, int, float, int]]) -> None:
-        self._say(to, SUMS, sums=rows)
+        self._send(to, SUMS, sums=rows)
 
     def tell_report(self, to: str, rows: list[tuple[str, float]]) -> None:
-        self._say(to, REPORT, uses=rows)
+        self._send(to, REPORT, uses=rows)
 
     def link_reported(self, server: Server, use: float) -> None:
         self.session_core.link_reported(server, use)
 
     def tell_seen(self, to: str, rows: list[tuple[str, float, float, int]]) -> None:
-        self._say(to, SEEN, seen=rows)
+        self._send(to, SEEN, seen=rows)
 
     def rights_held(self, server: Server, rights: list) -> None:
         self.session_core.rights_held(server, rights)
 
     def doubted(self, server: Server, doubted: bool) -> None:
-        why = [row for row in self.sharing.evidence.why(server.name, self.sharing.steady.last) if row[0] != self.sharing.name]
+        evidence = [
+            row for row in self.sharing.evidence.why(server.name, self.sharing.steady.last) if row[0] != self.sharing.name
+        ]
         self.log.info(
             "doubted" if doubted else "cleared",
             server=server.name,
-            cause="; ".join(f"{front} {good:.1f} well {bad:.1f} ill, weight {weight:.2f}" for front, good, bad, weight in why),
+            cause="; ".join(
+                f"{front}: {good:.1f} good, {bad:.1f} bad, weight {weight:.2f}" for front, good, bad, weight in evidence
+            ),
         )
         self.session_core.doubted(server, doubted)
 
@@ -184,11 +193,13 @@
         self.session_core.counted(server, use, age)
 
     def seen_warm(self, server: Server) -> None:
-        self.log.info("seen-warm", server=server.name, cause="others have used it for longer than it takes to get warm")
+        self.log.info(
+            "seen-warm", server=server.name, cause="other fronts have used this server for longer than it takes to warm up"
+        )
         self.session_core.seen_warm(server)
 
     def ask_what_is_known(self, to: str) -> None:
-        self._say(to, KNOWN)
+        self._send(to, KNOWN)
 
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
         self.session_core.uplink_counted(server, use, age)
@@ -206,7 +217,7 @@
         return self.session_core.rules.seats.get((title, self.session_core.packages[package]), 0)
 
     def seats_ending(self, package: str, title: str) -> bool:
-        """Whether a server of this title may not have heard yet that something there is over."""
+        """Whether a server of this title may not have received yet that a session there has ended."""
         held = self.session_core.server_list.titles.get(title)
         return held is not None and any(server in self.session_core.session_ends.servers for server in held.holders)
 
@@ -219,7 +230,7 @@
             package=package,
             title=title,
             count=count,
-            cause="they were lent, and are no longer: nobody who lent them was to be heard in time, or this "
+            cause="more seats in use than rights held: borrowed rights expired, as no lender renewed them in time, or this "
             "front's clock is doubted or was set back",
         )
         self.session_core.seats_over(package, title, count)
@@ -229,13 +240,13 @@
             self.log.error(
                 "clock-off",
                 by=round(by, 4),
-                cause="it runs at another pace than those of the peers: this front "
-                "neither lends nor borrows rights until it does not",
+                cause="this front's clock drifts against its peers' clocks; until that ends the front "
+                "neither lends nor borrows rights",
             )
         else:
             self.log.info("clock-right-again", by=round(by, 4))
 
-    # ---- for people
+    # ---- for operators
 
     def show(self) -> dict:
         sharing = self.sharing
@@ -243,7 +254,7 @@
         reading = self.now()
         rows = []
         for server in self.servers():
-            told = sharing.counts.others.get(server.name)
+            others = sharing.counts.others.get(server.name)
             held = server.rights or []
             in_hand = sum(count for since, until, count in held if since <= reading < until)
             rows.append(
@@ -254,8 +265,8 @@
                     "lent_to": sharing.order[loans.lent[server.name][1]] if loans.lent.get(server.name, (0,))[0] > now else "",
                     "borrowed_of": [sharing.order[lender] for lender in loans.borrowed.get(server.name, {})],
                     "used_here": round(server.link.own),
-                    "used_by_others": round(told[0]) if told else None,
-                    "told_s": round((now - told[1]) / NS, 2) if told else None,
+                    "used_by_others": round(others[0]) if others else None,
+                    "told_s": round((now - others[1]) / NS, 2) if others else None,
                     "doubted": server.doubted,
                     "evidence": [
                         [front, round(good, 2), round(bad, 2), round(weight, 2)]
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -1,4 +1,4 @@
-"""Fronts that know each other on real sockets: one beside a flood, and several processes with faults between them."""
+"""Members that know each other over real sockets: a front under a flood of datagrams, and several processes under faults."""
 
 import json
 import re
@@ -25,9 +25,9 @@
 FRONTS = 4
 
 
-class Beside(unittest.TestCase):
+class FloodedPeerPort(unittest.TestCase):
     @story
-    async def test_a_flood_of_garbage_at_the_peers_port_costs_no_viewing(self):
+    async def test_flood_of_garbage_at_the_peer_port_costs_no_viewing(self):
         ports = free_ports(2, Random(), socket.SOCK_DGRAM)
         peers = Peers([("127.0.0.1", ports[0])], default_membership_terms(200 * MS), 64_000)
         small = SmallSite(site={"peers": peers})
@@ -42,8 +42,8 @@
                 Random(1),
             )
             site.tasks.start_soon(other.run)
-            known, channel = site.front.peers.channel.membership, site.front.peers.channel
-            await until(lambda: known.size == 2 and other.channel.membership.size == 2)
+            membership, channel = site.front.peers.channel.membership, site.front.peers.channel
+            await until(lambda: membership.size == 2 and other.channel.membership.size == 2)
             flood, rng = socket.socket(socket.AF_INET, socket.SOCK_DGRAM), Random(2)
             with flood:
                 for number in range(30):
@@ -55,30 +55,32 @@
             refused = channel.refused
             for why in ("oversized", "other-form", "other-version", "spoilt"):
                 self.assertGreater(refused[why], 0, why)
-            # its clock may be set while it serves
+            # the peer's clock is set back while it runs
             other.clock.lead(1.0, -600 * SECOND)
             await until(lambda: other.channel.membership.steady.stalls == 1)
-            await until(lambda: known.members["g"].rank is Rank.ALIVE and known.members["g"].heard > known.now - 600 * MS)
+            await until(
+                lambda: membership.members["g"].rank is Rank.ALIVE and membership.members["g"].heard > membership.now - 600 * MS
+            )
             await other.leave()
-            await until(lambda: known.members["g"].rank is Rank.LEFT)
+            await until(lambda: membership.members["g"].rank is Rank.LEFT)
 
 
-class Fenced(unittest.TestCase):
+class FencedActs(unittest.TestCase):
     @story
-    async def test_a_server_refuses_an_act_of_an_earlier_tenure_and_the_front_judges_nobody_by_it(self):
+    async def test_server_refuses_an_act_of_an_earlier_tenure_without_counting_as_a_server_fault(self):
         async with SmallSite(servers=1).up() as site:
             server = next(iter(site.front.session_core.rules.servers))
-            for number, passes in ((7, True), (5, False), (7, True), (8, True)):
+            for number, accepted in ((7, True), (5, False), (7, True), (8, True)):
                 site.front.server_pool.probe(server, f"probe/1;{number}")
                 await until(lambda: site.traffic.all("act") and site.traffic.all("act")[-1]["number"] == number)
-                self.assertEqual(site.traffic.all("act")[-1]["accepted"], passes, number)
+                self.assertEqual(site.traffic.all("act")[-1]["accepted"], accepted, number)
             site.front.server_pool.probe(server, "probe/2;1")
             await until(lambda: len(site.traffic.all("act")) == 5)
             self.assertEqual((site.traffic.all("act")[-1]["accepted"], server.trouble), (True, 0.0))
 
 
-class Processes(unittest.TestCase):
-    """`SCRIPT`: each of the troubles that a short day has room for."""
+class SeveralProcesses(unittest.TestCase):
+    """`SCRIPT`: the faults that fit into a short fault injection run."""
 
     SCRIPT = """<rehearsal site="site.xml" lasts="11s" seed="3">
   <viewers each-second="8" come-again="0.9"><wants package="receipt" share="0.5" watches="3s"/>
@@ -120,25 +122,25 @@
             text=True,
         )
 
-    def test_a_short_day_of_faults_between_processes_and_one_in_which_nobody_contradicts(self):
-        kept, spoilt = self.rehearse(), self.rehearse("--sabotage", "deaf-incarnation")
-        told = [run.communicate(timeout=120) for run in (kept, spoilt)]
+    def test_short_fault_injection_run_passes_and_fails_if_suspicions_are_not_refuted(self):
+        regular, sabotaged = self.rehearse(), self.rehearse("--sabotage", "deaf-incarnation")
+        output = [run.communicate(timeout=120) for run in (regular, sabotaged)]
         verdict = json.loads((self.folder / "out" / "verdict.json").read_text())
         members = verdict["members"]
         self.assertEqual(
-            (kept.returncode, [rule["broken"] for rule in verdict["rules"].values()], members["broken"]),
+            (regular.returncode, [rule["broken"] for rule in verdict["rules"].values()], members["broken"]),
             (0, [0] * 6, False),
-            (told, members),
+            (output, members),
         )
         self.assertGreater(verdict["requests"], 40)
         self.assertGreater(members["spoilt"], 5)
         self.assertGreater(members["detected"], 0)
         self.assertGreater(members["agreed_times"], 0)
-        # what is shared and held by leases is judged from the servers' traffic
+        # shared budgets and leases are checked from the servers' traffic
         self.assertEqual((verdict["bounds"]["overdrawn"], verdict["leases"]["overlaps"]), (0, 0), verdict)
         self.assertGreater(verdict["leases"]["acts"], 10)
         verdict = json.loads((self.folder / "out-deaf-incarnation" / "verdict.json").read_text())
-        self.assertEqual((spoilt.returncode, verdict["members"]["broken"]), (1, True), told)
+        self.assertEqual((sabotaged.returncode, verdict["members"]["broken"]), (1, True), output)
         logged = [json.loads(line) for line in (self.folder / "out" / "f1.log").read_text().splitlines()]
         self.assertTrue(any(line["event"] == "member" and line["cause"] for line in logged))
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,8 +17,8 @@
 from curlewshift.membership.terms import default_membership_terms
 from curlewshift.membership.updates import News
 from curlewshift.membership.views import Views
-from curlewshift.peering.frames import MOST_BYTES, Frame, Refused, Window, decode, encode
-from curlewshift.peering.rates import Allowance, Spent
+from curlewshift.peering.frames import MAX_DATAGRAM_BYTES, DatagramRejected, Frame, ReplayWindow, decode, encode
+from curlewshift.peering.rates import DecayingSum, TokenBucket
 from curlewshift.schedule.steady_clock import SteadyClock
 from curlewshift.verdict.members import judge_members
 
@@ -294,14 +294,14 @@
         return Frame(**{**dict(site="s", name="f", host="127.0.0.1", port=1, life=1, incarnation=0, number=1, kind=1), **more})
 
     def refused(self, data):
-        with self.assertRaises(Refused) as why:
+        with self.assertRaises(DatagramRejected) as why:
             decode(data, "s")
         return str(why.exception)
 
     def test_what_is_not_whole_and_not_for_us_is_told_apart(self):
         data = encode(self.frame(claims=[("x", "h", 1, 2, 3, 1, ("a",))], body=b"b"))
         self.assertEqual(decode(data, "s").claims[0][6], ("a",))
-        self.assertEqual(self.refused(data + b"x" * MOST_BYTES), "oversized")
+        self.assertEqual(self.refused(data + b"x" * MAX_DATAGRAM_BYTES), "oversized")
         self.assertEqual(self.refused(b"GET / HTTP/1.1\r\n"), "other-form")
         self.assertEqual(self.refused(data[:3] + b"\x02" + data[4:]), "other-version")
         self.assertEqual(self.refused(encode(self.frame(site="t"))), "other-site")
@@ -328,15 +328,15 @@
         self.assertEqual((sum(channel.refused.values()), channel.membership.members), (3, {}))
 
     def test_doubled_and_late_numbers_are_refused_and_reordered_ones_taken(self):
-        window = Window(1)
+        window = ReplayWindow(1)
         for number in (5, 3, 9, 4):
             window.take(number)
         for number, why in ((3, "doubled"), (9, "doubled")):
-            with self.assertRaises(Refused) as refused:
+            with self.assertRaises(DatagramRejected) as refused:
                 window.take(number)
             self.assertEqual(str(refused.exception), why)
-        window.take(9 + Window.KEPT + 2)
-        with self.assertRaises(Refused) as refused:
+        window.take(9 + ReplayWindow.SIZE + 2)
+        with self.assertRaises(DatagramRejected) as refused:
             window.take(10)
         self.assertEqual(str(refused.exception), "late")
         window.take(9 + 3)
@@ -344,7 +344,7 @@
 
 class Bounds(unittest.TestCase):
     def test_an_allowance_is_not_passed_and_what_does_not_go_is_not_owed(self):
-        allowance, rng, now, went = Allowance(1000, 0), random.Random(1), 0, 0
+        allowance, rng, now, went = TokenBucket(1000, 0), random.Random(1), 0, 0
         for _ in range(5000):
             now += rng.randrange(10 * MS)
             size = rng.randrange(1, 300)
@@ -353,7 +353,7 @@
         self.assertGreater(went, 0.9 * now / NS * 1000)
 
     def test_spent_fades(self):
-        spent = Spent(0)
+        spent = DecayingSum(0)
         spent.add(0, 1000)
         self.assertAlmostEqual(spent.read(10 * NS), 1000 / 2.718281828, delta=1)
 
@@ -365,10 +365,10 @@
         made.posts.append(late)
         made.at[late.address] = late
         late.start()
-        before = late.channel.received_bytes.whole
+        before = late.channel.received_bytes.total
         made.run(0.1)
         self.assertLess(late.channel.membership.size, 200)
-        self.assertLess(late.channel.received_bytes.whole - before, 10_000)
+        self.assertLess(late.channel.received_bytes.total - before, 10_000)
         self.assertIsNotNone(made.until(lambda: late.channel.membership.size == 301, 60))
 
     def test_other_subsystems_have_kinds_of_their_own_within_the_bounds(self):
@@ -380,7 +380,7 @@
             other.carries(20, print)
         to = one.membership.members["f1"]
         self.assertTrue(one.say(to, 20, b"hello"))
-        self.assertFalse(one.say(to, 20, b"x" * MOST_BYTES))
+        self.assertFalse(one.say(to, 20, b"x" * MAX_DATAGRAM_BYTES))
         made.run(0.1)
         self.assertEqual(heard, [("f0", b"hello")])
 
