--- a/curlewshift/control/__init__.py
+++ b/curlewshift/control/__init__.py
@@ -1,1 +1,1 @@
-"""A control machine: keeps the lease of the configuration and its versions."""
+"""Control machines: they hold the configuration lease and store the configuration's versions."""
--- a/curlewshift/control/commands.py
+++ b/curlewshift/control/commands.py
@@ -1,4 +1,4 @@
-"""A control machine's socket: commands of operators on the same machine, one JSON line each way, as at a front."""
+"""A control machine's command socket, for operators on the same machine: one JSON line in each direction, as at a front."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 import msgspec
 
-from curlewshift.distribution.versions import MOST_CONTENT
+from curlewshift.distribution.versions import MAX_CONTENT_BYTES
 from curlewshift.front.control import Socket
 
-# How long a majority may take to have a version (s).
+# Time within which a majority must have accepted a version (s).
 PUT_WITHIN = 10.0
 
 
 class MachineCommand(msgspec.Struct):
-    """`do` is `configuration`, `put`, `leases`, `peers` or `content`. `base` is the version that `content` was made from,
-    `name` what its file is called where the operator is; `restarts` says that fronts may take it when they start again."""
+    """`do` is `configuration`, `put`, `leases`, `peers` or `content`. `base` is the version on which `content` is based, `name`
+    the name of the operator's file; `within` is in seconds; `restarts` allows a version that fronts can only apply when they
+    restart."""
 
     do: str
     content: str = ""
@@ -26,8 +27,10 @@
     restarts: bool = False
 
 
-class Commands(Socket):
-    most_bytes, within = 2 * MOST_CONTENT, PUT_WITHIN + 5.0
+class CommandSocket(Socket):
+    """Carries out the commands of one machine."""
+
+    most_bytes, within = 2 * MAX_CONTENT_BYTES, PUT_WITHIN + 5.0
 
     def __init__(self, machine, path: Path):
         super().__init__(path)
@@ -37,8 +40,8 @@
         machine = self.machine
         try:
             command = msgspec.json.decode(raw, type=MachineCommand)
-        except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
-            return {"ok": False, "wrong": f"this is no command: {wrong}"}
+        except (msgspec.DecodeError, msgspec.ValidationError) as error:
+            return {"ok": False, "wrong": f"this is no command: {error}"}
         if command.do == "configuration":
             return {"ok": True, "configuration": {**machine.wire.show(), "writer": machine.leases.writer()}}
         if command.do == "content":
@@ -53,7 +56,7 @@
         return {"ok": False, "wrong": f"there is no command {command.do!r} at a control machine"}
 
     async def _put(self, command: MachineCommand, who: str) -> dict:
-        answer = await self._made(command)
+        answer = await self._put_version(command)
         log = self.machine.log
         if answer["ok"]:
             log.info("configuration-put", version=answer["version"], who=who, cause=command.why)
@@ -61,26 +64,26 @@
             log.info("configuration-not-put", who=who, cause=answer["wrong"], unknown=answer.get("unknown", False))
         return answer
 
-    async def _made(self, command: MachineCommand) -> dict:
+    async def _put_version(self, command: MachineCommand) -> dict:
         machine = self.machine
         if not command.why.strip():
-            return _no("say why: it goes into the log with your name")
+            return _refusal("say why: it goes into the log with your name")
         content = command.content.encode()
-        wrong, by_restart = machine.mistakes(content, command.name)
-        if wrong and not (by_restart and command.restarts):
-            return _no(wrong)
+        errors, by_restart = machine.content_errors(content, command.name)
+        if errors and not (by_restart and command.restarts):
+            return _refusal(errors)
         if not machine.leases.fence():
             writer = machine.leases.writer()
-            why = (
+            reason = (
                 "no control machine may make versions now: none holds the lease, or no majority of them is to be had"
                 if not writer
                 else f"versions are made at {writer} now"
                 if writer != machine.name
                 else "the lease under which this machine made versions is over, and its next is on its way"
             )
-            return {**_no(why), "writer": writer}
-        return {**await machine.wire.put(content, command.base, min(command.within, PUT_WITHIN)), "needs_restart": wrong}
+            return {**_refusal(reason), "writer": writer}
+        return {**await machine.wire.put(content, command.base, min(command.within, PUT_WITHIN)), "needs_restart": errors}
 
 
-def _no(wrong: str) -> dict:
-    return {"ok": False, "wrong": wrong, "unknown": False}
+def _refusal(reason: str) -> dict:
+    return {"ok": False, "wrong": reason, "unknown": False}
--- a/curlewshift/control/machine.py
+++ b/curlewshift/control/machine.py
@@ -1,8 +1,9 @@
-"""One control machine: a member of the fronts' channel that keeps the lease `configuration/0` and stores versions of the
-settings.
+"""One control machine: a member of the fronts' channel that takes part in the lease `configuration/0` and stores versions of the
+site settings.
 
-It has no door and no desk. Whichever of them holds the lease makes versions, told to by a command on its socket. Any may be
-killed, stopped or started again, with its disk or without: what it must not forget is on the disk before it answers.
+It accepts no clients and has no session core. The control machine that holds the lease makes versions, by a command on its
+socket. Any of them may be killed, stopped or restarted, with or without its disk: what it must not forget is on disk before it
+answers.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 
 import anyio
 
-from curlewshift.control.commands import Commands
+from curlewshift.control.commands import CommandSocket
 from curlewshift.front.begun import checked, told
 from curlewshift.peering.distributed import DistributionWire
-from curlewshift.peering.leasing import LeaseWords
+from curlewshift.peering.leasing import LeaseMessages
 from curlewshift.peering.wire import PeerWire
 from curlewshift.schedule.clock import Clock
 from curlewshift.sharing.counts import picked
@@ -31,9 +32,10 @@
 LEASE = "configuration/0"
 
 
-class MachineLeases(LeaseWords):
-    """The one lease. Who holds it keeps it as long as it is there: a writer that gives way in the middle of a version leaves its
-    operator without an answer. Where nobody does, the machine that all pick asks, so that they do not outbid each other."""
+class MachineLeases(LeaseMessages):
+    """The configuration lease. Its holder keeps it as long as its process runs: a writer that gave it up while making a version
+    would leave the operator without an answer. If nobody holds it, all machines pick the same machine to propose, so that they
+    do not outbid each other."""
 
     async def run(self) -> None:
         every = self.proposer.terms.every / NS
@@ -42,15 +44,15 @@
                 self.acceptor.time()
                 self.time()
                 self._to_itself()
-            except Exception as fault:
-                self.log.error("fault", what="leases", cause=repr(fault), exc_info=fault)
+            except Exception as error:
+                self.log.error("fault", what="leases", cause=repr(error), exc_info=error)
             await anyio.sleep(every)
 
     def time(self) -> None:
-        me = self.order[self.me]
-        # one that has just started knows of no holder yet, and does not outbid one
-        free = not self.acceptor.silent() and self.writer() in ("", me)
-        if self.fence() or (free and picked(LEASE, [*self.members(), me]) == me):
+        local_name = self.order[self.local_index]
+        # a machine that has just started does not know the holder yet, and must not outbid it
+        free = not self.acceptor.silent() and self.writer() in ("", local_name)
+        if self.fence() or (free and picked(LEASE, [*self.members(), local_name]) == local_name):
             self.proposer.want(LEASE)
         elif LEASE in self.proposer.tries:
             self.proposer.leave(LEASE)
@@ -64,13 +66,13 @@
         return [member.name for member in self.channel.membership.ring if member.name in self.number_of]
 
     def fence(self) -> int:
-        """The number to make a version with at this moment; 0 where this machine may not."""
+        """The fencing token for making a version now; 0 if this machine may not make one."""
         return self.proposer.may_act(LEASE)
 
     def writer(self) -> str:
-        """Who holds the lease as far as this machine knows; empty if nobody does."""
+        """The name of the lease's holder as far as this machine knows; empty if there is none."""
         if self.fence():
-            return self.order[self.me]
+            return self.order[self.local_index]
         kept = self.acceptor.leases.get(LEASE)
         holds = kept is not None and kept.holder >= 0 and kept.until > self.now()
         return self.order[kept.holder] if holds else ""
@@ -78,7 +80,7 @@
     def show(self) -> dict:
         held = self.proposer.tries.get(LEASE)
         return {
-            "me": self.order[self.me],
+            "me": self.order[self.local_index],
             "writer": self.writer(),
             "number": self.fence(),
             "silent": self.acceptor.silent(),
@@ -88,14 +90,15 @@
 
 
 class Machine:
-    """Raises `FolderInUse` where another process has the folder, `OSError` where the socket cannot be had."""
+    """`path` is the site file, `state` the state folder. The constructor raises `FolderInUse` if another process uses the folder,
+    and `OSError` if the peer socket cannot be bound."""
 
     leases_class, distribution_class = MachineLeases, DistributionWire
 
     def __init__(self, path: Path, site: Site, name: str, state: Path, seed: int, log):
         self.path, self.site, self.name, self.log = path, site, name, log
         names = [machine.name for machine in site.control.machines]
-        me, rng = names.index(name), Random(seed)
+        local_index, rng = names.index(name), Random(seed)
         self.lock = Lock(state)
         self.clock = Clock()
         self.copy, self.vote = Record(state / "configuration"), Record(state / "vote")
@@ -103,9 +106,9 @@
         for record in (self.copy, self.vote):
             if record.damage:
                 log.error("record-damaged", cause=record.damage)
-        self.peers = PeerWire(site.name, site.control.machines[me], site.peers, self.clock, log, Random(rng.random()))
+        self.peers = PeerWire(site.name, site.control.machines[local_index], site.peers, self.clock, log, Random(rng.random()))
         self.leases = self.leases_class(
-            self.peers.channel, self.clock, names, me, names, site.control.terms, log, Random(rng.random())
+            self.peers.channel, self.clock, names, local_index, names, site.control.terms, log, Random(rng.random())
         )
         self.wire = self.distribution_class(
             self.peers.channel,
@@ -120,21 +123,21 @@
             copy,
             vote,
         )
-        self.commands = Commands(self, state / "control")
+        self.commands = CommandSocket(self, state / "control")
 
     async def run(self, ready=None) -> None:
-        """Until told to end; gives its lease back before that."""
+        """Runs until SIGTERM or SIGINT; releases the lease before it returns. `ready` is called once commands are accepted."""
         try:
             async with anyio.create_task_group() as tasks:
                 await tasks.start(self.commands.run)
-                for work in (self.peers.run, self.leases.run, self.wire.run):
-                    tasks.start_soon(work)
+                for task in (self.peers.run, self.leases.run, self.wire.run):
+                    tasks.start_soon(task)
                 self.log.info("open", machine=self.name, version=self.wire.version)
                 if ready is not None:
                     ready()
                 with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-                    async for which in signals:
-                        self.log.info("ended", cause=signal.Signals(which).name)
+                    async for signal_number in signals:
+                        self.log.info("ended", cause=signal.Signals(signal_number).name)
                         break
                 self.leases.leave()
                 await self.peers.leave()
@@ -142,24 +145,24 @@
         finally:
             self.lock.release()
 
-    def mistakes(self, content: bytes, called: str) -> tuple[str, bool]:
-        """What is wrong with a file that somebody wants in force, compared with what is (empty: nothing), and whether that is
-        only that it needs restarts. In the words it is `called` what the operator calls it."""
+    def content_errors(self, content: bytes, display_name: str) -> tuple[str, bool]:
+        """Why a site file cannot replace the version in force (empty if it can), and whether the only reason is that it needs
+        restarts. `display_name` is the file name shown in the messages."""
         held = self.wire.content
         try:
             running = self.site if held is None else read_site(self.path, held)
             checked(self.path, running, content)
-        except SiteErrors as wrong:
-            return told(Path(called or self.path.name), wrong), isinstance(wrong, RestartRequired)
+        except SiteErrors as errors:
+            return told(Path(display_name or self.path.name), errors), isinstance(errors, RestartRequired)
         return "", False
 
-    # ---- the wire's host. A machine applies nothing: what it stores is for the fronts
+    # ---- the host of distribution; a control machine applies no settings, it stores them for the fronts
 
     def check_configuration(self, content: bytes) -> str | None:
         try:
             read_site(self.path, content)
-        except SiteErrors as wrong:
-            return told(self.path, wrong)
+        except SiteErrors as errors:
+            return told(self.path, errors)
         return None
 
     def take_configuration(self, version: str, content: bytes) -> str | None:
--- a/curlewshift/distribution/__init__.py
+++ b/curlewshift/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Which version of the configuration is the newest, who holds it, and what is in force here. Free of I/O."""
+"""Versioned distribution of the site configuration: ordering, replicated storage, transfer and status. Free of I/O."""
--- a/curlewshift/distribution/copy.py
+++ b/curlewshift/distribution/copy.py
@@ -1,8 +1,9 @@
-"""What one node holds and has in force, and that it never goes back.
+"""One node's copy of the configuration: the newest version it holds, and the version in force, which never goes back.
 
-A content comes into force whole, once it fits its name and the host has found nothing wrong with it; it is on the disk before,
-so that a restart does not go back either. What the host refuses is kept as refused, the last good one stays, and the next newer
-is tried. With nobody heard all of it stays as it is, and grows old by the clock.
+A version is applied as a unit, after its content matches its digest and the host has accepted it. It is written to disk before
+it is applied, so that a restart does not go back to an older version either. If the host refuses a version, the refusal is
+recorded, the last good version stays in force, and the next newer version is tried. Without contact to other members the
+version in force stays, and its reported age grows.
 """
 
 from __future__ import annotations
@@ -12,28 +13,32 @@
 import msgspec
 import zstandard
 
-from curlewshift.distribution.versions import MOST_CONTENT, NONE, Version, digest_of
+from curlewshift.distribution.versions import MAX_CONTENT_BYTES, NONE, Version, digest_of
 
 FORM = 1
-# Refusals told of; older ones are forgotten.
-MOST_REFUSED = 4
-# Age (ns) of what nobody has vouched for.
-NEVER = -1
+# Recorded refusals; the oldest is dropped beyond this.
+MAX_REFUSED = 4
+# Reported as age (ns) until a majority of the control machines has confirmed that the held version is the newest.
+AGE_UNKNOWN = -1
 
 
 class Driver(Protocol):
+    """`check_configuration` and `take_configuration` return the reason of a refusal, or None."""
+
     def now(self) -> int: ...
     def check_configuration(self, content: bytes) -> str | None: ...
     def take_configuration(self, version: str, content: bytes) -> str | None: ...
     def keep_configuration(self, data: bytes) -> None: ...
-    def not_kept(self, why: str) -> None: ...
-    def copy_lost(self, why: str) -> None: ...
+    def write_failed(self, reason: str) -> None: ...
+    def copy_lost(self, reason: str) -> None: ...
     def in_force(self, version: Version, before: Version) -> None: ...
-    def refuses(self, version: Version, why: str) -> None: ...
-    def forked(self, one: Version, other: Version) -> None: ...
+    def refuses(self, version: Version, reason: str) -> None: ...
+    def forked(self, version: Version, other: Version) -> None: ...
 
 
 class Kept(msgspec.Struct, array_like=True):
+    """The record on disk. `form` is the format version; `content` is compressed."""
+
     form: int
     version: tuple[int, int, bytes]
     content: bytes
@@ -44,39 +49,41 @@
 
 
 class Copy:
+    """A node's copy of the configuration. Times are in ns."""
+
     def __init__(self, driver: Driver):
         self.driver = driver
-        # newest that was heard of; newest whose content is here, good or not; the one in force
+        # newest version announced; newest version whose content is held, accepted or not; version in force
         self.newest, self.held, self.version = NONE, NONE, NONE
         self.content: bytes | None = None
-        # of the newest held, good or not: others may want it, and may think otherwise of it
+        # content of `held`, accepted or not: other members may request it, and may accept it
         self.held_content = b""
         self.refused: dict[Version, str] = {}
         self.since = driver.now()
-        # when a majority vouched that `held` is the newest, as far as the words of others tell (ns of this clock)
-        self.vouched_at: int | None = None
+        # latest time known at which a majority confirmed that `held` is the newest version (ns of this clock)
+        self.confirmed_at: int | None = None
         self.forks = 0
 
     def start(self, kept: bytes | None) -> bool:
-        """From the disk. False where there is nothing there that is whole and good."""
+        """Loads the copy from disk (`kept`). False if there is none, or it is corrupt or refused."""
         if kept is None:
             return False
         try:
             held = DECODER.decode(kept)
             version = Version(*held.version)
-            content = zstandard.ZstdDecompressor().decompress(held.content, max_output_size=MOST_CONTENT)
+            content = zstandard.ZstdDecompressor().decompress(held.content, max_output_size=MAX_CONTENT_BYTES)
             if held.form != FORM or not self._fits(version, content):
-                raise ValueError("its digest is another than it says")
-        except (msgspec.DecodeError, zstandard.ZstdError, ValueError, RecursionError) as wrong:
-            self.driver.copy_lost(str(wrong))
+                raise ValueError("digest mismatch: the stored content does not match its version")
+        except (msgspec.DecodeError, zstandard.ZstdError, ValueError, RecursionError) as error:
+            self.driver.copy_lost(str(error))
             return False
         self.newest = version
         return self._take(version, content, kept_already=True)
 
-    # ---- words on versions that a majority has
+    # ---- versions announced as accepted by a majority
 
     def heard(self, version: Version) -> bool:
-        """True if it is news."""
+        """Records an announced version. True if it is newer than all announced before."""
         for other in {self.newest, self.held}:
             if version.number == other.number and version.digest != other.digest:
                 self.forks += 1
@@ -87,14 +94,16 @@
         return True
 
     def newer(self, version: Version) -> bool:
+        """Whether the version is newer than the one held."""
         return version.over(self.held)
 
     @property
-    def wants(self) -> Version | None:
+    def wanted_version(self) -> Version | None:
+        """The newest announced version, if its content is not held yet."""
         return self.newest if self.newer(self.newest) else None
 
     def got(self, version: Version, content: bytes) -> bool:
-        """The content of one that was heard of. False where it is not newer, or is not what it says."""
+        """Takes the content of an announced version. False if it is not newer, does not match its digest, or is refused."""
         if not self.newer(version) or not self._fits(version, content):
             return False
         return self._take(version, content)
@@ -103,44 +112,45 @@
         return digest_of(content) == version.digest
 
     def _take(self, version: Version, content: bytes, kept_already: bool = False) -> bool:
-        before, self.held, self.held_content, self.vouched_at = self.version, version, content, None
-        wrong = self.driver.check_configuration(content)
-        if wrong is None:
+        before, self.held, self.held_content, self.confirmed_at = self.version, version, content, None
+        reason = self.driver.check_configuration(content)
+        if reason is None:
             if not kept_already:
-                self._keep(version, content)
-            wrong = self.driver.take_configuration(version.text, content)
-            if wrong is not None and not kept_already and self.content is not None:
-                self._keep(before, self.content)
-        if wrong is not None:
-            self.refused[version] = wrong
-            while len(self.refused) > MOST_REFUSED:
+                self._persist(version, content)
+            reason = self.driver.take_configuration(version.text, content)
+            if reason is not None and not kept_already and self.content is not None:
+                self._persist(before, self.content)
+        if reason is not None:
+            self.refused[version] = reason
+            while len(self.refused) > MAX_REFUSED:
                 del self.refused[next(iter(self.refused))]
-            self.driver.refuses(version, wrong)
+            self.driver.refuses(version, reason)
             return False
         self.version, self.content, self.since = version, content, self.driver.now()
         self.driver.in_force(version, before)
         return True
 
-    def _keep(self, version: Version, content: bytes) -> None:
+    def _persist(self, version: Version, content: bytes) -> None:
         packed = zstandard.ZstdCompressor(level=3).compress(content)
         try:
             self.driver.keep_configuration(ENCODER.encode(Kept(FORM, tuple(version), packed)))
-        except OSError as wrong:
-            self.driver.not_kept(str(wrong))
+        except OSError as error:
+            self.driver.write_failed(str(error))
 
-    # ---- how old it is
+    # ---- age
 
-    def vouched(self, version: Version, age: int) -> None:
-        """So long ago (ns) a majority had nothing newer than this."""
+    def confirmed_newest(self, version: Version, age: int) -> None:
+        """A majority confirmed, `age` ns ago, that it had nothing newer than `version`."""
         at = self.driver.now() - age
-        if version.number == self.held.number and (self.vouched_at is None or at > self.vouched_at):
-            self.vouched_at = at
+        if version.number == self.held.number and (self.confirmed_at is None or at > self.confirmed_at):
+            self.confirmed_at = at
 
     @property
     def age(self) -> int:
-        return NEVER if self.vouched_at is None else max(0, self.driver.now() - self.vouched_at)
+        """Time since a majority confirmed the held version as the newest (ns), or `AGE_UNKNOWN`."""
+        return AGE_UNKNOWN if self.confirmed_at is None else max(0, self.driver.now() - self.confirmed_at)
 
     @property
     def why_refused(self) -> str:
-        """Of the newest held, if it is not the one in force."""
+        """Why the newest held version was refused; empty if it is in force."""
         return self.refused.get(self.held, "") if self.held != self.version else ""
--- a/curlewshift/distribution/library.py
+++ b/curlewshift/distribution/library.py
@@ -1,14 +1,16 @@
-"""Contents by digest: what is in force, and some before it, to give differences to those who have them."""
+"""Configuration contents by digest: the one in force and some earlier ones, which serve as bases of differences."""
 
 from __future__ import annotations
 
 from curlewshift.distribution.versions import digest_of
 
-# Contents beyond these are dropped, oldest first: who has an older one is given the whole.
-KEPT, MOST_BYTES = 16, 4 * 1024 * 1024
+# Contents beyond these limits are dropped, oldest first; a requester that holds an older one is sent the full content.
+MAX_CONTENTS, MAX_BYTES = 16, 4 * 1024 * 1024
 
 
 class Library:
+    """Keeps at least the two newest contents."""
+
     def __init__(self):
         self.contents: dict[bytes, bytes] = {}
 
@@ -19,5 +21,5 @@
         digest = digest_of(content)
         self.contents.pop(digest, None)
         self.contents[digest] = content
-        while len(self.contents) > 2 and (len(self.contents) > KEPT or sum(map(len, self.contents.values())) > MOST_BYTES):
+        while len(self.contents) > 2 and (len(self.contents) > MAX_CONTENTS or sum(map(len, self.contents.values())) > MAX_BYTES):
             del self.contents[next(iter(self.contents))]
--- a/curlewshift/distribution/pieces.py
+++ b/curlewshift/distribution/pieces.py
@@ -1,7 +1,8 @@
-"""A content on its way: packed whole or as the difference to one that the asker has, and cut into datagrams' bodies.
+"""A content in transfer: packed in full or as the difference to a content that the requester holds, and split into pieces that
+fit into datagrams.
 
-Zstandard (RFC 8878); a difference is the whole compressed with the held content as a raw dictionary. What comes out is believed
-by its digest alone: nothing here is.
+Zstandard (RFC 8878); a difference is the full content, compressed with the held content as a raw dictionary. Unpacked data is
+not trusted here: the caller checks it against the version's digest.
 """
 
 from __future__ import annotations
@@ -11,21 +12,21 @@
 
 import zstandard
 
-from curlewshift.distribution.versions import MOST_CONTENT
+from curlewshift.distribution.versions import MAX_CONTENT_BYTES
 
-# Bytes of a packing in one datagram: what is left beside the frame and the words round it.
-PIECE = 760
-LEVEL = 9
-MOST_PACKED = 1024 * 1024
-MOST_PIECES = MOST_PACKED // PIECE
+# Bytes of a packing in one datagram: what the frame and the message around it leave free.
+PIECE_BYTES = 760
+COMPRESSION_LEVEL = 9
+MAX_PACKED_BYTES = 1024 * 1024
+MAX_PIECES = MAX_PACKED_BYTES // PIECE_BYTES
 
 
 class CorruptContent(Exception):
-    """What came does not unpack."""
+    """Received data that cannot be unpacked, or does not match its version."""
 
 
-def name_of(packed: bytes) -> bytes:
-    """Two that pack alike may give pieces of one packing."""
+def packing_id(packed: bytes) -> bytes:
+    """Identifies a packing, so that pieces of equal packings from several providers can be combined."""
     return blake2b(packed, digest_size=8).digest()
 
 
@@ -35,57 +36,57 @@
 
 @lru_cache(maxsize=8)
 def packed_whole(content: bytes) -> bytes:
-    """Content as it is carried: compressed."""
-    return zstandard.ZstdCompressor(level=LEVEL).compress(content)
+    """The content as it is sent in full: compressed."""
+    return zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(content)
 
 
 @lru_cache(maxsize=16)
 def packed_difference(content: bytes, base: bytes) -> bytes:
-    """Content as it is carried to who has `base`: compressed against it."""
-    figures = zstandard.ZstdCompressionParameters.from_level(
-        LEVEL, source_size=len(content), dict_size=len(base), enable_ldm=len(content) > 1 << 20
+    """The content as it is sent to a requester that holds `base`: compressed with `base` as the dictionary."""
+    parameters = zstandard.ZstdCompressionParameters.from_level(
+        COMPRESSION_LEVEL, source_size=len(content), dict_size=len(base), enable_ldm=len(content) > 1 << 20
     )
-    return zstandard.ZstdCompressor(dict_data=_dictionary(base), compression_params=figures).compress(content)
+    return zstandard.ZstdCompressor(dict_data=_dictionary(base), compression_params=parameters).compress(content)
 
 
 def unpacked(packed: bytes, base: bytes) -> bytes:
-    """`base` is empty for a whole one. Raises `CorruptContent`."""
+    """The content of a packing. `base` is empty for a full packing. Raises `CorruptContent`."""
     try:
-        if zstandard.frame_content_size(packed) > MOST_CONTENT:
-            raise CorruptContent("larger than any content")
-        opener = zstandard.ZstdDecompressor(dict_data=_dictionary(base)) if base else zstandard.ZstdDecompressor()
-        return opener.decompress(packed, max_output_size=MOST_CONTENT)
-    except zstandard.ZstdError as wrong:
-        raise CorruptContent(str(wrong)) from None
+        if zstandard.frame_content_size(packed) > MAX_CONTENT_BYTES:
+            raise CorruptContent(f"content larger than {MAX_CONTENT_BYTES} bytes")
+        decompressor = zstandard.ZstdDecompressor(dict_data=_dictionary(base)) if base else zstandard.ZstdDecompressor()
+        return decompressor.decompress(packed, max_output_size=MAX_CONTENT_BYTES)
+    except zstandard.ZstdError as error:
+        raise CorruptContent(str(error)) from None
 
 
-def piece(packed: bytes, index: int) -> bytes:
+def piece_at(packed: bytes, index: int) -> bytes:
     """One piece of packed content, by its index."""
-    return packed[index * PIECE : (index + 1) * PIECE]
+    return packed[index * PIECE_BYTES : (index + 1) * PIECE_BYTES]
 
 
-def pieces_of(packed: bytes) -> int:
+def piece_count(packed: bytes) -> int:
     """How many pieces packed content has."""
-    return -(-len(packed) // PIECE)
+    return -(-len(packed) // PIECE_BYTES)
 
 
-class Parts:
-    """What has come of one packing."""
+class ReceivedPieces:
+    """The pieces received so far of one packing."""
 
     def __init__(self, base: bytes, total: int):
         self.base, self.total = base, total
         self.held: dict[int, bytes] = {}
 
-    def put(self, index: int, data: bytes) -> None:
+    def add(self, index: int, data: bytes) -> None:
         if index < self.total:
             self.held[index] = data
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         return len(self.held) == self.total
 
-    def missing(self, most: int) -> list[int]:
-        return [index for index in range(self.total) if index not in self.held][:most]
+    def missing(self, limit: int) -> list[int]:
+        return [index for index in range(self.total) if index not in self.held][:limit]
 
     def packed(self) -> bytes:
         return b"".join(self.held[index] for index in range(self.total))
--- a/curlewshift/distribution/terms.py
+++ b/curlewshift/distribution/terms.py
@@ -1,4 +1,4 @@
-"""The figures of distribution, from the settings of a site, and why they are as they are (docs/distribution.md)."""
+"""Parameters of configuration distribution at a site, and the reasons for their values (see also docs/distribution.md)."""
 
 from __future__ import annotations
 
@@ -10,40 +10,42 @@
 
 @dataclass(slots=True, frozen=True)
 class DistributionTerms:
-    """Times in ns. `stores` are the names of the control machines; `give_bytes` a second bound what a node gives of
-    contents, apart from the channel's own allowance."""
+    """Times in ns. `stores` are the names of the control machines; `give_bytes` limits the content a node sends (bytes/s), in
+    addition to the channel's own limit."""
 
     stores: tuple[str, ...]
     give_bytes: int = 1536
-    # what a giver that has rested may give at once: two whole contents of 630 fronts, so that who has it makes three within a
-    # moment. Over the 18 s in which a change is to be in force both come to 3.4 KB a second.
+    # burst of an idle provider (bytes): two full contents of a site with 630 fronts, so that one holder quickly becomes three.
+    # Over the 18 s in which a change must be in force, burst and rate together amount to 3.4 KB/s.
     give_burst: int = 33 * 1024
-    # the machines set aside for it give more, and to more at once
+    # control machines, which are dedicated to this, send at a higher rate and to more requesters at once
     store_give_bytes: int = 32 * 1024
-    # who had pieces of a whole content within the last second, here and at a store; one more is told to come again
-    most_askers: int = 2
-    store_most_askers: int = 6
-    # words that say so, a second: who hears none is silent to its asker, and is left alone for longer
-    most_busy: int = 20
-    # givers that are asked in one round by one who is turned away
-    tries_a_round: int = 2
-    # the wire's own round
+    # requesters that were sent pieces of a content within the last second, at a node and at a store; others are told to retry
+    max_requesters: int = 2
+    store_max_requesters: int = 6
+    # busy replies a second; beyond that requests go unanswered, and the requester backs off for longer
+    max_busy_replies: int = 20
+    # providers that a requester asks in one round, if each turns it away
+    attempts_per_round: int = 2
+    # interval of rounds
     every: int = NS // 5
-    # what is news is told to so many others, so many rounds long
-    news_to: int = 3
-    tellings: int = 4
-    # pieces asked for in one go, and how long a giver may be silent before another is asked
+    # a new version is announced to so many members a round, for so many rounds
+    announce_fanout: int = 3
+    announce_rounds: int = 4
+    # pieces requested at once, and how long a provider may be silent before another is asked
     window: int = 8
-    ask_within: int = 300 * MS
-    # a giver that had nothing, was silent or gave what is spoilt is left alone for so long
-    rest: int = 2 * NS
-    # the writer asks all stores again so often: what was lost goes out again, and a majority vouches for the newest
+    request_timeout: int = 300 * MS
+    # a provider that was silent or sent corrupt content is not asked for this long; one without the content for a fraction of it
+    backoff: int = 2 * NS
+    # interval at which the writer repeats its messages to all stores: this replaces lost ones, and the answers of a majority
+    # confirm which version is the newest
     again: int = 500 * MS
-    # a node tells its zone's aggregator on change, and else so often; an aggregator tells the stores no sooner than that
-    report_each: int = 30 * NS
-    sum_each: int = NS
-    # whom a zone's sum names as late, or as refusing
-    most_named: int = 4
+    # a node reports to its zone's aggregator on each change and at this interval; minimum interval between an aggregator's
+    # summaries to the stores
+    report_interval: int = 30 * NS
+    summary_interval: int = NS
+    # late nodes that a zone's summary names
+    max_named: int = 4
 
     @property
     def majority(self) -> int:
--- a/curlewshift/distribution/versions.py
+++ b/curlewshift/distribution/versions.py
@@ -1,7 +1,7 @@
-"""The order of versions of the configuration, and the ballots under which stores take them.
+"""The order of configuration versions, and the ballots under which stores accept them.
 
-A version's number is the fence of the lease under which it was made and a count within that tenure; its name says what it
-contains. Called by everything in distribution/.
+A version's number is the fence of the lease under which it was made and a count within that tenure; its digest identifies the
+content. Used by everything in distribution/.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from hashlib import sha256
 from typing import NamedTuple
 
-# A site file larger than this is none: it bounds what a giver's words may make anybody hold.
-MOST_CONTENT = 4 * 1024 * 1024
+# Larger site files are rejected: this limits the memory that a message of a provider can make a member use.
+MAX_CONTENT_BYTES = 4 * 1024 * 1024
 
 
 class Version(NamedTuple):
-    """`digest` is the SHA-256 of the whole content (FIPS 180-4)."""
+    """`digest` is the SHA-256 of the full content (FIPS 180-4)."""
 
     fence: int
     count: int
@@ -32,24 +32,24 @@
         return f"{self.fence}.{self.count}-{self.digest.hex()[:12]}" if self.fence else "file"
 
 
-# The file a node was given: every version is newer.
+# The site file that a node was started with: every version is newer.
 NONE = Version(0, 0, b"")
 
 
 def digest_of(content: bytes) -> bytes:
-    """The digest by which content is known."""
+    """The digest by which a content is identified."""
     return sha256(content).digest()
 
 
 class Ballot(NamedTuple):
-    """A tenure of one writer's life. The lease should give a fence to one alone; the stores do not rest on that, and promise a
-    fence to the first that comes with it."""
+    """A tenure of a writer in one life (run of its process, numbered). The lease should grant a fence to one writer only; the
+    stores do not rely on that, and promise a fence to the first writer that presents it."""
 
     fence: int
     writer: str
     life: int
 
-    def behind(self, promised: Ballot) -> bool:
+    def superseded_by(self, promised: Ballot) -> bool:
         return self.fence < promised.fence or (self.fence == promised.fence and self != promised)
 
 
--- a/curlewshift/distribution/writer.py
+++ b/curlewshift/distribution/writer.py
@@ -1,9 +1,9 @@
-"""The one that makes versions, on the machine that holds the lease: a proposer of Paxos over one chain of versions.
+"""The writer that makes versions, on the control machine that holds the lease: a proposer of Paxos over one chain of versions.
 
-In each tenure it first hears a majority of the stores. The newest taken there (by the ballot it was taken under) is brought to
-a majority as it is, and told; only then a version of its own comes about, upon the one that the operator named. So who was
-killed between a majority and the telling leaves nothing in doubt. The lease makes it quick that there is one writer; that
-there is one order rests on the stores alone.
+In each tenure the writer first hears from a majority of the stores. The newest version taken there (by the ballot under which it
+was taken) is brought to a majority unchanged and announced; only then can the writer make a version of its own, based on the one
+that the operator named. So a writer that was killed between the majority and the announcement leaves no version undecided. The
+lease ensures that there is normally one writer, for speed; that there is one order depends on the stores alone.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from curlewshift.distribution.store import Noted, Stand
+from curlewshift.distribution.store import Noted, StoreState
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import NONE, Ballot, Version, digest_of
 
@@ -33,8 +33,8 @@
 
 
 @dataclass(slots=True)
-class Put:
-    """What an operator wants. `version` is set once a store may have heard of it: from there its fate is the stores'."""
+class PendingChange:
+    """An operator's change. `version` is set once a store may have received it: from then on the stores decide its outcome."""
 
     content: bytes
     base: str
@@ -45,78 +45,85 @@
 
 @dataclass(slots=True)
 class Tenure:
+    """A writer's state under one ballot. `stands` is the latest state of each store, `answered` when it answered (ns), `value`
+    the version that is being brought to a majority, `votes` the stores that have taken it, and `count` the versions made."""
+
     ballot: Ballot
-    next_at: int = 0
-    stands: dict[str, Stand] = field(default_factory=dict)
+    resend_at: int = 0
+    stands: dict[str, StoreState] = field(default_factory=dict)
     answered: dict[str, int] = field(default_factory=dict)
     decided: bool = False
     value: Version = NONE
     is_chosen: bool = False
     votes: set[str] = field(default_factory=set)
     count: int = 0
-    # notes so far, and the note under which each store is being let in
-    notes: int = 0
+    # notes made so far, and the note with which each store is being let in
+    note_count: int = 0
     letting: dict[str, Noted] = field(default_factory=dict)
     founding: bool = False
     outbid_by: Ballot | None = None
 
 
 class Writer:
-    """`stores` by name; this machine's own is one of them. `life` is never that of another process of this name."""
+    """Stores are addressed by name; this machine's own is one of them. `life` numbers this run of the process, and differs from
+    that of any other process of the same name."""
 
-    def __init__(self, driver: Driver, me: str, life: int, terms: DistributionTerms):
-        self.driver, self.me, self.life, self.terms = driver, me, life, terms
+    def __init__(self, driver: Driver, local_name: str, life: int, terms: DistributionTerms):
+        self.driver, self.local_name, self.life, self.terms = driver, local_name, life, terms
         self.tenure: Tenure | None = None
-        self.wanted: Put | None = None
+        self.wanted: PendingChange | None = None
 
     @property
     def majority(self) -> int:
         return self.terms.majority
 
-    # ---- what happens
+    # ---- events
 
     def put(self, content: bytes, base: str, within: int, done: Callable[[dict], None]) -> None:
-        """`done` is called once, at the latest `within` (ns) from now by `time`."""
+        """Makes a version. `done` is called once with the result, by `time` at the latest `within` ns from now."""
         if self.wanted is not None:
-            done(refused("another change is being made at this moment"))
+            done(refusal("another change is being made at this moment"))
             return
-        self.wanted = Put(content, base, self.driver.now() + within, done)
+        self.wanted = PendingChange(content, base, self.driver.now() + within, done)
         self.time()
 
     def time(self) -> None:
+        """One round: starts or ends a tenure with the lease, repeats messages, and ends a put that has timed out."""
         now, fence = self.driver.now(), self.driver.fence()
         tenure = self.tenure
         if not fence:
             self.tenure = None
         elif tenure is None or tenure.ballot.fence != fence:
-            self.tenure = Tenure(Ballot(fence, self.me, self.life))
-            self._again(now)
-        elif now >= tenure.next_at:
-            self._again(now)
+            self.tenure = Tenure(Ballot(fence, self.local_name, self.life))
+            self._resend(now)
+        elif now >= tenure.resend_at:
+            self._resend(now)
         if self.wanted is not None and now >= self.wanted.until:
-            self._late()
+            self._expire()
 
-    def stands(self, store: str, ballot: Ballot, stand: Stand) -> None:
-        """A store's answer to any word of this ballot."""
+    def stands(self, store: str, ballot: Ballot, state: StoreState) -> None:
+        """A store's answer to any message of this ballot."""
         tenure = self.tenure
         if tenure is None or tenure.ballot != ballot or store not in self.terms.stores:
             return
-        tenure.stands[store] = stand
+        tenure.stands[store] = state
         tenure.answered[store] = self.driver.now()
-        if stand.taken_at == ballot and stand.taken == tenure.value and tenure.decided:
+        if state.taken_at == ballot and state.taken == tenure.value and tenure.decided:
             tenure.votes.add(store)
-        self._go_on()
+        self._advance()
 
     def outbid(self, ballot: Ballot, promised: Ballot) -> None:
         if self.tenure is not None and self.tenure.ballot == ballot:
             self.tenure.outbid_by = promised
 
-    def content_came(self) -> None:
+    def content_received(self) -> None:
+        """A content that the tenure may have waited for is held now."""
         if self.tenure is not None:
-            self._go_on()
+            self._advance()
 
-    def vouches(self) -> bool:
-        """Whether a majority answered it of late: what is newest here then is the newest there was."""
+    def confirms_newest(self) -> bool:
+        """Whether a majority of stores answered within the last two intervals: if so, the newest version here was the newest
+        of all."""
         tenure, now = self.tenure, self.driver.now()
         return (
             tenure is not None
@@ -127,78 +134,81 @@
             <= sum(now - at <= 2 * self.terms.again for store, at in tenure.answered.items() if store in self._voters())
         )
 
-    # ---- the course of a tenure
+    # ---- steps of a tenure
 
-    def _again(self, now: int) -> None:
+    def _resend(self, now: int) -> None:
         tenure = self.tenure
-        tenure.next_at = now + self.terms.again
+        tenure.resend_at = now + self.terms.again
         for store in self.terms.stores:
             if self._may_act():
                 self.driver.prepare(store, tenure.ballot)
-        self._go_on(again=True)
+        self._advance(again=True)
 
     def _may_act(self) -> bool:
-        """Asked in the instant of each act: one that was stopped finds here that its time is over."""
+        """Checked immediately before each act: a process that was paused learns here that its lease has expired."""
         return self.tenure is not None and self.driver.fence() == self.tenure.ballot.fence
 
     def _noted(self) -> dict[str, Noted]:
-        """The records that count, by the latest word of any store that votes."""
+        """The current record of each store, by the latest note of any store that votes."""
         merged: dict[str, Noted] = {}
-        for stand in self.tenure.stands.values():
-            if not stand.blank:
-                for store, noted in stand.noted.items():
+        for state in self.tenure.stands.values():
+            if not state.blank:
+                for store, noted in state.noted.items():
                     merged[store] = max(noted, merged.get(store, (0, 0, 0)))
         return merged
 
     def _voters(self) -> list[str]:
-        """Stores whose answer counts: not blank, and of the record that the others know."""
+        """Stores whose answer counts: not blank, and with the record that the others have noted."""
         noted = self._noted()
         return [
             store
-            for store, stand in self.tenure.stands.items()
-            if not stand.blank and noted.get(store, (0, 0, stand.record))[2] == stand.record
+            for store, state in self.tenure.stands.items()
+            if not state.blank and noted.get(store, (0, 0, state.record))[2] == state.record
         ]
 
-    def _go_on(self, again: bool = False) -> None:
-        """What is lost goes out anew where `again`; else only what has just become due: answers must not breed words."""
+    def _advance(self, again: bool = False) -> None:
+        """Sends what the tenure needs next. Messages are repeated only if `again` is set, as otherwise each answer would cause
+        further messages."""
         tenure = self.tenure
         voters = self._voters()
         if not tenure.decided:
             if len(voters) < self.majority:
-                self._found(again)
+                self._initialize_stores(again)
                 return
             self._decide(voters)
             again = True
         self._let_in(voters, again)
-        self._offer(voters, again)
+        self._propose_value(voters, again)
         if not tenure.is_chosen and len(tenure.votes) >= self._enough():
             tenure.is_chosen = True
-            self._told()
+            self._announce_chosen()
         if tenure.is_chosen:
             self._make()
 
     def _enough(self) -> int:
+        """Number of stores that must take a version."""
         return self.majority
 
     def _decide(self, voters: list[str]) -> None:
+        """Finds the newest version taken by a majority's stores, which this tenure starts from."""
         tenure = self.tenure
         stands = [tenure.stands[store] for store in voters]
-        newest = max(stands, key=lambda stand: (stand.taken_at.fence, stand.taken.number))
+        newest = max(stands, key=lambda state: (state.taken_at.fence, state.taken.number))
         tenure.decided, tenure.value = True, newest.taken
-        tenure.is_chosen = newest.taken == NONE or any(stand.chosen == newest.taken for stand in stands)
+        tenure.is_chosen = newest.taken == NONE or any(state.chosen == newest.taken for state in stands)
         if tenure.is_chosen:
-            self._told()
+            self._announce_chosen()
 
-    def _told(self) -> None:
-        """A majority has it: it may be said."""
-        value, put = self.tenure.value, self.wanted
+    def _announce_chosen(self) -> None:
+        """A majority has the value: it can be announced, and the operator's change is answered."""
+        value, change = self.tenure.value, self.wanted
         if value != NONE:
             self.driver.chosen(value)
-        if put is not None and put.version == value:
+        if change is not None and change.version == value:
             self.wanted = None
-            put.done({"ok": True, "version": value.text})
+            change.done({"ok": True, "version": value.text})
 
-    def _offer(self, voters: list[str], again: bool) -> None:
+    def _propose_value(self, voters: list[str], again: bool) -> None:
         tenure = self.tenure
         if tenure.value == NONE:
             return
@@ -210,75 +220,76 @@
                 self.driver.take(store, tenure.ballot, tenure.stands[store].record, tenure.value)
 
     def _let_in(self, voters: list[str], again: bool) -> None:
-        """Stores that are blank, or whose record is not the one that the others know: first all hear of the record."""
+        """Lets in stores that are blank, or whose record is not the one the others have noted. A majority of the other stores
+        must note the record before the store may vote."""
         tenure = self.tenure
-        for store, stand in list(tenure.stands.items()):
+        for store, state in list(tenure.stands.items()):
             if store in voters or not self._may_act():
                 continue
             known, fresh = tenure.letting.get(store), False
-            if known is None or known[2] != stand.record:
-                tenure.notes += 1
-                known = tenure.letting[store] = (tenure.ballot.fence, tenure.notes, stand.record)
+            if known is None or known[2] != state.record:
+                tenure.note_count += 1
+                known = tenure.letting[store] = (tenure.ballot.fence, tenure.note_count, state.record)
                 fresh = True
             lacking = [other for other in voters if tenure.stands[other].noted.get(store) != known]
             if fresh or again:
                 for other in lacking:
                     self.driver.note(other, tenure.ballot, tenure.stands[other].record, store, known)
-            if stand.blank and again and len(voters) - len(lacking) >= self.majority:
-                self.driver.enter(store, tenure.ballot, stand.record, self._noted(), tenure.value, False)
+            if state.blank and again and len(voters) - len(lacking) >= self.majority:
+                self.driver.enter(store, tenure.ballot, state.record, self._noted(), tenure.value, False)
 
-    def _found(self, again: bool) -> None:
-        """All stores answered, and none ever took anything: there is no earlier version that could be lost."""
+    def _initialize_stores(self, again: bool) -> None:
+        """Founds the stores if all have answered and none has ever taken anything: no earlier version can be lost."""
         tenure = self.tenure
         stands = tenure.stands
-        if len(stands) < len(self.terms.stores) or any(stand.taken != NONE or stand.chosen != NONE for stand in stands.values()):
+        if len(stands) < len(self.terms.stores) or any(state.taken != NONE or state.chosen != NONE for state in stands.values()):
             return
         if tenure.founding and not again:
             return
         tenure.founding = True
-        tenure.notes += 1
-        noted = {store: (tenure.ballot.fence, tenure.notes, stand.record) for store, stand in stands.items()}
-        for store, stand in list(stands.items()):
+        tenure.note_count += 1
+        noted = {store: (tenure.ballot.fence, tenure.note_count, state.record) for store, state in stands.items()}
+        for store, state in list(stands.items()):
             if self._may_act():
-                self.driver.enter(store, tenure.ballot, stand.record, noted, NONE, True)
+                self.driver.enter(store, tenure.ballot, state.record, noted, NONE, True)
 
     def _make(self) -> None:
-        tenure, put = self.tenure, self.wanted
-        if put is None or put.version is not None or tenure.outbid_by is not None or not self._may_act():
+        tenure, change = self.tenure, self.wanted
+        if change is None or change.version is not None or tenure.outbid_by is not None or not self._may_act():
             return
-        if (put.base or NONE.text) != tenure.value.text:
+        if (change.base or NONE.text) != tenure.value.text:
             self.wanted = None
-            put.done(
-                refused(
+            change.done(
+                refusal(
                     f"somebody was quicker: the newest is {tenure.value.text}, "
-                    f"and this change was made upon {put.base or NONE.text}"
+                    f"and this change was made upon {change.base or NONE.text}"
                 )
             )
             return
         tenure.count += 1
-        put.version = tenure.value = Version(tenure.ballot.fence, tenure.count, digest_of(put.content))
+        change.version = tenure.value = Version(tenure.ballot.fence, tenure.count, digest_of(change.content))
         tenure.is_chosen = False
         tenure.votes.clear()
-        self.driver.hold_content(put.content)
-        self._offer(self._voters(), again=True)
-
-    def _late(self) -> None:
-        put, self.wanted = self.wanted, None
-        why = self.why_not()
-        if put.version is None:
-            put.done(refused(f"not made: {why}"))
+        self.driver.hold_content(change.content)
+        self._propose_value(self._voters(), again=True)
+
+    def _expire(self) -> None:
+        change, self.wanted = self.wanted, None
+        reason = self.blocking_reason()
+        if change.version is None:
+            change.done(refusal(f"not made: {reason}"))
         else:
-            put.done(
+            change.done(
                 {
                     "ok": False,
                     "unknown": True,
-                    "wrong": f"its fate is not known: {put.version.text} may yet come into force "
-                    f"({why}); look at what is newest before trying again",
+                    "wrong": f"its fate is not known: {change.version.text} may yet come into force "
+                    f"({reason}); look at what is newest before trying again",
                 }
             )
 
-    def why_not(self) -> str:
-        """In words, what keeps it from making a version now."""
+    def blocking_reason(self) -> str:
+        """Why no version can be made now, for operators."""
         tenure = self.tenure
         if tenure is None:
             return "this machine does not hold the lease under which versions are made"
@@ -286,13 +297,13 @@
             return f"stores have promised {tenure.outbid_by.writer} a later number, {tenure.outbid_by.fence}"
         voters = self._voters()
         if len(voters) < self.majority:
-            blank = sorted(store for store, stand in tenure.stands.items() if stand.blank)
+            blank = sorted(store for store, state in tenure.stands.items() if state.blank)
             return f"{len(voters)} of {len(self.terms.stores)} stores answer and vote, {self.majority} are needed" + (
                 f"; without a record: {', '.join(blank)}" if blank else ""
             )
         return f"{len(tenure.votes)} of {len(self.terms.stores)} stores have {tenure.value.text}, {self.majority} are needed"
 
 
-def refused(words: str) -> dict:
-    """The answer to a command that is not carried out, and why."""
-    return {"ok": False, "unknown": False, "wrong": words}
+def refusal(reason: str) -> dict:
+    """The answer to a command that is not carried out, with the reason."""
+    return {"ok": False, "unknown": False, "wrong": reason}
--- a/curlewshift/peering/distributed.py
+++ b/curlewshift/peering/distributed.py
@@ -1,9 +1,9 @@
-"""The configuration's versions on the channel: words of distribution/ as bodies of one kind, what rides on probes, and their
-time.
+"""Versioned configuration on the channel: the messages of distribution/ as bodies of one frame kind, the data piggybacked on
+probes, and the timer.
 
-Held by front/front.py, control/ and scale/, whose host takes what comes into force. Whoever drives it calls `time` each fifth of
-a second, or `run`. What a node's disk had is in force when the constructor returns, if it is whole and the host has nothing
-against it: the host's methods are called from there on, in the caller's own task, between two events.
+Held by front/front.py, control/ and scale/, whose host applies what comes into force. Call `time` every `DistributionTerms.every`
+(0.2 s), or `run`. When the constructor returns, the version on the node's disk is in force, if it is intact and the host accepts
+it. From then on the host's methods are called in the caller's own task, between two events.
 """
 
 from __future__ import annotations
@@ -16,44 +16,49 @@
 import msgspec
 from msgspec import Meta
 
-from curlewshift.distribution.copy import NEVER, Copy
+from curlewshift.distribution.copy import AGE_UNKNOWN, Copy
 from curlewshift.distribution.fetching import Fetch
 from curlewshift.distribution.giving import Giver
 from curlewshift.distribution.library import Library
-from curlewshift.distribution.reports import Fleet, Report, Reporter, ZoneSum
-from curlewshift.distribution.store import Stand, Store
+from curlewshift.distribution.reports import FleetStatus, Report, Reporter, ZoneSummary
+from curlewshift.distribution.store import Store, StoreState
 from curlewshift.distribution.terms import DistributionTerms
-from curlewshift.distribution.versions import MOST_CONTENT, NONE, Ballot, Version
-from curlewshift.distribution.writer import Writer, refused
+from curlewshift.distribution.versions import MAX_CONTENT_BYTES, NONE, Ballot, Version
+from curlewshift.distribution.writer import Writer, refusal
 from curlewshift.membership.member import Member
 from curlewshift.membership.updates import spread
 from curlewshift.schedule.steady_clock import SteadyClock
 
 KIND = 20
 NS = 1_000_000_000
-# Between looks at whether a start has found something (s), and peers that say they have nothing before it is believed.
-LOOK, NOTHING_FROM = 0.05, 3
-# Rounds in which one that starts empty asks its own zone, before it takes from anybody.
-ASK_AROUND = 3
-# Words of a writer that wait for the content they name.
-MOST_WAITING = 4
-# How old, in tenths of a second, a ride says at the most.
-MOST_AGE = 2**31
+# Interval at which a start checks whether a version has been found (s), and the number of peers that must report holding none
+# before it stops looking.
+POLL_INTERVAL_S, MIN_EMPTY_PEERS = 0.05, 3
+# Rounds in which a node that starts empty fetches only if a member of its own zone holds a version; later from any member.
+ZONE_ONLY_ROUNDS = 3
+# Messages of a writer that wait for the content they refer to; the oldest is dropped beyond this.
+MAX_WAITING = 4
+# Maximum age in piggybacked data (tenths of a second).
+MAX_AGE = 2**31
 
 Count = Annotated[int, Meta(ge=0, lt=2**62)]
 Name = Annotated[str, Meta(max_length=64)]
-Words = Annotated[str, Meta(max_length=200)]
+BoundedText = Annotated[str, Meta(max_length=200)]
 WireBallot = tuple[Count, Name, Count]
 WireVersion = tuple[Count, Count, Annotated[bytes, Meta(max_length=32)]]
 WireNoted = Annotated[dict[Name, tuple[Count, Count, Count]], Meta(max_length=16)]
-Short = Annotated[bytes, Meta(max_length=32)]
+ShortBytes = Annotated[bytes, Meta(max_length=32)]
 
 
 class Prepare(msgspec.Struct, array_like=True, tag=1):
+    """Writer to store: asks for a promise of the ballot."""
+
     ballot: WireBallot
 
 
-class Stands(msgspec.Struct, array_like=True, tag=2):
+class StoreStateMessage(msgspec.Struct, array_like=True, tag=2):
+    """Store to writer: the state of the store under the ballot, in answer to any message of it."""
+
     ballot: WireBallot
     record: Count
     blank: bool
@@ -64,17 +69,23 @@
 
 
 class Outbid(msgspec.Struct, array_like=True, tag=3):
+    """Store to writer: the ballot is refused, as a later one is promised."""
+
     ballot: WireBallot
     promised: WireBallot
 
 
 class Take(msgspec.Struct, array_like=True, tag=4):
+    """Writer to store: accept the version. `record` is the number of the store's record that the writer has seen."""
+
     ballot: WireBallot
     record: Count
     version: WireVersion
 
 
 class Note(msgspec.Struct, array_like=True, tag=5):
+    """Writer to store: another store (`store`) has a new record."""
+
     ballot: WireBallot
     record: Count
     store: Name
@@ -82,6 +93,8 @@
 
 
 class Enter(msgspec.Struct, array_like=True, tag=6):
+    """Writer to store: the store is let in, and votes from now on."""
+
     ballot: WireBallot
     record: Count
     noted: WireNoted
@@ -89,43 +102,51 @@
     founding: bool
 
 
-class Tell(msgspec.Struct, array_like=True, tag=7):
-    """The newest that the sender holds; it may ask for the receiver's."""
+class Announce(msgspec.Struct, array_like=True, tag=7):
+    """The newest version that the sender holds; `asks` requests the receiver's in return."""
 
     version: WireVersion
     asks: bool = False
 
 
-class Ask(msgspec.Struct, array_like=True, tag=8):
+class PieceRequest(msgspec.Struct, array_like=True, tag=8):
+    """A request for pieces of a content; `missing` is empty if the requester has received none yet."""
+
     version: WireVersion
-    base: Short
-    packing: Short
+    base: ShortBytes
+    packing: ShortBytes
     missing: Annotated[list[Count], Meta(max_length=64)]
 
 
 class Piece(msgspec.Struct, array_like=True, tag=9):
+    """One piece of a packing with `total` pieces."""
+
     version: WireVersion
-    base: Short
-    packing: Short
+    base: ShortBytes
+    packing: ShortBytes
     total: Count
     index: Count
     data: bytes
 
 
 class Busy(msgspec.Struct, array_like=True, tag=10):
-    """Nothing, or no more, for now; `after` is in ms, 0: it has not got it."""
+    """No pieces, or no further ones, for now: retry `after` ms. 0: the sender does not hold the content."""
 
     version: WireVersion
     after: Count
 
 
 class InForce(msgspec.Struct, array_like=True, tag=11):
+    """Node to aggregator: the version in force, and the refused one with the reason."""
+
     version: WireVersion
     refused: WireVersion
-    why: Words
+    reason: BoundedText
 
 
-class Sum(msgspec.Struct, array_like=True, tag=12):
+class ZoneSummaryMessage(msgspec.Struct, array_like=True, tag=12):
+    """Aggregator to control machine: the summary of a zone."""
+
     zone: Name
     nodes: Count
     newest: WireVersion
@@ -133,22 +154,38 @@
     lowest: WireVersion
     late: Annotated[list[Name], Meta(max_length=8)]
     refusing: Count
-    whys: Annotated[list[tuple[Name, Words]], Meta(max_length=4)]
+    reasons: Annotated[list[tuple[Name, BoundedText]], Meta(max_length=4)]
 
 
-class Ride(msgspec.Struct, array_like=True):
-    """The newest held, and how long ago a majority of stores had nothing newer (tenths of a second; -1: nobody says)."""
+class Piggyback(msgspec.Struct, array_like=True):
+    """The newest version held, and how long ago a majority of stores had nothing newer (tenths of a second; -1: not known)."""
 
     version: WireVersion
     age: Annotated[int, Meta(ge=-1, lt=2**32)]
 
 
 ENCODER = msgspec.msgpack.Encoder()
-DECODER = msgspec.msgpack.Decoder(Prepare | Stands | Outbid | Take | Note | Enter | Tell | Ask | Piece | Busy | InForce | Sum)
-RIDE_DECODER = msgspec.msgpack.Decoder(Ride)
+DECODER = msgspec.msgpack.Decoder(
+    Prepare
+    | StoreStateMessage
+    | Outbid
+    | Take
+    | Note
+    | Enter
+    | Announce
+    | PieceRequest
+    | Piece
+    | Busy
+    | InForce
+    | ZoneSummaryMessage
+)
+PIGGYBACK_DECODER = msgspec.msgpack.Decoder(Piggyback)
 
 
 class Host(Protocol):
+    """Applies and stores configurations. `check_configuration` and `take_configuration` return the reason of a refusal, or None;
+    the others raise `OSError` if the write fails."""
+
     def check_configuration(self, content: bytes) -> str | None: ...
     def take_configuration(self, version: str, content: bytes) -> str | None: ...
     def keep_configuration(self, data: bytes) -> None: ...
@@ -156,8 +193,8 @@
 
 
 class DistributionWire:
-    """`places`: name -> (region, zone) of all members. `fence` is the number of the lease if this process may act now, else 0.
-    `copy` and `vote` are what `keep_configuration` and `keep_vote` were last given, as the disk has it now."""
+    """`places` maps the name of each member to (region, zone). `fence` returns the lease's fencing token if this process may act
+    now, else 0. `copy` and `vote` are the records that `keep_configuration` and `keep_vote` last wrote, as read from the disk."""
 
     store_class, writer_class, copy_class, fetch_class, giver_class = Store, Writer, Copy, Fetch, Giver
     reporter_class, library_class = Reporter, Library
@@ -166,7 +203,7 @@
         self,
         channel,
         host: Host,
-        me: str,
+        local_name: str,
         places: dict[str, tuple[str, str]],
         terms: DistributionTerms,
         fence: Callable[[], int],
@@ -176,41 +213,43 @@
         copy: bytes | None,
         vote: bytes | None,
     ):
-        self.channel, self.host, self.me, self.places, self.terms = channel, host, me, places, terms
+        self.channel, self.host, self.local_name, self.places, self.terms = channel, host, local_name, places, terms
         self.fence, self.clock, self.log, self.rng = fence, clock, log, rng
-        self.region, self.zone = places.get(me, ("", ""))
+        self.region, self.zone = places.get(local_name, ("", ""))
         self.neighbours = [
-            name for name, (_, zone) in places.items() if zone == self.zone and name != me and name not in terms.stores
+            name for name, (_, zone) in places.items() if zone == self.zone and name != local_name and name not in terms.stores
         ]
         self.steady = SteadyClock(clock.now(), NS)
-        self.malformed = self.spoilt_contents = 0
-        self.own: list[tuple[str, object]] = []
-        self.taking = False
-        # what each peer told last that it holds, and those of them that said it holds nothing
+        self.malformed = self.corrupt_contents = 0
+        self.local_queue: list[tuple[str, object]] = []
+        self.draining = False
+        # the version that each peer last reported holding, and the peers that reported holding none
         self.holders: dict[str, Version] = {}
-        self.nothing_at: set[str] = set()
-        self.asked_around = 0
+        self.empty_peers: set[str] = set()
+        self.startup_rounds = 0
         self.target = NONE
-        self.tellings_left = 0
+        self.announcements_left = 0
         self.waiting: dict[Version, tuple[str, object]] = {}
         self.library = self.library_class()
-        self.store = self.store_class(self, vote, rng) if me in terms.stores else None
-        self.writer = self.writer_class(self, me, channel.membership.me.life, terms) if me in terms.stores else None
-        self.giver = self.giver_class(self, self.library, terms, me in terms.stores)
+        self.store = self.store_class(self, vote, rng) if local_name in terms.stores else None
+        self.writer = (
+            self.writer_class(self, local_name, channel.membership.me.life, terms) if local_name in terms.stores else None
+        )
+        self.giver = self.giver_class(self, self.library, terms, local_name in terms.stores)
         self.fetch = self.fetch_class(self, self.library, terms, rng)
-        self.reporter = self.reporter_class(self, me, self.zone, terms)
-        self.fleet = Fleet(self)
+        self.reporter = self.reporter_class(self, local_name, self.zone, terms)
+        self.fleet = FleetStatus(self)
         if self.store is not None and self.store.content:
             self.library.hold(self.store.content)
         self.copy = self.copy_class(self)
         self.copy.start(copy)
         if self.copy.held != NONE:
-            self._holds_newer(self.copy.held_content)
-            self.tellings_left = 0
-        channel.carries(KIND, self.heard)
-        channel.rides(self._ride, self._ride_heard)
+            self._held_changed(self.copy.held_content)
+            self.announcements_left = 0
+        channel.carries(KIND, self.handle_message)
+        channel.rides(self._piggyback, self._handle_piggyback)
 
-    # ---- its life
+    # ---- running
 
     async def run(self) -> None:
         every = self.terms.every / NS
@@ -219,232 +258,248 @@
             await anyio.sleep(every)
 
     def time(self) -> None:
+        """One round: repeats messages, requests what is missing, announces and reports."""
         try:
             self.steady.read(self.clock.now())
             self.steady.due = self.steady.last + self.terms.every
             if self.writer is not None:
                 self.writer.time()
-                if self.writer.vouches():
-                    self.copy.vouched(self.writer.tenure.value, 0)
-            if self.copy.held == NONE and self.asked_around < ASK_AROUND and self.channel.membership.ring:
-                self.asked_around += 1
-                self.ask_around()
-            self._want_newest()
+                if self.writer.confirms_newest():
+                    self.copy.confirmed_newest(self.writer.tenure.value, 0)
+            if self.copy.held == NONE and self.startup_rounds < ZONE_ONLY_ROUNDS and self.channel.membership.ring:
+                self.startup_rounds += 1
+                self.ask_nearest()
+            self._request_newest()
             self.fetch.time()
-            self._tell_news()
-            if self.me not in self.terms.stores:
+            self._announce_newest()
+            if self.local_name not in self.terms.stores:
                 refused_now = self.copy.held if self.copy.why_refused else NONE
                 self.reporter.time(Report(self.copy.version, refused_now, self.copy.why_refused))
             self._to_itself()
-        except Exception as fault:
-            self.log.error("fault", what="distribution", cause=repr(fault), exc_info=fault)
+        except Exception as error:
+            self.log.error("fault", what="distribution", cause=repr(error), exc_info=error)
 
     async def put(self, content: bytes, base: str, within: float) -> dict:
-        """`base` is the version the change was made upon ("file" or "": none yet); `within` is in seconds, and is kept."""
-        told: list[dict] = []
+        """Makes a version. `base` is the version on which the change is based ("file" or "" if there is none yet); the result
+        is returned after `within` seconds at the latest."""
+        results: list[dict] = []
         ended = anyio.Event()
 
         def done(result: dict) -> None:
-            told.append(result)
+            results.append(result)
             ended.set()
 
         self.begin_put(content, base, int(within * NS), done)
         with anyio.move_on_after(within + 1):
             await ended.wait()
-        return told[0] if told else {"ok": False, "unknown": True, "wrong": "its fate is not known: this process was busy"}
+        return results[0] if results else {"ok": False, "unknown": True, "wrong": "its fate is not known: this process was busy"}
 
     def begin_put(self, content: bytes, base: str, within: int, done: Callable[[dict], None]) -> None:
+        """As `put`, with `within` in ns; `done` is called once with the result."""
         if self.writer is None:
-            done(refused("this is no control machine"))
+            done(refusal("this is no control machine"))
             return
-        if not content or len(content) > MOST_CONTENT:
-            done(refused(f"a configuration has 1 to {MOST_CONTENT} bytes, and this one has {len(content)}"))
+        if not content or len(content) > MAX_CONTENT_BYTES:
+            done(refusal(f"a configuration has 1 to {MAX_CONTENT_BYTES} bytes, and this one has {len(content)}"))
             return
         self.writer.put(content, base, within, done)
         self._to_itself()
 
     async def start_from_peers(self, within: float) -> None:
-        """For so long at the most (s), and no longer than until something is held or some peers say that there is nothing."""
+        """Fetches a version from peers at start. Returns after `within` (s), or as soon as a version is held or
+        `MIN_EMPTY_PEERS` peers report holding none."""
         with anyio.move_on_after(within):
-            while self.copy.held == NONE and len(self.nothing_at) < NOTHING_FROM:
-                if self.asked_around >= ASK_AROUND:
-                    self.ask_around()
+            while self.copy.held == NONE and len(self.empty_peers) < MIN_EMPTY_PEERS:
+                if self.startup_rounds >= ZONE_ONLY_ROUNDS:
+                    self.ask_nearest()
                 self.time()
-                await anyio.sleep(LOOK)
-        self.log.info("started-from-peers", version=self.copy.version.text, nothing_at=len(self.nothing_at))
+                await anyio.sleep(POLL_INTERVAL_S)
+        self.log.info("started-from-peers", version=self.copy.version.text, nothing_at=len(self.empty_peers))
 
-    def ask_around(self) -> None:
-        """What one near holds, of whom nothing is known."""
-        near = self.near(
+    def ask_nearest(self) -> None:
+        """Asks one of the nearest members what it holds, among those that have not reported yet."""
+        nearest = self.nearest(
             [
                 member.name
                 for member in self.channel.membership.ring
-                if member.name not in self.nothing_at and member.name not in self.holders
+                if member.name not in self.empty_peers and member.name not in self.holders
             ]
         )
-        if near:
-            self._say(self.rng.choice(near), Tell(tuple(NONE), True))
+        if nearest:
+            self._send(self.rng.choice(nearest), Announce(tuple(NONE), True))
 
-    # ---- words
+    # ---- messages
 
-    def heard(self, sender: Member, data: bytes) -> None:
+    def handle_message(self, sender: Member, data: bytes) -> None:
         try:
-            word = DECODER.decode(data)
+            message = DECODER.decode(data)
         except (msgspec.DecodeError, RecursionError):
             self.malformed += 1
             return
         if sender.name in self.places:
-            self._take(sender.name, word)
+            self._dispatch(sender.name, message)
             self._to_itself()
 
-    def _say(self, to: str, word) -> bool:
-        if to == self.me:
-            self.own.append((to, word))
+    def _send(self, to: str, message) -> bool:
+        if to == self.local_name:
+            self.local_queue.append((to, message))
             return True
         member = self.channel.membership.members.get(to)
-        return member is not None and member.there and self.channel.say(member, KIND, ENCODER.encode(word))
+        return member is not None and member.there and self.channel.say(member, KIND, ENCODER.encode(message))
 
     def _to_itself(self) -> None:
-        """Words between the writer and the store of one machine; bounded, as each answer may bring another."""
-        if self.taking:
+        """Delivers the queued messages between this machine's writer and store; at most 64 a call, as each answer can cause
+        another message."""
+        if self.draining:
             return
-        self.taking = True
+        self.draining = True
         try:
             for _ in range(64):
-                if not self.own:
+                if not self.local_queue:
                     break
-                self._take(*self.own.pop(0))
+                self._dispatch(*self.local_queue.pop(0))
         finally:
-            self.taking = False
-
-    def _take(self, by: str, word) -> None:
-        kind = type(word)
-        if kind is Tell:
-            self._told(by, Version(*word.version), word.asks)
-        elif kind is Ask:
-            self.giver.asked(by, Version(*word.version), word.base, word.packing, word.missing)
+            self.draining = False
+
+    def _dispatch(self, by: str, message) -> None:
+        kind = type(message)
+        if kind is Announce:
+            self._handle_announcement(by, Version(*message.version), message.asks)
+        elif kind is PieceRequest:
+            self.giver.handle_request(by, Version(*message.version), message.base, message.packing, message.missing)
         elif kind is Piece:
-            self.fetch.piece(by, Version(*word.version), word.base, word.packing, word.total, word.index, word.data)
+            self.fetch.piece_received(
+                by, Version(*message.version), message.base, message.packing, message.total, message.index, message.data
+            )
         elif kind is Busy:
-            if word.after:
-                self.fetch.busy(by, Version(*word.version), word.after * 1_000_000)
+            if message.after:
+                self.fetch.provider_busy(by, Version(*message.version), message.after * 1_000_000)
             else:
                 self.holders.pop(by, None)
-                self.fetch.have_not(by, Version(*word.version))
+                self.fetch.provider_lacks(by, Version(*message.version))
         elif kind is InForce:
-            self.reporter.reported(by, Report(Version(*word.version), Version(*word.refused), word.why))
-        elif kind is Sum:
-            self.fleet.sum_told(
+            self.reporter.report_received(by, Report(Version(*message.version), Version(*message.refused), message.reason))
+        elif kind is ZoneSummaryMessage:
+            self.fleet.summary_received(
                 by,
-                ZoneSum(
-                    word.zone,
-                    word.nodes,
-                    Version(*word.newest),
-                    word.at_newest,
-                    Version(*word.lowest),
-                    word.late,
-                    word.refusing,
-                    word.whys,
+                ZoneSummary(
+                    message.zone,
+                    message.nodes,
+                    Version(*message.newest),
+                    message.at_newest,
+                    Version(*message.lowest),
+                    message.late,
+                    message.refusing,
+                    message.reasons,
                 ),
             )
         elif self.writer is not None and by in self.terms.stores:
-            self._take_vote(by, word)
+            self._dispatch_vote(by, message)
 
-    def _take_vote(self, by: str, word) -> None:
-        kind, ballot = type(word), Ballot(*word.ballot)
-        if kind is Stands:
+    def _dispatch_vote(self, by: str, message) -> None:
+        kind, ballot = type(message), Ballot(*message.ballot)
+        if kind is StoreStateMessage:
             self.writer.stands(
                 by,
                 ballot,
-                Stand(word.record, word.blank, Ballot(*word.taken_at), Version(*word.taken), Version(*word.chosen), word.noted),
+                StoreState(
+                    message.record,
+                    message.blank,
+                    Ballot(*message.taken_at),
+                    Version(*message.taken),
+                    Version(*message.chosen),
+                    message.noted,
+                ),
             )
         elif kind is Outbid:
-            self.writer.outbid(ballot, Ballot(*word.promised))
+            self.writer.outbid(ballot, Ballot(*message.promised))
         elif kind is Prepare:
             self.store.prepare(by, ballot)
         elif kind is Note:
-            self.store.note(by, ballot, word.record, word.store, word.noted)
+            self.store.note(by, ballot, message.record, message.store, message.noted)
         else:
-            version = Version(*word.version)
-            self.waiting[version] = (by, word)
-            if len(self.waiting) > MOST_WAITING:
+            version = Version(*message.version)
+            self.waiting[version] = (by, message)
+            if len(self.waiting) > MAX_WAITING:
                 del self.waiting[next(iter(self.waiting))]
             if kind is Take:
-                self.store.take(by, ballot, word.record, version)
+                self.store.take(by, ballot, message.record, version)
             else:
-                self.store.enter(by, ballot, word.record, word.noted, version, word.founding)
-            if version not in self.fetched_for_store():
+                self.store.enter(by, ballot, message.record, message.noted, version, message.founding)
+            if version not in self.fetching_for_store():
                 self.waiting.pop(version, None)
 
-    def fetched_for_store(self) -> set[Version]:
-        return {version for version in self.waiting if version.digest in self.fetch.wanted}
+    def fetching_for_store(self) -> set[Version]:
+        """Versions that the store waits for."""
+        return {version for version in self.waiting if version.digest in self.fetch.pending}
 
-    # ---- what rides, what is told
+    # ---- piggybacked data and announcements
 
-    def _ride(self) -> bytes:
+    def _piggyback(self) -> bytes:
         age = self.copy.age
-        return ENCODER.encode(Ride(tuple(self.copy.held), min(age * 10 // NS, MOST_AGE) if age != NEVER else -1))
+        return ENCODER.encode(Piggyback(tuple(self.copy.held), min(age * 10 // NS, MAX_AGE) if age != AGE_UNKNOWN else -1))
 
-    def _ride_heard(self, sender: Member, data: bytes) -> None:
+    def _handle_piggyback(self, sender: Member, data: bytes) -> None:
         try:
-            ride = RIDE_DECODER.decode(data)
+            piggyback = PIGGYBACK_DECODER.decode(data)
         except (msgspec.DecodeError, RecursionError):
             self.malformed += 1
             return
         if sender.name not in self.places:
             return
-        version = Version(*ride.version)
-        self._holds(sender.name, version)
-        if ride.age >= 0:
-            self.copy.vouched(version, ride.age * NS // 10)
+        version = Version(*piggyback.version)
+        self._peer_holds(sender.name, version)
+        if piggyback.age >= 0:
+            self.copy.confirmed_newest(version, piggyback.age * NS // 10)
 
-    def _told(self, by: str, version: Version, asks: bool) -> None:
+    def _handle_announcement(self, by: str, version: Version, asks: bool) -> None:
         if asks or self.copy.held.over(version):
-            self._say(by, Tell(tuple(self.copy.held), False))
+            self._send(by, Announce(tuple(self.copy.held), False))
         if not asks:
-            self._holds(by, version)
+            self._peer_holds(by, version)
 
-    def _holds(self, name: str, version: Version) -> None:
+    def _peer_holds(self, name: str, version: Version) -> None:
         if version == NONE:
-            self.nothing_at.add(name)
+            self.empty_peers.add(name)
             return
         self.holders[name] = version
-        if self.copy.heard(version) or (version == self.copy.wants and not self.fetch.wanted):
-            self._want_newest()
-
-    def _tell_news(self) -> None:
-        if self.tellings_left > 0 and self.copy.held != NONE:
-            self.tellings_left -= 1
-            body = ENCODER.encode(Tell(tuple(self.copy.held), False))
-            for member in spread(self.channel.membership.ring, self.terms.news_to, self.rng):
+        if self.copy.heard(version) or (version == self.copy.wanted_version and not self.fetch.pending):
+            self._request_newest()
+
+    def _announce_newest(self) -> None:
+        if self.announcements_left > 0 and self.copy.held != NONE:
+            self.announcements_left -= 1
+            body = ENCODER.encode(Announce(tuple(self.copy.held), False))
+            for member in spread(self.channel.membership.ring, self.terms.announce_fanout, self.rng):
                 self.channel.say(member, KIND, body)
 
     # ---- contents
 
-    def _want_newest(self) -> None:
-        """The newest that somebody who is in holds: one that nobody has any more must not keep out what there is."""
-        if self.copy.wants is None:
+    def _request_newest(self) -> None:
+        """Requests the newest version that a reachable member holds. A newer version that no member holds any more must not
+        prevent this."""
+        if self.copy.wanted_version is None:
             return
         members = self.channel.membership.members
-        there = [
+        available = [
             version
             for name, version in self.holders.items()
             if self.copy.newer(version) and name in members and members[name].there
         ]
-        target = max(there, key=lambda version: version.number, default=None)
+        target = max(available, key=lambda version: version.number, default=None)
         if target is None:
             return
         if (
             self.copy.held == NONE
-            and self.asked_around < ASK_AROUND
+            and self.startup_rounds < ZONE_ONLY_ROUNDS
             and not any(name in self.holders for name in self.neighbours)
         ):
             return
         if target != self.target:
             if self.target not in self.waiting:
-                self.fetch.drop(self.target)
+                self.fetch.cancel(self.target)
             self.target = target
-        self.fetch.want(target, lambda: self._holders_of(target))
+        self.fetch.request(target, lambda: self._holders_of(target))
 
     def _holders_of(self, target: Version) -> list[str]:
         members = self.channel.membership.members
@@ -454,53 +509,53 @@
             if version.number >= target.number and name in members and members[name].there
         ]
 
-    def near(self, names: list[str]) -> list[str]:
-        """Those of the own zone, else of the region, else all."""
+    def nearest(self, names: list[str]) -> list[str]:
+        """The members of `names` in this node's zone; if there are none, those in its region, or else all."""
         zone = [name for name in names if self.places.get(name, ("", ""))[1] == self.zone]
         return zone or [name for name in names if self.places.get(name, ("", ""))[0] == self.region] or names
 
-    def came(self, version: Version, content: bytes) -> None:
+    def content_received(self, version: Version, content: bytes) -> None:
         self.library.hold(content)
         content = self.library.get(version.digest) or content
         if version in (self.target, self.copy.newest) and self.copy.newer(version):
             before = self.copy.held
             self.copy.got(version, content)
             if self.copy.held != before:
-                self._holds_newer(content)
-                self._tell_news()
+                self._held_changed(content)
+                self._announce_newest()
         held = self.waiting.pop(version, None)
         if held is not None:
-            self.own.append(held)
+            self.local_queue.append(held)
         if self.writer is not None:
-            self.writer.content_came()
+            self.writer.content_received()
 
-    def _holds_newer(self, content: bytes) -> None:
+    def _held_changed(self, content: bytes) -> None:
         self.library.hold(content)
         self.fetch.base = self.copy.held.digest
-        self.tellings_left = self.terms.tellings
+        self.announcements_left = self.terms.announce_rounds
         if self.store is not None:
             self.store.learned(self.copy.held)
 
-    def spoilt(self, version: Version, by: str, why: str) -> None:
-        self.spoilt_contents += 1
-        self.log.warning("configuration-spoilt", version=version.text, by=by, cause=why)
+    def content_corrupt(self, version: Version, by: str, reason: str) -> None:
+        self.corrupt_contents += 1
+        self.log.warning("configuration-spoilt", version=version.text, by=by, cause=reason)
 
-    # ---- the writer's, the store's, the giver's, the fetcher's and the reporter's outside
+    # ---- the driver of writer, store, provider, fetches and reporter
 
     def now(self) -> int:
         return self.steady.read(self.clock.now())
 
     def prepare(self, store: str, ballot: Ballot) -> None:
-        self._say(store, Prepare(tuple(ballot)))
+        self._send(store, Prepare(tuple(ballot)))
 
     def take(self, store: str, ballot: Ballot, record: int, version: Version) -> None:
-        self._say(store, Take(tuple(ballot), record, tuple(version)))
+        self._send(store, Take(tuple(ballot), record, tuple(version)))
 
     def note(self, store: str, ballot: Ballot, record: int, of: str, noted) -> None:
-        self._say(store, Note(tuple(ballot), record, of, noted))
+        self._send(store, Note(tuple(ballot), record, of, noted))
 
     def enter(self, store: str, ballot: Ballot, record: int, noted, version: Version, founding: bool) -> None:
-        self._say(store, Enter(tuple(ballot), record, noted, tuple(version), founding))
+        self._send(store, Enter(tuple(ballot), record, noted, tuple(version), founding))
 
     def content_of(self, version: Version) -> bytes | None:
         return self.library.get(version.digest)
@@ -509,80 +564,87 @@
         self.library.hold(content)
 
     def fetch_for_writer(self, version: Version, stores: list[str]) -> None:
-        self.fetch.want(version, lambda: stores)
+        self.fetch.request(version, lambda: stores)
 
     def fetch_for_store(self, version: Version, writer: str) -> None:
-        self.fetch.want(version, lambda: [writer])
+        self.fetch.request(version, lambda: [writer])
 
     def chosen(self, version: Version) -> None:
-        """A majority of the stores has it: from here on everybody may know."""
+        """A majority of the stores has accepted the version: it is announced to all members."""
         self.copy.heard(version)
         content = self.library.get(version.digest)
         if content is not None and self.copy.newer(version):
             self.copy.got(version, content)
             if self.copy.held == version:
-                self._holds_newer(content)
-                self._tell_news()
+                self._held_changed(content)
+                self._announce_newest()
 
-    def stands(self, writer: str, ballot: Ballot, stand: Stand) -> None:
-        self._say(
+    def stands(self, writer: str, ballot: Ballot, state: StoreState) -> None:
+        self._send(
             writer,
-            Stands(
+            StoreStateMessage(
                 tuple(ballot),
-                stand.record,
-                stand.blank,
-                tuple(stand.taken_at),
-                tuple(stand.taken),
-                tuple(stand.chosen),
-                stand.noted,
+                state.record,
+                state.blank,
+                tuple(state.taken_at),
+                tuple(state.taken),
+                tuple(state.chosen),
+                state.noted,
             ),
         )
 
     def outbid(self, writer: str, ballot: Ballot, promised: Ballot) -> None:
-        self._say(writer, Outbid(tuple(ballot), tuple(promised)))
+        self._send(writer, Outbid(tuple(ballot), tuple(promised)))
 
-    def ask(self, giver: str, version: Version, base: bytes, packing: bytes, missing: list[int]) -> None:
-        self._say(giver, Ask(tuple(version), base, packing, missing))
+    def request_pieces(self, provider: str, version: Version, base: bytes, packing: bytes, missing: list[int]) -> None:
+        self._send(provider, PieceRequest(tuple(version), base, packing, missing))
 
-    def give(self, to: str, version: Version, base: bytes, packing: bytes, total: int, index: int, data: bytes) -> bool:
-        return self._say(to, Piece(tuple(version), base, packing, total, index, data))
+    def send_piece(self, to: str, version: Version, base: bytes, packing: bytes, total: int, index: int, data: bytes) -> bool:
+        return self._send(to, Piece(tuple(version), base, packing, total, index, data))
 
-    def busy(self, to: str, version: Version, after: int) -> None:
-        self._say(to, Busy(tuple(version), max(1, after // 1_000_000)))
+    def send_busy(self, to: str, version: Version, after: int) -> None:
+        self._send(to, Busy(tuple(version), max(1, after // 1_000_000)))
 
-    def have_not(self, to: str, version: Version) -> None:
-        self._say(to, Busy(tuple(version), 0))
+    def send_not_held(self, to: str, version: Version) -> None:
+        self._send(to, Busy(tuple(version), 0))
 
     def zone_members(self) -> list[str]:
         members = self.channel.membership.members
         return [name for name in self.neighbours if name in members and members[name].there]
 
-    def report_to(self, aggregator: str, report: Report) -> None:
-        self._say(aggregator, InForce(tuple(report.version), tuple(report.refused), report.why[:120]))
+    def send_report(self, aggregator: str, report: Report) -> None:
+        self._send(aggregator, InForce(tuple(report.version), tuple(report.refused), report.reason[:120]))
 
-    def sum_to(self, store: str, told: ZoneSum) -> None:
-        self._say(
+    def send_summary(self, store: str, summary: ZoneSummary) -> None:
+        self._send(
             store,
-            Sum(
-                told.zone, told.nodes, tuple(told.newest), told.at_newest, tuple(told.lowest), told.late, told.refusing, told.whys
+            ZoneSummaryMessage(
+                summary.zone,
+                summary.nodes,
+                tuple(summary.newest),
+                summary.at_newest,
+                tuple(summary.lowest),
+                summary.late,
+                summary.refusing,
+                summary.reasons,
             ),
         )
 
-    # ---- the copy's outside
+    # ---- the copy's driver
 
     def check_configuration(self, content: bytes) -> str | None:
         try:
             return self.host.check_configuration(content)
-        except Exception as fault:
-            self.log.error("fault", what="configuration's check", cause=repr(fault), exc_info=fault)
-            return f"its check failed: {fault!r}"
+        except Exception as error:
+            self.log.error("fault", what="configuration check", cause=repr(error), exc_info=error)
+            return f"its check failed: {error!r}"
 
     def take_configuration(self, version: str, content: bytes) -> str | None:
         try:
             return self.host.take_configuration(version, content)
-        except Exception as fault:
-            self.log.error("fault", what="configuration's taking", cause=repr(fault), exc_info=fault)
-            return f"it could not be taken: {fault!r}"
+        except Exception as error:
+            self.log.error("fault", what="applying the configuration", cause=repr(error), exc_info=error)
+            return f"it could not be taken: {error!r}"
 
     def keep_configuration(self, data: bytes) -> None:
         self.host.keep_configuration(data)
@@ -590,30 +652,30 @@
     def keep_vote(self, data: bytes) -> None:
         self.host.keep_vote(data)
 
-    def not_kept(self, why: str) -> None:
-        self.log.error("configuration-not-kept", cause=why)
+    def write_failed(self, reason: str) -> None:
+        self.log.error("configuration-not-kept", cause=reason)
 
-    def copy_lost(self, why: str) -> None:
-        self.log.error("configuration-copy-lost", cause=why)
+    def copy_lost(self, reason: str) -> None:
+        self.log.error("configuration-copy-lost", cause=reason)
 
-    def vote_lost(self, what: str, why: str) -> None:
-        self.log.error("configuration-vote", what=what, cause=why)
+    def vote_lost(self, what: str, reason: str) -> None:
+        self.log.error("configuration-vote", what=what, cause=reason)
 
     def in_force(self, version: Version, before: Version) -> None:
         self.log.info("configuration-in-force", version=version.text, before=before.text)
 
-    def refuses(self, version: Version, why: str) -> None:
-        self.log.error("configuration-refused", version=version.text, in_force=self.copy.version.text, cause=why)
+    def refuses(self, version: Version, reason: str) -> None:
+        self.log.error("configuration-refused", version=version.text, in_force=self.copy.version.text, cause=reason)
 
-    def forked(self, one: Version, other: Version) -> None:
+    def forked(self, version: Version, other: Version) -> None:
         self.log.error(
             "configuration-forked",
-            one=one.text,
+            one=version.text,
             other=other.text,
-            cause="two contents under one number: neither is taken over the other",
+            cause="two contents with the same version number; neither replaces the other",
         )
 
-    # ---- for people
+    # ---- for operators
 
     @property
     def version(self) -> str:
@@ -624,19 +686,19 @@
         return self.copy.content
 
     def show(self) -> dict:
-        """Plain data; times in seconds. `vouched_s` is how long ago a majority of the stores had nothing newer (None: nobody
-        has said), and so how old what is held may be; `zones` and `stores` at control machines alone."""
+        """Plain data; times in seconds. `vouched_s` is how long ago a majority of the stores had nothing newer (None: not known),
+        and so the maximum age of what is held; `zones` and `stores` are filled at control machines only."""
         copy, now = self.copy, self.now()
-        told = {
-            "me": self.me,
+        shown = {
+            "me": self.local_name,
             "in_force": copy.version.text,
             "in_force_s": round((now - copy.since) / NS, 1),
             "held": copy.held.text,
             "newest": copy.newest.text,
-            "vouched_s": None if copy.age == NEVER else round(copy.age / NS, 1),
-            "refused": [{"version": version.text, "why": why} for version, why in copy.refused.items()],
+            "vouched_s": None if copy.age == AGE_UNKNOWN else round(copy.age / NS, 1),
+            "refused": [{"version": version.text, "why": reason} for version, reason in copy.refused.items()],
             "forks": copy.forks,
-            "spoilt": self.spoilt_contents,
+            "spoilt": self.corrupt_contents,
             "malformed": self.malformed,
             "given_bytes": self.giver.given_bytes,
             "times_busy": self.giver.times_busy,
@@ -644,22 +706,22 @@
             "stores": [],
         }
         if self.writer is not None:
-            told["zones"] = self.fleet.show()
-            told["stores"] = self._stores_shown()
-            told["writes"] = self.writer.tenure is not None
-        return told
+            shown["zones"] = self.fleet.show()
+            shown["stores"] = self._show_stores()
+            shown["writes"] = self.writer.tenure is not None
+        return shown
 
-    def _stores_shown(self) -> list[dict]:
-        """This one's own, and what the writer knows of the others if it is here."""
+    def _show_stores(self) -> list[dict]:
+        """This machine's own store, and the others as far as the writer knows them, if it runs here."""
         tenure = self.writer.tenure
         voters = self.writer._voters() if tenure is not None else []
         rows = []
         for name in self.terms.stores:
-            stand = tenure.stands.get(name) if tenure is not None else None
+            state = tenure.stands.get(name) if tenure is not None else None
             blank, taken = (
                 (self.store.blank, self.store.taken)
-                if name == self.me
-                else ((stand.blank, stand.taken) if stand is not None else (None, NONE))
+                if name == self.local_name
+                else ((state.blank, state.taken) if state is not None else (None, NONE))
             )
             rows.append(
                 {"store": name, "blank": blank, "votes": name in voters if tenure is not None else None, "taken": taken.text}
--- a/curlewshift/peering/leased.py
+++ b/curlewshift/peering/leased.py
@@ -1,4 +1,4 @@
-"""Tasks of fronts over leases on the channel: their time, and their own words. Held by front/front.py."""
+"""The tasks that fronts run under leases, on the channel: their timer and their own messages. Held by front/front.py."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from curlewshift.leases.terms import LeaseTerms
 from curlewshift.membership.member import Member
 from curlewshift.peering.channel import Channel
-from curlewshift.peering.leasing import ENCODER, Count, LeaseWords
+from curlewshift.peering.leasing import ENCODER, Count, LeaseMessages
 from curlewshift.sharing.counts import picked
 from curlewshift.signalling.bodies import ListNews
 from curlewshift.tasks.listing import ListReading
@@ -21,13 +21,13 @@
 from curlewshift.tasks.servers import Orphans, Probing
 from curlewshift.tasks.tasks import Tasks
 
-KIND_OF_TASKS = 18
+TASK_KIND = 18
 NS = 1_000_000_000
 
 
-class TaskWord(msgspec.Struct, array_like=True, omit_defaults=True):
-    """What tasks say to other fronts, with the number of the tenure that says it: the list as it is and news that lead there,
-    how much is asked for, or how a hold is divided."""
+class TaskMessage(msgspec.Struct, array_like=True, omit_defaults=True):
+    """A message of a task to other fronts, with the sender's fencing token (`number`): the current version of the server list
+    and the changes that lead to it, the demand at one front, or how a capacity reservation is divided among the fronts."""
 
     number: Count
     list_at: tuple[Annotated[str, Meta(max_length=64)], Annotated[int, Meta(ge=-1, lt=2**62)]] | None = None
@@ -37,22 +37,23 @@
     parts: Annotated[dict[str, Annotated[float, Meta(ge=0, le=1)]], Meta(max_length=64)] = {}
 
 
-TASK_DECODER = msgspec.msgpack.Decoder(TaskWord)
-# Parts of a hold in one datagram; a plan for more fronts goes out in several.
-MOST_PARTS = 24
-# Bytes of a task's word that a datagram has room for.
-MOST_WORD = 850
+TASK_DECODER = msgspec.msgpack.Decoder(TaskMessage)
+# Parts of a reservation in one datagram; a plan for more fronts is sent in several.
+MAX_PLAN_PARTS = 24
+# Space for a task's message in a datagram (bytes).
+MAX_TASK_MESSAGE_BYTES = 850
 
 
-class LeaseWire(LeaseWords):
-    """Outside of the tasks. `order` are the fronts' names as in the settings."""
+class LeaseWire(LeaseMessages):
+    """Driver of the tasks. `order` has the fronts' names as in the settings, `named` the tasks to run; `probe_each` and
+    `orphans_after` are in ns."""
 
     def __init__(
         self,
         channel: Channel,
         front,
         order: list[str],
-        me: int,
+        local_index: int,
         acceptors: list[str],
         terms: LeaseTerms,
         shards: int,
@@ -62,9 +63,9 @@
         named: tuple[str, ...] = ("probe",),
         orphans_after: int = 15 * NS,
     ):
-        super().__init__(channel, front.clock, order, me, acceptors, terms, log, rng)
+        super().__init__(channel, front.clock, order, local_index, acceptors, terms, log, rng)
         self.front = front
-        self.listing, self.planning = ListReading(self), Planning(self, order[me])
+        self.listing, self.planning = ListReading(self), Planning(self, order[local_index])
         tasks = {
             task.name: task
             for task in (
@@ -75,8 +76,8 @@
             )
         }
         self.named = named
-        self.tasks = Tasks(order[me], self.proposer, [tasks[name] for name in named], self.members)
-        channel.carries(KIND_OF_TASKS, self.heard_of_task)
+        self.tasks = Tasks(order[local_index], self.proposer, [tasks[name] for name in named], self.members)
+        channel.carries(TASK_KIND, self.handle_task_message)
         self.plan_due = 0
 
     async def run(self) -> None:
@@ -87,45 +88,46 @@
                     self.acceptor.time()
                 self.tasks.time()
                 self._to_itself()
-                self._as_one_of_the_others()
-            except Exception as fault:
-                self.log.error("fault", what="leases", cause=repr(fault), exc_info=fault)
+                self._run_without_lease()
+            except Exception as error:
+                self.log.error("fault", what="leases", cause=repr(error), exc_info=error)
             await anyio.sleep(every)
 
-    def _as_one_of_the_others(self) -> None:
+    def _run_without_lease(self) -> None:
+        """Work that each front does, whether or not it holds a lease."""
         if "list" in self.named:
             self.listing.time()
         if "peaks" in self.named and self.now() >= self.plan_due:
             self.plan_due = self.now() + NS
-            self.planning.tell(picked(PLAN, [*self.members(), self.order[self.me]]))
+            self.planning.tell(picked(PLAN, [*self.members(), self.order[self.local_index]]))
 
     def leave(self) -> None:
         self.tasks.drain()
         self._to_itself()
 
-    def heard_of_task(self, sender: Member, data: bytes) -> None:
+    def handle_task_message(self, sender: Member, data: bytes) -> None:
         try:
-            word = TASK_DECODER.decode(data)
+            message = TASK_DECODER.decode(data)
         except msgspec.DecodeError:
             self.malformed += 1
             return
         if sender.name not in self.number_of:
             return
-        if word.list_at is not None and "list" in self.named:
-            self.listing.told(word.number, *word.list_at, word.news)
-        if word.asked is not None:
-            self.planning.asked_told(sender.name, word.asked)
-        if word.package and word.package in self.front.session_core.packages:
-            self.planning.plan_told(word.number, word.package, word.parts)
-
-    def _tell_all(self, word: TaskWord) -> bool:
-        """To all that are in; False where it is too large for a datagram."""
-        raw = ENCODER.encode(word)
-        if len(raw) > MOST_WORD:
+        if message.list_at is not None and "list" in self.named:
+            self.listing.told(message.number, *message.list_at, message.news)
+        if message.asked is not None:
+            self.planning.asked_told(sender.name, message.asked)
+        if message.package and message.package in self.front.session_core.packages:
+            self.planning.plan_told(message.number, message.package, message.parts)
+
+    def _broadcast(self, message: TaskMessage) -> bool:
+        """Sends to all fronts that are in. False if the message is too large for a datagram."""
+        raw = ENCODER.encode(message)
+        if len(raw) > MAX_TASK_MESSAGE_BYTES:
             return False
         for member in self.channel.membership.ring:
             if member.name in self.number_of:
-                self.channel.say(member, KIND_OF_TASKS, raw)
+                self.channel.say(member, TASK_KIND, raw)
         return True
 
     def begins(self, lease: str, fence: int) -> None:
@@ -136,7 +138,7 @@
         super().stops(lease, why)
         self.tasks.stops(lease)
 
-    # ---- the tasks' outside
+    # ---- the tasks' driver
 
     def members(self) -> list[str]:
         return [member.name for member in self.channel.membership.ring if member.name in self.number_of]
@@ -159,9 +161,9 @@
         return server_list.epoch, server_list.generation
 
     def tell_list(self, number: int, epoch: str, generation: int, news: ListNews | None) -> None:
-        if not self._tell_all(TaskWord(number, list_at=(epoch, generation), news=news)):
-            # too large: that there is something new is enough for each to read it
-            self._tell_all(TaskWord(number, list_at=(epoch, generation)))
+        if not self._broadcast(TaskMessage(number, list_at=(epoch, generation), news=news)):
+            # too large for a datagram: fronts that learn of the new version read the list themselves
+            self._broadcast(TaskMessage(number, list_at=(epoch, generation)))
 
     def take_news(self, news: ListNews) -> None:
         self.front.lists.take_news(news, full=False)
@@ -170,9 +172,9 @@
         self.log.info(
             "list-read",
             by="itself" if itself else "another",
-            cause="this front reads for all, or what was told is late or does not follow"
+            cause="this front reads the list for all, or the announced changes are late or have a gap"
             if itself
-            else "one reads for all, and this front has what it has",
+            else "another front reads the list for all, and this front is up to date with it",
         )
         self.front.lists.read_itself(itself)
 
@@ -185,17 +187,19 @@
     def tell_asked(self, to: str, asked: dict[str, float]) -> None:
         member = self.channel.membership.members.get(to)
         if member is not None and member.there:
-            self.channel.say(member, KIND_OF_TASKS, ENCODER.encode(TaskWord(0, asked=asked)))
+            self.channel.say(member, TASK_KIND, ENCODER.encode(TaskMessage(0, asked=asked)))
 
     def tell_plan(self, number: int, package: str, parts: dict[str, float]) -> None:
         names = list(parts)
-        for at in range(0, len(names), MOST_PARTS):
-            self._tell_all(TaskWord(number, package=package, parts={name: parts[name] for name in names[at : at + MOST_PARTS]}))
+        for at in range(0, len(names), MAX_PLAN_PARTS):
+            self._broadcast(
+                TaskMessage(number, package=package, parts={name: parts[name] for name in names[at : at + MAX_PLAN_PARTS]})
+            )
 
     def planned(self, package: str, part: float, until: int) -> None:
         self.front.session_core.planned(package, part, until)
 
-    # ---- for people
+    # ---- for operators
 
     def show(self) -> dict:
         now, rows = self.now(), []
@@ -209,7 +213,7 @@
                 if not mine and held is not None and held.wanted:
                     why = (
                         "keepers name " + self.order[held.holder]
-                        if 0 <= held.holder < len(self.order) and held.holder != self.me
+                        if 0 <= held.holder < len(self.order) and held.holder != self.local_index
                         else f"{len(held.promised)} of {len(self.proposer.acceptors)} keepers answered, "
                         f"{self.proposer.majority} needed"
                     )
@@ -226,7 +230,7 @@
                     }
                 )
         return {
-            "me": self.order[self.me],
+            "me": self.order[self.local_index],
             "keeper": self.acceptor is not None,
             "silent": self.acceptor.silent() if self.acceptor is not None else False,
             "leases": rows,
--- a/curlewshift/peering/leasing.py
+++ b/curlewshift/peering/leasing.py
@@ -1,6 +1,6 @@
-"""Words of leases on the channel: asker and keeper as bodies of one kind, whoever works by what they hold.
+"""Lease messages on the channel: proposer and acceptor of leases exchange bodies of one frame kind.
 
-Under the tasks of fronts (leased.py beside this file) and under a control machine, which has no front (curlewshift/control).
+Base of the tasks of fronts (leased.py beside this file) and of control machines, which have no front (curlewshift/control).
 """
 
 from __future__ import annotations
@@ -26,6 +26,9 @@
 
 
 class Body(msgspec.Struct, array_like=True):
+    """One message. `other` is, in a promise, the ballot under which `holder` holds the lease, and in an outbid the later ballot
+    that was promised."""
+
     what: Annotated[int, Meta(ge=1, le=6)]
     lease: Annotated[str, Meta(min_length=1, max_length=64)]
     ballot: WireBallot
@@ -38,25 +41,33 @@
 DECODER = msgspec.msgpack.Decoder(Body)
 
 
-class LeaseWords:
-    """Outside of the asker and the keeper. `order` are the names of all who ask or keep, as in the settings, and `acceptors`
-    those that keep."""
+class LeaseMessages:
+    """Driver of the proposer and the acceptor. `order` has the names of all proposers and acceptors, as in the settings,
+    `local_index` is this member's position there, and `acceptors` the names of the acceptors."""
 
     proposer_class, acceptor_class = LeaseProposer, LeaseAcceptor
 
     def __init__(
-        self, channel: Channel, clock, order: list[str], me: int, acceptors: list[str], terms: LeaseTerms, log, rng: Random
+        self,
+        channel: Channel,
+        clock,
+        order: list[str],
+        local_index: int,
+        acceptors: list[str],
+        terms: LeaseTerms,
+        log,
+        rng: Random,
     ):
-        self.channel, self.clock, self.log, self.order, self.me = channel, clock, log, order, me
+        self.channel, self.clock, self.log, self.order, self.local_index = channel, clock, log, order, local_index
         self.number_of = {name: number for number, name in enumerate(order)}
         numbers = [self.number_of[name] for name in acceptors]
-        self.own: list[Body] = []
+        self.local_queue: list[Body] = []
         self.malformed = 0
-        self.acceptor = self.acceptor_class(self, terms) if me in numbers else None
-        self.proposer = self.proposer_class(self, me, channel.membership.me.life, numbers, terms, rng)
-        channel.carries(KIND, self.heard)
+        self.acceptor = self.acceptor_class(self, terms) if local_index in numbers else None
+        self.proposer = self.proposer_class(self, local_index, channel.membership.me.life, numbers, terms, rng)
+        channel.carries(KIND, self.handle_message)
 
-    def heard(self, sender: Member, data: bytes) -> None:
+    def handle_message(self, sender: Member, data: bytes) -> None:
         number = self.number_of.get(sender.name)
         try:
             body = DECODER.decode(data)
@@ -64,10 +75,10 @@
             self.malformed += 1
             return
         if number is not None:
-            self._take(number, body)
+            self._dispatch(number, body)
             self._to_itself()
 
-    def _take(self, by: int, body: Body) -> None:
+    def _dispatch(self, by: int, body: Body) -> None:
         ballot, other = Ballot(*body.ballot), Ballot(*body.other)
         if body.what == PROMISE:
             self.proposer.promise(by, body.lease, ballot, body.holder, other, body.fence)
@@ -85,18 +96,19 @@
             self.acceptor.released(by, body.lease, ballot)
 
     def _to_itself(self) -> None:
-        while self.own:
-            self._take(self.me, self.own.pop(0))
+        """Delivers the queued messages between the local proposer and acceptor."""
+        while self.local_queue:
+            self._dispatch(self.local_index, self.local_queue.pop(0))
 
-    def _say(self, to: int, body: Body) -> None:
-        if to == self.me:
-            self.own.append(body)
+    def _send(self, to: int, body: Body) -> None:
+        if to == self.local_index:
+            self.local_queue.append(body)
             return
         member = self.channel.membership.members.get(self.order[to]) if to < len(self.order) else None
         if member is not None and member.there:
             self.channel.say(member, KIND, ENCODER.encode(body))
 
-    # ---- the asker's outside
+    # ---- the proposer's driver
 
     def now(self) -> int:
         return self.clock.now()
@@ -105,13 +117,13 @@
         return self.clock.wall()
 
     def prepare(self, acceptor: int, lease: str, ballot: Ballot) -> None:
-        self._say(acceptor, Body(PREPARE, lease, tuple(ballot)))
+        self._send(acceptor, Body(PREPARE, lease, tuple(ballot)))
 
     def propose(self, acceptor: int, lease: str, ballot: Ballot, fence: int) -> None:
-        self._say(acceptor, Body(PROPOSE, lease, tuple(ballot), fence))
+        self._send(acceptor, Body(PROPOSE, lease, tuple(ballot), fence))
 
     def release(self, acceptor: int, lease: str, ballot: Ballot) -> None:
-        self._say(acceptor, Body(RELEASE, lease, tuple(ballot)))
+        self._send(acceptor, Body(RELEASE, lease, tuple(ballot)))
 
     def begins(self, lease: str, fence: int) -> None:
         self.log.info("lease-begins", lease=lease, number=fence)
@@ -119,13 +131,13 @@
     def stops(self, lease: str, why: str) -> None:
         self.log.info("lease-stops", lease=lease, cause=why)
 
-    # ---- the keeper's outside
+    # ---- the acceptor's driver
 
     def promise(self, proposer: int, lease: str, ballot: Ballot, holder: int, of: Ballot, fence: int) -> None:
-        self._say(proposer, Body(PROMISE, lease, tuple(ballot), fence, holder, tuple(of)))
+        self._send(proposer, Body(PROMISE, lease, tuple(ballot), fence, holder, tuple(of)))
 
     def accept(self, proposer: int, lease: str, ballot: Ballot) -> None:
-        self._say(proposer, Body(ACCEPT, lease, tuple(ballot)))
+        self._send(proposer, Body(ACCEPT, lease, tuple(ballot)))
 
     def outbid(self, proposer: int, lease: str, ballot: Ballot, by: Ballot) -> None:
-        self._say(proposer, Body(OUTBID, lease, tuple(ballot), other=tuple(by)))
+        self._send(proposer, Body(OUTBID, lease, tuple(ballot), other=tuple(by)))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -431,7 +431,7 @@
             self.assertAlmostEqual(len(site_file(nodes)) / 1000 / guessed, 1, delta=0.01)
 
     def test_the_time_of_reports_is_that_of_distribution(self):
-        self.assertEqual(DistributionTerms(("c1",)).report_each, REPORT_EACH * NS)
+        self.assertEqual(DistributionTerms(("c1",)).report_interval, REPORT_EACH * NS)
 
     def test_a_unit_that_cannot_become_the_one_wanted_is_refused(self):
         with self.assertRaises(InvalidMeasurements):
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -1,4 +1,4 @@
-"""How a running front takes another version of its settings, and how a control machine makes and keeps one."""
+"""How a running front applies another version of its settings, and how control machines make and store versions."""
 
 import random
 import socket
@@ -34,38 +34,38 @@
 from tests.sockets import story, until
 
 EXAMPLES = Path(__file__).resolve().parents[1] / "examples"
-CONTROL = """  <control term="2s" every="200ms">
+CONTROL_XML = """  <control term="2s" every="200ms">
     <machine name="c1" peers-listen="127.0.0.1:8191" region="north" zone="n1"/>
     <machine name="c2" peers-listen="127.0.0.1:8192"/>
     <machine name="c3" peers-listen="127.0.0.1:8193"/>
   </control>
 </site>"""
-FLEET = (
+FLEET_SITE = (
     (EXAMPLES / "fleet-site.xml")
     .read_text()
     .replace(
         "  </fronts>",
         '    <configuration give-bytes="16kB/s" start-within="2s"/>\n    <limits from-source="200/s" burst="2s"/>\n  </fronts>',
     )
-    .replace("</site>", CONTROL)
+    .replace("</site>", CONTROL_XML)
 )
 
 
-class InAFolder(unittest.TestCase):
+class WithSiteFolder(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.path = self.folder / "site.xml"
 
-    def site(self, *changes, text=FLEET):
+    def site(self, *changes, text=FLEET_SITE):
         for old, new in changes:
             self.assertIn(old, text)
             text = text.replace(old, new, 1)
         return text.encode()
 
 
-class TheSiteFile(InAFolder):
+class SiteFile(WithSiteFolder):
     def test_control_machines_places_and_terms_are_read(self):
         self.path.write_bytes(self.site(('name="f1"', 'name="f1" region="south" zone="s1"')))
         site = read_site(self.path)
@@ -82,9 +82,9 @@
         site = read_site(self.path)
         self.assertEqual((site.control, site.configuration), (None, None))
 
-    def test_what_cannot_be_is_told_with_its_line(self):
-        for old, new, words in (
-            (CONTROL, "</site>", "there is no <control> with the machines"),
+    def test_invalid_site_files_are_reported_with_their_line(self):
+        for old, new, message in (
+            (CONTROL_XML, "</site>", "there is no <control> with the machines"),
             ('<machine name="c3" peers-listen="127.0.0.1:8193"/>', "", "machine is missing inside"),
             ('name="c2"', 'name="f2"', "machine: a front has the name 'f2' already"),
             ('name="c2"', 'name="c1"', "machine: 'c1' is there twice"),
@@ -98,27 +98,27 @@
             self.path.write_bytes(self.site((old, new)))
             with self.assertRaises(SiteErrors) as found:
                 read_site(self.path)
-            self.assertIn(words, str(found.exception))
+            self.assertIn(message, str(found.exception))
             self.assertRegex(str(found.exception), r":[1-9]\d*: ")
         self.path.write_bytes(self.site(('seeds="f1', 'seeds="c1')))
         self.assertEqual(read_site(self.path).peers.seeds[0], ("127.0.0.1", 8191))
 
 
-class TheDay(InAFolder):
-    def test_a_day_of_versions_needs_a_site_that_has_them(self):
+class ConfigurationScripts(WithSiteFolder):
+    def test_script_with_configuration_faults_needs_a_site_with_configuration(self):
         day = (EXAMPLES / "configuration-short-day.xml").read_text()
-        for name, wrong in (("configuration-site.xml", 0), ("fleet-site.xml", 6)):
+        for name, error_count in (("configuration-site.xml", 0), ("fleet-site.xml", 6)):
             (self.folder / name).write_bytes((EXAMPLES / name).read_bytes())
             script = self.folder / "day.xml"
             script.write_text(day.replace("configuration-site.xml", name))
-            if wrong:
+            if error_count:
                 with self.assertRaises(SiteErrors) as found:
                     read_script(script)
-                self.assertEqual(str(found.exception).count("has no <configuration> that it could befall"), wrong)
+                self.assertEqual(str(found.exception).count("has no <configuration> that it could befall"), error_count)
             else:
                 self.assertEqual(len(read_script(script).troubles), 9)
 
-    def test_a_marked_file_may_be_taken_in_service_and_bears_its_mark_throughout(self):
+    def test_marked_file_can_be_applied_in_service_and_sets_its_mark_everywhere(self):
         self.path.write_bytes((EXAMPLES / "configuration-site.xml").read_bytes())
         content = marked(self.path.read_bytes(), 7)
         site = checked(self.path, read_site(self.path), content)
@@ -127,13 +127,13 @@
         self.assertEqual([server.count("v7") for server in site.ice_servers], [1, 1])
 
 
-class WhatMayChangeInService(InAFolder):
-    def refused(self, *changes, before=FLEET):
+class ChangesInService(WithSiteFolder):
+    def refused(self, *changes, before=FLEET_SITE):
         self.path.write_text(before)
         root = read_xml(self.path, SCHEMA, self.site(*changes, text=before))
         return refusals(read_site(self.path), site_of(self.path, root), root)
 
-    def test_values_patience_limits_titles_and_obligations_may(self):
+    def test_values_patience_limits_titles_and_obligations_can_change(self):
         self.assertEqual(
             self.refused(
                 (
@@ -150,13 +150,13 @@
             [],
         )
 
-    def test_what_needs_a_restart_is_told_with_its_line(self):
-        lines = FLEET.splitlines()
+    def test_changes_that_need_a_restart_are_reported_with_their_line(self):
+        lines = FLEET_SITE.splitlines()
 
         def line(what):
-            return next(number for number, one in enumerate(lines, 1) if what in one)
+            return next(number for number, text in enumerate(lines, 1) if what in text)
 
-        for old, new, at, words in (
+        for old, new, at, expected in (
             ('floor="1"', 'floor="2"', "receipt", "package receipt: a higher floor needs a restart"),
             ('paid-at-setup="true"', 'paid-at-setup="false"', 'name="review"', "paid-at-setup needs a restart"),
             ('name="review"', 'name="preview"', "<packages", "to add, take away or reorder"),
@@ -170,52 +170,52 @@
             ('told-late="500ms"', 'told-late="400ms"', "<news", "news: told-late needs a restart"),
             ('<limits from-source="200/s" burst="2s"/>', "", "<fronts", "limits: to begin or to end them"),
         ):
-            told = self.refused((old, new))
-            self.assertTrue(any(words in said for _, said in told), (new, told))
-            self.assertIn(line(at), [number for number, said in told if words in said], (new, told))
+            found = self.refused((old, new))
+            self.assertTrue(any(expected in message for _, message in found), (new, found))
+            self.assertIn(line(at), [number for number, message in found if expected in message], (new, found))
 
-    def test_what_fronts_share_needs_a_restart(self):
+    def test_changes_to_shared_budgets_need_a_restart(self):
         shared = (EXAMPLES / "bounds-site.xml").read_text()
-        words = "".join(
-            said
-            for _, said in self.refused(
+        messages = "".join(
+            message
+            for _, message in self.refused(
                 ('free="', 'free="1'), ('<title name="t01"', '<title name="t77"'), ('seats="1"', 'seats="3"'), before=shared
             )
         )
-        for said in ("share their budget", "seats of each title", "fronts share them"):
-            self.assertIn(said, words)
+        for message in ("share their budget", "seats of each title", "fronts share them"):
+            self.assertIn(message, messages)
         shedding = (EXAMPLES / "overload-site.xml").read_text()
-        words = "".join(said for _, said in self.refused(('value="3"', 'value="5"'), before=shedding))
-        self.assertIn("value needs a restart where fronts shed", words)
+        messages = "".join(message for _, message in self.refused(('value="3"', 'value="5"'), before=shedding))
+        self.assertIn("value needs a restart where fronts shed", messages)
 
 
-class TheRecordOnTheDisk(InAFolder):
-    def test_it_is_whole_or_not_there(self):
+class DiskRecord(WithSiteFolder):
+    def test_record_is_complete_or_absent(self):
         record = Record(self.folder / "vote")
         self.assertEqual((record.read(), record.damage), (None, ""))
         record.write_durable(b"one")
         record.write(b"two\nlines")
         record.flush()
         self.assertEqual(Record(self.folder / "vote").read(), b"two\nlines")
-        # a kill in the middle of the next one leaves what was there
+        # a kill during the next write leaves the earlier record
         (self.folder / "vote.new").write_bytes(b"curlewshift rec")
         self.assertEqual(record.read(), b"two\nlines")
 
-    def test_any_spoilt_byte_is_seen_and_put_aside(self):
+    def test_any_corrupt_byte_is_detected_and_the_file_is_set_aside(self):
         record = Record(self.folder / "vote")
         record.write(b"content")
-        whole = record.path.read_bytes()
-        for at in range(len(whole)):
-            record.path.write_bytes(whole[:at] + bytes((whole[at] ^ 1,)) + whole[at + 1 :])
+        data = record.path.read_bytes()
+        for at in range(len(data)):
+            record.path.write_bytes(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :])
             self.assertIsNone(record.read(), at)
             self.assertIn("spoilt", record.damage)
             self.assertFalse(record.path.exists())
             self.assertTrue((self.folder / "vote.damaged").exists())
-        for length in range(len(whole)):
-            record.path.write_bytes(whole[:length])
+        for length in range(len(data)):
+            record.path.write_bytes(data[:length])
             self.assertIsNone(record.read(), length)
 
-    def test_what_was_not_written_is_not_there(self):
+    def test_failed_write_leaves_the_earlier_record(self):
         record = Record(self.folder / "vote")
         record.write_durable(b"one")
         with mock.patch("os.fsync", side_effect=OSError(28, "No space left on device")), self.assertRaises(OSError):
@@ -223,36 +223,36 @@
         self.assertEqual(record.read(), b"one")
 
 
-SMALL = (
+SMALL_SITE = (
     (EXAMPLES / "small-site.xml").read_text().replace("  </fronts>", '    <limits from-source="100/s" burst="2s"/>\n  </fronts>')
 )
-QUIET = structlog.wrap_logger(structlog.ReturnLogger())
+NULL_LOG = structlog.wrap_logger(structlog.ReturnLogger())
 SECOND = 1_000_000_000
 
 
-def kept(content, number=7, of=None):
-    """What a wire keeps of this content, under the digest `of` another."""
+def stored_copy(content, number=7, of=None):
+    """The stored record of this content; with `of`, under the digest of that other content."""
     return ENCODER.encode(
         Kept(1, tuple(Version(number, 1, digest_of(of or content))), zstandard.ZstdCompressor().compress(content))
     )
 
 
-class Stumbles(Swap):
-    """Its step of that number goes wrong; those back do not."""
+class FailingSwap(Swap):
+    """Raises at step `at`; the steps of the rollback succeed."""
 
     at = 0
 
     def _step(self, held, name, value):
         self.done = getattr(self, "done", -1) + 1
         if self.done == self.at:
-            raise RuntimeError("stumbled")
+            raise RuntimeError("injected failure")
         super()._step(held, name, value)
 
 
-class AtARunningFront(InAFolder):
+class RunningFront(WithSiteFolder):
     def setUp(self):
         super().setUp()
-        self.path.write_text(SMALL)
+        self.path.write_text(SMALL_SITE)
         self.front = Front(read_site(self.path), 0, 1, None, mock.Mock())
         self.front.server_pool = mock.Mock()
         self.configured = self.front.configured = Configured(self.front, Begun(self.path, self.front.site), None)
@@ -261,7 +261,7 @@
             "e", 1, [ServerEntry(f"h{n}", "on", now - 3600 * SECOND, "z", "r1", 4200.0, 24, f"s{n}") for n in range(1, 13)]
         )
 
-    def take(self, *changes, version="7.1-abc", text=SMALL):
+    def take(self, *changes, version="7.1-abc", text=SMALL_SITE):
         return self.configured.take_configuration(version, self.site(*changes, text=text))
 
     def state(self):
@@ -281,10 +281,10 @@
             self.front.site.titles,
         )
 
-    def test_what_decides_has_the_new_values_and_the_same_objects(self):
+    def test_components_have_the_new_values_in_the_same_objects(self):
         front = self.front
         packages, holders = list(front.session_core.packages.values()), front.session_core.server_list.titles["t01"].holders
-        # t01 goes to one shelf that it had, t02 away, t99 comes
+        # t01 stays on one of its shelves, t02 is removed, t99 is added
         shelves = front.site.titles["t01"]
         self.assertIsNone(
             self.take(
@@ -306,7 +306,7 @@
         self.assertEqual(live["limits"], {"source": [10.0, 30.0], "package": [40.0, 120.0]})
         self.assertEqual((front.session_core.rules.wait, front.session_core.rules.free_further), (SECOND // 2, 9))
         self.assertEqual(front.session_core.server_list.racks["r1"].link.size, 11_000.0)
-        # seats are counted by the package, and who waits has the list of holders in hand
+        # identity matters: seats are counted by the package object, and waiting viewings refer to the list of holders
         self.assertEqual([id(package) for package in front.session_core.packages.values()], [id(package) for package in packages])
         self.assertIs(front.session_core.server_list.titles["t01"].holders, holders)
         self.assertEqual([server.name for server in holders], [f"h{shelves[0][1:]}"])
@@ -315,11 +315,11 @@
             {server.name for server in front.session_core.server_list.titles["t99"].holders},
             {f"h{shelf[1:]}" for shelf in front.site.titles["t99"]},
         )
-        # and the list goes on telling of both
+        # later changes of the server list still apply to them
         front.session_core.list_change("e", 1, 2, [ServerEntry(f"h{shelves[0][1:]}", "off")])
         self.assertEqual(holders, [])
 
-    def test_who_is_under_way_has_the_patience_and_ceiling_it_came_with(self):
+    def test_requests_in_progress_keep_their_patience_and_ceiling(self):
         session_core = self.front.session_core
         title = next(iter(session_core.server_list.titles))
         before = session_core.asked("a", "receipt", title, patience=0)
@@ -328,7 +328,7 @@
         self.assertEqual((before.expires - before.arrived, after.expires - after.arrived), (4 * SECOND, 9 * SECOND))
         self.assertEqual((before.front_session.viewing.ceiling, after.front_session.viewing.ceiling), (3, 1))
 
-    def test_who_waits_for_a_title_that_goes_keeps_its_holders_up_to_date(self):
+    def test_holders_of_a_removed_title_stay_up_to_date_for_waiting_viewers(self):
         session_core = self.front.session_core
         waits = session_core.asked("a", "receipt", "t02", patience=0)
         self.assertFalse(waits.front_session.viewing.playing)
@@ -338,30 +338,30 @@
         session_core.list_change("e", 1, 2, [ServerEntry(gone.name, "off")])
         self.assertNotIn(gone, holders)
         self.assertTrue(holders)
-        # nobody waits for it any more: the next version lets go of it
+        # no viewing waits for it any more: the next version drops it
         session_core.hung_up(waits)
         session_core.front_sessions.clear()
         self.assertIsNone(self.take(('<title name="t02"', '<title name="t98"'), version="7.2-abc"))
         self.assertEqual(sum(title.name == "t02" for titles in session_core.server_list.on_shelf.values() for title in titles), 0)
 
-    def test_a_capture_ends_where_a_version_comes_into_force(self):
+    def test_capture_ends_when_a_version_comes_into_force(self):
         capture = self.front.capture = mock.Mock()
         self.assertIsNotNone(self.take(('patience="4s"', 'patience="4"')))
         capture.stop.assert_not_called()
         self.assertIsNone(self.take(('patience="4s"', 'patience="5s"')))
         self.assertIn("7.1-abc", capture.stop.call_args.args[0])
 
-    def test_a_refused_one_changes_nothing_and_is_told_with_file_and_line(self):
+    def test_refused_version_changes_nothing_and_is_reported_with_file_and_line(self):
         before = self.state()
-        for changes, words in (
+        for changes, pattern in (
             ([('patience="4s"', 'patience="9s"'), ('floor="1"', 'floor="2"')], r"site\.xml:\d+: package receipt: a higher floor"),
             ([('patience="4s"', 'patience="4"')], r"site\.xml:\d+: package: patience should be a time"),
             ([("</site>", "")], r"site\.xml:\d+: this is not XML"),
         ):
-            self.assertRegex(self.take(*changes), words)
+            self.assertRegex(self.take(*changes), pattern)
         self.assertEqual(self.state(), before)
 
-    def test_a_fault_at_any_step_takes_all_back(self):
+    def test_fault_at_any_step_rolls_all_steps_back(self):
         before, changes = (
             self.state(),
             [
@@ -374,23 +374,23 @@
             ],
         )
         steps = Swap()
-        in_service(self.front, read_site(self.path, self.site(*changes, text=SMALL)), steps)
-        self.assertEqual(self.state(), before, "planning changes nothing")
+        in_service(self.front, read_site(self.path, self.site(*changes, text=SMALL_SITE)), steps)
+        self.assertEqual(self.state(), before, "planning must not change the state")
         for at in range(len(steps.steps)):
-            self.configured.swap_class = type("At", (Stumbles,), {"at": at})
+            self.configured.swap_class = type("At", (FailingSwap,), {"at": at})
             self.assertIn("what was in force before is again", self.take(*changes) or "", at)
             self.assertEqual(self.state(), before, at)
         self.configured.swap_class = Swap
         self.assertIsNone(self.take(*changes))
         self.assertNotEqual(self.state(), before)
-        # the planted half does leave another state than either
-        whole = self.state()
+        # the planted fault leaves a state that differs from both
+        complete = self.state()
         self.configured.swap_class = HalfSwap
-        self.assertIsNone(self.configured.take_configuration("7.2-abc", SMALL.encode()))
-        self.assertNotIn(self.state()[1:], (whole[1:], before[1:]))
+        self.assertIsNone(self.configured.take_configuration("7.2-abc", SMALL_SITE.encode()))
+        self.assertNotIn(self.state()[1:], (complete[1:], before[1:]))
 
 
-class TheStart(InAFolder):
+class FrontStart(WithSiteFolder):
     def begun(self, data, begin=begin):
         self.path.write_bytes(self.site())
         record = Record(self.folder / "configuration")
@@ -398,40 +398,42 @@
             record.write(data)
         return begin(self.path, read_site(self.path), self.folder)
 
-    def test_from_the_disk_where_that_is_whole(self):
+    def test_starts_from_an_intact_disk_record(self):
         newer = self.site(('patience="4s"', 'patience="4.5s"'))
-        begun = self.begun(kept(newer))
+        begun = self.begun(stored_copy(newer))
         self.assertEqual((begun.how, begun.version[:4], begun.site.packages[0].patience), ("disk", "7.1-", 4_500_000_000))
 
-    def test_from_the_file_and_why_where_it_is_not(self):
+    def test_otherwise_starts_from_the_file_and_reports_the_reason(self):
         newer = self.site(('patience="4s"', 'patience="4.5s"'))
-        for data, words in (
+        for data, text in (
             (None, "nothing is on the disk"),
             (b"rubbish", "cannot be used"),
-            (kept(newer, of=b"other"), "digest"),
-            (kept(newer.replace(b'value="3"', b'value="x"')), "site.xml:"),
+            (stored_copy(newer, of=b"other"), "digest"),
+            (stored_copy(newer.replace(b'value="3"', b'value="x"')), "site.xml:"),
         ):
             begun = self.begun(data)
             self.assertEqual(
                 (begun.how, begun.version, begun.copy, begun.site.packages[0].patience), ("file", "file", None, 4 * SECOND)
             )
-            self.assertIn(words, begun.cause)
+            self.assertIn(text, begun.cause)
         path = self.folder / "configuration"
-        self.begun(kept(newer))
+        self.begun(stored_copy(newer))
         path.write_bytes(path.read_bytes()[:-1] + b"?")
         self.assertIn("spoilt", begin(self.path, read_site(self.path), self.folder).cause)
-        # a front spoilt to believe anything begins with what no version ever was
-        self.assertEqual(self.begun(kept(newer, of=b"other"), lambda *args: spoilt_begin("digest-unchecked", *args)).how, "disk")
+        # with the planted fault `digest-unchecked` a front starts from a content that was never a version
+        self.assertEqual(
+            self.begun(stored_copy(newer, of=b"other"), lambda *args: spoilt_begin("digest-unchecked", *args)).how, "disk"
+        )
 
 
-class OverTheChannel(InAFolder):
+class ControlMachinesAndFront(WithSiteFolder):
     """Three control machines and a front, on loopback."""
 
     def setUp(self):
         super().setUp()
         rng = random.Random()
         tcp, udp = free_ports(2, rng), free_ports(4, rng, socket.SOCK_DGRAM)
-        text = FLEET
+        text = FLEET_SITE
         for name in range(3, 9):
             text = "\n".join(line for line in text.splitlines() if f'<front name="f{name}"' not in line)
         text = text.replace(
@@ -451,9 +453,9 @@
     def machine(self, name):
         state = self.folder / name
         state.mkdir(exist_ok=True)
-        return Machine(self.path, read_site(self.path), name, state, 1, QUIET)
+        return Machine(self.path, read_site(self.path), name, state, 1, NULL_LOG)
 
-    async def alone(self, machine, tasks):
+    async def start_machine(self, machine, tasks):
         scope = anyio.CancelScope()
 
         async def run():
@@ -464,15 +466,15 @@
         return scope
 
     @story
-    async def test_a_put_reaches_the_front_and_a_wrong_one_reaches_nobody(self):
+    async def test_put_reaches_the_front_and_an_invalid_one_reaches_none(self):
         with anyio.fail_after(25):
             async with anyio.create_task_group() as tasks:
                 machines = {name: self.machine(name) for name in ("c1", "c2", "c3")}
-                scopes = {name: await self.alone(machine, tasks) for name, machine in machines.items()}
+                scopes = {name: await self.start_machine(machine, tasks) for name, machine in machines.items()}
                 state = self.folder / "f1"
                 state.mkdir()
                 begun = begin(self.path, read_site(self.path), state)
-                front = Front(begun.site, 0, 1, state, QUIET, begun=begun)
+                front = Front(begun.site, 0, 1, state, NULL_LOG, begun=begun)
                 tasks.start_soon(front.run)
                 await until(lambda: any(machine.leases.fence() for machine in machines.values()), 10)
                 writer = next(name for name, machine in machines.items() if machine.leases.fence())
@@ -485,26 +487,26 @@
 
                 newer = self.text.replace('patience="4s"', 'patience="4700ms"', 1)
                 await until(lambda: machines[others[0]].leases.writer() == writer)
-                told = await put(newer, at=others[0])
-                self.assertEqual((told["ok"], told["wrong"]), (False, f"versions are made at {writer} now"))
-                for text, words in (
+                result = await put(newer, at=others[0])
+                self.assertEqual((result["ok"], result["wrong"]), (False, f"versions are made at {writer} now"))
+                for text, message in (
                     (newer.replace('value="3"', 'value="x"', 1), "new.xml:"),
                     ("<site", "this is not XML"),
                     (newer.replace('floor="1"', 'floor="2"', 1), "a higher floor needs a restart"),
                 ):
-                    told = await put(text)
-                    self.assertFalse(told["ok"])
-                    self.assertIn(words, told["wrong"])
+                    result = await put(text)
+                    self.assertFalse(result["ok"])
+                    self.assertIn(message, result["wrong"])
                 self.assertEqual(front.configured.version, "file")
-                told = await put(newer)
-                self.assertTrue(told["ok"], told)
-                await until(lambda: front.configured.version == told["version"])
+                result = await put(newer)
+                self.assertTrue(result["ok"], result)
+                await until(lambda: front.configured.version == result["version"])
                 self.assertEqual(front.session_core.packages["receipt"].patience, 4_700_000_000)
                 again = await put(self.text)
                 self.assertIn("somebody was quicker", again["wrong"])
-                # what needs a restart is taken by one, if its operator says so, and refused until then
-                told = await put(newer.replace('floor="1"', 'floor="2"', 1), base=told["version"])
-                self.assertFalse(told["ok"])
+                # a change that needs a restart is accepted only if the operator allows restarts, and applied at the next start
+                result = await put(newer.replace('floor="1"', 'floor="2"', 1), base=result["version"])
+                self.assertFalse(result["ok"])
                 for text, ok in (
                     (newer.replace('floor="1"', 'floor="2"', 1), True),
                     (newer.replace('period="200ms"', 'period="300ms"'), False),
@@ -526,12 +528,12 @@
                         self.assertIn("a higher floor needs a restart", later["needs_restart"])
                         restarted = later["version"]
                 await until(lambda: (state / "configuration-next").exists())
-                told = {"version": front.configured.version}
+                result = {"version": front.configured.version}
                 self.assertEqual(
                     (front.session_core.packages["receipt"].floor, front.configured.show()["refused"][0]["version"]),
                     (1, restarted),
                 )
-                # and whoever made it sees who refuses, and why
+                # the control machine shows which front refuses it, and why
                 await until(
                     lambda: any(
                         zone["refusing"] == 1 and "a higher floor" in str(zone["whys"])
@@ -541,19 +543,19 @@
                 after = begin(self.path, read_site(self.path), state)
                 self.assertEqual((after.how, after.version, after.site.packages[0].floor), ("disk", restarted, 2))
                 (state / "configuration-next").unlink()
-                # the disk has it: a front begins with it, and goes on without any control machine
-                self.assertEqual(begin(self.path, read_site(self.path), state).version, told["version"])
+                # the version is on disk: a front starts with it, and continues without any control machine
+                self.assertEqual(begin(self.path, read_site(self.path), state).version, result["version"])
                 shown = (await tell(state, {"do": "configuration"}))["configuration"]
-                self.assertEqual((shown["in_force"], shown["began_with"]), (told["version"], "file"))
+                self.assertEqual((shown["in_force"], shown["began_with"]), (result["version"], "file"))
                 for scope in scopes.values():
                     scope.cancel()
                 await anyio.sleep(0.3)
-                self.assertEqual((await tell(state, {"do": "live"}))["live"]["version"], told["version"])
-                # all of them come again with what they had
+                self.assertEqual((await tell(state, {"do": "live"}))["live"]["version"], result["version"])
+                # all control machines restart with their disks
                 machines = {name: self.machine(name) for name in machines}
                 self.assertEqual({machine.wire.version for machine in machines.values()}, {restarted})
                 for machine in machines.values():
-                    await self.alone(machine, tasks)
+                    await self.start_machine(machine, tasks)
                 await until(lambda: any(machine.leases.fence() for machine in machines.values()), 10)
                 writer = next(name for name, machine in machines.items() if machine.leases.fence())
                 second = await put(self.text, at=writer, base=restarted)
@@ -562,26 +564,26 @@
                 tasks.cancel_scope.cancel()
 
 
-class TheJudge(unittest.TestCase):
-    """Each wrong that it is there for is seen, and a day without any is not called broken."""
+class ConfigurationVerdict(unittest.TestCase):
+    """Each kind of violation is detected, and a run without violations passes."""
 
     D1, D2 = b"1" * 32, b"2" * 32
 
     def setUp(self):
         self.events = []
         for front in ("f1", "f2", "c1", "c2", "c3"):
-            self.seen(0, "front-up", front=front, life=f"{front}.1")
+            self.record_event(0, "front-up", front=front, life=f"{front}.1")
         for machine in ("c1", "c2", "c3"):
-            self.seen(6, "machine", front=machine, version="file", zones=[], forks=0)
+            self.record_event(6, "machine", front=machine, version="file", zones=[], forks=0)
         for front in ("f1", "f2"):
             self.live(6, front, "file", 0)
         self.v1, self.v2 = f"5.1-{self.D1.hex()[:12]}", f"5.2-{self.D2.hex()[:12]}"
 
-    def seen(self, at, ev, **facts):
+    def record_event(self, at, ev, **facts):
         self.events.append({"at": int(at * SECOND), "ev": ev, **facts})
 
     def live(self, at, front, version, *marks, life=1):
-        self.seen(
+        self.record_event(
             at,
             "live",
             front=front,
@@ -591,43 +593,45 @@
             marks=list(marks) * (1 if len(marks) > 1 else 3),
         )
 
-    def said(self, at, front, body, kind=20):
+    def record_datagram(self, at, front, body, kind=20):
         frame = Frame("s", front, "127.0.0.1", 1, 1, 1, 1, kind, body=msgspec.msgpack.encode(body))
-        self.seen(at, "peer-said", front=front, to="f1", data=encode(frame).hex())
+        self.record_event(at, "peer-said", front=front, to="f1", data=encode(frame).hex())
 
     def put(self, at, mark, version="", ok=True, unknown=False):
-        self.seen(at + 0.2, "put", mark=mark, asked=int(at * SECOND), ok=ok, version=version, unknown=unknown, wrong="")
+        self.record_event(at + 0.2, "put", mark=mark, asked=int(at * SECOND), ok=ok, version=version, unknown=unknown, wrong="")
 
     def made(self, at, version, digest, count):
-        """As it is to be: the writer offers, a store says that it has it, then it is told."""
+        """The regular order: the writer sends the version, a store answers that it has it, then the version is announced."""
         number = [5, count, digest]
-        self.said(at, "c1", [4, [5, "c1", 1], 9, number])
-        self.said(at + 0.01, "c2", [2, [5, "c1", 1], 9, False, [5, "c1", 1], number, number, {}])
-        self.said(at + 0.02, "c1", [7, number, False])
+        self.record_datagram(at, "c1", [4, [5, "c1", 1], 9, number])
+        self.record_datagram(at + 0.01, "c2", [2, [5, "c1", 1], 9, False, [5, "c1", 1], number, number, {}])
+        self.record_datagram(at + 0.02, "c1", [7, number, False])
 
-    def day(self):
+    def good_run(self):
         self.put(8, 1, self.v1)
         self.made(8.1, self.v1, self.D1, 1)
         self.live(9, "f1", self.v1, 1)
         self.live(9.5, "f2", self.v1, 1)
-        self.seen(40, "day-over")
+        self.record_event(40, "day-over")
 
-    def judged(self):
+    def judge(self):
         return judge_configuration(self.events)
 
-    def test_a_good_day(self):
-        self.day()
-        told = self.judged()
+    def test_run_without_violations(self):
+        self.good_run()
+        verdict = self.judge()
         self.assertEqual(
-            (told["broken"], told["versions"], told["in_force_p99_s"], told["in_force_counted"]), (False, 1, 1.5, 2), told
+            (verdict["broken"], verdict["versions"], verdict["in_force_p99_s"], verdict["in_force_counted"]),
+            (False, 1, 1.5, 2),
+            verdict,
         )
 
-    def test_each_wrong(self):
+    def test_each_violation_is_detected(self):
         def fork():
-            self.said(12, "c3", [7, [5, 1, self.D2], False])
+            self.record_datagram(12, "c3", [7, [5, 1, self.D2], False])
 
         def early():
-            self.said(8.05, "c1", [[5, 1, self.D1], 3], kind=1)
+            self.record_datagram(8.05, "c1", [[5, 1, self.D1], 3], kind=1)
 
         def refused_and_yet():
             self.put(20, 2, ok=False)
@@ -641,10 +645,10 @@
             self.events = [event for event in self.events if not (event["ev"] == "live" and event["at"] == int(9.5 * SECOND))]
 
         def door():
-            self.seen(9.7, "door", front="f1", life="f1.1", asked=int(9.6 * SECOND), marks=[0, 0])
+            self.record_event(9.7, "door", front="f1", life="f1.1", asked=int(9.6 * SECOND), marks=[0, 0])
             self.live(10, "f1", self.v1, 1)
 
-        for name, plant, many in (
+        for name, inject, count in (
             ("regressions", lambda: self.live(12, "f1", "file", 0), 1),
             ("regressions", lambda: self.live(12, "f1", "file", 0, life=2), 1),
             ("half", lambda: self.live(12, "f1", self.v1, 1, 0, 1), 1),
@@ -656,29 +660,29 @@
             ("unfounded", refused_and_yet, 1),
             ("late", late, 1),
             ("missing", never, 1),
-            ("bad_taken", lambda: self.seen(12, "bad-put", mark=700, what="rule", ok=True, wrong=""), 1),
-            ("bad_taken", lambda: self.seen(12, "bad-put", mark=700, what="rule", ok=False, wrong="it is wrong"), 1),
-            ("bad_taken", lambda: self.seen(8, "bad-put", mark=1, what="rule", ok=False, wrong="a.xml:7: wrong"), 2),
+            ("bad_taken", lambda: self.record_event(12, "bad-put", mark=700, what="rule", ok=True, wrong=""), 1),
+            ("bad_taken", lambda: self.record_event(12, "bad-put", mark=700, what="rule", ok=False, wrong="it is wrong"), 1),
+            ("bad_taken", lambda: self.record_event(8, "bad-put", mark=1, what="rule", ok=False, wrong="a.xml:7: wrong"), 2),
         ):
             self.events = []
             self.setUp()
-            self.day()
-            plant()
-            told = self.judged()
-            self.assertEqual((told[name], told["broken"]), (many, True), (name, told))
+            self.good_run()
+            inject()
+            verdict = self.judge()
+            self.assertEqual((verdict[name], verdict["broken"]), (count, True), (name, verdict))
 
-    def test_who_was_struck_counts_from_when_that_was_over_and_a_lost_disk_is_no_step_back(self):
-        self.day()
+    def test_affected_fronts_count_from_the_end_of_the_fault_and_a_lost_disk_is_no_regression(self):
+        self.good_run()
         self.events = [event for event in self.events if not (event["ev"] == "live" and event["at"] == int(9.5 * SECOND))]
-        self.seen(8.05, "front-paused", front="f2", life="f2.1")
-        self.seen(26, "front-goes-on", front="f2", life="f2.1")
+        self.record_event(8.05, "front-paused", front="f2", life="f2.1")
+        self.record_event(26, "front-goes-on", front="f2", life="f2.1")
         self.live(27, "f2", self.v1, 1)
-        self.seen(28, "front-down", front="f1", life="f1.1", how="killed")
-        self.seen(28, "disk", front="f1", life="f1.1", what="front-lost")
-        self.seen(29, "front-up", front="f1", life="f1.2")
+        self.record_event(28, "front-down", front="f1", life="f1.1", how="killed")
+        self.record_event(28, "disk", front="f1", life="f1.1", what="front-lost")
+        self.record_event(29, "front-up", front="f1", life="f1.2")
         self.live(30, "f1", "file", 0, life=2)
-        told = self.judged()
-        self.assertEqual((told["broken"], told["in_force_max_s"]), (False, 1.0), told)
+        verdict = self.judge()
+        self.assertEqual((verdict["broken"], verdict["in_force_max_s"]), (False, 1.0), verdict)
 
 
 if __name__ == "__main__":
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration: one order whatever befalls who makes, keeps, carries and takes them."""
+"""Configuration versions keep one order under faults of the writer, the stores, the network and the nodes."""
 
 import unittest
 from random import Random
@@ -11,16 +11,16 @@
 from curlewshift.distribution.giving import Giver
 from curlewshift.distribution.library import Library
 from curlewshift.distribution.pieces import (
-    PIECE,
+    PIECE_BYTES,
     CorruptContent,
-    name_of,
     packed_difference,
     packed_whole,
-    piece,
-    pieces_of,
+    packing_id,
+    piece_at,
+    piece_count,
     unpacked,
 )
-from curlewshift.distribution.reports import Report, aggregator_of, summed
+from curlewshift.distribution.reports import Report, aggregator_of, summarize
 from curlewshift.distribution.store import Store
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import NONE, Ballot, Version, digest_of
@@ -38,8 +38,8 @@
     return Version(fence, count, digest_of(content))
 
 
-class Calm(VersionHistory):
-    """Three stores and some nodes, words that arrive; what befalls them is the test's to say. The judge looks on."""
+class FaultFreeHistory(VersionHistory):
+    """Three stores and some nodes without random faults; the test injects its own. The history's invariants are checked."""
 
     def __init__(self, nodes=6):
         super().__init__(3, nodes=nodes, troubled=False)
@@ -51,14 +51,14 @@
         return self
 
     def put(self, store=None, **how):
-        """What the put came to, at the latest after its bound and a bit."""
-        told = []
-        self._put_at(store or self.holder(), told, **how)
+        """The result of a put, waited for a little longer than its time-out."""
+        results = []
+        self._put_at(store or self.holder(), results, **how)
         for _ in range(30):
-            if told and told[0] is not None:
-                return told[0]
+            if results and results[0] is not None:
+                return results[0]
             self.run_for(0.2)
-        raise AssertionError("no answer within the bound")
+        raise AssertionError("no answer within the time-out")
 
     def holder(self):
         return next(store for store in self.stores if store.fence)
@@ -67,101 +67,101 @@
         return [store for store in self.stores if not store.fence]
 
     def grant_to(self, store, over=1):
-        for one in self.stores:
-            one.fence = 0
+        for each in self.stores:
+            each.fence = 0
         self.fences += over
         store.fence = self.fences
 
 
-class Making(unittest.TestCase):
-    def test_order_is_by_fence_and_count_and_the_name_says_the_content(self):
+class VersionCreation(unittest.TestCase):
+    def test_versions_are_ordered_by_fence_and_count_and_named_by_digest(self):
         self.assertTrue(version(2, 1).over(version(1, 9)))
         self.assertTrue(version(2, 2).over(version(2, 1)))
         self.assertFalse(version(2, 1, b"a").over(version(2, 1, b"b")))
         self.assertRegex(version(7, 3).text, r"^7\.3-[0-9a-f]{12}$")
         self.assertEqual(NONE.text, "file")
 
-    def test_a_change_is_in_force_everywhere_and_the_next_is_made_upon_it(self):
-        calm = Calm()
+    def test_change_comes_into_force_everywhere_and_the_next_builds_on_it(self):
+        history = FaultFreeHistory()
         for _ in range(3):
-            told = calm.put(refusable=False)
-            self.assertTrue(told["ok"], told)
-            calm.run_for(3)
-            self.assertEqual({process.wire.version for process in calm.processes.values()}, {told["version"]})
-
-    def test_somebody_was_quicker_is_said_in_words_and_changes_nothing(self):
-        calm = Calm()
-        first = calm.put(refusable=False)
-        calm.run_for(2)
-        told = []
-        calm.holder().wire.begin_put(b"made upon what was before", "file", 3 * NS, told.append)
-        calm.run_for(1)
-        self.assertFalse(told[0]["ok"] or told[0]["unknown"])
-        self.assertIn("somebody was quicker", told[0]["wrong"])
-        self.assertEqual(calm.newest().text, first["version"])
-
-    def test_a_minority_refuses_within_its_bound_and_an_unknown_fate_is_called_so(self):
-        calm = Calm()
-        calm.put(refusable=False)
-        calm.run_for(2)
-        holder = calm.holder()
-        calm.parted = lambda a, b: a.is_store and b.is_store
-        told = calm.put(holder)
-        self.assertEqual((told["ok"], told["unknown"]), (False, True), "it may have reached a store")
-        self.assertIn("look at what is newest", told["wrong"])
-        # a tenure that begins without a majority has told nobody
-        calm.grant_to(holder)
-        told = calm.put(holder)
-        self.assertEqual((told["ok"], told["unknown"]), (False, False))
-        self.assertIn("1 of 3 stores", told["wrong"])
-        elsewhere = calm.put(calm.others()[0])
-        self.assertIn("does not hold the lease", elsewhere["wrong"])
-
-    def test_killed_between_a_majority_and_the_telling_the_next_brings_it_to_all_under_its_number(self):
-        calm = Calm()
-        calm.put(refusable=False)
-        calm.run_for(2)
-        holder = calm.holder()
-        holder.wire.writer._told = lambda: calm._kill(holder)
-        made = dict(calm.chosen)
-        calm._put_at(holder, [], refusable=False)
-        while calm.chosen == made:
-            calm.run_for(0.001)
-        calm.run_for(1)
+            result = history.put(refusable=False)
+            self.assertTrue(result["ok"], result)
+            history.run_for(3)
+            self.assertEqual({process.wire.version for process in history.processes.values()}, {result["version"]})
+
+    def test_put_on_an_outdated_base_is_refused_and_changes_nothing(self):
+        history = FaultFreeHistory()
+        first = history.put(refusable=False)
+        history.run_for(2)
+        result = []
+        history.holder().wire.begin_put(b"made upon what was before", "file", 3 * NS, result.append)
+        history.run_for(1)
+        self.assertFalse(result[0]["ok"] or result[0]["unknown"])
+        self.assertIn("somebody was quicker", result[0]["wrong"])
+        self.assertEqual(history.newest().text, first["version"])
+
+    def test_without_majority_put_is_refused_in_time_and_an_unknown_outcome_is_reported(self):
+        history = FaultFreeHistory()
+        history.put(refusable=False)
+        history.run_for(2)
+        holder = history.holder()
+        history.parted = lambda a, b: a.is_store and b.is_store
+        result = history.put(holder)
+        self.assertEqual((result["ok"], result["unknown"]), (False, True), "it may have reached a store")
+        self.assertIn("look at what is newest", result["wrong"])
+        # a tenure that starts without a majority has sent the version to no store
+        history.grant_to(holder)
+        result = history.put(holder)
+        self.assertEqual((result["ok"], result["unknown"]), (False, False))
+        self.assertIn("1 of 3 stores", result["wrong"])
+        without_lease = history.put(history.others()[0])
+        self.assertIn("does not hold the lease", without_lease["wrong"])
+
+    def test_writer_killed_between_majority_and_announcement_next_writer_completes_the_version(self):
+        history = FaultFreeHistory()
+        history.put(refusable=False)
+        history.run_for(2)
+        holder = history.holder()
+        holder.wire.writer._announce_chosen = lambda: history._kill(holder)
+        made = dict(history.chosen)
+        history._put_at(holder, [], refusable=False)
+        while history.chosen == made:
+            history.run_for(0.001)
+        history.run_for(1)
         self.assertFalse(holder.alive)
-        newest = calm.newest().text
-        self.assertNotIn(newest, {process.wire.version for process in calm.processes.values()})
-        calm.grant_to(calm.others()[0])
-        calm.run_for(4)
-        alive = [process for process in calm.processes.values() if process.alive]
+        newest = history.newest().text
+        self.assertNotIn(newest, {process.wire.version for process in history.processes.values()})
+        history.grant_to(history.others()[0])
+        history.run_for(4)
+        alive = [process for process in history.processes.values() if process.alive]
         self.assertEqual({process.wire.version for process in alive}, {newest})
 
-    def test_a_writer_that_was_stopped_and_wakes_makes_nothing(self):
-        calm = Calm()
-        calm.put(refusable=False)
-        calm.run_for(2)
-        stopped = calm.holder()
-        stopped.paused_until = calm.now + 5 * NS
-        # it still believes that it holds the lease
-        other = calm.others()[0]
-        calm.fences += 1
-        other.fence = calm.fences
-        self.assertTrue(calm.put(other, refusable=False)["ok"])
-        calm.run_for(6)
-        newest = calm.newest()
-        told = calm.put(stopped, refusable=False)
-        self.assertFalse(told["ok"])
-        self.assertIn("a later number", told["wrong"])
-        self.assertEqual(calm.newest(), newest)
-
-
-class Voting(unittest.TestCase):
+    def test_paused_writer_that_resumes_after_losing_the_lease_makes_no_version(self):
+        history = FaultFreeHistory()
+        history.put(refusable=False)
+        history.run_for(2)
+        stopped = history.holder()
+        stopped.paused_until = history.now + 5 * NS
+        # the paused process still believes that it holds the lease
+        other = history.others()[0]
+        history.fences += 1
+        other.fence = history.fences
+        self.assertTrue(history.put(other, refusable=False)["ok"])
+        history.run_for(6)
+        newest = history.newest()
+        result = history.put(stopped, refusable=False)
+        self.assertFalse(result["ok"])
+        self.assertIn("a later number", result["wrong"])
+        self.assertEqual(history.newest(), newest)
+
+
+class StoreVotes(unittest.TestCase):
     def setUp(self):
-        self.said, self.kept = [], None
+        self.sent, self.kept = [], None
         self.contents = {digest_of(content): content for content in (b"a", b"b", b"content")}
         self.full = False
 
-    # ---- the store's outside
+    # ---- the store's driver
 
     def keep_vote(self, data):
         if self.full:
@@ -172,117 +172,117 @@
         return self.contents.get(version.digest)
 
     def fetch_for_store(self, version, writer):
-        self.said.append(("fetch", version))
+        self.sent.append(("fetch", version))
 
     def stands(self, writer, ballot, stand):
-        self.said.append(("stands", ballot, stand))
+        self.sent.append(("stands", ballot, stand))
 
     def outbid(self, writer, ballot, promised):
-        self.said.append(("outbid", ballot, promised))
+        self.sent.append(("outbid", ballot, promised))
 
-    def vote_lost(self, what, why):
-        self.said.append(("lost", what, why))
+    def vote_lost(self, what, reason):
+        self.sent.append(("lost", what, reason))
 
-    def voting(self):
+    def founded_store(self):
         store = Store(self, self.kept, Random(1))
         if store.blank:
             store.enter("w", Ballot(1, "w", 1), store.number, {"s": (1, 1, store.number)}, NONE, True)
-        self.said.clear()
+        self.sent.clear()
         return store
 
-    def test_a_fence_is_promised_to_the_first_that_comes_with_it_also_over_a_restart(self):
-        store = self.voting()
+    def test_fence_is_promised_to_the_first_writer_also_across_a_restart(self):
+        store = self.founded_store()
         store.prepare("w", Ballot(5, "w", 1))
-        store = self.voting()
+        store = self.founded_store()
         store.prepare("v", Ballot(5, "v", 1))
         store.prepare("w", Ballot(5, "w", 2))
         store.prepare("v", Ballot(4, "v", 1))
-        self.assertEqual([word[0] for word in self.said], ["outbid"] * 3)
+        self.assertEqual([message[0] for message in self.sent], ["outbid"] * 3)
         store.take("v", Ballot(5, "v", 1), store.number, version(5))
-        self.assertEqual((self.said[-1][0], store.taken), ("outbid", NONE))
+        self.assertEqual((self.sent[-1][0], store.taken), ("outbid", NONE))
 
-    def test_it_takes_only_under_the_ballot_it_promised_and_never_an_older_one_of_that(self):
-        store, ballot = self.voting(), Ballot(5, "w", 1)
+    def test_takes_only_under_the_promised_ballot_and_never_an_older_version(self):
+        store, ballot = self.founded_store(), Ballot(5, "w", 1)
         store.take("w", ballot, store.number, version(5))
-        self.assertEqual(store.taken, NONE, "nothing was promised yet")
+        self.assertEqual(store.taken, NONE, "no ballot is promised yet")
         store.prepare("w", ballot)
         store.take("w", ballot, store.number, version(5, 2))
         store.take("w", ballot, store.number, version(5, 1, b"a"))
         store.take("w", ballot, store.number, version(5, 2, b"a"))
         store.take("w", ballot, store.number + 1, version(5, 3))
         self.assertEqual(store.taken, version(5, 2))
-        self.assertEqual(self.voting().taken, version(5, 2), "it is on its disk")
+        self.assertEqual(self.founded_store().taken, version(5, 2), "the version is on disk")
 
-    def test_what_the_disk_does_not_take_is_not_answered_and_has_not_come_about(self):
-        store, self.full = self.voting(), True
+    def test_failed_write_is_not_answered_and_leaves_the_state_unchanged(self):
+        store, self.full = self.founded_store(), True
         store.prepare("w", Ballot(9, "w", 1))
-        self.assertEqual([word[0] for word in self.said], ["lost"])
+        self.assertEqual([message[0] for message in self.sent], ["lost"])
         self.assertEqual(store.promised.fence, 1)
 
-    def test_without_a_readable_record_it_is_blank_and_has_no_vote(self):
-        store = self.voting()
+    def test_store_without_a_readable_record_is_blank_and_does_not_vote(self):
+        store = self.founded_store()
         store.prepare("w", Ballot(5, "w", 1))
         for kept in (None, b"", self.kept[:-1], self.kept[:20] + b"\x00" + self.kept[21:], b"\x91\x01"):
-            self.said.clear()
+            self.sent.clear()
             store = Store(self, kept, Random(2))
             store.prepare("w", Ballot(6, "w", 1))
             store.take("w", Ballot(6, "w", 1), store.number, version(6))
-            stands = [word[2] for word in self.said if word[0] == "stands"]
+            stands = [message[2] for message in self.sent if message[0] == "stands"]
             self.assertEqual([(stand.blank, stand.taken) for stand in stands], [(True, NONE)] * 2, kept)
 
-    def test_a_content_that_is_not_what_its_version_says_is_not_taken(self):
-        store, ballot = self.voting(), Ballot(5, "w", 1)
+    def test_content_that_does_not_match_its_version_is_not_taken(self):
+        store, ballot = self.founded_store(), Ballot(5, "w", 1)
         store.prepare("w", ballot)
         self.contents[digest_of(b"content")] = b"spoilt"
         store.take("w", ballot, store.number, version(5))
         self.assertEqual(store.taken, NONE)
 
-    def test_founding_is_refused_by_one_that_has_taken_something(self):
-        store, ballot = self.voting(), Ballot(5, "w", 1)
+    def test_founding_is_refused_by_a_store_that_has_taken_a_version(self):
+        store, ballot = self.founded_store(), Ballot(5, "w", 1)
         store.prepare("w", ballot)
         store.take("w", ballot, store.number, version(5))
         store.enter("v", Ballot(6, "v", 1), store.number, {}, NONE, True)
         self.assertEqual((store.taken, store.promised), (version(5), ballot))
 
 
-class LostRecords(unittest.TestCase):
-    def test_a_store_that_answered_and_lost_its_record_is_let_in_with_what_the_others_have(self):
-        calm = Calm()
-        calm.put(refusable=False)
-        holder, (second, third) = calm.holder(), calm.others()
-        calm.parted = lambda a, b: third in (a, b)
-        told = calm.put(holder, refusable=False)
-        self.assertTrue(told["ok"], "two of three have it")
-        self.assertNotEqual(third.wire.store.taken.text, told["version"])
+class LostStoreRecords(unittest.TestCase):
+    def test_store_that_lost_its_record_is_let_in_with_the_state_of_the_others(self):
+        history = FaultFreeHistory()
+        history.put(refusable=False)
+        holder, (second, third) = history.holder(), history.others()
+        history.parted = lambda a, b: third in (a, b)
+        result = history.put(holder, refusable=False)
+        self.assertTrue(result["ok"], "two of three stores have it")
+        self.assertNotEqual(third.wire.store.taken.text, result["version"])
         second.vote = None
-        calm._start(second)
-        calm._kill(holder)
-        calm.parted = lambda a, b: False
+        history._start(second)
+        history._kill(holder)
+        history.parted = lambda a, b: False
         self.assertTrue(second.wire.store.blank)
         shown = next(row for row in second.wire.show()["stores"] if row["store"] == second.name)
         self.assertTrue(shown["blank"])
-        calm.grant_to(third)
-        refused = calm.put(third)
+        history.grant_to(third)
+        refused = history.put(third)
         self.assertFalse(refused["ok"], "one store with a record is no majority, and the blank one does not vote")
         self.assertIn(f"without a record: {second.name}", refused["wrong"])
-        calm._start(holder)
-        calm.run_for(5)
+        history._start(holder)
+        history.run_for(5)
         self.assertFalse(second.wire.store.blank)
-        self.assertEqual(second.wire.store.taken.text, told["version"])
-        self.assertTrue(calm.put(third, refusable=False)["ok"])
+        self.assertEqual(second.wire.store.taken.text, result["version"])
+        self.assertTrue(history.put(third, refusable=False)["ok"])
 
-    def test_blank_everywhere_it_begins_and_with_one_store_silent_it_does_not(self):
-        calm = VersionHistory(3, nodes=3, troubled=False)
-        calm._kill(calm.stores[2])
-        calm.run_to(calm.now + 5 * NS)
-        self.assertTrue(all(store.wire.store.blank for store in calm.stores[:2]))
-        calm._start(calm.stores[2])
-        calm.run_to(calm.now + 3 * NS)
-        self.assertFalse(any(store.wire.store.blank for store in calm.stores))
+    def test_blank_stores_are_founded_only_when_all_of_them_answer(self):
+        history = VersionHistory(3, nodes=3, troubled=False)
+        history._kill(history.stores[2])
+        history.run_to(history.now + 5 * NS)
+        self.assertTrue(all(store.wire.store.blank for store in history.stores[:2]))
+        history._start(history.stores[2])
+        history.run_to(history.now + 3 * NS)
+        self.assertFalse(any(store.wire.store.blank for store in history.stores))
 
 
-class Copying(unittest.TestCase):
-    """A node's copy beside a host that refuses what says so."""
+class NodeCopy(unittest.TestCase):
+    """A node's copy, with a host that refuses contents that contain `wrong`."""
 
     def setUp(self):
         self.taken, self.kept, self.clock, self.full = [], None, 0, False
@@ -303,7 +303,7 @@
         self.kept = data
 
     def __getattr__(self, name):
-        if name in ("not_kept", "copy_lost", "in_force", "refuses", "forked"):
+        if name in ("write_failed", "copy_lost", "in_force", "refuses", "forked"):
             return getattr(self.log, name)
         raise AttributeError(name)
 
@@ -314,7 +314,7 @@
             copy.got(version(number, content=content), content)
         return copy
 
-    def test_it_never_goes_back_within_a_life_or_over_a_restart(self):
+    def test_never_goes_back_within_a_life_or_across_a_restart(self):
         copy = self.copy(b"one", b"two")
         self.assertFalse(copy.heard(version(1, content=b"one")) or copy.got(version(1, content=b"one"), b"one"))
         again = Copy(self)
@@ -322,20 +322,20 @@
         self.assertEqual((again.version.text, again.content), (copy.version.text, b"two"))
         self.assertFalse(again.got(version(1, content=b"one"), b"one"))
 
-    def test_what_is_refused_is_said_and_the_last_good_one_stays_until_the_next_newer(self):
+    def test_refusal_is_reported_and_the_last_good_version_stays_until_a_newer_one(self):
         copy = self.copy(b"one", b"wrong")
         self.assertEqual((copy.content, copy.why_refused), (b"one", "site.xml:3: wrong"))
         self.log.refuses.assert_called_once()
         copy.got(version(3, content=b"three"), b"three")
         self.assertEqual((copy.content, copy.why_refused), (b"three", ""))
 
-    def test_a_content_that_does_not_fit_its_name_is_not_taken(self):
+    def test_content_that_does_not_match_its_digest_is_not_applied(self):
         copy = self.copy(b"one")
         copy.heard(version(2, content=b"two"))
         self.assertFalse(copy.got(version(2, content=b"two"), b"tw0"))
         self.assertEqual(copy.content, b"one")
 
-    def test_a_spoilt_copy_on_the_disk_is_none(self):
+    def test_corrupt_copy_on_disk_is_ignored(self):
         self.copy(b"one")
         good = self.kept
         for kept in (b"", good[:-3], good[:12] + b"\xff" + good[13:], good.replace(good[8:20], bytes(12))):
@@ -343,28 +343,28 @@
             self.assertFalse(copy.start(kept), kept)
             self.assertEqual((copy.held, copy.content), (NONE, None))
 
-    def test_a_disk_that_is_full_is_told_of_and_it_serves_by_the_newest(self):
+    def test_full_disk_is_reported_and_the_newest_version_is_applied(self):
         self.full = True
         self.assertEqual(self.copy(b"one").content, b"one")
-        self.log.not_kept.assert_called_once()
+        self.log.write_failed.assert_called_once()
 
-    def test_two_contents_under_one_number_are_a_fork_and_neither_replaces_the_other(self):
+    def test_two_contents_with_one_number_are_a_fork_and_neither_replaces_the_other(self):
         copy = self.copy(b"one")
         self.assertFalse(copy.heard(version(1, content=b"other")))
         self.assertEqual((copy.forks, copy.content), (1, b"one"))
 
-    def test_it_grows_old_by_its_clock_until_somebody_vouches_for_it(self):
+    def test_age_grows_with_the_clock_until_the_version_is_confirmed(self):
         copy = self.copy(b"one")
         self.assertEqual(copy.age, -1)
         self.clock = 10 * NS
-        copy.vouched(version(1, content=b"one"), 2 * NS)
+        copy.confirmed_newest(version(1, content=b"one"), 2 * NS)
         self.clock = 15 * NS
         self.assertEqual(copy.age, 7 * NS)
-        copy.vouched(version(1, content=b"one"), 9 * NS)
-        self.assertEqual(copy.age, 7 * NS, "older words make it no older")
+        copy.confirmed_newest(version(1, content=b"one"), 9 * NS)
+        self.assertEqual(copy.age, 7 * NS, "an older confirmation does not increase the age")
 
 
-class Giving(unittest.TestCase):
+class ContentProviding(unittest.TestCase):
     def setUp(self):
         self.clock, self.given, self.turned_away = 0, [], []
         self.content = Random(1).randbytes(20_000)
@@ -373,50 +373,50 @@
     def now(self):
         return self.clock
 
-    def give(self, to, version, base, packing, total, index, data):
+    def send_piece(self, to, version, base, packing, total, index, data):
         self.given.append((to, index, len(data)))
         return True
 
-    def busy(self, to, version, after):
+    def send_busy(self, to, version, after):
         self.turned_away.append((to, after))
 
-    def have_not(self, to, version):
+    def send_not_held(self, to, version):
         self.turned_away.append((to, 0))
 
-    def test_bytes_a_second_hold_and_the_rest_is_told_when_to_come_again(self):
+    def test_rate_limit_holds_and_further_requesters_are_told_when_to_retry(self):
         library, terms = Library(), DistributionTerms(("c",))
         library.hold(self.content)
-        giver = Giver(self, library, terms)
+        provider = Giver(self, library, terms)
         for at in range(600):
             self.clock = at * NS // 10
-            for asker in "abcd":
-                giver.asked(asker, self.version, b"", b"", [])
+            for requester in "abcd":
+                provider.handle_request(requester, self.version, b"", b"", [])
         sent = sum(size for _, _, size in self.given)
-        self.assertLess(sent, terms.give_burst + 60 * terms.give_bytes + PIECE)
+        self.assertLess(sent, terms.give_burst + 60 * terms.give_bytes + PIECE_BYTES)
         self.assertGreater(sent, 30 * terms.give_bytes)
         self.assertTrue(self.turned_away)
-        self.assertLessEqual(len(self.turned_away), 61 * terms.most_busy)
+        self.assertLessEqual(len(self.turned_away), 61 * terms.max_busy_replies)
         self.assertTrue(all(after > 0 for _, after in self.turned_away))
 
-    def test_a_difference_is_given_to_who_has_the_base_and_comes_out_as_the_whole(self):
+    def test_difference_to_a_held_base_unpacks_to_the_full_content(self):
         one, two = site_file(60, 1), site_file(60, 2)
         difference = packed_difference(two, one)
         self.assertLess(len(difference), 200)
         self.assertLess(len(difference), len(packed_whole(two)) // 5)
         self.assertEqual(unpacked(difference, one), two)
         self.assertEqual(unpacked(packed_whole(two), b""), two)
-        for spoilt in (b"", b"nothing", packed_whole(two)[:-5]):
+        for corrupt in (b"", b"nothing", packed_whole(two)[:-5]):
             with self.assertRaises(CorruptContent):
-                unpacked(spoilt, b"")
+                unpacked(corrupt, b"")
 
 
-class Fetching(unittest.TestCase):
-    """One that wants a content, beside givers that the test plays."""
+class ContentFetching(unittest.TestCase):
+    """A node that fetches a content from providers simulated by the test."""
 
     def setUp(self):
-        self.clock, self.asked, self.got, self.spoilt_by = NS, [], [], []
+        self.clock, self.requests, self.got, self.corrupt_providers = NS, [], [], []
         self.terms = DistributionTerms(("c",))
-        self.content = Random(1).randbytes(3 * PIECE - 100)
+        self.content = Random(1).randbytes(3 * PIECE_BYTES - 100)
         self.version = version(1, content=self.content)
         self.packed = packed_whole(self.content)
         self.fetch = Fetch(self, Library(), self.terms, Random(1))
@@ -424,93 +424,95 @@
     def now(self):
         return self.clock
 
-    def near(self, names):
+    def nearest(self, names):
         return [name for name in names if name.startswith("near")] or names
 
-    def ask(self, giver, version, base, packing, missing):
-        self.asked.append((giver, missing))
+    def request_pieces(self, provider, version, base, packing, missing):
+        self.requests.append((provider, missing))
 
-    def came(self, version, content):
+    def content_received(self, version, content):
         self.got.append(content)
 
-    def spoilt(self, version, by, why):
-        self.spoilt_by.append(by)
+    def content_corrupt(self, version, by, reason):
+        self.corrupt_providers.append(by)
 
-    def give(self, giver, *indexes, packed=None):
+    def give(self, provider, *indexes, packed=None):
         packed = packed or self.packed
         for index in indexes:
-            self.fetch.piece(giver, self.version, b"", name_of(packed), pieces_of(packed), index, piece(packed, index))
+            self.fetch.piece_received(
+                provider, self.version, b"", packing_id(packed), piece_count(packed), index, piece_at(packed, index)
+            )
 
     def pass_time(self, seconds):
         self.clock += int(seconds * NS)
         self.fetch.time()
 
-    def test_near_ones_are_asked_first_and_another_where_one_is_busy_or_silent(self):
-        self.fetch.want(self.version, lambda: ["far", "near1", "near2"])
-        first = self.asked[-1][0]
+    def test_nearest_providers_are_asked_first_and_another_if_one_is_busy_or_silent(self):
+        self.fetch.request(self.version, lambda: ["far", "near1", "near2"])
+        first = self.requests[-1][0]
         self.assertTrue(first.startswith("near"))
-        self.fetch.busy(first, self.version, 1000 * NS)
-        second = self.asked[-1][0]
+        self.fetch.provider_busy(first, self.version, 1000 * NS)
+        second = self.requests[-1][0]
         self.assertEqual({first, second}, {"near1", "near2"})
         self.pass_time(0.4)
-        self.assertEqual(self.asked[-1][0], "far", "both near ones rest: one was busy, one silent")
+        self.assertEqual(self.requests[-1][0], "far", "both near providers are in back-off: one was busy, one silent")
 
-    def test_pieces_of_several_givers_come_together_and_only_missing_ones_are_asked_for(self):
-        self.fetch.want(self.version, lambda: ["a"])
+    def test_pieces_of_several_providers_are_combined_and_only_missing_ones_requested(self):
+        self.fetch.request(self.version, lambda: ["a"])
         self.give("a", 1)
         self.pass_time(0.4)
-        self.assertEqual(self.asked[-1], ("a", [0, 2]))
+        self.assertEqual(self.requests[-1], ("a", [0, 2]))
         self.give("b", 0)
         self.give("a", 2)
         self.assertEqual(self.got, [self.content])
-        self.assertFalse(self.fetch.wanted)
+        self.assertFalse(self.fetch.pending)
 
-    def test_what_comes_to_something_else_is_dropped_and_asked_of_another(self):
-        self.fetch.want(self.version, lambda: ["a", "b"])
-        liar = self.asked[-1][0]
+    def test_pieces_of_another_content_are_dropped_and_another_provider_is_asked(self):
+        self.fetch.request(self.version, lambda: ["a", "b"])
+        corrupt_provider = self.requests[-1][0]
         other = packed_whole(self.content[:-1] + b"!")
-        self.give(liar, 0, 1, 2, packed=other)
-        self.assertEqual((self.got, self.spoilt_by), ([], [liar]))
-        self.assertNotEqual(self.asked[-1][0], liar)
-        self.give(self.asked[-1][0], 0, 1, 2)
+        self.give(corrupt_provider, 0, 1, 2, packed=other)
+        self.assertEqual((self.got, self.corrupt_providers), ([], [corrupt_provider]))
+        self.assertNotEqual(self.requests[-1][0], corrupt_provider)
+        self.give(self.requests[-1][0], 0, 1, 2)
         self.assertEqual(self.got, [self.content])
 
-    def test_what_is_wanted_is_bounded_and_so_are_asks_of_one_turned_away(self):
+    def test_pending_fetches_and_attempts_per_round_are_bounded(self):
         for number in range(50):
-            self.fetch.want(version(number, content=b"%d" % number), lambda: [])
-        self.assertLessEqual(len(self.fetch.wanted), 6)
-        self.fetch.want(self.version, lambda: [f"g{number}" for number in range(100)])
-        before = len(self.asked)
+            self.fetch.request(version(number, content=b"%d" % number), lambda: [])
+        self.assertLessEqual(len(self.fetch.pending), 6)
+        self.fetch.request(self.version, lambda: [f"g{number}" for number in range(100)])
+        before = len(self.requests)
         for _ in range(50):
-            self.fetch.have_not(self.asked[-1][0], self.version)
-        self.assertLess(len(self.asked) - before, self.terms.tries_a_round)
+            self.fetch.provider_lacks(self.requests[-1][0], self.version)
+        self.assertLess(len(self.requests) - before, self.terms.attempts_per_round)
 
 
-class OnTheChannel(unittest.TestCase):
-    def frames(self, ride):
+class DistributionOnChannel(unittest.TestCase):
+    def frames(self, piggyback):
         fleet = PeerFleet(3, 1, default_membership_terms(NS))
         seen = []
         carry = fleet.carry
         fleet.carry = lambda sender, address, data: (seen.append(decode(data, "emulated")), carry(sender, address, data))
         fleet.start_settled()
         heard = []
-        if ride:
+        if piggyback:
             for post in fleet.posts[:2]:
                 post.channel.rides(lambda: b"x" * 50, lambda sender, body: heard.append((sender.name, body)))
         fleet.run(4)
         return seen, heard
 
-    def test_nothing_rides_where_nothing_is_registered_and_else_on_probes_and_answers_alone(self):
-        seen, _ = self.frames(ride=False)
+    def test_data_is_piggybacked_only_if_registered_and_only_on_probes_and_answers(self):
+        seen, _ = self.frames(piggyback=False)
         self.assertTrue({PING, ACK} <= {frame.kind for frame in seen})
         self.assertTrue(all(frame.body == b"" for frame in seen if frame.kind in (PING, ACK)))
-        ridden, heard = self.frames(ride=True)
-        self.assertEqual([(frame.kind, frame.name) for frame in ridden], [(frame.kind, frame.name) for frame in seen])
-        self.assertEqual({frame.kind for frame in ridden if frame.body == b"x" * 50}, {PING, ACK})
-        self.assertEqual({frame.name for frame in ridden if frame.body == b"x" * 50}, {"f0", "f1"})
+        with_piggyback, heard = self.frames(piggyback=True)
+        self.assertEqual([(frame.kind, frame.name) for frame in with_piggyback], [(frame.kind, frame.name) for frame in seen])
+        self.assertEqual({frame.kind for frame in with_piggyback if frame.body == b"x" * 50}, {PING, ACK})
+        self.assertEqual({frame.name for frame in with_piggyback if frame.body == b"x" * 50}, {"f0", "f1"})
         self.assertTrue(heard)
 
-    def test_a_start_from_peers_is_bounded_where_there_are_none(self):
+    def test_start_from_peers_ends_in_time_without_peers(self):
         history = VersionHistory(3, nodes=3, troubled=False)
         wire = history.processes["n0"].wire
 
@@ -521,16 +523,16 @@
         anyio.run(begins)
         self.assertEqual(wire.version, "file")
 
-    def test_garbage_is_counted_and_dropped(self):
+    def test_malformed_messages_are_counted_and_dropped(self):
         wire: DistributionWire = VersionHistory(3, nodes=3, troubled=False).processes["n0"].wire
         member, rng = wire.channel.members["n1"], Random(1)
         for _ in range(200):
-            wire.heard(member, rng.randbytes(rng.randrange(60)))
-            wire._ride_heard(member, rng.randbytes(rng.randrange(60)))
+            wire.handle_message(member, rng.randbytes(rng.randrange(60)))
+            wire._handle_piggyback(member, rng.randbytes(rng.randrange(60)))
         self.assertGreater(wire.malformed, 390)
         self.assertEqual(wire.version, "file")
 
-    def test_a_node_that_starts_empty_takes_from_its_zone_and_counts_go_up_by_zone(self):
+    def test_empty_node_fetches_from_its_zone_and_summaries_arrive_by_zone(self):
         fleet = VersionFleet(18, zones=3, stores=3).begin()
         post = fleet.nodes[5]
         post.kill()
@@ -549,48 +551,48 @@
             [(zone, 6, 6, fleet.last) for zone in ("z0", "z1", "z2")],
         )
 
-    def test_a_small_fleet_has_a_change_in_force_within_the_bound_also_with_loss(self):
-        told = changes(0.05, nodes=45)
-        self.assertTrue(all(last is not None and last < 6 for last in told["last_node_s"]), told)
+    def test_small_fleet_has_a_change_in_force_in_time_also_with_loss(self):
+        result = changes(0.05, nodes=45)
+        self.assertTrue(all(last is not None and last < 6 for last in result["last_node_s"]), result)
 
 
-class Reporting(unittest.TestCase):
-    def test_a_zones_sum_names_lowest_late_and_refusing(self):
+class StatusReports(unittest.TestCase):
+    def test_zone_summary_names_lowest_late_and_refusing(self):
         reports = {
             "a": Report(version(2), NONE, ""),
             "b": Report(version(1), version(2), "line 3"),
             "c": Report(version(2), NONE, ""),
         }
-        told = summed("z", reports, 4)
+        result = summarize("z", reports, 4)
         self.assertEqual(
-            (told.nodes, told.at_newest, told.lowest, told.late, told.refusing, told.whys),
+            (result.nodes, result.at_newest, result.lowest, result.late, result.refusing, result.reasons),
             (3, 2, version(1), ["b"], 1, [("b", "line 3")]),
         )
-        self.assertIsNone(summed("z", {}, 4))
+        self.assertIsNone(summarize("z", {}, 4))
 
-    def test_who_adds_up_is_the_same_at_all_and_moves_only_when_it_is_gone(self):
+    def test_all_nodes_choose_the_same_aggregator_until_it_is_gone(self):
         names = [f"n{n}" for n in range(70)]
         one = aggregator_of("z", names)
         self.assertEqual(aggregator_of("z", names[::-1]), one)
         self.assertEqual(aggregator_of("z", [name for name in names if name not in ("n1", "n2") or name == one]), one)
 
 
-class Shown(unittest.TestCase):
-    def test_random_histories_end_in_agreement_and_break_nothing(self):
-        for seed, after, wrong in histories(range(10)):
-            self.assertEqual(wrong, "", seed)
+class HistoriesAndModelChecker(unittest.TestCase):
+    def test_random_histories_agree_without_violations(self):
+        for seed, after, violation in histories(range(10)):
+            self.assertEqual(violation, "", seed)
             self.assertIsNotNone(after, seed)
-        # it once asked for ever one that had lost what it wanted
+        # regression: a node asked forever a member that had lost the content
         self.assertIsNotNone(VersionHistory(49).run())
 
-    def test_planted_faults_break_histories(self):
+    def test_planted_faults_are_detected_by_random_histories(self):
         for fault in ("no-majority", "old-over-new", "half-in-force", "digest-unchecked", "base-unchecked"):
             wire = planted(fault)
             self.assertTrue(
-                any(wrong for seed in range(40) for _, _, wrong in histories(range(seed, seed + 1), wire=wire)), fault
+                any(violation for seed in range(40) for _, _, violation in histories(range(seed, seed + 1), wire=wire)), fault
             )
 
-    def test_small_worlds_are_sound_and_planted_faults_break_them(self):
+    def test_model_checker_finds_no_violation_and_detects_planted_faults(self):
         for rounds, blank, depth in ((False, False, 4), (False, True, 4), (True, False, 2)):
             walked = walk_versions(depth, rounds, blank)
             self.assertEqual(walked.breach, "", walked.course)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 
 from curlewshift.distribution.versions import Version
 from curlewshift.membership.views import Views
-from curlewshift.peering.distributed import ENCODER, Ride
+from curlewshift.peering.distributed import ENCODER, Piggyback
 from curlewshift.scale import plan as plans
 from curlewshift.scale.figures import Mark, Stretch, a_node, off
 from curlewshift.scale.hollow import weight
@@ -158,7 +158,7 @@
 
     def test_what_rides_is_read_without_the_program(self):
         version = Version(5, 3, bytes(range(32)))
-        body = ENCODER.encode(Ride(tuple(version), 7))
+        body = ENCODER.encode(Piggyback(tuple(version), 7))
         self.assertEqual(version_ridden(body), [5, 3, "000102030405"])
         self.assertEqual(version.text, "5.3-000102030405")
         self.assertEqual(number_in(version.text), (5, 3))
