--- a/curlewshift/signalling/__init__.py
+++ b/curlewshift/signalling/__init__.py
@@ -1,1 +1,1 @@
-"""WHIP and WHEP without I/O: what is written on the wire, read and checked. Nothing here knows a socket or a clock."""
+"""Message formats of WHIP and WHEP: encoding, parsing and validation, without I/O, sockets or clocks."""
--- a/curlewshift/signalling/bodies.py
+++ b/curlewshift/signalling/bodies.py
@@ -1,7 +1,8 @@
-"""The JSON bodies that go over the wire: problems, layers, list, notes. Decoding checks them against their shape.
+"""The JSON bodies of HTTP messages: problem details, layer selection, server list updates, server notes and session lists.
 
-Problem details are RFC 9457; layer selection is the WHEP extension of that name; list and notes are our own,
-versioned, and go as server-sent events. Field names on the wire are camel case.
+Decoding validates each body against its type. Problem details follow RFC 9457, layer selection is the WHEP extension of that
+name. The list and the notes are formats of this project: they carry a version and travel as server-sent events. Field names on
+the wire are camel case.
 """
 
 from __future__ import annotations
@@ -9,37 +10,37 @@
 import msgspec
 
 PROBLEM_TYPE = "application/problem+json"
-# Where a refusal proves that nothing ran, it says so by this type; any other 503 proves nothing.
+# Problem type of a refusal which guarantees that the request was not executed. A 503 of any other type guarantees nothing.
 TURNED_AWAY = "urn:curlewshift:problem:turned-away"
 VERSION = 1
 
 
 class InvalidBody(Exception):
-    """A body that is not what it should be; its text says where and what."""
+    """A body that does not match its type; the text names the field and the fault."""
 
 
-class _Wire(msgspec.Struct, rename="camel"):
+class _CamelCaseBody(msgspec.Struct, rename="camel"):
     pass
 
 
-class Problem(_Wire, kw_only=True):
+class Problem(_CamelCaseBody, kw_only=True):
     type: str = "about:blank"
     title: str
     status: int
     detail: str = ""
-    # the same advice as Retry-After, which has whole seconds only
+    # the same delay as Retry-After, which has a resolution of one second only
     retry_after_ms: int | None = None
 
 
-class LayerChoice(_Wire):
-    """Layer selection: the rung is told as the encoding's id."""
+class LayerChoice(_CamelCaseBody):
+    """Layer selection (WHEP extension): `encoding_id` is the rung."""
 
     encoding_id: str
     media_id: str = "0"
 
 
-class ListRow(_Wire):
-    """One server. `startedMs` is Unix time, 0 for long ago; `link` is kB a second."""
+class ListRow(_CamelCaseBody):
+    """One media server of the list. `startedMs` is Unix time in ms, 0 if long ago; `link` is its capacity in kB/s."""
 
     server: str
     state: str
@@ -51,8 +52,9 @@
     shelf: str = ""
 
 
-class ListNews(_Wire):
-    """Event `full` (`since` is not used) or `change` (follows on generation `since` of the same epoch)."""
+class ListNews(_CamelCaseBody):
+    """An update of the server list: event `full` (replaces the list, `since` is not used) or `change` (applies to generation
+    `since` of the same epoch)."""
 
     epoch: str
     generation: int
@@ -61,8 +63,9 @@
     version: int = VERSION
 
 
-class Note(_Wire):
-    """What a server tells a front: `hello` (its boot), `delivered` (share), `load` (link, uplink), `ended`."""
+class Note(_CamelCaseBody):
+    """A notification from a media server to a front: `hello` (`boot`, the number of its process run), `delivered` (`share` of the
+    requested rate), `load` (use of `link` and `uplink`) or `ended` (`session`, `why`)."""
 
     boot: str = ""
     share: float = 1.0
@@ -73,9 +76,10 @@
     version: int = VERSION
 
 
-class SessionRow(_Wire):
-    """One session that a server plays: where it is, which life of which front asked for it, and on which rung it is.
-    `viewing` is the mark that a paid set-up came with, and `answer` the server's answer to that."""
+class SessionRow(_CamelCaseBody):
+    """One session that a server plays: its path, the front and the life (numbered run of that process) that requested it, and
+    its rung. `viewing` is the hash of the idempotency key that a paid set-up carried, `answer` the server's answer to
+    that set-up."""
 
     session: str
     front: str
@@ -85,28 +89,28 @@
     answer: str = ""
 
 
-class SessionList(_Wire):
-    """All that one server plays for all lives of one front."""
+class SessionList(_CamelCaseBody):
+    """All sessions that one server plays for any life of one front."""
 
     boot: str
     sessions: list[SessionRow]
     version: int = VERSION
 
 
-class SessionNames(_Wire):
-    """Sessions of earlier lives: asked for by a front, and told by the server as its own from now on."""
+class SessionNames(_CamelCaseBody):
+    """Sessions of earlier lives that a front asks to take over; in the answer, those that the server has assigned to it."""
 
     sessions: list[str]
     version: int = VERSION
 
 
 def encode(body: msgspec.Struct) -> bytes:
-    """A body as JSON."""
+    """Encodes a body as JSON."""
     return msgspec.json.encode(body)
 
 
 def decode(raw: bytes | str, shape: type):
-    """Raises `InvalidBody` in plain words."""
+    """Decodes and validates a JSON body of type `shape`. Raises `InvalidBody`."""
     try:
         return msgspec.json.decode(raw, type=shape)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/curlewshift/signalling/conditions.py
+++ b/curlewshift/signalling/conditions.py
@@ -1,4 +1,4 @@
-"""Conditions on a session's ICE state: entity tags and If-Match (RFC 9110, 8.8.3 and 13.1.1; RFC 9725, 4.3.1)."""
+"""Preconditions on a session's ICE state: entity tags and If-Match (RFC 9110, 8.8.3 and 13.1.1; RFC 9725, 4.3.1)."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 def tags_of(header: str) -> set[str] | None:
-    """The strong tags that a condition names, `{"*"}` for any; None if it is no list of tags."""
+    """The strong entity tags in an If-Match value, `{"*"}` for any; None if the value is malformed."""
     header = header.strip()
     if header == "*":
         return {"*"}
     tags, rest = set(), header
     while rest:
-        found = ENTITY_TAG.match(rest)
-        if found is None:
+        match = ENTITY_TAG.match(rest)
+        if match is None:
             return None
         # a weak tag never matches in If-Match
-        if not found[1]:
-            tags.add(f'"{found[2]}"')
-        rest = rest[found.end() :].lstrip()
+        if not match[1]:
+            tags.add(f'"{match[2]}"')
+        rest = rest[match.end() :].lstrip()
         if rest:
             if not rest.startswith(","):
                 return None
@@ -29,10 +29,10 @@
 
 
 def refusal(if_match: str | None, etag: str, restarts: bool) -> int | None:
-    """The status that refuses a patch: 428 without a condition, 412 where it does not hold, 400 if it is none.
+    """The status that refuses a PATCH, or None: 428 without If-Match, 412 if it does not match, 400 if it is malformed.
 
-    A restart is asked for with `*`, as it does not hang on the ICE session that it ends; a trickle names the session
-    whose candidates it has. `etag` is empty where the server gave none: then nothing can be held against it.
+    An ICE restart is sent with `*`, as it does not depend on the ICE session that it replaces; a trickle names the ICE
+    session that its candidates belong to. `etag` is empty if the server sent none: then any well-formed condition passes.
     """
     if if_match is None:
         return 428
--- a/curlewshift/signalling/events.py
+++ b/curlewshift/signalling/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events (WHATWG HTML, 9.2), written and read as bytes come, whatever the cuts between them."""
+"""Server-sent events (WHATWG HTML, 9.2): an encoder and an incremental parser that accepts bytes in pieces of any size."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 CONTENT_TYPE = "text/event-stream"
 KEEP_ALIVE = b":\n\n"
-# A longer event is nobody's here; it ends the stream instead of filling memory.
-MOST_BYTES = 16 * 1024 * 1024
+# Far above any event sent here; a longer one ends the stream, so that memory stays bounded.
+MAX_EVENT_BYTES = 16 * 1024 * 1024
 
 
 class TooLong(Exception):
-    """An event that does not end."""
+    """An event exceeds `MAX_EVENT_BYTES`."""
 
 
 @dataclass(slots=True)
@@ -22,7 +22,7 @@
 
 
 def encode_event(event: Event) -> bytes:
-    """A server-sent event as bytes."""
+    """Encodes one event."""
     lines = [] if event.id is None else [f"id: {event.id}"]
     lines.append(f"event: {event.kind}")
     lines += [f"data: {line}" for line in event.data.split("\n")]
@@ -30,33 +30,34 @@
 
 
 class Reader:
-    """Bytes in, events out. `last_id` is what a resumed stream sends as `Last-Event-ID`."""
+    """Incremental parser. `last_id` is the value to send as `Last-Event-ID` when a stream is resumed."""
 
     def __init__(self):
         self.last_id: str | None = None
-        self.rest = b""
+        self.unparsed = b""
         self.lines: list[str] = []
-        self.held = 0
+        self.event_bytes = 0
 
     def feed(self, data: bytes) -> list[Event]:
+        """The events that `data` completes. Raises `TooLong`."""
         events = []
-        self.rest += data
-        *lines, self.rest = self.rest.split(b"\n")
-        self.held += len(data)
+        self.unparsed += data
+        *lines, self.unparsed = self.unparsed.split(b"\n")
+        self.event_bytes += len(data)
         for raw in lines:
             line = raw.rstrip(b"\r").decode("utf-8", "replace")
             if line:
                 self.lines.append(line)
                 continue
-            event = self._event()
-            self.held = len(self.rest)
+            event = self._finish_event()
+            self.event_bytes = len(self.unparsed)
             if event is not None:
                 events.append(event)
-        if self.held > MOST_BYTES:
-            raise TooLong(f"an event of over {MOST_BYTES} bytes")
+        if self.event_bytes > MAX_EVENT_BYTES:
+            raise TooLong(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
-    def _event(self) -> Event | None:
+    def _finish_event(self) -> Event | None:
         kind, data, lines = "message", [], self.lines
         self.lines = []
         for line in lines:
--- a/curlewshift/signalling/fragments.py
+++ b/curlewshift/signalling/fragments.py
@@ -1,4 +1,4 @@
-"""Trickle ICE fragments (RFC 8840): what a client sends by PATCH to add candidates or to restart ICE (RFC 9725, 4.3)."""
+"""Trickle ICE fragments (RFC 8840), which a client sends by PATCH to add candidates or to restart ICE (RFC 9725, 4.3)."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from curlewshift.signalling.sdp import ICE_CHARS, InvalidDescription
 
 CONTENT_TYPE = "application/trickle-ice-sdpfrag"
-MOST_BYTES = 16 * 1024
-MOST_CANDIDATES = 200
-# RFC 8839, 5.1: foundation, component, transport, priority, address, port, typ, and extensions by pairs
+MAX_FRAGMENT_CHARACTERS = 16 * 1024
+MAX_CANDIDATES = 200
+# RFC 8839, 5.1: foundation, component, transport, priority, address, port, typ, and extensions as name-value pairs
 CANDIDATE = re.compile(
     r"[A-Za-z0-9+/]{1,32} [0-9]{1,5} [A-Za-z0-9-]+ [0-9]{1,10} \S+ [0-9]{1,5} typ [a-z0-9-]+( \S+ \S+)*", re.ASCII
 )
 
 
 @dataclass(slots=True)
-class Part:
-    """What a fragment says of one media section, known by its mid."""
+class MediaSection:
+    """The candidates of one media section, identified by its mid; `ended`: no more will follow."""
 
     mid: str
     candidates: list[str] = field(default_factory=list)
@@ -27,22 +27,24 @@
 
 @dataclass(slots=True)
 class Fragment:
+    """A parsed fragment: the ICE credentials and the candidates of each media section."""
+
     ufrag: str
     pwd: str
-    parts: list[Part]
+    parts: list[MediaSection]
 
     def restarts(self, ufrag: str) -> bool:
-        """Whether this begins another ICE session than the one of these credentials."""
+        """True if the fragment starts a new ICE session, that is, has another `ufrag` than the session in force."""
         return self.ufrag != ufrag
 
 
 def parse_fragment(text: str) -> Fragment:
-    """Raises `InvalidDescription`. Unknown attributes are skipped, as RFC 8840 demands (4.4)."""
-    if len(text) > MOST_BYTES:
-        raise InvalidDescription(0, f"the fragment is longer than {MOST_BYTES} characters")
+    """Parses a fragment; unknown attributes are ignored, as RFC 8840 (4.4) requires. Raises `InvalidDescription`."""
+    if len(text) > MAX_FRAGMENT_CHARACTERS:
+        raise InvalidDescription(0, f"the fragment is longer than {MAX_FRAGMENT_CHARACTERS} characters")
     ufrag = pwd = ""
-    parts: list[Part] = []
-    inside, count = False, 0
+    parts: list[MediaSection] = []
+    has_media_line, count = False, 0
     for number, raw in enumerate(text.split("\n"), 1):
         line = raw.rstrip("\r")
         if not line:
@@ -51,9 +53,9 @@
         if equals != "=" or not kind.islower():
             raise InvalidDescription(number, f"expected letter=value, got {line[:40]!r}")
         if kind == "m":
-            # a pseudo line that is there for the attributes that follow it
-            inside = True
-            parts.append(Part(""))
+            # a pseudo "m=" line (RFC 8840, 9): its content is ignored, the attributes after it belong to the section
+            has_media_line = True
+            parts.append(MediaSection(""))
             continue
         if kind != "a":
             continue
@@ -64,14 +66,14 @@
             pwd = _credential(number, "a=ice-pwd", rest, 22)
         elif name == "mid":
             if not parts or parts[-1].mid:
-                parts.append(Part(""))
+                parts.append(MediaSection(""))
             parts[-1].mid = rest
         elif name in ("candidate", "end-of-candidates"):
             if not parts:
                 raise InvalidDescription(number, f"a={name} before any media section (m= and a=mid)")
             count += 1
-            if count > MOST_CANDIDATES:
-                raise InvalidDescription(number, f"over {MOST_CANDIDATES} candidates")
+            if count > MAX_CANDIDATES:
+                raise InvalidDescription(number, f"over {MAX_CANDIDATES} candidates")
             if name == "end-of-candidates":
                 parts[-1].ended = True
             elif parts[-1].ended:
@@ -82,19 +84,19 @@
                 parts[-1].candidates.append(rest)
     if not ufrag or not pwd:
         raise InvalidDescription(0, "the fragment has no a=ice-ufrag and a=ice-pwd (RFC 8840, 4.4)")
-    if inside and any(not part.mid for part in parts):
+    if has_media_line and any(not part.mid for part in parts):
         raise InvalidDescription(0, "a media section of the fragment has no a=mid")
     return Fragment(ufrag, pwd, parts)
 
 
-def _credential(number: int, name: str, value: str, least: int) -> str:
-    if not least <= len(value) <= 256 or not ICE_CHARS.fullmatch(value):
-        raise InvalidDescription(number, f"{name} is not {least} to 256 ICE characters (RFC 8839, 5.4)")
+def _credential(number: int, name: str, value: str, min_length: int) -> str:
+    if not min_length <= len(value) <= 256 or not ICE_CHARS.fullmatch(value):
+        raise InvalidDescription(number, f"{name} is not {min_length} to 256 ICE characters (RFC 8839, 5.4)")
     return value
 
 
 def fragment_text(ufrag: str, pwd: str, candidates: list[str] = (), mid: str = "0", ended: bool = False) -> str:
-    """A trickle ICE fragment (RFC 8840)."""
+    """Encodes a trickle ICE fragment."""
     lines = [f"a=ice-ufrag:{ufrag}", f"a=ice-pwd:{pwd}"]
     if candidates or ended:
         lines += ["m=video 9 UDP/TLS/RTP/SAVPF 0", f"a=mid:{mid}"]
--- a/curlewshift/signalling/loads.py
+++ b/curlewshift/signalling/loads.py
@@ -1,23 +1,23 @@
-"""Load reports on answers, in the text form of the open request cost aggregation (ORCA) header.
+"""Load reports in response headers, in the text form of Open Request Cost Aggregation (ORCA).
 
-`endpoint-load-metrics: TEXT named_metrics.link=0.71, named_metrics.uplink=0.6`. The names used here are `link` and
-`uplink`: what is asked over what is given, also above 1. Anything else, and anything malformed, is skipped: a report
-is a help and never a reason to fail an answer.
+`endpoint-load-metrics: TEXT named_metrics.link=0.71, named_metrics.uplink=0.6`. The metrics are `link` and `uplink`:
+demand divided by capacity, which may exceed 1. Unknown and malformed metrics are skipped, as a load report is advisory
+and must not make a response fail.
 """
 
 from __future__ import annotations
 
 HEADER = "endpoint-load-metrics"
-NAMES = ("link", "uplink")
+METRIC_NAMES = ("link", "uplink")
 
 
 def encode_load(report: dict[str, float]) -> str:
-    """A load report as a header value, in the text form of open request-cost."""
+    """Encodes a load report as a header value."""
     return "TEXT " + ", ".join(f"named_metrics.{name}={value:.4f}" for name, value in report.items())
 
 
 def decode_load(value: str) -> dict[str, float]:
-    """The report in a header value; empty where it has another form, and without what cannot be read."""
+    """The known metrics in a header value, without those that cannot be parsed; empty if the value has another form."""
     form, _, rest = value.partition(" ")
     if form != "TEXT":
         return {}
@@ -29,6 +29,6 @@
             number = float(text)
         except ValueError:
             continue
-        if name in NAMES and 0 <= number < 1e6:
+        if name in METRIC_NAMES and 0 <= number < 1e6:
             report[name] = number
     return report
--- a/curlewshift/signalling/sdp.py
+++ b/curlewshift/signalling/sdp.py
@@ -1,6 +1,7 @@
 """Session descriptions (RFC 8866) as offered and answered over WHEP (draft-ietf-wish-whep, RFC 3264, RFC 8829).
 
-Used by the door, which refuses a bad offer before it costs anything, and by the stand-ins.
+Used by the front's HTTP listener, which rejects an invalid offer before any set-up is tried, and by the stand-ins (test doubles
+of media servers and viewers).
 """
 
 from __future__ import annotations
@@ -9,21 +10,23 @@
 import re
 from dataclasses import dataclass, field
 
-# Longer descriptions are no browser's; nothing is read past this.
-MOST_BYTES = 64 * 1024
+# Well above what browsers send; a longer description is rejected unparsed.
+MAX_DESCRIPTION_CHARACTERS = 64 * 1024
 FINGERPRINT = re.compile(r"[a-z0-9-]+ ([0-9A-F]{2}:)+[0-9A-F]{2}", re.IGNORECASE)
 ICE_CHARS = re.compile(r"[A-Za-z0-9+/]+")
 
 
 class InvalidDescription(Exception):
-    """What is wrong with a description, with the line it was seen on (0: the whole)."""
+    """A session description or fragment is invalid. The text starts with the line number, unless that is 0."""
 
-    def __init__(self, line: int, wrong: str):
-        super().__init__(f"line {line}: {wrong}" if line else wrong)
+    def __init__(self, line: int, reason: str):
+        super().__init__(f"line {line}: {reason}" if line else reason)
 
 
 @dataclass(slots=True)
 class Media:
+    """A media section; `line` is the number of its "m=" line."""
+
     kind: str
     port: int
     line: int
@@ -32,23 +35,25 @@
 
 @dataclass(slots=True)
 class Description:
+    """A parsed session description: session-level attributes and media sections."""
+
     attributes: dict[str, list[str]]
     media: list[Media]
 
     def first(self, name: str, media: Media) -> str | None:
-        """An attribute of this media section, or of the session where the section has none (RFC 8866, 5.13)."""
+        """The first value of an attribute in this media section, or at session level if the section lacks it (RFC 8866, 5.13)."""
         values = media.attributes.get(name) or self.attributes.get(name)
         return values[0] if values else None
 
 
 def parse(text: str) -> Description:
-    """The session and media level attributes, in order. Raises `InvalidDescription`."""
-    if len(text) > MOST_BYTES:
-        raise InvalidDescription(0, f"the description is longer than {MOST_BYTES} characters")
+    """Parses the session-level and media-level attributes, in order. Raises `InvalidDescription`."""
+    if len(text) > MAX_DESCRIPTION_CHARACTERS:
+        raise InvalidDescription(0, f"the description is longer than {MAX_DESCRIPTION_CHARACTERS} characters")
     lines = text.split("\n")
     session: dict[str, list[str]] = {}
     media: list[Media] = []
-    seen = ""
+    session_line_types = ""
     for number, raw in enumerate(lines, 1):
         line = raw.rstrip("\r")
         if not line:
@@ -60,15 +65,15 @@
             raise InvalidDescription(number, f"expected letter=value, got {line[:40]!r}")
         if number == 1 and line != "v=0":
             raise InvalidDescription(1, f"expected 'v=0', got {line[:40]!r}")
-        seen += kind if not media else ""
+        session_line_types += kind if not media else ""
         if kind == "m":
             media.append(_media(number, value))
         elif kind == "a":
             name, _, rest = value.partition(":")
-            owner = media[-1].attributes if media else session
-            owner.setdefault(name, []).append(rest)
+            attributes = media[-1].attributes if media else session
+            attributes.setdefault(name, []).append(rest)
     for kind, name in (("o", "origin"), ("s", "session name"), ("t", "time")):
-        if kind not in seen:
+        if kind not in session_line_types:
             raise InvalidDescription(0, f"the {name} line ({kind}=) is missing")
     return Description(session, media)
 
@@ -85,13 +90,13 @@
     return Media(parts[0], int(port), number)
 
 
-# Which way media flow in an offer: WHEP plays, WHIP publishes.
+# The signalling protocols, and the directions that the media of an offer may have in each: WHEP plays, WHIP publishes.
 PLAYS, PUBLISHES = "whep", "whip"
 DIRECTIONS = {PLAYS: ("recvonly", "sendrecv"), PUBLISHES: ("sendonly", "sendrecv")}
 
 
-def checked_offer(text: str, way: str = PLAYS) -> Description:
-    """An offer as WHEP demands it of a player, or WHIP of a publisher (RFC 9725, 4.2 and 4.4). Raises
+def checked_offer(text: str, protocol: str = PLAYS) -> Description:
+    """Parses an offer and checks what WHEP requires of a player, or WHIP of a publisher (RFC 9725, 4.2 and 4.4). Raises
     `InvalidDescription`."""
     offer = parse(text)
     if not offer.media:
@@ -100,8 +105,8 @@
         _check_transport(offer, media)
         if "rtcp-mux" not in media.attributes:
             raise InvalidDescription(media.line, "this media section has no a=rtcp-mux (RFC 9725, 4.4.1)")
-        if not set(DIRECTIONS[way]) & media.attributes.keys():
-            raise InvalidDescription(media.line, f"the offer has to be {' or '.join(DIRECTIONS[way])} here")
+        if not set(DIRECTIONS[protocol]) & media.attributes.keys():
+            raise InvalidDescription(media.line, f"the offer has to be {' or '.join(DIRECTIONS[protocol])} here")
     _check_bundle(offer)
     return offer
 
@@ -122,7 +127,7 @@
 
 
 def _check_bundle(offer: Description) -> None:
-    """One bundle that has every section, by mids that differ (RFC 9143, 7.2; RFC 9725, 4.4.1)."""
+    """Checks that one bundle contains every media section and that their mids are unique (RFC 9143, 7.2; RFC 9725, 4.4.1)."""
     groups = [group.split()[1:] for group in offer.attributes.get("group", []) if group.split()[:1] == ["BUNDLE"]]
     if len(groups) != 1:
         raise InvalidDescription(0, f"the offer has {len(groups)} bundles (a=group:BUNDLE), it needs one")
@@ -137,14 +142,14 @@
 
 
 def identity(offer: Description) -> str:
-    """The same for the same offer sent again: its ICE credentials and fingerprint, hashed."""
+    """A hash of the ICE credentials and the fingerprint, equal for the same offer sent again."""
     media = offer.media[0]
     parts = [offer.first(name, media) or "" for name in ("ice-ufrag", "ice-pwd", "fingerprint")]
     return hashlib.blake2b("\n".join(parts).encode(), digest_size=16).hexdigest()
 
 
-def offer_text(ufrag: str, pwd: str, fingerprint: str, way: str = PLAYS) -> str:
-    """An offer of one video section."""
+def offer_text(ufrag: str, pwd: str, fingerprint: str, protocol: str = PLAYS) -> str:
+    """Encodes an offer with one video section."""
     return _text(
         [
             "v=0",
@@ -155,7 +160,7 @@
             "m=video 9 UDP/TLS/RTP/SAVPF 96",
             "c=IN IP4 0.0.0.0",
             "a=mid:0",
-            f"a={DIRECTIONS[way][0]}",
+            f"a={DIRECTIONS[protocol][0]}",
             f"a=ice-ufrag:{ufrag}",
             f"a=ice-pwd:{pwd}",
             f"a=fingerprint:{fingerprint}",
@@ -167,7 +172,7 @@
 
 
 def answer_text(offer: Description, ufrag: str, pwd: str, fingerprint: str, host: str, port: int) -> str:
-    """A server's answer to every section of the offer, with the one host candidate where the media is to be had."""
+    """Encodes a server's answer to every media section of the offer, with a single host candidate for the media."""
     lines = ["v=0", "o=- 1 1 IN IP4 127.0.0.1", "s=-", "t=0 0"]
     lines += [f"a=group:{group}" for group in offer.attributes.get("group", [])]
     for media in offer.media:
@@ -186,7 +191,7 @@
 
 
 def candidate_of(answer: Description) -> tuple[str, int]:
-    """Host and port of the first candidate. Raises `InvalidDescription`."""
+    """Host and port of the answer's first candidate. Raises `InvalidDescription`."""
     value = answer.first("candidate", answer.media[0]) if answer.media else None
     parts = (value or "").split()
     if len(parts) < 6 or not parts[5].isdigit():
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -10,25 +10,25 @@
 
 FINGERPRINT = "sha-256 " + ":".join(["A5"] * 32)
 OFFER = offer_text("abcd", "p" * 22, FINGERPRINT)
-STEADY = settings(derandomize=True, deadline=None, max_examples=200)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=200)
 
 
-class Descriptions(unittest.TestCase):
-    def test_an_offer_is_read_and_its_answer_leads_to_the_media(self):
+class DescriptionTest(unittest.TestCase):
+    def test_offer_is_parsed_and_answer_has_the_media_candidate(self):
         offer = checked_offer(OFFER)
         answer = parse(answer_text(offer, "efgh", "q" * 22, FINGERPRINT, "127.0.0.1", 4321))
         self.assertEqual(candidate_of(answer), ("127.0.0.1", 4321))
         self.assertEqual(answer.first("ice-ufrag", answer.media[0]), "efgh")
         self.assertEqual(answer.first("mid", answer.media[0]), "0")
 
-    def test_the_same_offer_again_is_known_by_its_credentials(self):
+    def test_identity_is_equal_for_the_same_credentials(self):
         again = checked_offer(OFFER.replace("s=-", "s=later"))
         other = checked_offer(offer_text("abce", "p" * 22, FINGERPRINT))
         self.assertEqual(identity(checked_offer(OFFER)), identity(again))
         self.assertNotEqual(identity(again), identity(other))
 
-    def test_what_is_wrong_is_said_with_its_line(self):
-        for change, line, wrong in (
+    def test_errors_name_the_line(self):
+        for change, line, expected in (
             (("v=0", "v=1"), 1, "expected 'v=0'"),
             (("a=rtcp-mux\r\n", ""), 6, "a=rtcp-mux"),
             (("a=recvonly", "a=sendonly"), 6, "recvonly"),
@@ -42,64 +42,64 @@
             (("t=0 0\r\n", ""), 0, "the time line"),
             (("a=mid", "\r\na=mid"), 8, "empty line"),
         ):
-            with self.subTest(change=change), self.assertRaises(InvalidDescription) as found:
+            with self.subTest(change=change), self.assertRaises(InvalidDescription) as raised:
                 checked_offer(OFFER.replace(*change))
-            self.assertIn(wrong, str(found.exception))
+            self.assertIn(expected, str(raised.exception))
             if line:
-                self.assertTrue(str(found.exception).startswith(f"line {line}:"), found.exception)
+                self.assertTrue(str(raised.exception).startswith(f"line {line}:"), raised.exception)
 
-    @STEADY
+    @DETERMINISTIC
     @given(
         st.one_of(
             st.text(max_size=400),
             st.builds(
-                lambda at, what: OFFER[:at] + what + OFFER[at + len(what) :], st.integers(0, len(OFFER)), st.text(max_size=9)
+                lambda at, text: OFFER[:at] + text + OFFER[at + len(text) :], st.integers(0, len(OFFER)), st.text(max_size=9)
             ),
         )
     )
-    def test_nothing_that_is_sent_breaks_the_reading(self, text):
+    def test_arbitrary_text_is_parsed_or_rejected(self, text):
         try:
             identity(checked_offer(text))
-        except InvalidDescription as wrong:
-            self.assertTrue(str(wrong))
+        except InvalidDescription as error:
+            self.assertTrue(str(error))
 
 
-class Events(unittest.TestCase):
+class EventTest(unittest.TestCase):
     EVENTS = [Event("full", "one\ntwo", "7"), Event("change", "", "8"), Event("note", "ä: b", "8")]
 
-    @STEADY
+    @DETERMINISTIC
     @given(st.lists(st.integers(1, 9), max_size=60))
-    def test_events_come_whole_whatever_the_cuts(self, cuts):
-        raw, reader, got = b":\n\n" + b"".join(encode_event(event) for event in self.EVENTS), Reader(), []
+    def test_events_are_complete_for_any_split_of_the_bytes(self, cuts):
+        raw, reader, events = b":\n\n" + b"".join(encode_event(event) for event in self.EVENTS), Reader(), []
         for cut in cuts:
-            got += reader.feed(raw[:cut])
+            events += reader.feed(raw[:cut])
             raw = raw[cut:]
-        got += reader.feed(raw)
-        self.assertEqual([(event.kind, event.data) for event in got], [(event.kind, event.data) for event in self.EVENTS])
+        events += reader.feed(raw)
+        self.assertEqual([(event.kind, event.data) for event in events], [(event.kind, event.data) for event in self.EVENTS])
         self.assertEqual(reader.last_id, "8")
 
-    def test_an_event_without_end_ends_the_stream(self):
+    def test_too_long_event_is_rejected(self):
         reader = Reader()
         with self.assertRaises(TooLong):
             for _ in range(40):
                 reader.feed(b"data: " + b"x" * 500_000 + b"\n")
 
 
-class Bodies(unittest.TestCase):
-    def test_a_report_comes_back_and_a_bad_one_is_no_report(self):
+class BodyTest(unittest.TestCase):
+    def test_load_report_round_trip_and_malformed_reports_are_empty(self):
         self.assertEqual(decode_load(encode_load({"link": 0.5, "uplink": 1.25})), {"link": 0.5, "uplink": 1.25})
         for bad in ("", "JSON {}", "TEXT", "TEXT link=x, =3, uplink=-1, cpu_utilization=0.4", "TEXT link=nan"):
             self.assertEqual(decode_load(bad), {}, bad)
 
-    def test_a_body_of_another_shape_is_refused_in_words(self):
-        news = ListNews("e", 3, [])
-        self.assertEqual(decode(encode(news), ListNews), news)
+    def test_body_of_another_type_is_rejected(self):
+        update = ListNews("e", 3, [])
+        self.assertEqual(decode(encode(update), ListNews), update)
         for raw in (b"", b"[]", b'{"epoch": 3}', b'{"epoch":"e","generation":"x","servers":[]}', b"\xff", b"[" * 9999):
-            with self.subTest(raw=raw[:20]), self.assertRaises(InvalidBody) as found:
+            with self.subTest(raw=raw[:20]), self.assertRaises(InvalidBody) as raised:
                 decode(raw, ListNews)
-            self.assertIn("the body is not a ListNews", str(found.exception))
+            self.assertIn("the body is not a ListNews", str(raised.exception))
 
-    def test_what_is_new_in_a_note_is_skipped(self):
+    def test_unknown_fields_of_a_note_are_ignored(self):
         self.assertEqual(decode(b'{"share":0.5,"novel":[1]}', Note).share, 0.5)
 
 
