--- a/curlewshift/client/__init__.py
+++ b/curlewshift/client/__init__.py
@@ -1,4 +1,4 @@
-"""For callers: ask a front for a session and keep it, over retries that never make a second one."""
+"""Client library: requests a session at a front and controls it. Retries never set up a second session."""
 
 from curlewshift.client.caller import Caller, Failed, Refused, Session, Wrong
 from curlewshift.client.sync import SyncCaller, SyncSession
--- a/curlewshift/client/caller.py
+++ b/curlewshift/client/caller.py
@@ -1,4 +1,4 @@
-"""The async caller: one wish in, one session or one error out. `SyncCaller` beside it is the same without async."""
+"""The asynchronous client: each request yields one session or raises one error. `SyncCaller` is its synchronous form."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from curlewshift.client.plan import Ask, Plan, Stop
 from curlewshift.exchange.client import ConnectionBroken, HttpResponse, RequestNotSent, ask
 from curlewshift.signalling.bodies import InvalidBody, LayerChoice, Problem, decode, encode
-from curlewshift.signalling.fragments import CONTENT_TYPE as FRAGMENT
+from curlewshift.signalling.fragments import CONTENT_TYPE as FRAGMENT_TYPE
 from curlewshift.signalling.sdp import PLAYS, PUBLISHES
 
-NS = 1_000_000_000
-SDP = "application/sdp"
-# For calls on a session (s).
-WITHIN = 5.0
+NS_PER_SECOND = 1_000_000_000
+SDP_TYPE = "application/sdp"
+# Applies to each request on an established session.
+CALL_TIMEOUT_S = 5.0
 
 
 class Ended(Exception):
-    """No session came of it; the text is the last answer's."""
+    """The request failed; the text is the detail of the last answer."""
 
 
 class Refused(Ended):
-    """Nothing ran. `retry_after` (s) is the front's advice, 0 without."""
+    """The front refused and nothing was executed. `retry_after` (s) is the front's advice, 0 if it gave none."""
 
     def __init__(self, words: str, retry_after: float):
         super().__init__(words)
@@ -36,16 +36,16 @@
 
 
 class Failed(Ended):
-    """What ran is not known. What is paid at set-up should not be asked for again."""
+    """It is unknown whether the request was executed. A session that is paid at set-up should not be requested again."""
 
 
 class Wrong(Ended):
-    """The request cannot be taken as it is."""
+    """The request is invalid and would be rejected again."""
 
 
 @dataclass(slots=True)
 class Session:
-    """One that plays. `answer` is the server's description; the front it is at does not change."""
+    """An established session. `answer` is the server's session description; the session stays at the front that set it up."""
 
     caller: Caller
     front: str
@@ -55,22 +55,22 @@
     links: dict[str, str] = field(default_factory=dict)
 
     async def trickle(self, fragment: str) -> None:
-        """Candidates for the ICE session in force. Raises `Wrong`, `Failed`."""
-        await self._ask("PATCH", self.path, [("content-type", FRAGMENT), ("if-match", self.etag)], fragment.encode())
+        """Sends candidates for the current ICE session. Raises `Wrong`, `Failed`."""
+        await self._ask("PATCH", self.path, [("content-type", FRAGMENT_TYPE), ("if-match", self.etag)], fragment.encode())
 
     async def restart(self, fragment: str) -> str:
-        """Begins another ICE session; returns the server's fragment. Raises `Wrong`, `Failed`."""
-        answered = await self._ask("PATCH", self.path, [("content-type", FRAGMENT), ("if-match", "*")], fragment.encode())
-        self.etag = answered.headers.get("etag", self.etag)
-        return answered.body.decode()
+        """Restarts ICE; returns the server's fragment. Raises `Wrong`, `Failed`."""
+        response = await self._ask("PATCH", self.path, [("content-type", FRAGMENT_TYPE), ("if-match", "*")], fragment.encode())
+        self.etag = response.headers.get("etag", self.etag)
+        return response.body.decode()
 
     async def allow(self, rung: int) -> None:
-        """No rung above this from now on. Raises `Wrong`, `Failed`."""
+        """Sets the ceiling: the highest rung (quality layer) to be sent from now on. Raises `Wrong`, `Failed`."""
         layer = next((path for rel, path in self.links.items() if rel.endswith(":layer")), self.path + "/layer")
         await self._ask("POST", layer, [("content-type", "application/json")], encode(LayerChoice(str(rung))))
 
     async def close(self) -> None:
-        """Ends it; one that has ended already is no error."""
+        """Ends the session; errors, such as that it has ended already, are ignored."""
         try:
             await self._ask("DELETE", self.path)
         except Ended:
@@ -78,12 +78,12 @@
 
     async def _ask(self, method: str, path: str, headers=(), body: bytes = b"") -> HttpResponse:
         try:
-            answered = await self.caller._send(self.front, method, path, headers, body, WITHIN)
-        except (RequestNotSent, ConnectionBroken, TimeoutError) as wrong:
-            raise Failed(str(wrong) or "no answer in time") from None
-        if answered.status >= 400:
-            raise (Wrong if answered.status < 500 else Failed)(_words(answered))
-        return answered
+            response = await self.caller._send(self.front, method, path, headers, body, CALL_TIMEOUT_S)
+        except (RequestNotSent, ConnectionBroken, TimeoutError) as error:
+            raise Failed(str(error) or f"no answer within {CALL_TIMEOUT_S:g} s") from None
+        if response.status >= 400:
+            raise (Wrong if response.status < 500 else Failed)(_description(response))
+        return response
 
     async def __aenter__(self) -> Session:
         return self
@@ -94,22 +94,22 @@
 
 
 class Caller:
-    """`fronts` are base addresses such as http://127.0.0.1:8081, asked in this order. `token` is a bearer token or a
-    call that returns one; `tls` an ssl context for https, the machine's own authorities without."""
+    """`fronts` are base URLs such as http://127.0.0.1:8081, tried in this order. `token` is a bearer token or a function
+    that returns one; `tls` is an ssl context for https, by default with the system's certificate authorities."""
 
     def __init__(self, fronts: list[str], token=None, tls: ssl.SSLContext | None = None, seed: int | None = None):
         if not fronts:
-            raise ValueError("a caller needs a front to call")
+            raise ValueError("fronts is empty")
         self.fronts, self.token, self.tls = [front.rstrip("/") for front in fronts], token, tls
         self.chance = Random(secrets.randbits(64) if seed is None else seed)
 
-    async def play(self, package: str, title: str, offer: str, **how) -> Session:
-        """A session that plays (WHEP). See `ask`."""
-        return await self.ask(PLAYS, package, title, offer, **how)
+    async def play(self, package: str, title: str, offer: str, **options) -> Session:
+        """Requests a session that plays (WHEP). See `ask`."""
+        return await self.ask(PLAYS, package, title, offer, **options)
 
-    async def publish(self, package: str, title: str, offer: str, **how) -> Session:
-        """A session that publishes (WHIP). See `ask`."""
-        return await self.ask(PUBLISHES, package, title, offer, **how)
+    async def publish(self, package: str, title: str, offer: str, **options) -> Session:
+        """Requests a session that publishes (WHIP). See `ask`."""
+        return await self.ask(PUBLISHES, package, title, offer, **options)
 
     async def ask(
         self,
@@ -122,57 +122,58 @@
         twice: bool = False,
         key: str | None = None,
     ) -> Session:
-        """Asks until it plays, is refused for good, fails, or `patience` (s) has passed; one key for all tries.
+        """Requests a session and retries until it is set up, finally refused, failed, or `patience` (s) has passed.
 
-        `twice`: setting it up twice does no harm, so that another front may be asked where one gave no answer.
-        Raises `Refused`, `Failed`, `Wrong`.
+        `way` is PLAYS (WHEP) or PUBLISHES (WHIP). All tries carry the same idempotency key (`key`, random by default). `top` is
+        the highest rung to be sent. `twice`: a second set-up does no harm, so that another front may be tried if one gave no
+        answer. Raises `Refused`, `Failed`, `Wrong`.
         """
         now = time.monotonic_ns()
-        plan = Plan(self.fronts, now, int(patience * NS), twice, self.chance)
+        plan = Plan(self.fronts, now, int(patience * NS_PER_SECOND), twice, self.chance)
         key = key or secrets.token_urlsafe(18)
         target = f"/{way}/{package}/{title}" + (f"?top={top}" if top is not None else "")
         step: Ask | Stop = Ask(plan.front)
         while isinstance(step, Ask):
-            await anyio.sleep(step.wait / NS)
+            await anyio.sleep(step.wait / NS_PER_SECOND)
             step = await self._try(plan, step.front, target, offer, key)
             if isinstance(step, Session):
                 return step
         if step.why == "refused":
-            raise Refused(step.words, step.retry_after / NS)
+            raise Refused(step.words, step.retry_after / NS_PER_SECOND)
         raise (Failed if step.why == "failed" else Wrong)(step.words)
 
     async def _try(self, plan: Plan, front: str, target: str, offer: str, key: str) -> Ask | Stop | Session:
-        left = (plan.ends - time.monotonic_ns()) / NS
+        remaining = (plan.deadline - time.monotonic_ns()) / NS_PER_SECOND
         try:
-            answered = await self._send(
+            response = await self._send(
                 front,
                 "POST",
                 target,
-                [("content-type", SDP), ("idempotency-key", key), ("prefer", f"wait={max(1, -int(-left // 1))}")],
+                [("content-type", SDP_TYPE), ("idempotency-key", key), ("prefer", f"wait={max(1, -int(-remaining // 1))}")],
                 offer.encode(),
-                max(0.001, left),
+                max(0.001, remaining),
             )
-        except RequestNotSent as wrong:
-            return plan.unreached(str(wrong), time.monotonic_ns())
-        except ConnectionBroken as wrong:
-            return plan.broke(str(wrong), time.monotonic_ns())
+        except RequestNotSent as error:
+            return plan.unreached(str(error), time.monotonic_ns())
+        except ConnectionBroken as error:
+            return plan.broke(str(error), time.monotonic_ns())
         except TimeoutError:
-            return plan.failed("no answer in the viewer's time")
+            return plan.failed("no answer within the patience of the request")
         now = time.monotonic_ns()
-        if answered.status == 201:
+        if response.status == 201:
             return Session(
                 self,
                 front,
-                answered.headers.get("location", ""),
-                answered.body.decode("utf-8", "replace"),
-                answered.headers.get("etag", ""),
-                links_of(answered.headers.get("link", "")),
+                response.headers.get("location", ""),
+                response.body.decode("utf-8", "replace"),
+                response.headers.get("etag", ""),
+                links_of(response.headers.get("link", "")),
             )
-        if answered.status in (307, 308):
-            return plan.redirected(_base(answered.headers.get("location", ""), front), now)
-        if answered.status == 503:
-            return plan.refused(_words(answered), _retry_after(answered), now)
-        return (plan.failed if answered.status >= 500 else plan.wrong)(_words(answered))
+        if response.status in (307, 308):
+            return plan.redirected(_base_address(response.headers.get("location", ""), front), now)
+        if response.status == 503:
+            return plan.refused(_description(response), _retry_after(response), now)
+        return (plan.failed if response.status >= 500 else plan.wrong)(_description(response))
 
     async def _send(self, front: str, method: str, path: str, headers, body: bytes, within: float) -> HttpResponse:
         parts = urlsplit(front)
@@ -186,7 +187,7 @@
 
 
 def links_of(header: str) -> dict[str, str]:
-    """Targets of a Link header by relation, the first of each (RFC 8288, 3)."""
+    """The targets of a Link header by relation type, the first of each (RFC 8288, 3)."""
     found: dict[str, str] = {}
     for part in header.split(", <"):
         target, _, rest = part.lstrip("<").partition(">")
@@ -197,27 +198,27 @@
     return found
 
 
-def _base(location: str, front: str) -> str | None:
+def _base_address(location: str, front: str) -> str | None:
     parts = urlsplit(location)
     if parts.scheme in ("http", "https") and parts.netloc:
         return f"{parts.scheme}://{parts.netloc}"
     return front if location.startswith("/") else None
 
 
-def _retry_after(answered: HttpResponse) -> int:
-    """The finer advice of the body, or that of the header, in ns."""
+def _retry_after(response: HttpResponse) -> int:
+    """The advised delay in ns: from the body, which has milliseconds, else from the Retry-After header."""
     try:
-        problem = decode(answered.body, Problem)
+        problem = decode(response.body, Problem)
         if problem.retry_after_ms:
             return problem.retry_after_ms * 1_000_000
     except InvalidBody:
         pass
-    value = answered.headers.get("retry-after", "")
-    return int(value) * NS if value.isascii() and value.isdigit() else 0
+    value = response.headers.get("retry-after", "")
+    return int(value) * NS_PER_SECOND if value.isascii() and value.isdigit() else 0
 
 
-def _words(answered: HttpResponse) -> str:
+def _description(response: HttpResponse) -> str:
     try:
-        return decode(answered.body, Problem).detail or f"answered {answered.status}"
+        return decode(response.body, Problem).detail or f"answered {response.status}"
     except InvalidBody:
-        return f"answered {answered.status}"
+        return f"answered {response.status}"
--- a/curlewshift/client/plan.py
+++ b/curlewshift/client/plan.py
@@ -1,8 +1,8 @@
-"""What a caller does next, decided without I/O: ask again, wait, follow, or give up. See `Caller` for its host.
+"""Retry policy of the client, without I/O: decides whether to retry, wait, follow a redirect or give up. `Caller` drives it.
 
-One key goes along with all tries of one wish at one front, so that however often it is asked, the front makes at most
-one set-up of it. At another front the same key means nothing. So a try whose end is not known is repeated at the same
-front alone; another front is asked only after an answer that proves that nothing ran, or for what may be set up twice.
+All tries of one request carry the same idempotency key, so that one front makes at most one set-up, however often it is asked.
+The key is unknown at another front. A try whose outcome is unknown is therefore repeated at the same front only; another front
+is tried after an answer which proves that nothing was executed, or if a second set-up does no harm (`twice`).
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from dataclasses import dataclass
 from random import Random
 
-SECOND = 1_000_000_000
-# Pauses after a try without an answer: the first, doubled up to the longest, each spread by chance.
-FIRST_PAUSE = SECOND // 10
-LONGEST_PAUSE = 2 * SECOND
-MOST_REDIRECTS = 4
+NS_PER_SECOND = 1_000_000_000
+# Exponential backoff after a try without an answer (ns), with random jitter.
+INITIAL_BACKOFF_NS = NS_PER_SECOND // 10
+MAX_BACKOFF_NS = 2 * NS_PER_SECOND
+MAX_REDIRECTS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Ask this front now, or after `wait` ns."""
+    """Send the request to this front after `wait` ns."""
 
     front: str
     wait: int = 0
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Nothing more is to be tried: `why` is `refused`, `failed` or `wrong`, with the last answer's words."""
+    """Give up: `why` is `refused`, `failed` or `wrong`, `words` the detail of the last answer, `retry_after` (ns) its advice."""
 
     why: str
     words: str
@@ -35,61 +35,64 @@
 
 
 class Plan:
-    """One wish. `twice` says that setting it up twice does no harm. Times are ns of the caller's clock."""
+    """The state of one request. `twice`: a second set-up does no harm. Times are ns of the caller's clock; `chance` is the random
+    generator of the jitter."""
 
     def __init__(self, fronts: list[str], now: int, patience: int, twice: bool, chance: Random):
-        self.fronts, self.ends, self.twice, self.chance = list(fronts), now + patience, twice, chance
-        self.at = 0
+        self.fronts, self.deadline, self.twice, self.chance = list(fronts), now + patience, twice, chance
+        self.front_index = 0
         self.redirects = self.failures = 0
-        self.elsewhere: str | None = None
+        self.redirect_base: str | None = None
 
     @property
     def front(self) -> str:
-        return self.elsewhere or self.fronts[self.at % len(self.fronts)]
+        return self.redirect_base or self.fronts[self.front_index % len(self.fronts)]
 
     def redirected(self, base: str | None, now: int) -> Ask | Stop:
-        """307 or 308: the same request goes to where it points (RFC 9725, 4.5). Nothing has run."""
+        """307 or 308: nothing was executed, the same request goes to the base URL of Location (RFC 9725, 4.5); None: unusable."""
         self.redirects += 1
-        if base is None or self.redirects > MOST_REDIRECTS:
-            return Stop("failed", "redirected to nowhere" if base is None else "redirected too often")
-        self.elsewhere = base
+        if base is None or self.redirects > MAX_REDIRECTS:
+            return Stop(
+                "failed", "redirect without a usable Location" if base is None else f"more than {MAX_REDIRECTS} redirects"
+            )
+        self.redirect_base = base
         return Ask(base)
 
     def refused(self, words: str, retry_after: int, now: int) -> Ask | Stop:
-        """503: nothing ran. Another front may be asked, once it has been waited for as advised."""
-        wait = retry_after or self._pause()
-        if now + wait >= self.ends:
+        """503: nothing was executed; the next front may be tried after the advised delay."""
+        wait = retry_after or self._backoff()
+        if now + wait >= self.deadline:
             return Stop("refused", words, retry_after)
-        self._move_on()
+        self._use_next_front()
         return Ask(self.front, int(wait * self.chance.uniform(1.0, 1.25)))
 
     def failed(self, words: str) -> Stop:
-        """502 and other answers of 500 and over: an end, and what ran is not known."""
+        """502 and other statuses from 500: final, and it is unknown whether the request was executed."""
         return Stop("failed", words)
 
     def wrong(self, words: str) -> Stop:
-        """4xx: the request itself is at fault, and would be again."""
+        """4xx: final, the request itself is invalid."""
         return Stop("wrong", words)
 
     def unreached(self, words: str, now: int) -> Ask | Stop:
-        """No byte went out: any front may be asked."""
-        self._move_on()
-        return self._again(words, now)
+        """No byte was sent: any front may be tried."""
+        self._use_next_front()
+        return self._retry(words, now)
 
     def broke(self, words: str, now: int) -> Ask | Stop:
-        """It may have run. The same front knows the key; another does not."""
+        """The connection broke after sending, so the request may have been executed: only the same front knows its key."""
         if self.twice:
-            self._move_on()
-        return self._again(words, now)
+            self._use_next_front()
+        return self._retry(words, now)
 
-    def _again(self, words: str, now: int) -> Ask | Stop:
-        wait = self._pause()
-        return Ask(self.front, wait) if now + wait < self.ends else Stop("failed", words)
+    def _retry(self, words: str, now: int) -> Ask | Stop:
+        wait = self._backoff()
+        return Ask(self.front, wait) if now + wait < self.deadline else Stop("failed", words)
 
-    def _pause(self) -> int:
+    def _backoff(self) -> int:
         self.failures += 1
-        return int(min(LONGEST_PAUSE, FIRST_PAUSE << min(self.failures - 1, 10)) * self.chance.uniform(0.5, 1.0))
+        return int(min(MAX_BACKOFF_NS, INITIAL_BACKOFF_NS << min(self.failures - 1, 10)) * self.chance.uniform(0.5, 1.0))
 
-    def _move_on(self) -> None:
-        self.elsewhere = None
-        self.at += 1
+    def _use_next_front(self) -> None:
+        self.redirect_base = None
+        self.front_index += 1
--- a/curlewshift/client/sync.py
+++ b/curlewshift/client/sync.py
@@ -1,4 +1,4 @@
-"""The same caller for programs without async: each call runs its own loop to the end."""
+"""Synchronous form of the client: each call runs an event loop of its own until it completes."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 class SyncCaller:
     """See `Caller`."""
 
-    def __init__(self, *args, **how):
-        self.caller = Caller(*args, **how)
+    def __init__(self, *args, **options):
+        self.caller = Caller(*args, **options)
 
-    def play(self, package: str, title: str, offer: str, **how) -> SyncSession:
-        return SyncSession(anyio.run(functools.partial(self.caller.play, package, title, offer, **how)))
+    def play(self, package: str, title: str, offer: str, **options) -> SyncSession:
+        return SyncSession(anyio.run(functools.partial(self.caller.play, package, title, offer, **options)))
 
-    def publish(self, package: str, title: str, offer: str, **how) -> SyncSession:
-        return SyncSession(anyio.run(functools.partial(self.caller.publish, package, title, offer, **how)))
+    def publish(self, package: str, title: str, offer: str, **options) -> SyncSession:
+        return SyncSession(anyio.run(functools.partial(self.caller.publish, package, title, offer, **options)))
