--- a/curlewshift/site/__init__.py
+++ b/curlewshift/site/__init__.py
@@ -1,1 +1,1 @@
-"""What a deployment states: an XML form with a schema, read into plain objects."""
+"""Settings of a site (one deployment): XML with a schema, read into plain objects; and its certificate authority."""
--- a/curlewshift/site/authority.py
+++ b/curlewshift/site/authority.py
@@ -1,6 +1,6 @@
-"""A private authority for a small site: makes its certificate, and signs those of fronts and servers.
+"""A private certificate authority for a small site: creates its certificate, and issues those of fronts and servers.
 
-By the library `cryptography`. Keys are P-256; the authority's never leaves its folder, which only its owner may read.
+Uses the library `cryptography`. Keys are P-256; the authority's key stays in its folder, which only the owner may read.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
 AUTHORITY_DAYS = 3650
-# Signed ones are short-lived: they are renewed while the front runs, and nothing here revokes.
-DAYS = 90
+# Issued certificates are short-lived, as there is no revocation; they can be renewed while a front runs.
+CERTIFICATE_DAYS = 90
 
 
 class AuthorityError(Exception):
-    """There is no authority in the folder, or one already; the text says which."""
+    """The folder holds no authority, or holds one already; the text says which."""
 
 
-def _name(common: str) -> x509.Name:
-    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common)])
+def _distinguished_name(common_name: str) -> x509.Name:
+    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common_name)])
 
 
-def _write(path: Path, data: bytes) -> None:
-    """Readable by the owner alone, and whole or not at all."""
-    beside = path.with_name(path.name + ".new")
-    with open(os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
+def _write_private(path: Path, data: bytes) -> None:
+    """Writes a file atomically, readable by the owner only."""
+    temporary = path.with_name(path.name + ".new")
+    with open(os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
         file.write(data)
-    os.replace(beside, path)
+    os.replace(temporary, path)
 
 
 def _key_bytes(key: ec.EllipticCurvePrivateKey) -> bytes:
@@ -43,7 +43,7 @@
 def _builder(subject: str, issuer: x509.Name, key, days: float, now: datetime.datetime) -> x509.CertificateBuilder:
     return (
         x509.CertificateBuilder()
-        .subject_name(_name(subject))
+        .subject_name(_distinguished_name(subject))
         .issuer_name(issuer)
         .public_key(key)
         .serial_number(x509.random_serial_number())
@@ -53,46 +53,47 @@
 
 
 def make_authority(folder: Path, name: str) -> Path:
-    """Writes `authority.pem` and its key; returns the former. Raises `AuthorityError` if there is one."""
+    """Creates `authority.pem` and `authority.key`; returns the path of the certificate. Raises `AuthorityError` if
+    the folder has a key already."""
     folder.mkdir(parents=True, exist_ok=True, mode=0o700)
     if (folder / "authority.key").exists():
-        raise AuthorityError(f"{folder} has an authority already")
+        raise AuthorityError(f"{folder} already holds an authority")
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     certificate = (
-        _builder(name, _name(name), key.public_key(), AUTHORITY_DAYS, now)
+        _builder(name, _distinguished_name(name), key.public_key(), AUTHORITY_DAYS, now)
         .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
         .add_extension(x509.KeyUsage(False, False, False, False, False, True, True, False, False), critical=True)
         .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
         .sign(key, hashes.SHA256())
     )
-    _write(folder / "authority.key", _key_bytes(key))
-    _write(folder / "authority.pem", certificate.public_bytes(serialization.Encoding.PEM))
+    _write_private(folder / "authority.key", _key_bytes(key))
+    _write_private(folder / "authority.pem", certificate.public_bytes(serialization.Encoding.PEM))
     return folder / "authority.pem"
 
 
-def issue(folder: Path, names: list[str], out: Path, days: float = DAYS) -> tuple[Path, Path]:
-    """A certificate and key for these hosts (names or addresses), as `out`.pem and `out`.key. Raises `AuthorityError`."""
+def issue(folder: Path, names: list[str], out: Path, days: float = CERTIFICATE_DAYS) -> tuple[Path, Path]:
+    """Issues a certificate for these hosts (names or addresses), written as `out`.pem and `out`.key. Raises `AuthorityError`."""
     try:
-        signer = serialization.load_pem_private_key((folder / "authority.key").read_bytes(), None)
+        authority_key = serialization.load_pem_private_key((folder / "authority.key").read_bytes(), None)
         authority = x509.load_pem_x509_certificate((folder / "authority.pem").read_bytes())
-    except (OSError, ValueError) as wrong:
-        raise AuthorityError(f"{folder} has no authority that can be read: {wrong}") from None
+    except (OSError, ValueError) as error:
+        raise AuthorityError(f"{folder} holds no readable authority: {error}") from None
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     certificate = (
         _builder(names[0], authority.subject, key.public_key(), days, now)
-        .add_extension(x509.SubjectAlternativeName([_general(name) for name in names]), critical=False)
+        .add_extension(x509.SubjectAlternativeName([_general_name(name) for name in names]), critical=False)
         .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
         .add_extension(x509.ExtendedKeyUsage([ExtendedKeyUsageOID.SERVER_AUTH]), critical=False)
-        .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), critical=False)
-        .sign(signer, hashes.SHA256())
+        .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(authority_key.public_key()), critical=False)
+        .sign(authority_key, hashes.SHA256())
     )
-    pem, secret = out.with_name(out.name + ".pem"), out.with_name(out.name + ".key")
-    _write(secret, _key_bytes(key))
-    _write(pem, certificate.public_bytes(serialization.Encoding.PEM))
-    return pem, secret
+    certificate_path, key_path = out.with_name(out.name + ".pem"), out.with_name(out.name + ".key")
+    _write_private(key_path, _key_bytes(key))
+    _write_private(certificate_path, certificate.public_bytes(serialization.Encoding.PEM))
+    return certificate_path, key_path
 
 
-def _general(name: str) -> x509.GeneralName:
+def _general_name(name: str) -> x509.GeneralName:
     try:
         return x509.IPAddress(ipaddress.ip_address(name))
     except ValueError:
--- a/curlewshift/site/changes.py
+++ b/curlewshift/site/changes.py
@@ -1,8 +1,8 @@
-"""What of a new site file a running front may take in service, and what needs a restart. Free of I/O.
+"""Decides which changes of a site file a running front can apply in service, and which need a restart. Free of I/O.
 
-Asked by the control machine that makes a version, before anybody is told, and by each front again. Whatever is not listed here as
-taken needs a restart: a part that is added to the settings is refused until somebody has thought of what becomes of the viewings
-under way. docs/operate-configuration.md has the table for people.
+Used by the control machine that makes a version, before it is distributed, and by each front again. A field that is not listed
+here as changeable needs a restart, so that a setting added later is refused until its effect on the viewings under way has been
+considered. docs/operate-configuration.md has the table for operators.
 """
 
 from __future__ import annotations
@@ -14,16 +14,18 @@
 from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import Obligations, Site
 
-# Lines and words, as in reading.SiteErrors.
+# Pairs of line and text, as in reading.SiteErrors.
 Refusals = list[tuple[int, str]]
-# Fields of Site that a front takes, perhaps by conditions below. The machines are the list's to tell; a front does not use them.
-TAKEN = ("packages", "uplinks", "titles", "obligations", "most_waiting", "ice_servers", "limits", "machines")
+# Fields of Site that a front changes in service, some under the conditions below. `machines` is among them as fronts do not use
+# it: they learn the media servers from the server list.
+IN_SERVICE_FIELDS = ("packages", "uplinks", "titles", "obligations", "most_waiting", "ice_servers", "limits", "machines")
 OF_PACKAGES = ("value", "join_target", "patience", "floor", "top", "seats")
-OF_OBLIGATIONS = ("way_back", "longest_wait", "most_tune_ins", "free_further", "further_share", "look_back", "grace")
-# What all members have to have alike, or sums and majorities are no sums and majorities: one after another is not enough.
-ALIKE = ("name", "front_addresses", "peers", "sharing", "together", "leases", "control", "configuration")
-# Where a field is in the file, and what it is called there.
-PLACES = {
+IN_SERVICE_OBLIGATIONS = ("way_back", "longest_wait", "most_tune_ins", "free_further", "further_share", "look_back", "grace")
+# Fields that must be equal at all members, as shared budgets and majorities are computed from them: restarting one member after
+# another would leave them unequal for a time.
+COMMON_FIELDS = ("name", "front_addresses", "peers", "sharing", "together", "leases", "control", "configuration")
+# The path of the element that holds each field; its last part names it in messages.
+ELEMENT_PATHS = {
     "name": ".",
     "front_addresses": "fronts/front",
     "list_at": "list",
@@ -43,77 +45,82 @@
 
 
 class RestartRequired(SiteErrors):
-    """There is nothing wrong with the file but that it cannot be in force before a restart."""
+    """The file is valid, but changes settings that only apply after a restart."""
 
 
 def refusals(running: Site, new: Site, root) -> Refusals:
-    """What of `new` cannot be in force before a restart; `root` is its file's root element, for the lines."""
-    wrong: Refusals = []
+    """The changes from `running` to `new` that need a restart; `root` is the root element of the new file, for line numbers."""
+    refused: Refusals = []
     for field in fields(Site):
         name = field.name
         before, after = getattr(running, name), getattr(new, name)
         if name == "packages":
-            wrong += _packages(running, new, root)
+            refused += _packages(running, new, root)
         elif name == "obligations":
-            wrong += _obligations(running, new, root)
+            refused += _obligations(running, new, root)
         elif name == "limits":
             if (before is None) != (after is None):
-                wrong.append((_line(root, "fronts/limits"), "limits: to begin or to end them needs a restart"))
+                refused.append((_line_of(root, "fronts/limits"), "limits: to begin or to end them needs a restart"))
         elif name == "titles":
             if before != after and running.together.seats:
-                wrong.append((_line(root, "catalogue"), "catalogue: needs a restart, as fronts share the seats of each title"))
+                refused.append(
+                    (_line_of(root, "catalogue"), "catalogue: needs a restart, as fronts share the seats of each title")
+                )
         elif name == "together" and running.sharing != new.sharing:
-            # told once, by the element that both are in
+            # reported once, for the element that both fields are read from
             continue
         elif name == "overload":
-            if before != after and not _follows(running, new):
-                wrong.append((_line(root, PLACES[name]), "overload: needs a restart"))
-        elif before != after and name not in TAKEN:
-            place = PLACES[name]
-            what = "needs all members stopped at once" if name in ALIKE else "needs a restart"
-            wrong.append((_line(root, place), f"{place.rpartition('/')[2].replace('.', 'site')}: {what}"))
-    return sorted(set(wrong))
+            if before != after and not _only_obligations_changed(running, new):
+                refused.append((_line_of(root, ELEMENT_PATHS[name]), "overload: needs a restart"))
+        elif before != after and name not in IN_SERVICE_FIELDS:
+            path = ELEMENT_PATHS[name]
+            requirement = "needs all members stopped at once" if name in COMMON_FIELDS else "needs a restart"
+            refused.append((_line_of(root, path), f"{path.rpartition('/')[2].replace('.', 'site')}: {requirement}"))
+    return sorted(set(refused))
 
 
 def unalike(running: Site, new: Site, root) -> Refusals:
-    """Of the same, what cannot be in force even by one restart after another: all have to be stopped."""
-    wrong = {
-        (_line(root, PLACES[name]), f"{PLACES[name].rpartition('/')[2].replace('.', 'site')}: needs all members stopped at once")
-        for name in ALIKE
+    """The changes that cannot be made by restarting members one after another: all must be stopped at once."""
+    refused = {
+        (
+            _line_of(root, ELEMENT_PATHS[name]),
+            f"{ELEMENT_PATHS[name].rpartition('/')[2].replace('.', 'site')}: needs all members stopped at once",
+        )
+        for name in COMMON_FIELDS
         if getattr(running, name) != getattr(new, name)
     }
-    return sorted(wrong)
+    return sorted(refused)
 
 
-def _line(root, place: str) -> int:
-    found = root if place == "." else root.find(place)
-    while found is None and "/" in place:
-        # it is left out in the new file: the line of what it was in
-        place = place.rpartition("/")[0]
-        found = root.find(place)
+def _line_of(root, path: str) -> int:
+    found = root if path == "." else root.find(path)
+    while found is None and "/" in path:
+        # the element is absent from the new file: use the line of its parent
+        path = path.rpartition("/")[0]
+        found = root.find(path)
     return (root if found is None else found).sourceline
 
 
 def _packages(running: Site, new: Site, root) -> Iterator[tuple[int, str]]:
-    names, held = [package.name for package in running.packages], [package.name for package in new.packages]
-    if names != held:
-        yield _line(root, "packages"), "packages: to add, take away or reorder packages needs a restart"
+    names, new_names = [package.name for package in running.packages], [package.name for package in new.packages]
+    if names != new_names:
+        yield _line_of(root, "packages"), "packages: to add, take away or reorder packages needs a restart"
         return
     lines = {element.get("name"): element.sourceline for element in root.iterfind("packages/package")}
     for before, after in zip(running.packages, new.packages):
         for field in fields(Package):
             name, line = field.name, lines[before.name]
-            was, now = getattr(before, name), getattr(after, name)
-            said = name.replace("_", "-").replace("rates", "the ladder or scale")
-            if was == now:
+            old_value, new_value = getattr(before, name), getattr(after, name)
+            attribute = name.replace("_", "-").replace("rates", "the ladder or scale")
+            if old_value == new_value:
                 continue
             if name not in OF_PACKAGES:
-                yield line, f"package {before.name}: {said} needs a restart"
-            elif name == "floor" and now > was:
-                # who waits now may have said that it takes no more than what would then be too little
+                yield line, f"package {before.name}: {attribute} needs a restart"
+            elif name == "floor" and new_value > old_value:
+                # a waiting viewer may have sent a ceiling that is below the new floor
                 yield line, f"package {before.name}: a higher floor needs a restart; a lower one does not"
             elif name in ("value", "floor") and running.overload is not None:
-                yield line, f"package {before.name}: {said} needs a restart where fronts shed: their order is made of it"
+                yield line, f"package {before.name}: {attribute} needs a restart where fronts shed: their order is made of it"
             elif name == "seats" and running.together.seats:
                 yield line, f"package {before.name}: seats needs a restart, as fronts share them"
 
@@ -124,7 +131,7 @@
         name = field.name
         if getattr(running.obligations, name) == getattr(new.obligations, name):
             continue
-        place = (
+        element = (
             "answers"
             if name in ("way_back", "longest_wait", "most_tune_ins")
             else "drains"
@@ -135,22 +142,24 @@
             if name in ("told_late", "told_every", "probes", "uplinks")
             else "cold-servers"
         )
-        line = _line(root, f"obligations/{place}")
-        if name not in OF_OBLIGATIONS:
-            yield line, f"{place}: {name.replace('_', '-')} needs a restart"
-        elif place == "further-tune-ins" and shared:
+        line = _line_of(root, f"obligations/{element}")
+        if name not in IN_SERVICE_OBLIGATIONS:
+            yield line, f"{element}: {name.replace('_', '-')} needs a restart"
+        elif element == "further-tune-ins" and shared:
             yield line, "further-tune-ins: needs a restart, as fronts share their budget"
-        elif place == "further-tune-ins" and (running.obligations.free_further is None) != (new.obligations.free_further is None):
+        elif element == "further-tune-ins" and (running.obligations.free_further is None) != (
+            new.obligations.free_further is None
+        ):
             yield line, "further-tune-ins: to begin or to end the budget needs a restart"
 
 
-def _follows(running: Site, new: Site) -> bool:
-    """Whether nothing in <overload> changed, and only what it takes from the obligations did."""
+def _only_obligations_changed(running: Site, new: Site) -> bool:
+    """True if the terms differ only in the fields that come from the obligations, and not in <overload> itself."""
     if running.overload is None or new.overload is None:
         return False
-    ours, theirs = running.overload, new.overload
+    terms_before, terms_after = running.overload, new.overload
     return all(
-        getattr(ours, field.name) == getattr(theirs, field.name)
-        for field in fields(ours)
+        getattr(terms_before, field.name) == getattr(terms_after, field.name)
+        for field in fields(terms_before)
         if field.name not in ("longest_wait", "look_back")
     )
--- a/curlewshift/site/site.py
+++ b/curlewshift/site/site.py
@@ -1,4 +1,4 @@
-"""One site's settings as objects, and the terms that a front's rules get from them."""
+"""The settings of one site as objects, read from XML, and the terms for a front's rules (the policy) made from them."""
 
 from __future__ import annotations
 
@@ -14,20 +14,22 @@
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 from curlewshift.site.reading import SiteErrors, rate, read_xml, span
 
-SECOND = 1_000_000_000
-# Titles times packages whose seats fronts have together: each is a fact for every front, looked at each round.
-MOST_SEATED = 4096
-# Of probes between fronts (ns).
-SHORTEST_PERIOD, LONGEST_PERIOD = SECOND // 10, 60 * SECOND
+NS_PER_SECOND = 1_000_000_000
+# Titles times packages with shared seats. Each pair is an entry of state at every front that is visited in each round.
+MAX_SHARED_SEATS = 4096
+# Limits of the period of probes between fronts (ns).
+MIN_PERIOD_NS, MAX_PERIOD_NS = NS_PER_SECOND // 10, 60 * NS_PER_SECOND
 SCHEMA = Path(__file__).with_name("site.xsd")
 
 
 @dataclass(slots=True)
 class ListenAddress:
+    """A front: its name, where it accepts viewers, and its location."""
+
     name: str
     host: str
     port: int
-    # where its peers' datagrams come in, and where they reach it
+    # where it receives datagrams of its peers, and the address they send to
     peers_listen: tuple[str, int] | None = None
     peers_reach: tuple[str, int] | None = None
     region: str = ""
@@ -36,7 +38,7 @@
 
 @dataclass(slots=True)
 class ControlMachine:
-    """One that keeps the lease `configuration/0` and stores versions of the settings; it has no door."""
+    """An acceptor of the lease `configuration/0`, which also stores versions of the settings; it accepts no viewers."""
 
     name: str
     peers_listen: tuple[str, int]
@@ -47,14 +49,16 @@
 
 @dataclass(slots=True)
 class Control:
+    """The control machines and the terms of their lease."""
+
     machines: list[ControlMachine]
     terms: LeaseTerms
 
 
 @dataclass(slots=True)
-class Distributed:
-    """The settings are changed in service. `give_bytes` a second are given at most to those that lack a version; a front
-    without a disk that can be read waits for its peers `start_within` (ns)."""
+class DistributionSettings:
+    """Terms for changing settings in service. At most `give_bytes` bytes/s are sent to members that lack a version; a front
+    that cannot read a version from its disk waits `start_within` (ns) for its peers."""
 
     give_bytes: int
     start_within: int
@@ -62,7 +66,7 @@
 
 @dataclass(slots=True)
 class Peers:
-    """How the fronts of the site know each other. `most_bytes` a second."""
+    """Membership of the fronts: the seeds to join by, and at most `most_bytes` bytes/s of datagrams."""
 
     seeds: list[tuple[str, int]]
     membership_terms: MembershipTerms
@@ -71,7 +75,7 @@
 
 @dataclass(slots=True)
 class Machine:
-    """A media server that the site owns. Which of them run is the list's to tell."""
+    """A media server of the site; whether it runs is known from the server list. `link` is in kB/s."""
 
     shelf: str
     host: str
@@ -85,7 +89,11 @@
 
 @dataclass(slots=True)
 class Obligations:
-    """The figures of the six rules and what else the deployment states (times in ns)."""
+    """The parameters of the six obligations, and further terms that the deployment sets (times in ns).
+
+    `way_back` is the part of a viewer's patience that is reserved for the way of the answer to it; `told_late` and `told_every`
+    are the delay and the interval of the servers' load reports.
+    """
 
     way_back: int
     longest_wait: int
@@ -106,6 +114,8 @@
 
 @dataclass(slots=True)
 class Site:
+    """All settings of a site. Rates are in kB/s, times in ns."""
+
     name: str
     front_addresses: list[ListenAddress]
     list_at: tuple[str, int]
@@ -118,42 +128,43 @@
     most_connections: int
     # packages whose viewings publish (WHIP) instead of playing (WHEP)
     published: frozenset[str] = frozenset()
-    # files for bearer tokens, the door's TLS and the servers' authority; None: without
+    # files, None if not used: keys of bearer tokens, certificate and key of the HTTP listener, authority of the media servers
     token_keys: Path | None = None
     tls: tuple[Path, Path] | None = None
     authority: Path | None = None
-    # values of Link for ICE servers (RFC 9725, 4.6)
+    # Link header values for ICE servers (RFC 9725, 4.6)
     ice_servers: tuple[str, ...] = ()
-    # what is bound at the door; None: nothing but how many may wait
+    # rate limits of requests; None: only the number of waiting requests is limited
     limits: Bounds | None = None
-    # None: each front is for itself
+    # None: the fronts do not know each other
     peers: Peers | None = None
-    # None: fronts that know each other share nothing
+    # None: nothing is shared between fronts
     sharing: SharingTerms | None = None
-    # budgets that all fronts have together, where they share
+    # budgets shared by all fronts; used with `sharing`
     together: SharedBudgets = SharedBudgets()
-    # None: nothing is done once for the whole fleet
+    # None: there are no tasks done once for the whole fleet
     leases: Leases | None = None
-    # None: who comes first is let in
+    # None: no load shedding
     overload: OverloadTerms | None = None
-    # None: there are none
+    # None: there are no control machines
     control: Control | None = None
-    # None: the settings are those of the file until the process ends
-    configuration: Distributed | None = None
+    # None: the settings stay as read from the file until the process ends
+    configuration: DistributionSettings | None = None
 
     def door(self, name: str) -> int:
-        """The number of the front of that name. Raises `KeyError`."""
-        for number, door in enumerate(self.front_addresses):
-            if door.name == name:
-                return number
+        """The index of the front of that name. Raises `KeyError`."""
+        for index, front in enumerate(self.front_addresses):
+            if front.name == name:
+                return index
         raise KeyError(name)
 
-    def terms(self, now: int, seed: int, me: int) -> Terms:
+    def terms(self, now: int, seed: int, local_index: int) -> Terms:
+        """The terms for the rules of the front with this index."""
         obligations = self.obligations
         return Terms(
             now=now,
             seed=seed,
-            me=me,
+            me=local_index,
             fronts=len(self.front_addresses),
             packages=self.packages,
             racks_told=obligations.uplinks,
@@ -173,36 +184,37 @@
 
 @dataclass(slots=True)
 class Leases:
-    """`probe_each` (ns) is how often each media server is asked for all fronts; `orphans_after` how long a front has to be away
-    from a server before what it left there is ended; `tasks` are those that are done once for all."""
+    """`tasks` are done once for all fronts, by the holders of leases. `probe_each` (ns) is the interval of probes of each media
+    server; `orphans_after` (ns) is how long a front must be absent from a server before the sessions it left there are ended."""
 
     keepers: list[str]
     terms: LeaseTerms
     shards: int
     probe_each: int
     tasks: tuple[str, ...] = ("probe",)
-    orphans_after: int = 15 * SECOND
+    orphans_after: int = 15 * NS_PER_SECOND
 
 
 def host_port(text: str) -> tuple[str, int]:
-    """Host and port of `host:port`. Raises `ValueError`."""
+    """Splits `host:port`; brackets around an IPv6 address are removed. Raises `ValueError`."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def read_site(path: Path | str, raw: bytes | None = None) -> Site:
-    """From the file, or from `raw`, which stands in for its bytes. Raises `SiteErrors` with all that is wrong."""
+    """Reads the file, or `raw` in place of its content. Raises `SiteErrors` with all errors."""
     return site_of(path, read_xml(path, SCHEMA, raw))
 
 
 def site_of(path: Path | str, root) -> Site:
-    """From the root element of a file that fits the schema; what it names lies beside `path`. Raises `SiteErrors`."""
-    wrong: list[tuple[int, str]] = []
+    """Builds a site from the root element of a validated file; names of files are relative to the folder of `path`. Raises
+    `SiteErrors`."""
+    errors: list[tuple[int, str]] = []
     ladder = [rate(rung.get("rate")) for rung in root.iterfind("ladder/rung")]
     for rung, lower, higher in zip(root.findall("ladder/rung")[1:], ladder, ladder[1:]):
         if higher <= lower:
-            wrong.append((rung.sourceline, f"rung: rates have to rise, {higher:g} kB/s follows {lower:g} kB/s"))
-    packages = [_package(element, ladder, wrong) for element in root.iterfind("packages/package")]
+            errors.append((rung.sourceline, f"rung: rates have to rise, {higher:g} kB/s follows {lower:g} kB/s"))
+    packages = [_package(element, ladder, errors) for element in root.iterfind("packages/package")]
     machines = [
         Machine(
             element.get("shelf"),
@@ -221,33 +233,33 @@
         named = tuple(element.get("shelves").split())
         for shelf in named:
             if shelf not in shelves:
-                wrong.append((element.sourceline, f"title: no server has the shelf {shelf!r}"))
+                errors.append((element.sourceline, f"title: no server has the shelf {shelf!r}"))
         titles[element.get("name")] = named
     for element in root.iter("front", "server", "list"):
         _, port = host_port(element.get("listen") or element.get("address"))
         if not 0 < port < 65536:
-            wrong.append((element.sourceline, f"{element.tag}: port {port} is not from 1 to 65535"))
-    obligations = _obligations(root.find("obligations"), wrong)
+            errors.append((element.sourceline, f"{element.tag}: port {port} is not from 1 to 65535"))
+    obligations = _obligations(root.find("obligations"), errors)
     fronts = root.find("fronts")
     front_addresses = [
         ListenAddress(
             front.get("name"),
             *host_port(front.get("listen")),
-            *_peer_places(front, wrong),
+            *_peer_addresses(front, errors),
             front.get("region", ""),
             front.get("zone", ""),
         )
         for front in fronts.iterfind("front")
     ]
-    control = _control(root, front_addresses, wrong)
-    peers = _peers(fronts, front_addresses, control, wrong)
-    sharing = _sharing(fronts, obligations, wrong)
-    together = _together(fronts, sharing, obligations, packages, titles, wrong)
-    leases = _leases(fronts, front_addresses, wrong)
-    overload = _overload(fronts, front_addresses, obligations, wrong)
-    configuration = _configuration(fronts, control, wrong)
-    if wrong:
-        raise SiteErrors(path, wrong)
+    control = _control(root, front_addresses, errors)
+    peers = _peers(fronts, front_addresses, control, errors)
+    sharing = _sharing(fronts, obligations, errors)
+    together = _shared_budgets(fronts, sharing, obligations, packages, titles, errors)
+    leases = _leases(fronts, front_addresses, errors)
+    overload = _overload(fronts, front_addresses, obligations, errors)
+    configuration = _configuration(fronts, control, errors)
+    if errors:
+        raise SiteErrors(path, errors)
     return Site(
         name=root.get("name"),
         list_at=host_port(root.find("list").get("address")),
@@ -269,141 +281,144 @@
         published=frozenset(
             element.get("name") for element in root.iterfind("packages/package") if element.get("published") in ("true", "1")
         ),
-        **_files(Path(path).parent, fronts),
-        limits=_limits(fronts, packages, obligations, wrong),
+        **_file_settings(Path(path).parent, fronts),
+        limits=_limits(fronts, packages, obligations, errors),
         ice_servers=tuple(_ice_link(element) for element in fronts.iterfind("ice-server")),
     )
 
 
-def _peer_places(front, wrong: list[tuple[int, str]]) -> tuple:
-    """Addresses as numbers: a datagram does not wait for a name to be looked up."""
-    places, what = [], front.tag
+def _peer_addresses(front, errors: list[tuple[int, str]]) -> tuple:
+    """The addresses for datagrams. They must be numeric, as sending a datagram does not wait for a name look-up."""
+    addresses, element_name = [], front.tag
     for name in ("peers-listen", "peers-reach"):
         text = front.get(name)
-        place = host_port(text) if text else None
-        if place is not None:
+        address = host_port(text) if text else None
+        if address is not None:
             try:
-                ip_address(place[0])
+                ip_address(address[0])
             except ValueError:
-                wrong.append((front.sourceline, f"{what}: {name} should be an address in numbers, but is {text!r}"))
-            if not 0 < place[1] < 65536:
-                wrong.append((front.sourceline, f"{what}: {name}: port {place[1]} is not from 1 to 65535"))
-        places.append(place)
-    listen, reach = places
+                errors.append((front.sourceline, f"{element_name}: {name} should be an address in numbers, but is {text!r}"))
+            if not 0 < address[1] < 65536:
+                errors.append((front.sourceline, f"{element_name}: {name}: port {address[1]} is not from 1 to 65535"))
+        addresses.append(address)
+    listen, reach = addresses
     if reach is not None and listen is None:
-        wrong.append((front.sourceline, f"{what}: peers-reach without peers-listen reaches nothing"))
+        errors.append((front.sourceline, f"{element_name}: peers-reach without peers-listen reaches nothing"))
     return listen, reach or listen
 
 
-def _control(root, front_addresses: list[ListenAddress], wrong: list[tuple[int, str]]) -> Control | None:
+def _control(root, front_addresses: list[ListenAddress], errors: list[tuple[int, str]]) -> Control | None:
     element = root.find("control")
     if element is None:
         return None
-    line, names = element.sourceline, {door.name for door in front_addresses}
+    line, names = element.sourceline, {front.name for front in front_addresses}
     machines = []
-    for one in element.iterfind("machine"):
-        if one.get("name") in names:
-            wrong.append((one.sourceline, f"machine: a front has the name {one.get('name')!r} already"))
-        machines.append(ControlMachine(one.get("name"), *_peer_places(one, wrong), one.get("region", ""), one.get("zone", "")))
+    for member in element.iterfind("machine"):
+        if member.get("name") in names:
+            errors.append((member.sourceline, f"machine: a front has the name {member.get('name')!r} already"))
+        machines.append(
+            ControlMachine(member.get("name"), *_peer_addresses(member, errors), member.get("region", ""), member.get("zone", ""))
+        )
     if root.find("fronts/peers") is None:
-        wrong.append((line, "control: there are no peers that its machines could speak with"))
+        errors.append((line, "control: there are no peers that its machines could speak with"))
     region_of: dict[str, str] = {}
-    for one in root.iter("front", "machine"):
-        zone, region = one.get("zone"), one.get("region", "")
+    for member in root.iter("front", "machine"):
+        zone, region = member.get("zone"), member.get("region", "")
         if zone and region_of.setdefault(zone, region) != region:
-            wrong.append(
+            errors.append(
                 (
-                    one.sourceline,
-                    f"{one.tag}: zone {zone!r} lies in region {region_of[zone]!r} by another line, and in {region!r} by this one",
+                    member.sourceline,
+                    f"{member.tag}: zone {zone!r} lies in region {region_of[zone]!r} by another line, "
+                    f"and in {region!r} by this one",
                 )
             )
-    return Control(machines, _lease_terms("control", element, wrong))
+    return Control(machines, _lease_terms("control", element, errors))
 
 
-def _configuration(fronts, control: Control | None, wrong: list[tuple[int, str]]) -> Distributed | None:
+def _configuration(fronts, control: Control | None, errors: list[tuple[int, str]]) -> DistributionSettings | None:
     element = fronts.find("configuration")
     if element is None:
         return None
     line = element.sourceline
     if fronts.find("peers") is None:
-        wrong.append((line, "configuration: there are no peers to have versions from"))
+        errors.append((line, "configuration: there are no peers to have versions from"))
     if control is None:
-        wrong.append((line, "configuration: there is no <control> with the machines that make and keep versions"))
-    give, within = int(rate(element.get("give-bytes", "1.5kB/s")) * 1000), span(element.get("start-within", "3s"))
-    if give < 1000:
-        wrong.append((line, "configuration: give-bytes under 1kB/s takes minutes for one file"))
-    if within > 60 * SECOND:
-        wrong.append((line, "configuration: start-within is how long a front waits before it serves, 1min at most"))
-    return Distributed(give, within)
+        errors.append((line, "configuration: there is no <control> with the machines that make and keep versions"))
+    give_bytes, start_within = int(rate(element.get("give-bytes", "1.5kB/s")) * 1000), span(element.get("start-within", "3s"))
+    if give_bytes < 1000:
+        errors.append((line, "configuration: give-bytes under 1kB/s takes minutes for one file"))
+    if start_within > 60 * NS_PER_SECOND:
+        errors.append((line, "configuration: start-within is how long a front waits before it serves, 1min at most"))
+    return DistributionSettings(give_bytes, start_within)
 
 
-def _peers(fronts, front_addresses: list[ListenAddress], control: Control | None, wrong: list[tuple[int, str]]) -> Peers | None:
+def _peers(fronts, front_addresses: list[ListenAddress], control: Control | None, errors: list[tuple[int, str]]) -> Peers | None:
     element = fronts.find("peers")
     if element is None:
         return None
     machines = control.machines if control is not None else []
-    line, at = element.sourceline, {one.name: one.peers_reach for one in (*front_addresses, *machines)}
-    for door in front_addresses:
-        if door.peers_listen is None:
-            wrong.append((line, f"peers: front {door.name} says no peers-listen"))
+    line, reach_of = element.sourceline, {member.name: member.peers_reach for member in (*front_addresses, *machines)}
+    for front in front_addresses:
+        if front.peers_listen is None:
+            errors.append((line, f"peers: front {front.name} says no peers-listen"))
     seeds = element.get("seeds").split()
     for name in seeds:
-        if name not in at:
-            wrong.append((line, f"peers: there is no front {name!r} to be a seed"))
+        if name not in reach_of:
+            errors.append((line, f"peers: there is no front {name!r} to be a seed"))
     if not seeds:
-        wrong.append((line, "peers: one seed at least is needed"))
+        errors.append((line, "peers: one seed at least is needed"))
     period = span(element.get("period", "1s"))
-    if not SHORTEST_PERIOD <= period <= LONGEST_PERIOD:
-        wrong.append((line, "peers: period should be from 100ms to 1min"))
-    more = {
-        name: span(element.get(said))
-        for name, said in (("answer_within", "answer-within"), ("forget_after", "forget-after"))
-        if element.get(said)
+    if not MIN_PERIOD_NS <= period <= MAX_PERIOD_NS:
+        errors.append((line, "peers: period should be from 100ms to 1min"))
+    optional = {
+        name: span(element.get(attribute))
+        for name, attribute in (("answer_within", "answer-within"), ("forget_after", "forget-after"))
+        if element.get(attribute)
     }
-    if more.get("answer_within", 0) * 2 > period:
-        wrong.append((line, "peers: answer-within is half a period at most, as others are asked in the other half"))
-    if more.get("forget_after", 20 * period) < 20 * period:
-        wrong.append((line, "peers: forget-after is shorter than 20 periods, and news of who is gone goes round so long"))
+    if optional.get("answer_within", 0) * 2 > period:
+        errors.append((line, "peers: answer-within is half a period at most, as others are asked in the other half"))
+    if optional.get("forget_after", 20 * period) < 20 * period:
+        errors.append((line, "peers: forget-after is shorter than 20 periods, and news of who is gone goes round so long"))
     most_bytes = int(rate(element.get("most-bytes", "128kB/s")) * 1000)
     if most_bytes < 4000:
-        wrong.append((line, "peers: most-bytes under 4kB/s leaves no room for news"))
+        errors.append((line, "peers: most-bytes under 4kB/s leaves no room for news"))
     return Peers(
-        [at[name] for name in seeds if at.get(name)],
-        default_membership_terms(period, most_members=int(element.get("most-members", "4096")), **more),
+        [reach_of[name] for name in seeds if reach_of.get(name)],
+        default_membership_terms(period, most_members=int(element.get("most-members", "4096")), **optional),
         most_bytes,
     )
 
 
-def _rounds(what: str, every: int, drift: float, line: int, wrong: list[tuple[int, str]]) -> None:
-    if not SHORTEST_PERIOD // 2 <= every <= SECOND:
-        wrong.append((line, f"{what}: every should be from 50ms to 1s"))
+def _check_rounds(element_name: str, every: int, drift: float, line: int, errors: list[tuple[int, str]]) -> None:
+    if not MIN_PERIOD_NS // 2 <= every <= NS_PER_SECOND:
+        errors.append((line, f"{element_name}: every should be from 50ms to 1s"))
     if drift > 0.2:
-        wrong.append((line, f"{what}: drift is the part by which a clock may be off, 0.2 at most"))
+        errors.append((line, f"{element_name}: drift is the part by which a clock may be off, 0.2 at most"))
 
 
-def _sharing(fronts, obligations: Obligations, wrong: list[tuple[int, str]]) -> SharingTerms | None:
+def _sharing(fronts, obligations: Obligations, errors: list[tuple[int, str]]) -> SharingTerms | None:
     element = fronts.find("sharing")
     if element is None:
         return None
     line = element.sourceline
     if fronts.find("peers") is None:
-        wrong.append((line, "sharing: there are no peers to share with"))
+        errors.append((line, "sharing: there are no peers to share with"))
     term, every = span(element.get("term", "1500ms")), span(element.get("every", "250ms"))
     drift = float(element.get("drift", "0.01"))
-    _rounds("sharing", every, drift, line, wrong)
+    _check_rounds("sharing", every, drift, line, errors)
     if term < 2 * every:
-        wrong.append((line, "sharing: a term under two rounds is over before it is used"))
-    # as long as set-ups at a cold server are counted together; without such a duty a moment
-    return SharingTerms(term, drift, max(obligations.fall_within, SECOND // 100), every)
+        errors.append((line, "sharing: a term under two rounds is over before it is used"))
+    # the window in which set-ups at a cold server are counted together; without that obligation a minimum of 10 ms
+    return SharingTerms(term, drift, max(obligations.fall_within, NS_PER_SECOND // 100), every)
 
 
-def _together(
+def _shared_budgets(
     fronts,
     sharing: SharingTerms | None,
     obligations: Obligations,
     packages: list[Package],
     titles: dict,
-    wrong: list[tuple[int, str]],
+    errors: list[tuple[int, str]],
 ) -> SharedBudgets:
     element = fronts.find("sharing")
     named = set(element.get("together", "").split()) if element is not None else set()
@@ -411,82 +426,82 @@
         return SharedBudgets()
     line, seats = element.sourceline, {package.name: package.seats for package in packages if package.seats}
     if "further-tune-ins" in named and obligations.free_further is None:
-        wrong.append((line, "sharing: there is no budget of further tune-ins to have together"))
+        errors.append((line, "sharing: there is no budget of further tune-ins to have together"))
     if "seats" in named and not seats:
-        wrong.append((line, "sharing: no package has seats to have together"))
-    if "seats" in named and len(seats) * len(titles) > MOST_SEATED:
-        wrong.append((line, f"sharing: seats of {MOST_SEATED} titles and packages at most are had together"))
-    term, lingers = span(element.get("seat-term", "6s")), span(element.get("seats-linger", "10s"))
+        errors.append((line, "sharing: no package has seats to have together"))
+    if "seats" in named and len(seats) * len(titles) > MAX_SHARED_SEATS:
+        errors.append((line, f"sharing: seats of {MAX_SHARED_SEATS} titles and packages at most are had together"))
+    term, linger = span(element.get("seat-term", "6s")), span(element.get("seats-linger", "10s"))
     if term < 8 * sharing.every:
-        wrong.append((line, "sharing: a seat-term under eight rounds leaves no time to renew"))
+        errors.append((line, "sharing: a seat-term under eight rounds leaves no time to renew"))
     return SharedBudgets(
         obligations.free_further if "further-tune-ins" in named else None,
         obligations.look_back,
         seats if "seats" in named else {},
         list(titles),
         term,
-        lingers,
+        linger,
     )
 
 
-def _leases(fronts, front_addresses: list[ListenAddress], wrong: list[tuple[int, str]]) -> Leases | None:
+def _leases(fronts, front_addresses: list[ListenAddress], errors: list[tuple[int, str]]) -> Leases | None:
     element = fronts.find("leases")
     if element is None:
         return None
     line = element.sourceline
     if fronts.find("peers") is None:
-        wrong.append((line, "leases: there are no peers that could hold them"))
-    keepers, names = element.get("keepers").split(), {door.name for door in front_addresses}
+        errors.append((line, "leases: there are no peers that could hold them"))
+    keepers, names = element.get("keepers").split(), {front.name for front in front_addresses}
     for name in keepers:
         if name not in names:
-            wrong.append((line, f"leases: there is no front {name!r} to be a keeper"))
+            errors.append((line, f"leases: there is no front {name!r} to be a keeper"))
     if len(set(keepers)) < len(keepers) or len(keepers) % 2 == 0:
-        wrong.append((line, "leases: keepers should be an odd number of different fronts: an even one bears no more losses"))
-    terms = _lease_terms("leases", element, wrong)
+        errors.append((line, "leases: keepers should be an odd number of different fronts: an even one bears no more losses"))
+    terms = _lease_terms("leases", element, errors)
     shards = int(element.get("shards", "8"))
     if shards > 64:
-        wrong.append((line, "leases: 64 shards at most"))
+        errors.append((line, "leases: 64 shards at most"))
     tasks, after = tuple(dict.fromkeys(element.get("tasks", "probe").split())), span(element.get("orphans-after", "15s"))
     if after < terms.term:
-        wrong.append((line, "leases: orphans-after is shorter than a term, and a front that is only stopped comes back by then"))
+        errors.append((line, "leases: orphans-after is shorter than a term, and a front that is only stopped comes back by then"))
     return Leases(keepers, terms, shards, span(element.get("probe-each", "1s")), tasks, after)
 
 
-def _lease_terms(what: str, element, wrong: list[tuple[int, str]]) -> LeaseTerms:
+def _lease_terms(element_name: str, element, errors: list[tuple[int, str]]) -> LeaseTerms:
     line, term, every = element.sourceline, span(element.get("term", "4s")), span(element.get("every", "250ms"))
     drift = float(element.get("drift", "0.01"))
-    _rounds(what, every, drift, line, wrong)
+    _check_rounds(element_name, every, drift, line, errors)
     if term < 8 * every:
-        wrong.append((line, f"{what}: a term under eight rounds leaves no time to renew"))
+        errors.append((line, f"{element_name}: a term under eight rounds leaves no time to renew"))
     return LeaseTerms(term, drift, every)
 
 
 def _overload(
-    fronts, front_addresses: list[ListenAddress], obligations: Obligations, wrong: list[tuple[int, str]]
+    fronts, front_addresses: list[ListenAddress], obligations: Obligations, errors: list[tuple[int, str]]
 ) -> OverloadTerms | None:
     element = fronts.find("overload")
     if element is None:
         return None
     line, every = element.sourceline, span(element.get("every", "1s"))
     floor, share = float(element.get("floor", "0.05")), float(element.get("again-share", "0.2"))
-    if not SHORTEST_PERIOD <= every <= 5 * SECOND:
-        wrong.append((line, "overload: every should be from 100ms to 5s"))
+    if not MIN_PERIOD_NS <= every <= 5 * NS_PER_SECOND:
+        errors.append((line, "overload: every should be from 100ms to 5s"))
     if floor > 0.5:
-        wrong.append((line, "overload: a floor over 0.5 lets in more than half of everything whatever is short"))
+        errors.append((line, "overload: a floor over 0.5 lets in more than half of everything whatever is short"))
     return OverloadTerms(
         every,
         floor,
         obligations.longest_wait,
         share,
         float(element.get("again-free", "10")),
-        obligations.look_back or 10 * SECOND,
+        obligations.look_back or 10 * NS_PER_SECOND,
         len(front_addresses),
         3 * every,
     )
 
 
-def _files(folder: Path, fronts) -> dict:
-    """Files are named from where the settings are."""
+def _file_settings(folder: Path, fronts) -> dict:
+    """Paths of files, which are relative to the folder of the settings."""
     tokens, tls, servers = (fronts.find(name) for name in ("tokens", "tls", "servers-tls"))
     return {
         "token_keys": folder / tokens.get("keys") if tokens is not None else None,
@@ -495,43 +510,43 @@
     }
 
 
-def _limits(fronts, packages: list[Package], obligations: Obligations, wrong: list[tuple[int, str]]) -> Bounds | None:
+def _limits(fronts, packages: list[Package], obligations: Obligations, errors: list[tuple[int, str]]) -> Bounds | None:
     element = fronts.find("limits")
     if element is None:
         return None
 
-    def pace(name: str) -> float:
+    def requests_per_second(name: str) -> float:
         return float(element.get(name, "0/s").removesuffix("/s"))
 
     return Bounds(
-        pace("from-source"),
-        pace("from-holder"),
-        pace("from-build"),
-        pace("for-package"),
-        span(element.get("burst", "5s")) / SECOND,
+        requests_per_second("from-source"),
+        requests_per_second("from-holder"),
+        requests_per_second("from-build"),
+        requests_per_second("for-package"),
+        span(element.get("burst", "5s")) / NS_PER_SECOND,
         obligations.longest_wait,
-        # two tune-ins have to fit into what is left
+        # the remaining time must suffice for two tune-ins (set-up attempts)
         min(package.join_target for package in packages) // 4,
         int(fronts.get("most-waiting", "2000")),
     )
 
 
 def _ice_link(element) -> str:
-    more = "".join(f'; {name}="{element.get(name)}"' for name in ("username", "credential") if element.get(name))
-    return f'<{element.get("url")}>; rel="ice-server"{more}' + ('; credential-type="password"' if more else "")
+    parameters = "".join(f'; {name}="{element.get(name)}"' for name in ("username", "credential") if element.get(name))
+    return f'<{element.get("url")}>; rel="ice-server"{parameters}' + ('; credential-type="password"' if parameters else "")
 
 
-def _package(element, ladder: list[float], wrong: list[tuple[int, str]]) -> Package:
+def _package(element, ladder: list[float], errors: list[tuple[int, str]]) -> Package:
     highest = len(ladder) - 1
     floor, top = int(element.get("floor", "0")), int(element.get("top", str(highest)))
     name, line = element.get("name"), element.sourceline
     if top > highest:
-        wrong.append((line, f"package {name}: top is rung {top}, the ladder ends with rung {highest}"))
+        errors.append((line, f"package {name}: top is rung {top}, the ladder ends with rung {highest}"))
     if floor > min(top, highest):
-        wrong.append((line, f"package {name}: floor is rung {floor}, above its top {min(top, highest)}"))
+        errors.append((line, f"package {name}: floor is rung {floor}, above its top {min(top, highest)}"))
     target, patience = span(element.get("join-target")), span(element.get("patience"))
     if patience < target:
-        wrong.append((line, f"package {name}: patience is shorter than the join target"))
+        errors.append((line, f"package {name}: patience is shorter than the join target"))
     scale = float(element.get("scale", "1"))
     return Package(
         name=name,
@@ -546,7 +561,7 @@
     )
 
 
-def _obligations(element, wrong: list[tuple[int, str]]) -> Obligations:
+def _obligations(element, errors: list[tuple[int, str]]) -> Obligations:
     answers, drains, cold, news = (element.find(name) for name in ("answers", "drains", "cold-servers", "news"))
     further = element.find("further-tune-ins")
     obligations = Obligations(
@@ -567,5 +582,5 @@
         uplinks=news.get("uplinks") in ("true", "1"),
     )
     if obligations.warm_within and not obligations.start_capacity:
-        wrong.append((cold.sourceline, "cold-servers: a start-capacity of 0 would never let a server be tried"))
+        errors.append((cold.sourceline, "cold-servers: a start-capacity of 0 would never let a server be tried"))
     return obligations
