--- a/curlewshift/exchange/__init__.py
+++ b/curlewshift/exchange/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on sockets: h11 for the protocol, anyio for the rest. It carries messages and knows no viewing."""
+"""HTTP/1.1 client and server on sockets, by h11 (protocol) and anyio (I/O). Independent of the application."""
--- a/curlewshift/exchange/accepting.py
+++ b/curlewshift/exchange/accepting.py
@@ -1,4 +1,4 @@
-"""Accepting connections, and what happens where there is no room for another. Called by the HTTP server and the node."""
+"""Accepts connections, and pauses while descriptors or memory are exhausted. Used by the HTTP server and the node."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 
 import anyio
 
-# What an accept says where there is no descriptor or memory left, and how long it is left alone then (s).
+# Errors of accept() when descriptors or memory are exhausted, and the pause before the next try (s).
 NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-FULL_PAUSE = 0.02
+EXHAUSTED_PAUSE_S = 0.02
 
 
 class Patient:
-    """A listener that accepts while there is room, and for which no descriptor left is a pause and not the end.
+    """Wraps a listener: it pauses accepting when descriptors or memory are exhausted, instead of failing.
 
-    `gate` is a curlewshift.limits.descriptors.DescriptorGate, or None: what is not accepted waits in the kernel's queue.
+    `gate` is a curlewshift.limits.descriptors.DescriptorGate that limits open connections, or None. Connections that are not
+    accepted wait in the kernel's queue.
     """
 
     def __init__(self, listener, gate=None):
@@ -31,26 +32,26 @@
         if task_group is not None:
             await self._accept(handler, task_group)
             return
-        async with anyio.create_task_group() as own:
-            await self._accept(handler, own)
+        async with anyio.create_task_group() as own_tasks:
+            await self._accept(handler, own_tasks)
 
     async def _accept(self, handler, tasks) -> None:
-        """Until the listener is closed."""
+        """Accepts connections until the listener is closed."""
         while True:
             if self.gate is not None:
                 while not self.gate.may_accept():
                     self.gate.make_room()
-                    await anyio.sleep(FULL_PAUSE)
+                    await anyio.sleep(EXHAUSTED_PAUSE_S)
             try:
                 stream = await self.listener.accept()
             except anyio.ClosedResourceError:
                 return
-            except OSError as wrong:
-                if wrong.errno not in NO_ROOM:
+            except OSError as error:
+                if error.errno not in NO_ROOM:
                     raise
                 if self.gate is not None:
                     self.gate.ran_out()
                     self.gate.make_room()
-                await anyio.sleep(FULL_PAUSE)
+                await anyio.sleep(EXHAUSTED_PAUSE_S)
                 continue
             tasks.start_soon(handler, stream)
--- a/curlewshift/exchange/tls.py
+++ b/curlewshift/exchange/tls.py
@@ -1,4 +1,4 @@
-"""TLS on both sides, and certificates that are renewed while a process runs. By the standard library's ssl."""
+"""TLS contexts for server and client, and renewal of certificates while a process runs."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
 
 class ServerTls:
-    """For the answering side: `context` takes what the files have when they were last read."""
+    """TLS of the server: `context` has the certificate that was last loaded from the files."""
 
     def __init__(self, certificate: Path, key: Path):
-        self.certificate, self.key, self.stamp = certificate, key, None
+        self.certificate, self.key, self.file_state = certificate, key, None
         self.context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         self.context.minimum_version = ssl.TLSVersion.TLSv1_2
         self.load()
 
     def load(self) -> None:
-        """Raises `InvalidCertificate`, and keeps what was in force. Connections that are up stay as they are."""
+        """Loads the files for new connections. Raises `InvalidCertificate`; then the certificate in force stays."""
         try:
-            # tried on another context first: a half-written pair must not end up in the one that serves
+            # loaded into another context first, so that a partly written pair does not reach the context in service
             ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER).load_cert_chain(self.certificate, self.key)
             self.context.load_cert_chain(self.certificate, self.key)
-        except (OSError, ssl.SSLError) as wrong:
-            raise InvalidCertificate(f"{self.certificate} and {self.key}: {wrong}") from None
-        self.stamp = self._now()
+        except (OSError, ssl.SSLError) as error:
+            raise InvalidCertificate(f"{self.certificate} and {self.key}: {error}") from None
+        self.file_state = self._file_state()
 
     def changed(self) -> bool:
-        return self._now() != self.stamp
+        """True if a file has another modification time or size than when it was loaded."""
+        return self._file_state() != self.file_state
 
-    def _now(self):
+    def _file_state(self):
         return tuple(
             (file.stat().st_mtime_ns, file.stat().st_size) if file.exists() else None for file in (self.certificate, self.key)
         )
 
 
 def client_context(authority: Path) -> ssl.SSLContext:
-    """For the asking side: only what this authority has signed, for the very name that is asked. Raises
-    `InvalidCertificate`."""
+    """TLS of a client: accepts certificates of this authority only, and verifies the host name. Raises `InvalidCertificate`."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
         context.load_verify_locations(authority)
-    except (OSError, ssl.SSLError) as wrong:
-        raise InvalidCertificate(f"{authority}: {wrong}") from None
+    except (OSError, ssl.SSLError) as error:
+        raise InvalidCertificate(f"{authority}: {error}") from None
     return context
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -253,10 +253,10 @@
                 await stream.send(bytes([byte]))
             self.assertTrue((await stream.receive()).startswith(b"HTTP/1.1 201 "))
             await stream.aclose()
-            with mock.patch.object(exchange_server, "HEAD_WITHIN", 0.2):
+            with mock.patch.object(exchange_server, "HEAD_TIMEOUT_S", 0.2):
                 slow = await site.raw(b"POST /whep/clip/t HTTP/1.1\r\nho")
             self.assertTrue(slow.startswith(b"HTTP/1.1 408 "), slow)
-            with mock.patch.object(exchange_server, "BODY_WITHIN", 0.2):
+            with mock.patch.object(exchange_server, "BODY_TIMEOUT_S", 0.2):
                 slow = await site.raw(self.HEAD % 500 + b"v=0")
             self.assertTrue(slow.startswith(b"HTTP/1.1 408 "), slow)
             self.assertEqual((await site.ask()).status, 201)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -511,8 +511,8 @@
                 plain = await site.raw(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
                 self.assertNotIn(b"HTTP/1.1 2", plain)
                 issue(folder / "ca", ["localhost"], folder / "door")
-                before = site.front.tls.stamp
-                await until(lambda: site.front.tls.stamp != before)
+                before = site.front.tls.file_state
+                await until(lambda: site.front.tls.file_state != before)
                 with self.assertRaises(RequestNotSent):
                     await connect("127.0.0.1", site.port, 1.0, context)
                 await (await connect("localhost", site.port, 1.0, context)).close()
