--- a/curlewshift/adapter/__init__.py
+++ b/curlewshift/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The wire of the bench on standard input and output: batches of events in, replies out."""
+"""Adapter to the bench's line protocol on standard input and output: reads batches of events, writes replies."""
--- a/curlewshift/adapter/__main__.py
+++ b/curlewshift/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""The bench's wire on standard input and output: `python -m curlewshift.adapter`."""
+"""Runs the adapter to the bench's line protocol on standard input and output: `python -m curlewshift.adapter`."""
 
 import sys
 
--- a/curlewshift/adapter/codec.py
+++ b/curlewshift/adapter/codec.py
@@ -1,4 +1,4 @@
-"""Text of the wire to plain values and back. No state and no decision."""
+"""Converts lines of the bench's protocol to plain values and back. Stateless."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from curlewshift.model import Outcome
 
-NS = 1_000_000
+NS_PER_MS = 1_000_000
 
 OUTCOMES = {
     "served": Outcome.PLAYED,
@@ -21,11 +21,11 @@
 
 
 class Malformed(Exception):
-    """A line that the wire does not allow; its text says what is wrong."""
+    """A line violates the protocol; the text says how."""
 
 
 class Fields:
-    """The named parts of one line, read by type."""
+    """The `name=value` fields of one line, with typed accessors. Each raises `Malformed`."""
 
     def __init__(self, kind: str, parts: list[str]):
         self.kind = kind
@@ -45,17 +45,17 @@
     def number(self, name: str, default: float | None = None) -> float:
         return self._read(name, default, float, "a number")
 
-    def whole(self, name: str, default: int | None = None) -> int:
+    def integer(self, name: str, default: int | None = None) -> int:
         return self._read(name, default, int, "a whole number")
 
-    def key(self, name: str) -> int:
+    def hex_key(self, name: str) -> int:
         return self._read(name, 0, lambda text: int(text, 16), "a key of hex digits")
 
     def time(self, name: str, default: float | None = None) -> int:
         value = self.number(name, default)
         if value != value or abs(value) > 1e15:
             raise Malformed(f"{self.kind}: {name} is no time")
-        return round(value * NS)
+        return round(value * NS_PER_MS)
 
     def flag(self, name: str) -> bool:
         return self.parts.get(name, "0") == "1"
@@ -73,11 +73,11 @@
 
 
 def fields_of(line: str) -> Fields:
-    """The parts of one event line; `up` is read apart, as its last part is text with anything in it."""
+    """Parses an event line. An `up` line is parsed separately, as its last field is free text. Raises `Malformed`."""
     head, _, rest = line.partition("\t")
     if head != "up":
         return Fields(head, rest.split("\t") if rest else [])
-    # the settings are text, which runs to the end of the line, tabs included
+    # boot_info extends to the end of the line, tabs included
     before, found, boot = ("\t" + rest).partition("\tboot_info=")
     fields = Fields(head, [part for part in before.split("\t") if part])
     if found:
@@ -86,7 +86,7 @@
 
 
 def load_of(fields: Fields, names: list[str]) -> dict[str, float]:
-    """The load report by name; values that are missing or no number are left out."""
+    """The load report by name; missing, non-numeric and out-of-range values are left out."""
     report = {}
     for name, value in zip(names, fields.parts.get("load", "").split(",")):
         try:
@@ -97,7 +97,7 @@
 
 
 def outcome_of(fields: Fields) -> Outcome:
-    """How an attempt ended, by the code of a `done` or `echo` line."""
+    """The outcome of an attempt, from the code of a `done` or `echo` line. Raises `Malformed`."""
     outcome = OUTCOMES.get(fields.text("code"))
     if outcome is None:
         raise Malformed(f"{fields.kind}: code={fields.text('code')!r} is no outcome")
@@ -105,12 +105,12 @@
 
 
 def time_text(ns: int) -> str:
-    """A time in nanoseconds as the milliseconds of the wire."""
-    return repr(ns / NS)
+    """Formats a time in nanoseconds as milliseconds."""
+    return repr(ns / NS_PER_MS)
 
 
 def boot_of(text: str) -> dict:
-    """The settings of an `up` line. Raises `Malformed`."""
+    """Parses the settings (`boot_info`) of an `up` line. Raises `Malformed`."""
     try:
         boot = json.loads(text)
     except ValueError as error:
--- a/curlewshift/adapter/loop.py
+++ b/curlewshift/adapter/loop.py
@@ -1,4 +1,4 @@
-"""The loop over batches, and one front for each instance that the bench runs."""
+"""The loop over batches of events, and one front for each instance that the bench runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Front:
-    """One instance: the objects behind the wire's ids, and the host that its rules act through."""
+    """One instance: maps ids of the protocol to objects, and implements the host interface that its rules act through."""
 
     def __init__(self, who: str, now: int, seed: int, boot: dict, reply: list[str]):
         self.who, self.clock, self.reply = who, now, reply
@@ -29,31 +29,31 @@
         return self.clock
 
     def tune_in(self, viewing, server, until):
-        self._act("issue", f"call={viewing.name}\tserver={server.name}\ttry_until_ms={time_text(until)}")
+        self._reply("issue", f"call={viewing.name}\tserver={server.name}\ttry_until_ms={time_text(until)}")
 
     def set_rung(self, viewing, rung):
-        self._act("set_level", f"call={viewing.name}\tgrade={rung}")
+        self._reply("set_level", f"call={viewing.name}\tgrade={rung}")
 
     def block(self, viewing, wait):
         self.viewings.pop(viewing.name, None)
-        self._act("not_now", f"call={viewing.name}\twait_ms={time_text(wait)}")
+        self._reply("not_now", f"call={viewing.name}\twait_ms={time_text(wait)}")
 
     def abort(self, viewing):
         self.viewings.pop(viewing.name, None)
-        self._act("surrender", f"call={viewing.name}")
+        self._reply("surrender", f"call={viewing.name}")
 
     def probe(self, server):
-        self._act("poll", f"server={server.name}")
+        self._reply("poll", f"server={server.name}")
 
     def wake(self, at):
-        self._act("arm", f"nonce=tick\tinstant_ms={time_text(at)}")
+        self._reply("arm", f"nonce=tick\tinstant_ms={time_text(at)}")
 
-    def _act(self, name, rest):
+    def _reply(self, name, rest):
         self.reply.append(f"{name}\twho={self.who}\t{rest}\n")
 
-    # ---- the wire's events
+    # ---- events of the protocol, dispatched by name
 
-    def take(self, fields: Fields, lists: dict[int, list[Fields]]) -> None:
+    def dispatch(self, fields: Fields, lists: dict[int, list[Fields]]) -> None:
         handler = getattr(self, "on_" + fields.kind, None)
         if handler is None:
             raise Malformed(f"unknown message {fields.kind!r}")
@@ -66,7 +66,7 @@
         kind = fields.text("kind")
         if kind == "Error":
             return
-        slot = fields.whole("slot")
+        slot = fields.integer("slot")
         if slot not in lists:
             raise Malformed(f"fleet: no list has number {slot}")
         named, lines = set(), []
@@ -89,14 +89,14 @@
         self.rules.handed_over(viewing, self.fleet.server(fields.text("server")))
 
     def on_begun(self, fields):
-        viewing = self.viewings.get(fields.whole("call"))
+        viewing = self.viewings.get(fields.integer("call"))
         if viewing is not None:
             self.rules.begun(viewing)
 
     def on_hint_update(self, fields):
-        viewing = self.viewings.get(fields.whole("call"))
+        viewing = self.viewings.get(fields.integer("call"))
         server = self.servers.get(fields.text("server"))
-        topic, level = fields.whole("topic"), fields.number("level")
+        topic, level = fields.integer("topic"), fields.number("level")
         if server is None:
             return
         if topic == 1:
@@ -109,13 +109,13 @@
             self.rules.uplink_told(server, level)
 
     def on_done(self, fields):
-        viewing = self.viewings.get(fields.whole("call"))
+        viewing = self.viewings.get(fields.integer("call"))
         outcome = outcome_of(fields)
         report = load_of(fields, self.report_names)
         server = self.servers.get(fields.text("server"))
         if server is not None and report:
             self._report(server, report)
-        if viewing is None or fields.whole("hop", 0) != max(viewing.tune_ins - 1, 0):
+        if viewing is None or fields.integer("hop", 0) != max(viewing.tune_ins - 1, 0):
             return
         closed = fields.flag("closed") or viewing.over
         if closed:
@@ -123,7 +123,7 @@
         self.rules.ended(viewing, outcome, closed)
 
     def on_lapsed(self, fields):
-        viewing = self.viewings.get(fields.whole("call"))
+        viewing = self.viewings.get(fields.integer("call"))
         if viewing is not None:
             self.rules.left(viewing)
             if viewing.server is None:
@@ -140,7 +140,7 @@
             self.rules.probed(server, outcome_of(fields))
 
     def on_message(self, fields):
-        """Fronts share nothing here: what another one says is not listened to."""
+        """Ignored, as fronts share no state in this adapter."""
 
     def _report(self, server, report):
         link, uplink = use_of(report)
@@ -156,9 +156,9 @@
         if package is None:
             raise Malformed(f"{fields.kind}: class={fields.text('class')!r} is not among the settings")
         return Viewing(
-            name=fields.whole("call"),
+            name=fields.integer("call"),
             title=fields.text("title", ""),
-            mark=fields.key("path_key"),
+            mark=fields.hex_key("path_key"),
             package=package,
             ceiling=int(fields.number("ceiling_rung", package.top)),
             asked_at=self.clock,
@@ -171,12 +171,16 @@
 
     def _listed(self, row: Fields) -> Server:
         return self.fleet.listed(
-            row.text("server"), row.whole("position", 0), row.text("rack_zone", ""), row.text("type", ""), row.number("heft", 1.0)
+            row.text("server"),
+            row.integer("position", 0),
+            row.text("rack_zone", ""),
+            row.text("type", ""),
+            row.number("heft", 1.0),
         )
 
 
 class Bench:
-    """All fronts of this process. They share nothing but the pipe."""
+    """All fronts of this process. They share only the input and output streams."""
 
     def __init__(self):
         self.fronts: dict[str, Front] = {}
@@ -185,13 +189,13 @@
         self.reply: list[str] = []
         self.now = 0
 
-    def take(self, fields: Fields) -> None:
+    def dispatch(self, fields: Fields) -> None:
         who = fields.text("who")
         if fields.kind == "up":
             self.failed.discard(who)
-            seed = fields.whole("nonce64", 0)
+            seed = fields.integer("nonce64", 0)
             boot = boot_of(fields.text("boot_info"))
-            self._guarded(who, lambda: self.fronts.__setitem__(who, Front(who, self.now, seed, boot, self.reply)))
+            self._run_guarded(who, lambda: self.fronts.__setitem__(who, Front(who, self.now, seed, boot, self.reply)))
             return
         front = self.fronts.get(who)
         if front is None:
@@ -203,14 +207,14 @@
             self.failed.add(who)
             return
         front.clock = self.now
-        self._guarded(who, lambda: front.take(fields, self.lists))
+        self._run_guarded(who, lambda: front.dispatch(fields, self.lists))
 
-    def _guarded(self, who, step):
+    def _run_guarded(self, who, step):
         try:
             step()
         except Malformed:
             raise
-        except Exception as error:  # the one door where a failed decision becomes a fault with its cause
+        except Exception as error:  # the only place where an exception of the rules becomes a `fault` reply with its cause
             traceback.print_exc()
             self.fronts.pop(who, None)
             self.failed.add(who)
@@ -218,8 +222,9 @@
 
 
 def serve(source, sink, errors) -> int:
-    """Reads batches from `source` and writes replies to `sink` until the input ends; returns the exit status."""
-    bench, rows_left, slot, inside = Bench(), 0, -1, False
+    """Reads batches from `source` and writes replies to `sink` until the input ends; returns the exit status: 0, or 2 after a
+    malformed line, which is named on `errors`."""
+    bench, rows_left, slot, in_batch = Bench(), 0, -1, False
     number = 0
     try:
         for raw in source:
@@ -228,19 +233,19 @@
             if not line:
                 continue
             if line == "over_to_you":
-                if not inside or rows_left:
+                if not in_batch or rows_left:
                     raise Malformed("over_to_you out of place")
-                inside = False
+                in_batch = False
                 sink.write("".join(bench.reply).encode() + b"finished\n")
                 sink.flush()
                 bench.reply.clear()
                 continue
             fields = fields_of(line)
             if fields.kind == "round":
-                if inside:
+                if in_batch:
                     raise Malformed("round before the last batch was closed")
-                inside, bench.now = True, fields.time("time_ms")
-            elif not inside:
+                in_batch, bench.now = True, fields.time("time_ms")
+            elif not in_batch:
                 raise Malformed(f"{fields.kind!r} outside a batch")
             elif rows_left:
                 if fields.kind != "m":
@@ -249,11 +254,11 @@
                 bench.lists[slot].append(fields)
                 rows_left -= 1
             elif fields.kind == "snapshot_rows":
-                slot, rows_left = fields.whole("slot"), fields.whole("items")
+                slot, rows_left = fields.integer("slot"), fields.integer("items")
                 bench.lists[slot] = []
             else:
-                bench.take(fields)
-        if inside:
+                bench.dispatch(fields)
+        if in_batch:
             raise Malformed("input ended inside a batch")
     except (Malformed, UnicodeDecodeError) as error:
         print(f"curlewshift: line {number}: {error}", file=errors)
--- a/curlewshift/logs.py
+++ b/curlewshift/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON line an event on standard error, by structlog, written by a thread of their own."""
+"""Structured logs: one line of JSON per event on standard error, by structlog, written in a background thread."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 import msgspec
 import structlog
 
-# Lines that wait for a slow reader or disk; what comes on top is counted and dropped, as answers must not wait.
-MOST_WAITING = 20_000
-# Lines of one event in one second: a flood of bad input must not become one of lines.
-MOST_OF_ONE = 50
+# Lines queued for a slow reader or disk; further lines are counted and dropped, as answers must not wait for the log.
+MAX_QUEUED_LINES = 20_000
+# Lines of the same event per second: a flood of invalid input must not flood the log.
+MAX_LINES_PER_EVENT = 50
 
 
-class Writer:
-    """The logger that structlog writes to. Each line goes out whole."""
+class BackgroundWriter:
+    """The logger that structlog writes to: queues lines, and writes each completely in a background thread."""
 
     def __init__(self, file):
-        self.file, self.lines, self.dropped = file, Queue(MOST_WAITING), 0
-        thread = threading.Thread(target=self._write, daemon=True)
+        self.file, self.lines, self.dropped = file, Queue(MAX_QUEUED_LINES), 0
+        thread = threading.Thread(target=self._run, daemon=True)
         thread.start()
-        atexit.register(self._rest)
+        atexit.register(self._write_remaining)
 
     def msg(self, line: bytes) -> None:
         try:
@@ -36,11 +36,11 @@
 
     debug = info = warning = error = msg
 
-    def _write(self) -> None:
+    def _run(self) -> None:
         while True:
-            self._out(self.lines.get())
+            self._write_line(self.lines.get())
 
-    def _out(self, line: bytes) -> None:
+    def _write_line(self, line: bytes) -> None:
         if self.dropped:
             count, self.dropped = self.dropped, 0
             self.file.write(b'{"event":"lines-dropped","count":%d}\n' % count)
@@ -48,16 +48,17 @@
         if self.lines.empty():
             self.file.flush()
 
-    def _rest(self) -> None:
+    def _write_remaining(self) -> None:
         while True:
             try:
-                self._out(self.lines.get_nowait())
+                self._write_line(self.lines.get_nowait())
             except Empty:
                 return
 
 
-class Held:
-    """Lets so many lines of each event through in a second; the first one after that says how many were held back."""
+class EventRateLimiter:
+    """A structlog processor that passes `MAX_LINES_PER_EVENT` lines of each event per second. The first line of a later second
+    has the numbers of suppressed lines as `held_back`."""
 
     def __init__(self, clock=time.monotonic):
         self.clock, self.second, self.counts = clock, 0, {}
@@ -65,19 +66,22 @@
     def __call__(self, logger, method, line: dict) -> dict:
         second = int(self.clock())
         if second != self.second:
-            held = {event: count - MOST_OF_ONE for event, count in self.counts.items() if count > MOST_OF_ONE}
+            suppressed = {
+                event: count - MAX_LINES_PER_EVENT for event, count in self.counts.items() if count > MAX_LINES_PER_EVENT
+            }
             self.second, self.counts = second, {}
-            if held:
-                line["held_back"] = held
+            if suppressed:
+                line["held_back"] = suppressed
         event = line["event"]
         self.counts[event] = self.counts.get(event, 0) + 1
-        if self.counts[event] > MOST_OF_ONE:
+        if self.counts[event] > MAX_LINES_PER_EVENT:
             raise structlog.DropEvent
         return line
 
 
-# The environment variable that names the least level that is written, and its words. Nothing is logged as critical: `off` is off.
-LEVEL_FROM = "CURLEWSHIFT_LOG_LEVEL"
+# The environment variable for the lowest level to be logged, and its values. No event has the level critical, so `off` disables
+# all.
+LEVEL_VARIABLE = "CURLEWSHIFT_LOG_LEVEL"
 LEVELS = {
     "debug": logging.DEBUG,
     "info": logging.INFO,
@@ -88,16 +92,16 @@
 
 
 def level() -> int:
-    """The lowest level that is logged, by the environment."""
-    return LEVELS.get(os.environ.get(LEVEL_FROM, "info").lower(), logging.INFO)
+    """The lowest level to be logged, from the environment; info by default."""
+    return LEVELS.get(os.environ.get(LEVEL_VARIABLE, "info").lower(), logging.INFO)
 
 
-def make_log(bounded: bool = False, **always):
-    """A logger whose lines all bear `always`; `bounded` where anybody may cause lines."""
+def make_log(bounded: bool = False, **fields):
+    """A logger that adds `fields` to all lines. `bounded` limits the rate of each event, for lines that clients can cause."""
     return structlog.wrap_logger(
-        Writer(sys.stderr.buffer),
+        BackgroundWriter(sys.stderr.buffer),
         processors=[
-            *([Held()] if bounded else []),
+            *([EventRateLimiter()] if bounded else []),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
@@ -105,4 +109,4 @@
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level()),
         cache_logger_on_first_use=True,
-    ).bind(**always)
+    ).bind(**fields)
--- a/curlewshift/running.py
+++ b/curlewshift/running.py
@@ -1,5 +1,7 @@
-"""Runs a program's main task to its end, and makes one plain line and exit 1 of what the machine refuses it. Called by commands
-and by the front node's own start; it imports nothing that either can do without."""
+"""Runs the main task of a program; an error of the operating system ends it with a line on standard error and exit status 1.
+
+Used by commands and by the start of the front node. It imports only what both need.
+"""
 
 from __future__ import annotations
 
@@ -7,15 +9,15 @@
 
 
 def run(task, *arguments):
-    """Runs a task in an event loop of its own; exits where it is interrupted or the system refuses."""
+    """Runs a task in an event loop of its own; exits with status 1 on an interrupt or an `OSError`."""
     import anyio
 
     try:
         return anyio.run(task, *arguments)
     except KeyboardInterrupt:
         sys.exit(1)
-    except OSError as wrong:
-        refuse(wrong, 1)
+    except OSError as error:
+        refuse(error, 1)
     except ExceptionGroup as group:
         known, rest = group.split(OSError)
         if rest is not None:
@@ -23,8 +25,8 @@
         refuse(known.exceptions, 1)
 
 
-def refuse(why, code: int) -> None:
-    """Each of `why` in a line of its own on standard error, and the end."""
-    for one in why if isinstance(why, tuple) else (why,):
-        print(f"curlewshift: {one}", file=sys.stderr)
+def refuse(errors, code: int) -> None:
+    """Prints the error, or each of a tuple of errors, on a line of standard error, and exits with `code`."""
+    for error in errors if isinstance(errors, tuple) else (errors,):
+        print(f"curlewshift: {error}", file=sys.stderr)
     sys.exit(code)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -33,9 +33,9 @@
     )
 
 
-class Wire(unittest.TestCase):
-    def test_a_viewing_from_query_to_end_with_late_events_for_it_ignored(self):
-        ran = run(
+class AdapterTest(unittest.TestCase):
+    def test_viewing_from_query_to_end_ignores_late_events(self):
+        completed = run(
             *START,
             "round\ttime_ms=20000",
             QUERY,
@@ -48,30 +48,30 @@
             "lapsed\twho=0\tcall=9",
             "over_to_you",
         )
-        self.assertEqual((ran.returncode, ran.stderr), (0, ""))
-        self.assertEqual(ran.stdout.count("finished\n"), 4)
-        self.assertIn("set_level\twho=0\tcall=9\tgrade=1\nissue\twho=0\tcall=9\tserver=h:1\t", ran.stdout)
+        self.assertEqual((completed.returncode, completed.stderr), (0, ""))
+        self.assertEqual(completed.stdout.count("finished\n"), 4)
+        self.assertIn("set_level\twho=0\tcall=9\tgrade=1\nissue\twho=0\tcall=9\tserver=h:1\t", completed.stdout)
 
-    def test_a_torn_down_instance_starts_anew_in_the_same_batch(self):
-        ran = run(*START, "round\ttime_ms=2000", "teardown\twho=0", *START[1:])
-        self.assertEqual((ran.returncode, ran.stdout.count("arm\t")), (0, 2))
+    def test_instance_restarts_in_the_batch_of_its_teardown(self):
+        completed = run(*START, "round\ttime_ms=2000", "teardown\twho=0", *START[1:])
+        self.assertEqual((completed.returncode, completed.stdout.count("arm\t")), (0, 2))
 
-    def test_a_malformed_line_is_named_and_ends_the_run(self):
-        for line, wrong in (
+    def test_malformed_line_is_reported_and_ends_the_run(self):
+        for line, expected in (
             (QUERY.replace("call=9", "call=nine"), "call='nine' is not a whole number"),
             ("query\twho=0\tcall", "is not name=value"),
             ("query\twho=0\tcall=9", "class is missing"),
             ("frob\twho=0", "unknown message 'frob'"),
         ):
-            ran = run(*START, "round\ttime_ms=20000", line, "over_to_you")
-            self.assertEqual((ran.returncode, ran.stdout.count("finished")), (2, 1), line)
-            self.assertIn("line 8: ", ran.stderr)
-            self.assertIn(wrong, ran.stderr)
+            completed = run(*START, "round\ttime_ms=20000", line, "over_to_you")
+            self.assertEqual((completed.returncode, completed.stdout.count("finished")), (2, 1), line)
+            self.assertIn("line 8: ", completed.stderr)
+            self.assertIn(expected, completed.stderr)
 
-    def test_a_decision_that_fails_becomes_one_fault_with_its_cause(self):
+    def test_exception_of_the_rules_becomes_one_fault_with_its_cause(self):
         broken = START[1].replace('"rung_kb": [100, 200]', '"rung_kb": ["x"]')
-        ran = run("round\ttime_ms=1", broken, *START[2:], "round\ttime_ms=2", "fired\twho=0\tnonce=tick", "over_to_you")
-        self.assertEqual((ran.returncode, ran.stdout.count("fault\twho=0\treason_text=TypeError: ")), (0, 1))
+        completed = run("round\ttime_ms=1", broken, *START[2:], "round\ttime_ms=2", "fired\twho=0\tnonce=tick", "over_to_you")
+        self.assertEqual((completed.returncode, completed.stdout.count("fault\twho=0\treason_text=TypeError: ")), (0, 1))
 
 
 if __name__ == "__main__":
