--- a/curlewshift/signalling/fragments.py
+++ b/curlewshift/signalling/fragments.py
@@ -53,7 +53,7 @@
         if equals != "=" or not kind.islower():
             raise InvalidDescription(number, f"expected letter=value, got {line[:40]!r}")
         if kind == "m":
-            # a pseudo "m=" line (RFC 8840, 9): its content is ignored, the attributes after it belong to the section
+            # a pseudo "m=" line: its content is ignored, the attributes after it belong to the section
             has_media_line = True
             parts.append(MediaSection(""))
             continue
