--- a/curlewshift/model_checker/__init__.py
+++ b/curlewshift/model_checker/__init__.py
@@ -1,1 +1,1 @@
-"""All that can happen to one viewing, in every order up to a depth, and the rules checked after each step."""
+"""Bounded model checkers: they run every order of events in a small model up to a depth, and check the rules after each step."""
--- a/curlewshift/model_checker/budget_checker.py
+++ b/curlewshift/model_checker/budget_checker.py
@@ -1,75 +1,76 @@
-"""All orders in which rights can be asked for, lent and used by three fronts that share one budget, and that no more is used.
+"""Model checker for loans: three fronts share one budget, and no order of events lets them use more than the budget.
 
-The loans are the program's own; around them lies a small world in whole ticks: messages that are lost, doubled, late and out
-of order, fronts that are killed and started again, and clocks at the bound of their drift. The world alone knows the true
-time, and counts uses by it. Called by `curlewshift walk --of budgets` and by tests.
+The fronts run the program's own `Loans` (rights: parts of a shared budget, held in escrow and lent between fronts). Around
+them is a model in whole ticks: messages are lost, duplicated, late and out of order, fronts are killed and restarted, and
+clocks run at the bounds of their drift. Only the model knows the true time, and it counts uses by it. Called by
+`curlewshift walk --of budgets` and by tests.
 """
 
 from __future__ import annotations
 
 from copy import copy
 
-from curlewshift.model_checker.explore import InvariantViolated, Walked, explore
+from curlewshift.model_checker.explore import ExplorationResult, InvariantViolated, explore
 from curlewshift.sharing.loans import Loans
 from curlewshift.sharing.terms import SharingTerms
 
-# A tick is four units of a true clock; a clock at the bound shows three or five.
+# A tick is four units of true time; a clock at the bounds of its drift advances by three or five units.
 UNITS, DRIFT = 4, 0.25
 TERMS = SharingTerms(term=4, drift=DRIFT, window=4, every=4, most_asks=1)
-# A window by the fastest clock, in true units: what each counts by its own is no shorter.
+# A window by the fastest clock, in true units. No front counts over a shorter window by its own clock.
 TRUE_WINDOW = TERMS.window / (1 + DRIFT)
 KEY = "k"
-# The one right is the first front's own, and is lent to the others. What is borrowed is never lent on and each part is lent
-# whole, so that what breaks between some lender and its borrowers breaks here.
+# The only right belongs to the first front, which lends it to the others. One lender is enough: borrowed rights are never
+# lent on and each part is lent in full, so a fault between any lender and its borrowers also occurs here.
 LENDER, RIGHTS = 0, 1
-# Messages under way; one more pushes the oldest out. None need be lost otherwise: one that never arrives is lost. All may
-# arrive again as long as they are under way.
-MOST_MESSAGES = 2
-# One step over as many ticks as a loan takes to return on the slowest clock, so that courses reach past it.
-LONG = -(-TERMS.back_after // 3)
-MOST_RESTARTS = 1
+# Messages in transit; a further one displaces the oldest. There is no other step for loss: a message that is never delivered
+# is lost. A message may be delivered repeatedly as long as it is in transit.
+MAX_MESSAGES = 2
+# Ticks until a loan has returned by the slowest clock. One step covers them all, so that traces of few steps reach past it.
+LONG_STEP_TICKS = -(-TERMS.back_after // 3)
+MAX_RESTARTS = 1
 
 
-class End:
-    """A front's outside. Its messages go into the world's network."""
+class LoansEnd:
+    """The driver of one front's loans; its messages go into the model's network."""
 
-    def __init__(self, world: BudgetWorld, number: int):
-        self.world, self.number = world, number
+    def __init__(self, model: BudgetModel, number: int):
+        self.model, self.number = model, number
 
     def now(self) -> int:
-        return self.world.clocks[self.number]
+        return self.model.clocks[self.number]
 
     def ask(self, lender: int, number: int, keys: list[str]) -> None:
-        self.world.send(("ask", self.number, lender, number, self.world.lives[self.number]))
+        self.model.send(("ask", self.number, lender, number, self.model.lives[self.number]))
 
     def lend(self, borrower: int, number: int, rights: list[tuple[str, int]]) -> None:
-        self.world.send(("lend", self.number, borrower, number, 0))
+        self.model.send(("lend", self.number, borrower, number, 0))
 
     def give_back(self, lender: int, number: int, key: str) -> None:
-        self.world.send(("back", self.number, lender, number, 0))
+        self.model.send(("back", self.number, lender, number, 0))
 
     def part(self, key: str) -> int:
         return RIGHTS if self.number == LENDER else 0
 
 
-class BudgetWorld:
-    """`rates` are units of each front's clock a tick."""
+class BudgetModel:
+    """`rates`: by how many units each front's clock advances in a tick."""
 
-    def __init__(self, rates: tuple[int, ...], loans: type[Loans] = Loans, messages: int = MOST_MESSAGES):
-        self.rates, self.kind, self.messages = rates, loans, messages
+    def __init__(self, rates: tuple[int, ...], loans: type[Loans] = Loans, max_messages: int = MAX_MESSAGES):
+        self.rates, self.loans_class, self.max_messages = rates, loans, max_messages
         self.tick = 0
-        # past the first silence, as if each had run for long
+        # as if each had been running for long: the silent period after a start is over
         self.clocks = [100] * len(rates)
         self.lives = [0] * len(rates)
         self.network: list[tuple] = []
         self.uses: list[tuple[int, int, int]] = []
         self.fronts: list[Loans] = []
         for number in range(len(rates)):
-            made = loans(End(self, number), number, TERMS)
-            made.quiet_until = 0
-            self.fronts.append(made)
+            front = loans(LoansEnd(self, number), number, TERMS)
+            front.quiet_until = 0
+            self.fronts.append(front)
 
-    def copied(self) -> BudgetWorld:
+    def clone(self) -> BudgetModel:
         other = copy(self)
         other.clocks, other.lives, other.network, other.uses = (
             list(self.clocks),
@@ -79,30 +80,30 @@
         )
         other.fronts = []
         for number, front in enumerate(self.fronts):
-            twin = copy(front)
-            twin.driver = End(other, number)
-            twin.steady = copy(front.steady)
-            twin.steady.due = front.steady.due
-            twin.lent, twin.wanted, twin.used, twin.out = (
+            front_copy = copy(front)
+            front_copy.driver = LoansEnd(other, number)
+            front_copy.steady = copy(front.steady)
+            front_copy.steady.due = front.steady.due
+            front_copy.lent, front_copy.wanted, front_copy.used, front_copy.out = (
                 dict(front.lent),
                 dict(front.wanted),
                 dict(front.used),
                 dict(front.out),
             )
-            twin.done = dict(front.done)
-            twin.borrowed = {key: dict(held) for key, held in front.borrowed.items()}
-            twin.numbers = copy(front.numbers)
-            other.fronts.append(twin)
+            front_copy.done = dict(front.done)
+            front_copy.borrowed = {key: dict(held) for key, held in front.borrowed.items()}
+            front_copy.numbers = copy(front.numbers)
+            other.fronts.append(front_copy)
         return other
 
     def state(self) -> tuple:
-        """What can still matter, relative to each front's own clock and to the true time."""
+        """All that still affects the future, relative to each front's own clock and to the true time."""
         fronts = []
         for front, now in zip(self.fronts, self.clocks):
             steady = front.steady.last
-            # what a borrower wants and has used is asked of nobody here
+            # a borrower here lends nothing, so that its own demand and use affect nobody
             until, *loan = front.lent.get(KEY, (0,))
-            lends = (
+            lender_state = (
                 (max(0, until - steady), tuple(loan) if until > steady else (), min(9, steady - front.used.get(KEY, -9)))
                 if front.me == LENDER
                 else ()
@@ -110,7 +111,7 @@
             fronts.append(
                 (
                     max(0, front.quiet_until - steady),
-                    lends,
+                    lender_state,
                     tuple(
                         sorted(
                             (lender, until - now, number)
@@ -119,11 +120,15 @@
                         )
                     ),
                     bool(front.done),
-                    tuple(sorted((now - ask[1], number) for number, ask in front.out.items() if now - ask[1] < TERMS.term)),
+                    tuple(
+                        sorted(
+                            (now - request[1], number) for number, request in front.out.items() if now - request[1] < TERMS.term
+                        )
+                    ),
                 )
             )
         recent = tuple(
-            sorted((self.tick - tick, who) for tick, who, clock in self.uses if (self.tick - tick) * UNITS < TRUE_WINDOW)
+            sorted((self.tick - tick, user) for tick, user, clock in self.uses if (self.tick - tick) * UNITS < TRUE_WINDOW)
         )
         return (
             tuple(fronts),
@@ -131,29 +136,29 @@
             recent,
             sum(self.lives),
             tuple(
-                sum(self.clocks[who] - clock < TERMS.window for _, one, clock in self.uses if one == who)
-                for who in range(len(self.rates))
+                sum(self.clocks[number] - clock < TERMS.window for _, user, clock in self.uses if user == number)
+                for number in range(len(self.rates))
             ),
         )
 
-    # ---- what can happen
+    # ---- possible steps
 
     def steps(self) -> list[tuple]:
-        found: list[tuple] = [("tick",), ("long",)]
+        steps: list[tuple] = [("tick",), ("long",)]
         for number in range(len(self.fronts)):
             if number != LENDER:
-                found.append(("want", number))
-            if self.may(number):
-                found.append(("use", number))
-            if sum(self.lives) < MOST_RESTARTS:
-                found.append(("restart", number))
-        return found + [("arrive", message) for message in self.network]
-
-    def take(self, step: tuple) -> None:
+                steps.append(("want", number))
+            if self.can_use(number):
+                steps.append(("use", number))
+            if sum(self.lives) < MAX_RESTARTS:
+                steps.append(("restart", number))
+        return steps + [("arrive", message) for message in self.network]
+
+    def apply(self, step: tuple) -> None:
         """Raises `InvariantViolated`."""
         kind = step[0]
         if kind in ("tick", "long"):
-            for _ in range(LONG if kind == "long" else 1):
+            for _ in range(LONG_STEP_TICKS if kind == "long" else 1):
                 self.tick += 1
                 for number, rate in enumerate(self.rates):
                     self.clocks[number] += rate
@@ -168,49 +173,53 @@
             self.lives[number] += 1
             self.fronts[number] = self.restarted(number)
         else:
-            what, sender, to, number, _ = step[1]
-            if what == "ask":
-                self.fronts[to].asked(sender, number, [KEY])
-            elif what == "lend":
-                self.fronts[to].lends(sender, number, [(KEY, RIGHTS)])
+            message_kind, sender, receiver, number, _ = step[1]
+            if message_kind == "ask":
+                self.fronts[receiver].asked(sender, number, [KEY])
+            elif message_kind == "lend":
+                self.fronts[receiver].lends(sender, number, [(KEY, RIGHTS)])
             else:
-                self.fronts[to].given_back(sender, number, KEY)
+                self.fronts[receiver].given_back(sender, number, KEY)
 
     def restarted(self, number: int) -> Loans:
-        # numbers of asks go on from another place in each life, as drawn ones do
-        return self.kind(End(self, number), number, TERMS, first_number=1000 * self.lives[number])
+        # Each life (run of a process) numbers its requests from another start, as random first numbers do.
+        return self.loans_class(LoansEnd(self, number), number, TERMS, first_number=1000 * self.lives[number])
 
     def send(self, message: tuple) -> None:
         if message not in self.network:
-            self.network = [*self.network, message][-self.messages :]
+            self.network = [*self.network, message][-self.max_messages :]
 
-    def may(self, number: int) -> bool:
-        """As the rules count: so many in the window by its own clock as there are parts in its hands."""
+    def can_use(self, number: int) -> bool:
+        """Whether the front's uses in the window of its own clock are below the rights that it may use, as the rules count."""
         now = self.clocks[number]
-        used = sum(now - clock < TERMS.window for _, who, clock in self.uses if who == number)
+        used = sum(now - clock < TERMS.window for _, user, clock in self.uses if user == number)
         return used < self.fronts[number].may_use(KEY)
 
     def use(self, number: int) -> None:
-        """All it may use at this moment."""
-        while self.may(number):
+        """Uses all that the front may use at present. Raises `InvariantViolated`."""
+        while self.can_use(number):
             self.fronts[number].uses(KEY)
             self.uses.append((self.tick, number, self.clocks[number]))
-        together = sum((self.tick - tick) * UNITS < TRUE_WINDOW for tick, _, _ in self.uses)
-        if together > RIGHTS:
-            raise InvariantViolated(f"{together} uses within one window of a budget of {RIGHTS}")
+        total = sum((self.tick - tick) * UNITS < TRUE_WINDOW for tick, _, _ in self.uses)
+        if total > RIGHTS:
+            raise InvariantViolated(f"{total} uses within one window of a budget of {RIGHTS}")
 
 
 def walk_budgets(
-    depth: int, rates: tuple[int, ...] = (3, 4, 5), loans: type[Loans] = Loans, most: int = 10**9, messages: int = MOST_MESSAGES
-) -> Walked:
-    return explore(BudgetWorld(rates, loans, messages), depth, most)
+    depth: int,
+    rates: tuple[int, ...] = (3, 4, 5),
+    loans: type[Loans] = Loans,
+    max_states: int = 10**9,
+    max_messages: int = MAX_MESSAGES,
+) -> ExplorationResult:
+    return explore(BudgetModel(rates, loans, max_messages), depth, max_states)
 
 
-# ---- planted faults: each has to give a shortest course that breaks the sum
+# ---- planted faults: for each the checker has to find a shortest trace that exceeds the budget
 
 
 class RightGivenTwice(Loans):
-    """Lends what it has lent already."""
+    """Lends rights that are lent already."""
 
     def asked(self, borrower, number, keys, life=0):
         self.lent.clear()
@@ -218,7 +227,7 @@
 
 
 class NoTerm(Loans):
-    """Keeps what it borrowed for ever."""
+    """Never returns borrowed rights: their term does not end."""
 
     def lends(self, lender, number, rights):
         super().lends(lender, number, rights)
@@ -228,10 +237,10 @@
 
 
 class RightsSurviveRestart(Loans):
-    """Takes its part for its own again at once, whatever an earlier life lent."""
+    """Uses its own part at once after a restart, although an earlier life may have lent it."""
 
-    def __init__(self, *arguments, **more):
-        super().__init__(*arguments, **more)
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self.quiet_until = 0
 
 
--- a/curlewshift/model_checker/explore.py
+++ b/curlewshift/model_checker/explore.py
@@ -1,5 +1,5 @@
-"""Walks a small world breadth first through all that can happen in it, each state once. Called by
-budget_checker.py and lease_checker.py."""
+"""Explores a model breadth first up to a depth, each state once, and checks its invariants after every step. Called by
+budget_checker.py, lease_checker.py and version_checker.py."""
 
 from __future__ import annotations
 
@@ -8,21 +8,23 @@
 
 
 class InvariantViolated(Exception):
-    """What must never be has come about."""
+    """A step led to a state that must not occur; the text says which invariant is broken."""
 
 
-class SmallWorld(Protocol):
-    """`state` is all that can still matter, relative to the present; `take` raises `InvariantViolated`."""
+class Model(Protocol):
+    """`steps` are the events that are possible in the present state. `apply` runs one; it raises `InvariantViolated`.
+    `state` holds everything that still affects the future, with times relative to the present."""
 
-    def copied(self) -> SmallWorld: ...
+    def clone(self) -> Model: ...
     def state(self) -> tuple: ...
     def steps(self) -> list[tuple]: ...
-    def take(self, step: tuple) -> None: ...
+    def apply(self, step: tuple) -> None: ...
 
 
 @dataclass
-class Walked:
-    """`cut_off`: there were more states than were to be looked at."""
+class ExplorationResult:
+    """`breach` is the violated invariant (empty if none), and `course` the steps that led to it. `cut_off`: the limit of
+    states was reached before the depth."""
 
     states: int
     steps: int
@@ -32,24 +34,24 @@
     cut_off: bool = False
 
 
-def explore(first: SmallWorld, depth: int, most: int = 10**9) -> Walked:
-    """To so many steps. A course that breaks something is a shortest one."""
-    seen, front, steps = {first.state()}, [(first, ())], 0
+def explore(initial: Model, depth: int, max_states: int = 10**9) -> ExplorationResult:
+    """Explores up to `depth` steps. As the search is breadth first, a trace that violates an invariant is a shortest one."""
+    seen, frontier, steps = {initial.state()}, [(initial, ())], 0
     for level in range(1, depth + 1):
-        after = []
-        for world, course in front:
-            for step in world.steps():
+        next_frontier = []
+        for model, trace in frontier:
+            for step in model.steps():
                 steps += 1
-                other = world.copied()
+                successor = model.clone()
                 try:
-                    other.take(step)
-                except InvariantViolated as broken:
-                    return Walked(len(seen), steps, level, str(broken), (*course, step))
-                state = other.state()
+                    successor.apply(step)
+                except InvariantViolated as violation:
+                    return ExplorationResult(len(seen), steps, level, str(violation), (*trace, step))
+                state = successor.state()
                 if state not in seen:
                     seen.add(state)
-                    after.append((other, (*course, step)))
-                    if len(seen) >= most:
-                        return Walked(len(seen), steps, level, cut_off=True)
-        front = after
-    return Walked(len(seen), steps, depth)
+                    next_frontier.append((successor, (*trace, step)))
+                    if len(seen) >= max_states:
+                        return ExplorationResult(len(seen), steps, level, cut_off=True)
+        frontier = next_frontier
+    return ExplorationResult(len(seen), steps, depth)
--- a/curlewshift/model_checker/lease_checker.py
+++ b/curlewshift/model_checker/lease_checker.py
@@ -1,9 +1,10 @@
-"""All orders in which two askers and three keepers of one lease can hear each other, and that two never hold it at once.
+"""Model checker for leases: two proposers and three acceptors of one lease, whose messages arrive in any order; the lease never
+has two holders at once.
 
-Askers and keepers are the program's own; the world has the true time and the words under way. A word that is never handed on
-is lost; an answer may be kept back and handed on later, or never; the last word of an earlier try may come in at any time, as
-often as it likes. Keepers are alike, so that states that differ only in which is which are one. Called by
-`curlewshift walk --of leases` and by tests.
+Proposers and acceptors are the program's own; the model has the true time and the messages in transit. A message that is never
+delivered is lost; an answer may be delayed and delivered later, or never; the last `propose` of an earlier attempt may arrive
+at any time, any number of times. Acceptors are interchangeable, so states that differ only in their order count as one. Called
+by `curlewshift walk --of leases` and by tests.
 """
 
 from __future__ import annotations
@@ -15,65 +16,69 @@
 from curlewshift.leases.ballots import NONE
 from curlewshift.leases.proposer import LeaseProposer, LeaseView
 from curlewshift.leases.terms import LeaseTerms
-from curlewshift.model_checker.explore import InvariantViolated, Walked, explore
+from curlewshift.model_checker.explore import ExplorationResult, InvariantViolated, explore
 
-# A tick is four units of a true clock; one at the bound shows three or five.
+# A tick is four units of true time; a clock at the bounds of its drift advances by three or five units.
 UNITS, DRIFT = 4, 0.25
 TERMS = LeaseTerms(term=8, drift=DRIFT, every=4)
 LEASE, ACCEPTORS, PROPOSERS = "l", 3, 2
-# One step over as many ticks as a keeper on the slowest clock keeps what it accepted.
-LONG = -(-TERMS.kept // 3)
-# Answers that are kept back, and restarts of keepers or askers in one course.
-MOST_BACK, MOST_RESTARTS = 1, 1
+# Ticks for which an acceptor keeps what it accepted, by the slowest clock; one step covers them all.
+LONG_STEP_TICKS = -(-TERMS.kept // 3)
+# Answers delayed at a time, and restarts of acceptors or proposers in one trace.
+MAX_DELAYED_ANSWERS, MAX_RESTARTS = 1, 1
 
 
 class ProposerEnd:
-    def __init__(self, world: LeaseWorld, number: int):
-        self.world, self.number = world, number
+    """The driver of one proposer; its requests go into the model."""
+
+    def __init__(self, model: LeaseModel, number: int):
+        self.model, self.number = model, number
 
     def now(self) -> int:
-        return self.world.clocks[self.number]
+        return self.model.clocks[self.number]
 
     def wall(self) -> int:
-        # a millisecond a tick: no clock of the walk is set back further than a keeper is silent for
-        return self.world.ticks * 1_000_000
+        # 1 ms a tick: no clock of the model is set back by more than an acceptor's silent period
+        return self.model.ticks * 1_000_000
 
     def prepare(self, acceptor, lease, ballot) -> None:
-        self.world.asks[self.number, acceptor] = ("prepare", ballot, 0)
+        self.model.requests[self.number, acceptor] = ("prepare", ballot, 0)
 
     def propose(self, acceptor, lease, ballot, fence) -> None:
-        self.world.asks[self.number, acceptor] = ("propose", ballot, fence)
-        self.world.stale[self.number] = ("propose", ballot, fence)
+        self.model.requests[self.number, acceptor] = ("propose", ballot, fence)
+        self.model.stale[self.number] = ("propose", ballot, fence)
 
     def release(self, acceptor, lease, ballot) -> None:
-        self.world.asks[self.number, acceptor] = ("released", ballot, 0)
+        self.model.requests[self.number, acceptor] = ("released", ballot, 0)
 
     def begins(self, lease, fence) -> None:
-        self.world.began(fence)
+        self.model.tenure_began(fence)
 
     def stops(self, lease, why) -> None:
         pass
 
 
 class AcceptorEnd:
-    def __init__(self, world: LeaseWorld, number: int):
-        self.world, self.number = world, number
+    """The driver of one acceptor; the model keeps its last answer."""
+
+    def __init__(self, model: LeaseModel, number: int):
+        self.model, self.number = model, number
 
     def now(self) -> int:
-        return self.world.clocks[PROPOSERS + self.number]
+        return self.model.clocks[PROPOSERS + self.number]
 
     def promise(self, proposer, lease, ballot, holder, of, fence) -> None:
-        self.world.answer = (proposer, "promise", (self.number, lease, ballot, holder, of, fence))
+        self.model.answer = (proposer, "promise", (self.number, lease, ballot, holder, of, fence))
 
     def accept(self, proposer, lease, ballot) -> None:
-        self.world.answer = (proposer, "accepted", (self.number, lease, ballot))
+        self.model.answer = (proposer, "accepted", (self.number, lease, ballot))
 
     def outbid(self, proposer, lease, ballot, by) -> None:
-        self.world.answer = (proposer, "outbid", (self.number, lease, ballot, by))
+        self.model.answer = (proposer, "outbid", (self.number, lease, ballot, by))
 
 
-class LeaseWorld:
-    """`rates`: units of the askers' clocks a tick, then of the keepers', which run alike."""
+class LeaseModel:
+    """`rates`: by how many units the clocks of the two proposers advance in a tick, then those of all acceptors."""
 
     def __init__(
         self,
@@ -83,146 +88,152 @@
         acceptors: int = ACCEPTORS,
     ):
         self.rates = (*rates[:2], *[rates[2]] * acceptors)
-        self.kinds, self.size = (proposer, acceptor), acceptors
+        self.classes, self.size = (proposer, acceptor), acceptors
         self.clocks = [1000] * (PROPOSERS + acceptors)
-        # the number of the latest tenure, and whether one came that was not higher
+        # the highest fence (fencing token: the number of a tenure) so far, and whether a later tenure's was not higher
         self.ticks, self.latest_fence, self.fence_fell = 0, 0, False
         self.lives, self.restarts = [1] * PROPOSERS, 0
-        self.asks: dict[tuple[int, int], tuple] = {}
+        self.requests: dict[tuple[int, int], tuple] = {}
         self.stale: dict[int, tuple] = {}
-        self.back: list[tuple] = []
+        self.delayed: list[tuple] = []
         self.answer: tuple | None = None
         self.proposers = [self._proposer(number) for number in range(PROPOSERS)]
         self.acceptors = []
         for number in range(acceptors):
-            made = acceptor(AcceptorEnd(self, number), TERMS)
-            # as if it had run for long
-            made.silent_until = 0
-            self.acceptors.append(made)
+            new_acceptor = acceptor(AcceptorEnd(self, number), TERMS)
+            # as if it had been running for long: the silent period after a start is over
+            new_acceptor.silent_until = 0
+            self.acceptors.append(new_acceptor)
 
     def _proposer(self, number: int) -> LeaseProposer:
-        made = self.kinds[0](ProposerEnd(self, number), number, self.lives[number], list(range(self.size)), TERMS, Random(1))
-        made.tries[LEASE] = LeaseView()
-        return made
+        proposer = self.classes[0](
+            ProposerEnd(self, number), number, self.lives[number], list(range(self.size)), TERMS, Random(1)
+        )
+        proposer.tries[LEASE] = LeaseView()
+        return proposer
 
-    def copied(self) -> LeaseWorld:
+    def clone(self) -> LeaseModel:
         other = copy(self)
-        other.clocks, other.lives, other.asks, other.stale, other.back = (
+        other.clocks, other.lives, other.requests, other.stale, other.delayed = (
             list(self.clocks),
             list(self.lives),
-            dict(self.asks),
+            dict(self.requests),
             dict(self.stale),
-            list(self.back),
+            list(self.delayed),
         )
         other.proposers, other.acceptors = [], []
         for number, proposer in enumerate(self.proposers):
-            twin = copy(proposer)
-            twin.driver = ProposerEnd(other, number)
-            # not into the dict that both still share: each state then went on with what its last neighbour had done
-            held = copy(proposer.tries[LEASE])
-            held.promised, held.accepted = dict(held.promised), set(held.accepted)
-            twin.tries = {LEASE: held}
-            other.proposers.append(twin)
+            proposer_copy = copy(proposer)
+            proposer_copy.driver = ProposerEnd(other, number)
+            # a new dict: if both copies shared it, a state would go on with what a sibling state had done
+            view = copy(proposer.tries[LEASE])
+            view.promised, view.accepted = dict(view.promised), set(view.accepted)
+            proposer_copy.tries = {LEASE: view}
+            other.proposers.append(proposer_copy)
         for number, acceptor in enumerate(self.acceptors):
-            twin = copy(acceptor)
-            twin.driver, twin.steady = AcceptorEnd(other, number), copy(acceptor.steady)
-            twin.leases = {lease: copy(kept) for lease, kept in acceptor.leases.items()}
-            other.acceptors.append(twin)
+            acceptor_copy = copy(acceptor)
+            acceptor_copy.driver, acceptor_copy.steady = AcceptorEnd(other, number), copy(acceptor.steady)
+            acceptor_copy.leases = {lease: copy(accepted) for lease, accepted in acceptor.leases.items()}
+            other.acceptors.append(acceptor_copy)
         return other
 
     def state(self) -> tuple:
         ballots = {NONE}
         for proposer in self.proposers:
-            held = proposer.tries[LEASE]
-            ballots |= {held.ballot, *(of for _, of in held.promised.values())}
+            view = proposer.tries[LEASE]
+            ballots |= {view.ballot, *(ballot for _, ballot in view.promised.values())}
         for acceptor in self.acceptors:
-            for kept in acceptor.leases.values():
-                ballots |= {kept.promised, kept.accepted}
-        ballots |= {ask[1] for ask in self.asks.values()} | {ask[1] for ask in self.stale.values()}
-        ballots |= {words[2] for _, _, words in self.back}
+            for accepted in acceptor.leases.values():
+                ballots |= {accepted.promised, accepted.accepted}
+        ballots |= {request[1] for request in self.requests.values()} | {request[1] for request in self.stale.values()}
+        ballots |= {args[2] for _, _, args in self.delayed}
         rank = {ballot: (index, ballot.front) for index, ballot in enumerate(sorted(ballots))}
 
         proposers = tuple(
             (
-                rank[held.ballot],
-                held.asked_at >= 0,
-                held.proposing,
-                held.renews,
-                max(0, held.until - now),
-                held.proposed_at - now if held.proposing else 0,
-                held.fence - self.ticks if held.until > now or held.proposing else 0,
+                rank[view.ballot],
+                view.asked_at >= 0,
+                view.proposing,
+                view.renews,
+                max(0, view.until - now),
+                view.proposed_at - now if view.proposing else 0,
+                view.fence - self.ticks if view.until > now or view.proposing else 0,
                 rank[self.stale[number][1]] if number in self.stale else (),
             )
-            for number, (held, now) in enumerate(
+            for number, (view, now) in enumerate(
                 (proposer.tries[LEASE], self.clocks[number]) for number, proposer in enumerate(self.proposers)
             )
         )
 
-        def of(acceptor: int) -> tuple:
-            """All that is known of one keeper, by anyone: keepers with the same are the same, so that their order says
-            nothing."""
-            one = self.acceptors[acceptor]
-            kept, steady = one.leases.get(LEASE), one.steady.last
+        def acceptor_state(index: int) -> tuple:
+            """All that anyone knows of one acceptor. Acceptors of which this is equal are interchangeable: their order does
+            not matter."""
+            acceptor = self.acceptors[index]
+            accepted, steady = acceptor.leases.get(LEASE), acceptor.steady.last
             own = (
-                (max(0, one.silent_until - steady),)
-                if kept is None
+                (max(0, acceptor.silent_until - steady),)
+                if accepted is None
                 else (
-                    max(0, one.silent_until - steady),
-                    rank[kept.promised],
-                    rank[kept.accepted],
-                    kept.holder,
-                    max(0, kept.until - steady),
-                    kept.fence - self.ticks,
+                    max(0, acceptor.silent_until - steady),
+                    rank[accepted.promised],
+                    rank[accepted.accepted],
+                    accepted.holder,
+                    max(0, accepted.until - steady),
+                    accepted.fence - self.ticks,
                 )
             )
-            heard = []
+            exchanged = []
             for number, proposer in enumerate(self.proposers):
-                held, ask = proposer.tries[LEASE], self.asks.get((number, acceptor))
-                told = held.promised.get(acceptor) if held.asked_at >= 0 and not held.proposing else None
-                heard.append(
+                view, request = proposer.tries[LEASE], self.requests.get((number, index))
+                promise = view.promised.get(index) if view.asked_at >= 0 and not view.proposing else None
+                exchanged.append(
                     (
-                        (told[0], rank[told[1]]) if told else (),
-                        held.proposing and acceptor in held.accepted,
-                        (ask[0], rank[ask[1]]) if ask else (),
+                        (promise[0], rank[promise[1]]) if promise else (),
+                        view.proposing and index in view.accepted,
+                        (request[0], rank[request[1]]) if request else (),
                     )
                 )
-            back = tuple(
+            delayed = tuple(
                 sorted(
-                    (to, what, rank[words[2]], words[3:5] if what == "promise" else ())
-                    for to, what, words in self.back
-                    if words[0] == acceptor
+                    (receiver, kind, rank[args[2]], args[3:5] if kind == "promise" else ())
+                    for receiver, kind, args in self.delayed
+                    if args[0] == index
                 )
             )
-            return own, tuple(heard), back
+            return own, tuple(exchanged), delayed
 
         return (
             proposers,
-            tuple(sorted((of(acceptor) for acceptor in range(self.size)), key=repr)),
+            tuple(sorted((acceptor_state(index) for index in range(self.size)), key=repr)),
             self.restarts,
             self.latest_fence - self.ticks,
         )
 
-    # ---- what can happen
+    # ---- possible steps
 
     def steps(self) -> list[tuple]:
-        found: list[tuple] = [("tick",), ("long",)]
+        """`ask`: a proposer begins an attempt. `trip`: a request and its answer are delivered; `half`: the request is, and the
+        answer is delayed until `answer`. `stale`: the last `propose` of an earlier attempt is delivered."""
+        steps: list[tuple] = [("tick",), ("long",)]
         for number, _proposer in enumerate(self.proposers):
-            found.append(("ask", number))
-        for number, acceptor in self.asks:
-            found.append(("trip", number, acceptor))
-            if len(self.back) < MOST_BACK:
-                found.append(("half", number, acceptor))
+            steps.append(("ask", number))
+        for number, acceptor in self.requests:
+            steps.append(("trip", number, acceptor))
+            if len(self.delayed) < MAX_DELAYED_ANSWERS:
+                steps.append(("half", number, acceptor))
         for number in self.stale:
-            found += [("stale", number, acceptor) for acceptor in range(self.size)]
-        found += [("answer", index) for index in range(len(self.back))]
-        if self.restarts < MOST_RESTARTS:
-            found += [("keeper", acceptor) for acceptor in range(self.size)] + [("asker", number) for number in range(PROPOSERS)]
-        return found
-
-    def take(self, step: tuple) -> None:
+            steps += [("stale", number, acceptor) for acceptor in range(self.size)]
+        steps += [("answer", index) for index in range(len(self.delayed))]
+        if self.restarts < MAX_RESTARTS:
+            steps += [("restart-acceptor", acceptor) for acceptor in range(self.size)] + [
+                ("restart-proposer", number) for number in range(PROPOSERS)
+            ]
+        return steps
+
+    def apply(self, step: tuple) -> None:
         kind = step[0]
         if kind in ("tick", "long"):
-            for _ in range(LONG if kind == "long" else 1):
+            for _ in range(LONG_STEP_TICKS if kind == "long" else 1):
                 self.ticks += 1
                 for number, rate in enumerate(self.rates):
                     self.clocks[number] += rate
@@ -233,88 +244,91 @@
             proposer.may_act(LEASE)
             proposer._ask(LEASE, proposer.tries[LEASE], proposer._now())
         elif kind in ("trip", "half"):
-            self._to_acceptor(step[1], step[2], self.asks.pop(step[1:]), kept_back=kind == "half")
+            self._to_acceptor(step[1], step[2], self.requests.pop(step[1:]), delay=kind == "half")
         elif kind == "stale":
-            self._to_acceptor(step[1], step[2], self.stale[step[1]], kept_back=False)
+            self._to_acceptor(step[1], step[2], self.stale[step[1]], delay=False)
         elif kind == "answer":
-            self._to_proposer(self.back.pop(step[1]))
-        elif kind == "keeper":
+            self._to_proposer(self.delayed.pop(step[1]))
+        elif kind == "restart-acceptor":
             self.restarts += 1
-            self.acceptors[step[1]] = self.kinds[1](AcceptorEnd(self, step[1]), TERMS)
+            self.acceptors[step[1]] = self.classes[1](AcceptorEnd(self, step[1]), TERMS)
         else:
             self.restarts += 1
             number = step[1]
             self.lives[number] += 1
-            self.asks = {key: ask for key, ask in self.asks.items() if key[0] != number}
+            self.requests = {key: request for key, request in self.requests.items() if key[0] != number}
             self.proposers[number] = self._proposer(number)
-            # tries of the new life go on above what it may have used: its ballots bear the life
-        self._look()
+            # ballots contain the life (run of a process), so those of the new life are above all that the old one used
+        self._check_invariants()
 
-    def _to_acceptor(self, number: int, acceptor: int, ask: tuple, kept_back: bool) -> None:
+    def _to_acceptor(self, number: int, acceptor: int, request: tuple, delay: bool) -> None:
+        """Delivers a request; its answer is delivered at once, or put among the delayed ones."""
         self.answer = None
-        what, ballot, fence = ask
-        if what == "propose":
+        kind, ballot, fence = request
+        if kind == "propose":
             self.acceptors[acceptor].propose(number, LEASE, ballot, fence)
         else:
-            getattr(self.acceptors[acceptor], what)(number, LEASE, ballot)
+            getattr(self.acceptors[acceptor], kind)(number, LEASE, ballot)
         if self.answer is not None:
-            if kept_back:
-                self.back.append(self.answer)
+            if delay:
+                self.delayed.append(self.answer)
             else:
                 self._to_proposer(self.answer)
 
     def _to_proposer(self, answer: tuple) -> None:
-        to, what, words = answer
-        getattr(self.proposers[to], what)(*words)
+        receiver, kind, args = answer
+        getattr(self.proposers[receiver], kind)(*args)
 
-    def began(self, fence: int) -> None:
+    def tenure_began(self, fence: int) -> None:
         self.fence_fell |= fence <= self.latest_fence
         self.latest_fence = max(self.latest_fence, fence)
 
-    def _look(self) -> None:
+    def _check_invariants(self) -> None:
         if self.fence_fell:
-            raise InvariantViolated("a later tenure's number is not higher")
+            raise InvariantViolated("the fence of a later tenure is not higher than that of an earlier one")
         holders = [number for number, proposer in enumerate(self.proposers) if proposer.may_act(LEASE)]
         if len(holders) > 1:
-            raise InvariantViolated("two hold the lease at once")
+            raise InvariantViolated("two proposers hold the lease at once")
 
 
-class LeaseRounds(LeaseWorld):
-    """The same world in larger steps: one step is a whole try, heard by some keepers when it prepares and by some when it
-    proposes. What this leaves out is that words of two tries cross; what it gains are courses of several tenures."""
+class LeaseRounds(LeaseModel):
+    """The same model in larger steps: one step is a complete attempt, in which some acceptors receive the `prepare` and some the
+    `propose`. So messages of two attempts are not interleaved, but a trace of the same length covers several tenures."""
 
     def steps(self) -> list[tuple]:
-        found: list[tuple] = [("tick",), ("long",)]
-        most = self.size // 2 + 1
+        steps: list[tuple] = [("tick",), ("long",)]
+        majority = self.size // 2 + 1
         for number in range(PROPOSERS):
-            for heard in subsets(self.size):
-                if len(heard) >= min(most, 2):
-                    found += [("try", number, heard, taken) for taken in subsets(self.size)]
+            for prepared in subsets(self.size):
+                if len(prepared) >= min(majority, 2):
+                    steps += [("try", number, prepared, proposed) for proposed in subsets(self.size)]
             if number in self.stale:
-                found += [("stale", number, acceptor) for acceptor in range(self.size)]
-        if self.restarts < MOST_RESTARTS:
-            found += [("keeper", acceptor) for acceptor in range(self.size)] + [("asker", number) for number in range(PROPOSERS)]
-        return found
-
-    def take(self, step: tuple) -> None:
+                steps += [("stale", number, acceptor) for acceptor in range(self.size)]
+        if self.restarts < MAX_RESTARTS:
+            steps += [("restart-acceptor", acceptor) for acceptor in range(self.size)] + [
+                ("restart-proposer", number) for number in range(PROPOSERS)
+            ]
+        return steps
+
+    def apply(self, step: tuple) -> None:
         if step[0] != "try":
-            super().take(step)
+            super().apply(step)
             return
-        _, number, heard, taken = step
+        _, number, prepared, proposed = step
         proposer = self.proposers[number]
         proposer.may_act(LEASE)
         proposer._ask(LEASE, proposer.tries[LEASE], proposer._now())
-        for hears in (heard, taken):
-            for acceptor in hears:
-                ask = self.asks.pop((number, acceptor), None)
-                if ask is not None:
-                    self._to_acceptor(number, acceptor, ask, kept_back=False)
-        self.asks = {key: ask for key, ask in self.asks.items() if key[0] != number}
-        self._look()
+        for reached in (prepared, proposed):
+            for acceptor in reached:
+                request = self.requests.pop((number, acceptor), None)
+                if request is not None:
+                    self._to_acceptor(number, acceptor, request, delay=False)
+        self.requests = {key: request for key, request in self.requests.items() if key[0] != number}
+        self._check_invariants()
 
 
 def subsets(size: int) -> list[tuple[int, ...]]:
-    return [tuple(one for one in range(size) if mask >> one & 1) for mask in range(1 << size)]
+    return [tuple(index for index in range(size) if mask >> index & 1) for mask in range(1 << size)]
 
 
 def walk_leases(
@@ -322,9 +336,9 @@
     rates: tuple[int, int, int] = (3, 4, 5),
     proposer: type[LeaseProposer] = LeaseProposer,
     acceptor: type[LeaseAcceptor] = LeaseAcceptor,
-    most: int = 10**9,
-) -> Walked:
-    return explore(LeaseWorld(rates, proposer, acceptor), depth, most)
+    max_states: int = 10**9,
+) -> ExplorationResult:
+    return explore(LeaseModel(rates, proposer, acceptor), depth, max_states)
 
 
 def walk_rounds(
@@ -332,7 +346,7 @@
     rates: tuple[int, int, int] = (3, 4, 5),
     proposer: type[LeaseProposer] = LeaseProposer,
     acceptor: type[LeaseAcceptor] = LeaseAcceptor,
-    most: int = 10**9,
+    max_states: int = 10**9,
     acceptors: int = ACCEPTORS,
-) -> Walked:
-    return explore(LeaseRounds(rates, proposer, acceptor, acceptors), depth, most)
+) -> ExplorationResult:
+    return explore(LeaseRounds(rates, proposer, acceptor, acceptors), depth, max_states)
--- a/curlewshift/model_checker/session_checker.py
+++ b/curlewshift/model_checker/session_checker.py
@@ -1,7 +1,8 @@
-"""Walks all courses of a small world up to a depth, and checks the rules after each step and at each end.
+"""Model checker for viewings: explores all traces of the model in world.py up to a depth, and checks the rules after each step
+and at each end.
 
-A course is a list of choices. Desk and rules hold closures, so that a world cannot be copied: each course is done again
-from the beginning, which a small world bears. Two courses that lead to the same world are walked on from once.
+A trace is a list of steps. Session core and rules hold closures, so that a model cannot be copied: each trace is run again from
+the beginning, which is affordable as the model is small. Where two traces lead to the same state, it is explored further once.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from hashlib import blake2b
 from random import Random
 
-from curlewshift.model_checker.world import Breach, World
+from curlewshift.model_checker.world import RuleViolated, World
 
 
 @dataclass(slots=True)
-class Walked:
-    """`states` are different worlds met, `ends` those that were settled; `breach` is the first one found, and `course`
-    what led to it."""
+class SearchResult:
+    """`states` is the number of distinct states, `ends` of those that were settled; `breach` is the first rule violation found
+    (empty if none), and `course` the steps that led to it."""
 
     depth: int = 0
     states: int = 0
@@ -27,51 +28,53 @@
     course: list[tuple] = field(default_factory=list)
 
 
-def done_again(make: Callable[[], World], course: list[tuple]) -> World:
+def replay_trace(make: Callable[[], World], trace: list[tuple]) -> World:
+    """The model after the steps of the trace. Raises `RuleViolated`."""
     world = make()
-    for choice in course:
+    for choice in trace:
         world.do(*choice)
     return world
 
 
-def walk(make: Callable[[], World], depth: int, settle_all: bool = False, most_states: int = 10**9) -> Walked:
-    """Breadth first, so that the shortest breach is found. Ends are settled at the full depth and where nothing can
-    happen any more, or at every state."""
-    walked = Walked(depth)
+def walk(make: Callable[[], World], depth: int, settle_all: bool = False, max_states: int = 10**9) -> SearchResult:
+    """Explores breadth first, so that a shortest trace to a violation is found. `World.settle` is run on the states at the full
+    depth and on those without possible steps, or on every state."""
+    result = SearchResult(depth)
     seen: set[bytes] = set()
-    level: list[list[tuple]] = [[]]
-    for deep in range(depth + 1):
-        following: list[list[tuple]] = []
-        for course in level:
+    frontier: list[list[tuple]] = [[]]
+    for level in range(depth + 1):
+        next_frontier: list[list[tuple]] = []
+        for trace in frontier:
             try:
-                world = done_again(make, course)
-            except Breach as breach:
-                walked.breach, walked.course = str(breach), course
-                return walked
-            walked.steps += len(course)
-            mark = blake2b(world.mark().encode(), digest_size=16).digest()
-            if mark in seen:
+                world = replay_trace(make, trace)
+            except RuleViolated as violation:
+                result.breach, result.course = str(violation), trace
+                return result
+            result.steps += len(trace)
+            state = blake2b(world.state_key().encode(), digest_size=16).digest()
+            if state in seen:
                 continue
-            seen.add(mark)
-            walked.states += 1
+            seen.add(state)
+            result.states += 1
             choices = world.choices()
-            following += [[*course, choice] for choice in choices]
-            if settle_all or deep == depth or not choices:
-                walked.ends += 1
+            next_frontier += [[*trace, choice] for choice in choices]
+            if settle_all or level == depth or not choices:
+                result.ends += 1
                 try:
                     world.settle()
-                except Breach as breach:
-                    walked.breach, walked.course = str(breach), [*course, ("and all settles",)]
-                    return walked
-            if walked.states >= most_states:
-                return walked
-        level = following
-    return walked
+                except RuleViolated as violation:
+                    result.breach, result.course = str(violation), [*trace, ("and all settles",)]
+                    return result
+            if result.states >= max_states:
+                return result
+        frontier = next_frontier
+    return result
 
 
 @dataclass(slots=True)
-class Crashed:
-    """`points` are kills tried, each followed by a start and by all that is out coming to its end."""
+class CrashResult:
+    """`points` is the number of kills tried, each followed by a restart and `World.settle`; `taken_up` the number of sessions
+    that the restarted fronts resumed."""
 
     runs: int = 0
     points: int = 0
@@ -80,32 +83,32 @@
     course: list[tuple] = field(default_factory=list)
 
 
-def crash_points(make: Callable[[], World], runs: int, length: int, seed: int = 1) -> Crashed:
-    """Longer courses drawn by chance, and in each of them a kill after every step, once with all that was written on
-    the disk and once without what was not flushed."""
-    crashed, rng = Crashed(), Random(seed)
+def crash_points(make: Callable[[], World], runs: int, length: int, seed: int = 1) -> CrashResult:
+    """Runs longer random traces, and kills the front after each step of each of them, once with every record that was written
+    on the disk and once without those that were not flushed."""
+    result, rng = CrashResult(), Random(seed)
     for _ in range(runs):
-        crashed.runs += 1
-        course: list[tuple] = []
+        result.runs += 1
+        trace: list[tuple] = []
         try:
             world = make()
-            while len(course) < length:
+            while len(trace) < length:
                 choices = [choice for choice in world.choices() if not choice[0].startswith("the front is killed")]
                 if not choices:
                     break
-                course.append(rng.choice(choices))
-                world.do(*course[-1])
-            for after in range(len(course) + 1):
-                for behind in (False, True):
-                    crashed.points += 1
-                    crashed.course = [*course[:after], ("killed here", "its disk behind" if behind else "")]
-                    world = done_again(make, course[:after])
+                trace.append(rng.choice(choices))
+                world.do(*trace[-1])
+            for length_before in range(len(trace) + 1):
+                for unflushed_lost in (False, True):
+                    result.points += 1
+                    result.course = [*trace[:length_before], ("killed here", "unflushed records lost" if unflushed_lost else "")]
+                    world = replay_trace(make, trace[:length_before])
                     if world.front is not None:
-                        world.kill(behind)
+                        world.kill(unflushed_lost)
                     world.settle()
-                    crashed.taken_up += world.front.recovery.kept + world.front.recovery.found
-        except Breach as breach:
-            crashed.breach, crashed.course = str(breach), crashed.course or course
-            return crashed
-    crashed.course = []
-    return crashed
+                    result.taken_up += world.front.recovery.kept + world.front.recovery.found
+        except RuleViolated as violation:
+            result.breach, result.course = str(violation), result.course or trace
+            return result
+    result.course = []
+    return result
--- a/curlewshift/model_checker/version_checker.py
+++ b/curlewshift/model_checker/version_checker.py
@@ -1,10 +1,10 @@
-"""All orders in which two writers, three stores and two nodes can hear of versions, and that there is one chain of them.
+"""Model checker for versions of the configuration: two writers, three stores and two nodes, whose messages arrive in any order;
+the versions always form one chain.
 
-Writers, stores and nodes' copies are the program's own. Words of a writer to a store wait in a slot by their kind: one that is
-never handed on is lost, an answer may be kept back, the last take of an earlier try may come in at any time, as often as it
-likes; what has been told may reach a node in any order and again, and with a content that is not its own. Both writers may hold
-the lease, and even one number of it.
-Called by `curlewshift walk --of versions` and by tests.
+Writers, stores and the nodes' copies are the program's own. Requests of a writer to a store are kept one of each kind: one that
+is never delivered is lost, an answer may be delayed, and the last `take` of an earlier attempt may arrive at any time, any
+number of times. An announced version may reach a node in any order, repeatedly, and with corrupt content. Both writers may
+hold the lease at once, even with the same fence (fencing token). Called by `curlewshift walk --of versions` and by tests.
 """
 
 from __future__ import annotations
@@ -17,93 +17,99 @@
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import Version, digest_of
 from curlewshift.distribution.writer import Writer
-from curlewshift.model_checker.explore import InvariantViolated, Walked, explore
+from curlewshift.model_checker.explore import ExplorationResult, InvariantViolated, explore
 
 STORES, WRITERS, NODES = ("a", "b", "c"), 2, 2
-# Due at once, whenever the walk has it so: time is a choice here.
+# Resends are due at once: when they happen is a step that the checker chooses, and no clock decides it.
 TERMS = DistributionTerms(STORES, again=0)
-# In one course: tenures, changes asked for, restarts of anyone, records lost (a majority of the stores keeps its own), answers
-# kept back.
-MOST_TENURES, MOST_PUTS, MOST_RESTARTS, MOST_LOST, MOST_BACK = 3, 3, 1, 1, 1
-# Words of one round between a writer and the stores that hear it, in the larger steps.
-MOST_WORDS = 12
-# How much more often than others a kind of step comes in long courses.
+# In one trace: tenures, changes requested, restarts of any process, records lost (a majority of the stores keeps its own);
+# and answers delayed at a time.
+MAX_TENURES, MAX_PUTS, MAX_RESTARTS, MAX_LOST, MAX_DELAYED_ANSWERS = 3, 3, 1, 1, 1
+# Requests that are delivered in one round between a writer and the stores it reaches, in the larger steps.
+MAX_ROUND_MESSAGES = 12
+# How much more often than the others (1) a kind of step is chosen in random traces.
 WEIGHTS = {"trip": 12, "round": 8, "half": 3, "answer": 3, "again": 4, "put": 2, "tell": 2}
 
 
-class Numbers:
-    """Records' numbers, small ones."""
+class SequentialNumbers:
+    """Numbers records 1, 2, 3 and so on, in place of a random generator."""
 
-    def __init__(self, world: VersionWorld):
-        self.world = world
+    def __init__(self, model: VersionModel):
+        self.model = model
 
     def getrandbits(self, _: int) -> int:
-        self.world.records += 1
-        return self.world.records
+        self.model.records += 1
+        return self.model.records
 
 
 class WriterEnd:
-    def __init__(self, world: VersionWorld, number: int):
-        self.world, self.number = world, number
+    """The driver of one writer; its requests go into the model."""
+
+    def __init__(self, model: VersionModel, number: int):
+        self.model, self.number = model, number
 
     def now(self) -> int:
         return 0
 
     def fence(self) -> int:
-        return self.world.fences[self.number]
+        return self.model.fences[self.number]
 
     def prepare(self, store, ballot) -> None:
-        self.world.words[self.number, store, "prepare"] = (ballot,)
+        self.model.requests[self.number, store, "prepare"] = (ballot,)
 
     def take(self, store, ballot, record, version) -> None:
-        self.world.words[self.number, store, "take"] = (ballot, record, version)
-        self.world.stale[self.number, store] = (ballot, record, version)
+        self.model.requests[self.number, store, "take"] = (ballot, record, version)
+        self.model.stale[self.number, store] = (ballot, record, version)
 
     def note(self, store, ballot, record, of, noted) -> None:
-        self.world.words[self.number, store, "note"] = (ballot, record, of, noted)
+        self.model.requests[self.number, store, "note"] = (ballot, record, of, noted)
 
     def enter(self, store, ballot, record, noted, version, founding) -> None:
-        self.world.words[self.number, store, "enter"] = (ballot, record, noted, version, founding)
+        self.model.requests[self.number, store, "enter"] = (ballot, record, noted, version, founding)
 
     def content_of(self, version) -> bytes | None:
-        return self.world.contents.get(version.digest)
+        return self.model.contents.get(version.digest)
 
     def hold_content(self, content) -> None:
-        self.world.contents[digest_of(content)] = content
+        self.model.contents[digest_of(content)] = content
 
     def fetch_for_writer(self, version, stores) -> None:
         pass
 
     def chosen(self, version) -> None:
-        self.world.tells(version)
+        self.model.announce(version)
 
 
 class StoreEnd:
-    def __init__(self, world: VersionWorld, name: str):
-        self.world, self.name = world, name
+    """The driver of one store; the model keeps its last answer."""
+
+    def __init__(self, model: VersionModel, name: str):
+        self.model, self.name = model, name
 
     def keep_vote(self, data: bytes) -> None:
-        self.world.kept(self.name, data)
+        self.model.record_written(self.name, data)
 
     def content_of(self, version) -> bytes | None:
-        return self.world.contents.get(version.digest)
+        return self.model.contents.get(version.digest)
 
     def fetch_for_store(self, version, writer) -> None:
         pass
 
     def stands(self, writer, ballot, stand) -> None:
-        self.world.answer = (int(writer), "stands", (self.name, ballot, stand))
+        self.model.answer = (int(writer), "stands", (self.name, ballot, stand))
 
     def outbid(self, writer, ballot, promised) -> None:
-        self.world.answer = (int(writer), "outbid", (ballot, promised))
+        self.model.answer = (int(writer), "outbid", (ballot, promised))
 
     def vote_lost(self, what, why) -> None:
         raise AssertionError(what)
 
 
 class NodeEnd:
-    def __init__(self, world: VersionWorld, number: int):
-        self.world, self.number = world, number
+    """The driver of one node's copy of the configuration."""
+
+    def __init__(self, model: VersionModel, number: int):
+        self.model, self.number = model, number
 
     def now(self) -> int:
         return 0
@@ -112,93 +118,97 @@
         return None
 
     def take_configuration(self, text, content) -> str | None:
-        self.world.in_force(self.number, text, content)
+        self.model.in_force(self.number, text, content)
         return None
 
     def keep_configuration(self, data) -> None:
-        self.world.disks[self.number] = data
+        self.model.disks[self.number] = data
 
     def __getattr__(self, name: str):
-        # its log
+        # the events that it logs
         return lambda *_: None
 
 
-class VersionWorld:
-    tenures_most, puts_most, restarts_most, lost_most = MOST_TENURES, MOST_PUTS, MOST_RESTARTS, MOST_LOST
+class VersionModel:
+    """With `blank` the stores begin blank (they have no record yet, and do not vote); otherwise they are founded. Answers are
+    kept as (writer, message, arguments); `delayed` are those still to be delivered."""
+
+    max_tenures, max_puts, max_restarts, max_lost = MAX_TENURES, MAX_PUTS, MAX_RESTARTS, MAX_LOST
 
     def __init__(self, writer: type[Writer] = Writer, store: type[Store] = Store, node: type[Copy] = Copy, blank: bool = False):
-        self.kinds = (writer, store, node)
+        self.classes = (writer, store, node)
         self.fences, self.latest_fence, self.lives = [0] * WRITERS, 0, [1] * WRITERS
         self.tenures = self.puts = self.restarts = self.lost = self.records = 0
-        self.words: dict[tuple, tuple] = {}
+        self.requests: dict[tuple, tuple] = {}
         self.stale: dict[tuple, tuple] = {}
-        self.back: list[tuple] = []
+        self.delayed: list[tuple] = []
         self.answer: tuple | None = None
         self.contents: dict[bytes, bytes] = {}
         self.bases: dict[bytes, str] = {}
-        self.numbers: dict[tuple[int, int], Version] = {}
+        self.version_by_number: dict[tuple[int, int], Version] = {}
         self.votes: dict[tuple, frozenset[str]] = {}
         self.chosen: dict[tuple[int, int], Version] = {}
-        self.told: dict[Version, None] = {}
-        self.wrong = ""
-        self.records_kept: dict[str, bytes | None] = dict.fromkeys(STORES)
+        self.announced: dict[Version, None] = {}
+        self.violation = ""
+        self.stored_records: dict[str, bytes | None] = dict.fromkeys(STORES)
         self.disks: list[bytes | None] = [None] * NODES
-        self.floors: list[tuple[int, int]] = [(0, 0)] * NODES
+        self.last_in_force: list[tuple[int, int]] = [(0, 0)] * NODES
         self.writers = [self._writer(number) for number in range(WRITERS)]
-        self.stores = {name: store(StoreEnd(self, name), None, Numbers(self)) for name in STORES}
+        self.stores = {name: store(StoreEnd(self, name), None, SequentialNumbers(self)) for name in STORES}
         self.nodes = [node(NodeEnd(self, number)) for number in range(NODES)]
         if not blank:
-            self._founded()
+            self._found_stores()
 
     def _writer(self, number: int) -> Writer:
-        return self.kinds[0](WriterEnd(self, number), str(number), self.lives[number], TERMS)
+        return self.classes[0](WriterEnd(self, number), str(number), self.lives[number], TERMS)
 
-    def _founded(self) -> None:
-        """As after a writer's first round in which nothing was made; from blank stores it is walked besides."""
+    def _found_stores(self) -> None:
+        """Puts the stores in the state after a writer's first round that made no version. The checker also starts from blank
+        stores."""
         noted = {name: (0, 1, store.number) for name, store in self.stores.items()}
         for store in self.stores.values():
             store._keep(blank=False, noted=noted)
 
-    def copied(self) -> VersionWorld:
+    def clone(self) -> VersionModel:
         other = copy(self)
         for name in (
             "fences",
             "lives",
-            "words",
+            "requests",
             "stale",
-            "back",
+            "delayed",
             "contents",
             "bases",
-            "numbers",
+            "version_by_number",
             "votes",
             "chosen",
-            "told",
-            "records_kept",
+            "announced",
+            "stored_records",
             "disks",
-            "floors",
+            "last_in_force",
         ):
             setattr(other, name, copy(getattr(self, name)))
         other.writers = []
         for number, writer in enumerate(self.writers):
-            twin = copy(writer)
-            twin.driver = WriterEnd(other, number)
+            writer_copy = copy(writer)
+            writer_copy.driver = WriterEnd(other, number)
             if writer.tenure is not None:
-                tenure = twin.tenure = copy(writer.tenure)
+                tenure = writer_copy.tenure = copy(writer.tenure)
                 for name in ("stands", "answered", "votes", "letting"):
                     setattr(tenure, name, copy(getattr(tenure, name)))
             if writer.wanted is not None:
-                twin.wanted = copy(writer.wanted)
-                twin.wanted.done = other.done
-            other.writers.append(twin)
+                writer_copy.wanted = copy(writer.wanted)
+                writer_copy.wanted.done = other.put_answered
+            other.writers.append(writer_copy)
         other.stores = {}
         for name, store in self.stores.items():
-            twin = other.stores[name] = copy(store)
-            twin.driver = StoreEnd(other, name)
+            store_copy = other.stores[name] = copy(store)
+            store_copy.driver = StoreEnd(other, name)
         other.nodes = []
         for number, node in enumerate(self.nodes):
-            twin = copy(node)
-            twin.driver, twin.refused = NodeEnd(other, number), dict(node.refused)
-            other.nodes.append(twin)
+            node_copy = copy(node)
+            node_copy.driver, node_copy.refused = NodeEnd(other, number), dict(node.refused)
+            other.nodes.append(node_copy)
         return other
 
     def state(self) -> tuple:
@@ -234,16 +244,16 @@
             )
             for store in self.stores.values()
         )
-        # nodes are alike
+        # nodes are interchangeable
         nodes = tuple(sorted((node.held, node.newest, disk is None) for node, disk in zip(self.nodes, self.disks)))
         return (
             writers,
             stores,
             nodes,
-            tuple(sorted((key, repr(words)) for key, words in self.words.items())),
-            tuple(sorted((key, repr(words)) for key, words in self.stale.items())),
-            tuple(sorted(map(repr, self.back))),
-            tuple(sorted(self.told)),
+            tuple(sorted((key, repr(args)) for key, args in self.requests.items())),
+            tuple(sorted((key, repr(args)) for key, args in self.stale.items())),
+            tuple(sorted(map(repr, self.delayed))),
+            tuple(sorted(self.announced)),
             tuple(sorted(self.bases.items())),
             tuple(sorted((key, tuple(sorted(held))) for key, held in self.votes.items())),
             self.latest_fence,
@@ -260,48 +270,53 @@
         put = writer.wanted
         return () if put is None else (put.content, put.base, put.version)
 
-    # ---- what can happen
+    # ---- possible steps
 
     def steps(self) -> list[tuple]:
-        found: list[tuple] = [("again", number) for number in range(WRITERS) if self.fences[number]]
-        found += [("trip", *key) for key in self.words]
-        if len(self.back) < MOST_BACK:
-            found += [("half", *key) for key in self.words]
-        found += [("stale", *key) for key in self.stale]
-        found += [("answer", index) for index in range(len(self.back))]
-        return found + self._rare()
-
-    def _rare(self) -> list[tuple]:
-        found: list[tuple] = []
+        """`again`: a writer resends. `trip`: a request and its answer are delivered; `half`: the request is, and the answer is
+        delayed until `answer`. `stale`: the last `take` of an earlier attempt is delivered."""
+        steps: list[tuple] = [("again", number) for number in range(WRITERS) if self.fences[number]]
+        steps += [("trip", *key) for key in self.requests]
+        if len(self.delayed) < MAX_DELAYED_ANSWERS:
+            steps += [("half", *key) for key in self.requests]
+        steps += [("stale", *key) for key in self.stale]
+        steps += [("answer", index) for index in range(len(self.delayed))]
+        return steps + self._rare_steps()
+
+    def _rare_steps(self) -> list[tuple]:
+        """`tenure`: a writer gets the lease; `same`: with the fence that the other one has. `put`: a change is requested. `tell`
+        and `spoilt`: a version reaches a node, with its content and with a corrupt one. `writer`, `store`, `node`: a restart.
+        `lost`: a store loses its record."""
+        steps: list[tuple] = []
         for number in range(WRITERS):
-            if self.tenures < self.tenures_most:
-                found.append(("tenure", number))
+            if self.tenures < self.max_tenures:
+                steps.append(("tenure", number))
                 if self.latest_fence and self.fences[number] != self.latest_fence:
-                    found.append(("same", number))
-            if self.puts < self.puts_most and self.fences[number] and self.writers[number].wanted is None:
-                found.append(("put", number))
-            if self.restarts < self.restarts_most and self.fences[number]:
-                found.append(("writer", number))
-        for version in self.told:
-            found += [(kind, number, version) for number in range(NODES) for kind in ("tell", "spoilt")]
-        if self.restarts < self.restarts_most:
-            found += [("store", name) for name in STORES]
-            found += [("node", number) for number in range(NODES) if self.disks[number] is not None]
-        # a majority of the stores keeps its own records: more is the end of them
-        if self.lost < self.lost_most and all(self.records_kept.values()):
-            found += [("lost", name) for name in STORES]
-        return found
-
-    def take(self, step: tuple) -> None:
+                    steps.append(("same", number))
+            if self.puts < self.max_puts and self.fences[number] and self.writers[number].wanted is None:
+                steps.append(("put", number))
+            if self.restarts < self.max_restarts and self.fences[number]:
+                steps.append(("writer", number))
+        for version in self.announced:
+            steps += [(kind, number, version) for number in range(NODES) for kind in ("tell", "spoilt")]
+        if self.restarts < self.max_restarts:
+            steps += [("store", name) for name in STORES]
+            steps += [("node", number) for number in range(NODES) if self.disks[number] is not None]
+        # only while every store has its record: the versions do not survive the loss of a majority of the records
+        if self.lost < self.max_lost and all(self.stored_records.values()):
+            steps += [("lost", name) for name in STORES]
+        return steps
+
+    def apply(self, step: tuple) -> None:
         kind = step[0]
         if kind == "again":
             self.writers[step[1]].time()
         elif kind in ("trip", "half"):
-            self._hand_on(step[1:], self.words.pop(step[1:]), kept_back=kind == "half")
+            self._deliver(step[1:], self.requests.pop(step[1:]), delay=kind == "half")
         elif kind == "stale":
-            self._hand_on((*step[1:], "take"), self.stale[step[1:]], kept_back=False)
+            self._deliver((*step[1:], "take"), self.stale[step[1:]], delay=False)
         elif kind == "answer":
-            self._answer(self.back.pop(step[1]))
+            self._deliver_answer(self.delayed.pop(step[1]))
         elif kind in ("tenure", "same"):
             self.tenures += 1
             self.latest_fence += kind == "tenure"
@@ -314,31 +329,31 @@
             self.nodes[step[1]].got(step[2], self.contents[step[2].digest] if kind == "tell" else b"spoilt on its way")
         else:
             self._restart(kind, step[1])
-        if self.wrong:
-            raise InvariantViolated(self.wrong)
+        if self.violation:
+            raise InvariantViolated(self.violation)
 
-    def _hand_on(self, key: tuple, words: tuple, kept_back: bool) -> None:
+    def _deliver(self, key: tuple, args: tuple, delay: bool) -> None:
         number, store, kind = key
         self.answer = None
-        getattr(self.stores[store], kind)(str(number), *words)
+        getattr(self.stores[store], kind)(str(number), *args)
         if self.answer is not None:
-            if kept_back:
-                self.back.append(self.answer)
+            if delay:
+                self.delayed.append(self.answer)
             else:
-                self._answer(self.answer)
+                self._deliver_answer(self.answer)
 
-    def _answer(self, answer: tuple) -> None:
-        to, what, words = answer
-        getattr(self.writers[to], what)(*words)
+    def _deliver_answer(self, answer: tuple) -> None:
+        receiver, kind, args = answer
+        getattr(self.writers[receiver], kind)(*args)
 
     def _put(self, number: int) -> None:
-        """Upon what was told last, as the operator sees it."""
+        """Requests a change based on the newest announced version, which is the one that an operator sees."""
         self.puts += 1
         content = b"content %d" % self.puts
-        base = max(self.told, key=lambda version: version.number).text if self.told else "file"
+        base = max(self.announced, key=lambda version: version.number).text if self.announced else "file"
         self.bases[content] = base
         self.contents[digest_of(content)] = content
-        self.writers[number].put(content, base, 1, self.done)
+        self.writers[number].put(content, base, 1, self.put_answered)
 
     def _restart(self, kind: str, which) -> None:
         if kind == "writer":
@@ -346,100 +361,100 @@
             self.lives[which] += 1
             self.fences[which] = 0
             self.writers[which] = self._writer(which)
-            self.back = [answer for answer in self.back if answer[0] != which]
+            self.delayed = [answer for answer in self.delayed if answer[0] != which]
         elif kind == "node":
             self.restarts += 1
-            node = self.nodes[which] = self.kinds[2](NodeEnd(self, which))
+            node = self.nodes[which] = self.classes[2](NodeEnd(self, which))
             node.start(self.disks[which])
         elif kind == "store":
             self.restarts += 1
-            self.stores[which] = self.kinds[1](StoreEnd(self, which), self.records_kept[which], Numbers(self))
+            self.stores[which] = self.classes[1](StoreEnd(self, which), self.stored_records[which], SequentialNumbers(self))
         else:
             self.lost += 1
-            self.records_kept[which] = None
-            self.stores[which] = self.kinds[1](StoreEnd(self, which), None, Numbers(self))
+            self.stored_records[which] = None
+            self.stores[which] = self.classes[1](StoreEnd(self, which), None, SequentialNumbers(self))
 
-    # ---- what must be
+    # ---- invariants
 
-    def kept(self, store: str, data: bytes) -> None:
-        self.records_kept[store] = data
+    def record_written(self, store: str, data: bytes) -> None:
+        self.stored_records[store] = data
         record = read_record(data)
         version = Version(*record.taken)
         if not version.fence:
             return
-        other = self.numbers.setdefault(version.number, version)
+        other = self.version_by_number.setdefault(version.number, version)
         if other != version:
-            self.wrong = "two contents under one number"
+            self.violation = "two contents have the same version number"
         key = (version, record.taken_at)
         self.votes[key] = self.votes.get(key, frozenset()) | {store}
         if len(self.votes[key]) >= TERMS.majority and version.number not in self.chosen:
             self.chosen[version.number] = version
-            before = "file"
+            previous = "file"
             for number in sorted(self.chosen):
-                if self.bases[self.contents[self.chosen[number].digest]] != before:
-                    self.wrong = "a change was lost: a later one was not made upon it"
-                before = self.chosen[number].text
+                if self.bases[self.contents[self.chosen[number].digest]] != previous:
+                    self.violation = "a change was lost: a later version is not based on it"
+                previous = self.chosen[number].text
 
-    def tells(self, version: Version) -> None:
+    def announce(self, version: Version) -> None:
         if version.number not in self.chosen:
-            self.wrong = "told before a majority had it"
-        self.told[version] = None
+            self.violation = "a version was announced before a majority of the stores had it"
+        self.announced[version] = None
 
-    def done(self, told: dict) -> None:
-        if told["ok"] and told["version"] not in [version.text for version in self.chosen.values()]:
-            self.wrong = "a put was answered ok that no majority has"
+    def put_answered(self, answer: dict) -> None:
+        if answer["ok"] and answer["version"] not in [version.text for version in self.chosen.values()]:
+            self.violation = "a put was answered ok although no majority of the stores has its version"
 
     def in_force(self, number: int, text: str, content: bytes) -> None:
-        version = next((version for version in self.told if version.text == text), None)
+        version = next((version for version in self.announced if version.text == text), None)
         if version is None or digest_of(content) != version.digest:
-            self.wrong = "in force is what was never told, or not the whole of it"
-        elif version.number < self.floors[number]:
-            self.wrong = "a node went back"
+            self.violation = "a node put in force what was never announced, or not its complete content"
+        elif version.number < self.last_in_force[number]:
+            self.violation = "a node went back to an older version"
         else:
-            self.floors[number] = version.number
+            self.last_in_force[number] = version.number
 
 
-class VersionRounds(VersionWorld):
-    """The same world in larger steps: in one, a writer begins a tenure (or goes on with its own), may be given a change, and is
-    heard by some of the stores until nothing more is to be said, or until so many words have been. What crosses within a step
-    is left to the small ones."""
+class VersionRounds(VersionModel):
+    """The same model in larger steps: in one, a writer begins a tenure (or continues its own), may receive a change, and
+    exchanges messages with some of the stores until none is left or a limit of messages is reached. Messages that cross
+    within a step are covered by the small steps only."""
 
     def steps(self) -> list[tuple]:
-        found = [("stale", *key) for key in self.stale]
+        steps = [("stale", *key) for key in self.stale]
         for number in range(WRITERS):
-            goes_on = ["on"] if self.fences[number] else []
-            if self.tenures < self.tenures_most:
-                goes_on += ["new"] + ["same"] * (0 < self.latest_fence != self.fences[number])
-            puts = (False, True) if self.puts < self.puts_most and self.writers[number].wanted is None else (False,)
-            found += [
-                ("round", number, how, put, heard, most)
-                for how in goes_on
+            tenures = ["on"] if self.fences[number] else []
+            if self.tenures < self.max_tenures:
+                tenures += ["new"] + ["same"] * (0 < self.latest_fence != self.fences[number])
+            puts = (False, True) if self.puts < self.max_puts and self.writers[number].wanted is None else (False,)
+            steps += [
+                ("round", number, tenure, put, reached, limit)
+                for tenure in tenures
                 for put in puts
-                for heard in subsets()
-                if len(heard) > 1
-                for most in (3, MOST_WORDS)
+                for reached in subsets()
+                if len(reached) > 1
+                for limit in (3, MAX_ROUND_MESSAGES)
             ]
-        return found + [step for step in self._rare() if step[0] not in ("tenure", "same", "put")]
+        return steps + [step for step in self._rare_steps() if step[0] not in ("tenure", "same", "put")]
 
-    def take(self, step: tuple) -> None:
+    def apply(self, step: tuple) -> None:
         if step[0] != "round":
-            super().take(step)
-            self.words.clear()
+            super().apply(step)
+            self.requests.clear()
             return
-        _, number, how, put, heard, most = step
-        if how != "on":
-            super().take(("tenure" if how == "new" else "same", number))
+        _, number, tenure, put, reached, limit = step
+        if tenure != "on":
+            super().apply(("tenure" if tenure == "new" else "same", number))
         if put:
             self._put(number)
         self.writers[number].time()
-        for _ in range(most):
-            key = next((key for key in self.words if key[0] == number and key[1] in heard), None)
+        for _ in range(limit):
+            key = next((key for key in self.requests if key[0] == number and key[1] in reached), None)
             if key is None:
                 break
-            self._hand_on(key, self.words.pop(key), kept_back=False)
-            if self.wrong:
-                raise InvariantViolated(self.wrong)
-        self.words.clear()
+            self._deliver(key, self.requests.pop(key), delay=False)
+            if self.violation:
+                raise InvariantViolated(self.violation)
+        self.requests.clear()
 
 
 def subsets() -> list[tuple[str, ...]]:
@@ -453,30 +468,31 @@
     writer: type[Writer] = Writer,
     store: type[Store] = Store,
     copy: type[Copy] = Copy,
-    most: int = 10**9,
-) -> Walked:
-    return explore((VersionRounds if rounds else VersionWorld)(writer, store, copy, blank), depth, most)
+    max_states: int = 10**9,
+) -> ExplorationResult:
+    return explore((VersionRounds if rounds else VersionModel)(writer, store, copy, blank), depth, max_states)
 
 
 def long_courses(
     count: int, length: int, seed: int = 1, writer: type[Writer] = Writer, store: type[Store] = Store, copy: type[Copy] = Copy
-) -> Walked:
-    """By chance, and beyond any walk: courses of so many steps with more of everything, in small and in large steps in turn."""
+) -> ExplorationResult:
+    """Runs `count` random traces of `length` steps each, far deeper than an exhaustive search: with higher limits of events, and
+    alternately in small and in larger steps."""
     rng, steps = Random(seed), 0
     for number in range(count):
-        world = (VersionRounds if number % 2 else VersionWorld)(writer, store, copy, blank=number % 8 > 5)
-        world.tenures_most = world.puts_most = world.restarts_most = world.lost_most = length
-        course: list[tuple] = []
+        model = (VersionRounds if number % 2 else VersionModel)(writer, store, copy, blank=number % 8 > 5)
+        model.max_tenures = model.max_puts = model.max_restarts = model.max_lost = length
+        trace: list[tuple] = []
         for _ in range(length):
-            found = world.steps()
-            kinds = sorted({step[0] for step in found})
-            # a kind first, or the many stale words would be most of what happens
+            choices = model.steps()
+            kinds = sorted({step[0] for step in choices})
+            # first the kind of step: chosen from all steps, most would be deliveries of stale requests
             kind = rng.choice([kind for kind in kinds for _ in range(WEIGHTS.get(kind, 1))])
-            step = rng.choice([step for step in found if step[0] == kind])
-            course.append(step)
+            step = rng.choice([step for step in choices if step[0] == kind])
+            trace.append(step)
             steps += 1
             try:
-                world.take(step)
-            except InvariantViolated as broken:
-                return Walked(number + 1, steps, len(course), str(broken), tuple(course))
-    return Walked(count, steps, length)
+                model.apply(step)
+            except InvariantViolated as violation:
+                return ExplorationResult(number + 1, steps, len(trace), str(violation), tuple(trace))
+    return ExplorationResult(count, steps, length)
--- a/curlewshift/model_checker/world.py
+++ b/curlewshift/model_checker/world.py
@@ -1,8 +1,8 @@
-"""One small world: two servers, clients that want one title, and a front that may be killed and started again.
+"""The model for viewings: two media servers, clients that request one title, and a front that may be killed and restarted.
 
-The front is the one that serves but for its sockets: `session_core/`, `rules.py`, `state/`, `recovery/` and `retries/` run as
-they are. What stands for sockets and servers here does nothing by itself: all that can happen next is told by
-`choices`, and `do` makes one of them happen. The rules' books are kept from what is seen outside the front.
+The front runs the program's own `session_core/`, `rules.py`, `state/`, `recovery/` and `retries/`; only its sockets are
+replaced. The model of sockets and servers does nothing by itself: `choices` lists every event that is possible next, and `do`
+runs one of them. Whether the rules hold is judged from what is visible outside the front.
 """
 
 from __future__ import annotations
@@ -21,51 +21,52 @@
 from curlewshift.state.setting_up import SEND, setting_up
 
 SECOND = 1_000_000_000
-BORN = 1000 * SECOND
+START_TIME = 1000 * SECOND
 SERVERS = ("s1", "s2")
-# Time passes until something comes of it, and no longer at once than this.
-LONGEST_REST = 5 * SECOND
-# After so long with nothing going wrong any more, all has to have come to its end.
-SETTLES = 60 * SECOND
+# A step of time ends as soon as it has an effect, and after this at the latest.
+MAX_TIME_STEP = 5 * SECOND
+# After so long without further faults, everything that is outstanding must have ended.
+SETTLE_TIME = 60 * SECOND
 
 
-def mark_of(key: str) -> str:
-    """How servers know a paid request."""
+def request_tag_of(key: str) -> str:
+    """The tag by which servers know the paid request with this key."""
     return f"m {key}"
 
 
-class Breach(Exception):
-    """A rule is broken; its text says which and how."""
+class RuleViolated(Exception):
+    """A rule is broken; the text says which (by number) and how."""
 
 
 @dataclass(eq=False, slots=True)
 class Session:
-    """At a server: which life of the front has it, and under which mark it was asked for."""
+    """A session at a media server. `life` is the run of the front that owns it (a restart is a new life), `request_tag` that of
+    the paid request it was set up for (empty for others)."""
 
     path: str
     life: str
-    mark: str
+    request_tag: str
     client: str
     rung: int
-    # set up when the life that had asked for it was over: no front can know of it in time, and as nobody was told of
-    # it and nobody watches, its server ends it
+    # Set up after the life that had requested it ended. No front can learn of it in time; its server ends it, as it was
+    # reported to nobody and nobody watches it.
     too_late: bool = False
 
 
 @dataclass(eq=False, slots=True)
-class Place:
-    """One server."""
+class MediaServer:
+    """One media server. `boot` counts its restarts."""
 
     name: str
     boot: int = 0
     sessions: dict[str, Session] = field(default_factory=dict)
-    told_off: bool = False
+    draining: bool = False
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One tune-in on its way. `stage`: write, sent, ran, over; `session` is what the server made of it. `let_go` is set
-    once nobody hears of it any more."""
+    """One tune-in under way (an attempt to set up a session at one server). `stage`: write (its intent is being written), sent,
+    ran (the server has set up `session`), over. `abandoned`: the front no longer waits for its answer."""
 
     tune_in: TuneIn
     life: str
@@ -75,36 +76,37 @@
     stage: str = "write"
     record: list | None = None
     session: Session | None = None
-    let_go: bool = False
+    abandoned: bool = False
     never_ran: bool = False
 
 
 @dataclass(eq=False, slots=True)
 class Client:
+    """`lives` are the names of the front's lives that received the requests, in the same order."""
+
     name: str
     key: str
-    asks: list[Request] = field(default_factory=list)
-    # of the life that each was asked of
+    requests: list[Request] = field(default_factory=list)
     lives: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Budgets:
-    """How often each thing may go wrong in one course."""
+    """How often each fault or event may occur in one trace."""
 
     kills: int = 1
-    again: int = 2
+    retries: int = 2
     hang_ups: int = 1
     losses: int = 1
-    full: int = 1
-    not_kept: int = 1
-    deaths: int = 1
-    offs: int = 1
-    rests: int = 3
+    refusals: int = 1
+    failed_writes: int = 1
+    server_crashes: int = 1
+    drains: int = 1
+    time_steps: int = 3
 
 
 class Front:
-    """One life: everything that a kill takes away."""
+    """One life of the front: everything that a kill discards."""
 
     def __init__(self, world: World, number: int):
         self.world, self.name = world, f"f.{number}"
@@ -133,17 +135,19 @@
         )
         self.session_core = world.session_core_class(self, terms, ServerList({"r": 1e9}, {"t": SERVERS}))
         rows = [
-            ServerEntry(place.name, "drain" if place.told_off else "on", SECOND, "z", "r", 1e6, 50, place.name)
-            for place in world.places.values()
+            ServerEntry(
+                media_server.name, "drain" if media_server.draining else "on", SECOND, "z", "r", 1e6, 50, media_server.name
+            )
+            for media_server in world.media_servers.values()
         ]
         self.session_core.list_full("e", 0, rows, stale=number > 1)
         self.generation = 0
         self.book.restore(world.book_log)
         intents = self.intents.restore(world.intents_log, world.clock)
-        self.recovery = recovery_of(self, self.session_core, self.name, self.book, intents, mark_of)
+        self.recovery = recovery_of(self, self.session_core, self.name, self.book, intents, request_tag_of)
         self.recovery.begin()
 
-    # ---- the desk's outside
+    # ---- the session core's driver
 
     def now(self) -> int:
         return self.world.clock
@@ -154,14 +158,14 @@
         self.wake_at = at if self.wake_at is None else min(at, self.wake_at)
 
     def tune_in(self, tune_in: TuneIn) -> None:
-        self.world.goes_out(self, tune_in)
+        self.world.send_tune_in(self, tune_in)
 
     def withdraw(self, tune_in: TuneIn) -> bool:
-        attempt = next(one for one in self.world.attempts if one.tune_in is tune_in)
+        attempt = next(attempt for attempt in self.world.attempts if attempt.tune_in is tune_in)
         if attempt.stage == "write":
             attempt.stage, attempt.never_ran = "over", True
             return False
-        attempt.let_go = True
+        attempt.abandoned = True
         return True
 
     def tell(self, command) -> None:
@@ -171,105 +175,109 @@
         self.world.session_ends.append((self.name, session_end))
 
     def probe(self, server) -> None:
-        raise AssertionError("no probes here")
+        raise AssertionError("probes are off in this model")
 
     def answer(self, request: Request, answer: Answer) -> None:
-        self.world.answered(self, request, answer)
+        self.world.on_answer(self, request, answer)
 
     def whole_list(self) -> None:
-        raise AssertionError("the list has no gaps here")
+        raise AssertionError("the server list of this model has no gaps")
 
-    # ---- recovery's outside
+    # ---- the recovery's driver
 
     def ask_sessions(self, server) -> None:
-        self.world.questions.append((self.name, "list", server, ()))
+        self.world.queries.append((self.name, "list", server, ()))
 
     def adopt(self, server, paths: list[str]) -> None:
-        self.world.questions.append((self.name, "adopt", server, tuple(paths)))
+        self.world.queries.append((self.name, "adopt", server, tuple(paths)))
 
-    def taken_up(self, one: StoredSession, server):
+    def taken_up(self, stored: StoredSession, server):
         front_session = self.session_core.handed_over(
-            one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer)
+            stored.package, stored.title, stored.ceiling, server, stored.path, stored.rung, stored.key, Offer(stored.offer)
         )
-        self.tokens[front_session] = one.token
+        self.tokens[front_session] = stored.token
         return front_session
 
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> str:
         return found.path
 
-    def forgotten(self, one: StoredSession) -> None:
-        self.world.note("book", self.book.ended(one.token))
+    def forgotten(self, stored: StoredSession) -> None:
+        self.world.write("book", self.book.ended(stored.token))
 
 
 class World:
-    """`session_core_class`, `steps` and `recovery_off` are for planting faults. `paid` clients' package is paid at set-up; with
-    `seats` there is one place for all clients."""
+    """`session_core_class` and `steps` are for planting faults. With `paid` the package of the clients is paid at set-up; `seats`
+    is the number of seats (concurrent viewings) of the title in this package, 0 for no limit."""
 
     def __init__(
         self,
-        budgets: Budgets,
+        limits: Budgets,
         paid: bool = True,
         seats: int = 0,
         clients: int = 1,
         session_core_class=SessionCore,
         steps=setting_up,
     ):
-        self.budgets, self.session_core_class, self.steps = budgets, session_core_class, steps
+        self.limits, self.session_core_class, self.steps = limits, session_core_class, steps
         self.package = Package("p", 1.0, 4 * SECOND, 6 * SECOND, paid, (100.0, 200.0), 0, 1, seats)
-        self.clock = BORN
-        self.places = {name: Place(name) for name in SERVERS}
+        self.clock = START_TIME
+        self.media_servers = {name: MediaServer(name) for name in SERVERS}
         self.book_log: list[list] = []
         self.intents_log: list[list] = []
-        # written and perhaps not yet on the disk
-        self.behind: list[tuple[str, list]] = []
+        # records that were written and are perhaps not on the disk yet: (file, record)
+        self.unflushed: list[tuple[str, list]] = []
         self.attempts: list[Attempt] = []
         self.session_ends: list[tuple[str, object]] = []
         self.commands: list[tuple[str, object]] = []
-        self.questions: list[tuple[str, str, object, tuple]] = []
+        self.queries: list[tuple[str, str, object, tuple]] = []
         self.answers: dict[Request, Answer] = {}
-        self.failed_told: set[tuple[str, str]] = set()
+        self.reported_failed: set[tuple[str, str]] = set()
         self.lives = self.paths = 0
         self.front: Front | None = None
         self.clients = [Client(f"c{number}", f"k{number}") for number in range(1, clients + 1)]
         self.start()
         for client in self.clients:
-            self.ask(client)
+            self.send_request(client)
 
-    # ---- what the front does
+    # ---- acts of the front
 
-    def goes_out(self, front: Front, tune_in: TuneIn) -> None:
+    def send_tune_in(self, front: Front, tune_in: TuneIn) -> None:
         front_session = tune_in.front_session
         if any(
-            one.life == front.name and one.tune_in.front_session is front_session and one.stage != "over" and not one.let_go
-            for one in self.attempts
+            attempt.life == front.name
+            and attempt.tune_in.front_session is front_session
+            and attempt.stage != "over"
+            and not attempt.abandoned
+            for attempt in self.attempts
         ):
-            raise Breach("2: two tune-ins of one viewing are out")
+            raise RuleViolated("2: two tune-ins of one viewing are outstanding")
         client = next(client.name for client in self.clients if client.key == front_session.held.key)
         attempt = Attempt(
             tune_in,
             front.name,
             client,
             self.steps(front.session_core, tune_in, front.intents, intent_of(tune_in, front_session.viewing.expires)),
-            self.places[tune_in.server.name].boot,
+            self.media_servers[tune_in.server.name].boot,
         )
         self.attempts.append(attempt)
         self._step(attempt, None)
 
-    def _step(self, attempt: Attempt, kept: bool | None) -> None:
+    def _step(self, attempt: Attempt, written: bool | None) -> None:
+        """Runs the set-up to its next step. `written`: whether the record of the last one was kept; None at the beginning."""
         try:
-            what, attempt.record = attempt.steps.send(kept)
+            action, attempt.record = attempt.steps.send(written)
         except StopIteration as ended:
             if ended.value is not None:
                 attempt.stage, attempt.never_ran = "over", True
-                self._tell_end(attempt, ended.value)
+                self._report_failure(attempt, ended.value)
             return
-        if what == SEND:
+        if action == SEND:
             self._sent(attempt)
 
     def _sent(self, attempt: Attempt) -> None:
-        place, key = self.places[attempt.tune_in.server.name], attempt.tune_in.front_session.held.key
-        if place.told_off:
-            raise Breach(f"3: {attempt.client} is sent to {place.name}, which was told to drain")
+        media_server, key = self.media_servers[attempt.tune_in.server.name], attempt.tune_in.front_session.held.key
+        if media_server.draining:
+            raise RuleViolated(f"3: {attempt.client} is sent to {media_server.name}, which was told to drain")
         if self.package.paid_at_setup:
             for other in self.attempts:
                 if (
@@ -278,54 +286,60 @@
                     and not other.never_ran
                     and (other.stage != "write")
                 ):
-                    raise Breach(f"2: {attempt.client} is sent again though it may have run")
+                    raise RuleViolated(f"2: {attempt.client} is sent again though it may have run")
         attempt.stage = "sent"
         self._check_seats()
 
     def _check_seats(self) -> None:
         if not self.package.seats or self.front is None:
             return
-        out = sum(one.life == self.front.name and one.stage in ("sent", "ran") and not one.let_go for one in self.attempts)
+        outstanding = sum(
+            attempt.life == self.front.name and attempt.stage in ("sent", "ran") and not attempt.abandoned
+            for attempt in self.attempts
+        )
         held = sum(front_session.viewing.playing for front_session in self.front.session_core.front_sessions.values())
-        if out + held > self.package.seats:
-            raise Breach(f"5: {held} held and {out} out where there are {self.package.seats} seats")
+        if outstanding + held > self.package.seats:
+            raise RuleViolated(f"5: {held} held and {outstanding} outstanding where there are {self.package.seats} seats")
 
-    def note(self, log: str, record: list | None) -> None:
+    def write(self, file: str, record: list | None) -> None:
+        """Writes a record to `book` (the session registry) or `intents`, without flushing it."""
         if record is not None:
-            self.behind.append((log, record))
+            self.unflushed.append((file, record))
 
-    def answered(self, front: Front, request: Request, answer: Answer) -> None:
+    def on_answer(self, front: Front, request: Request, answer: Answer) -> None:
         if request in self.answers:
-            raise Breach(f"1: {request.name} is answered twice")
+            raise RuleViolated(f"1: {request.name} is answered twice")
         if self.clock > request.expires:
-            raise Breach(f"1: {request.name} is answered too late")
+            raise RuleViolated(f"1: {request.name} is answered too late")
         self.answers[request] = answer
         client = next(client for client in self.clients if request.name.startswith(client.name))
         if (
             answer.kind is Kind.REFUSED
             and self.package.paid_at_setup
-            and any(one.client == client.name and one.stage != "write" and not one.never_ran for one in self.attempts)
+            and any(
+                attempt.client == client.name and attempt.stage != "write" and not attempt.never_ran for attempt in self.attempts
+            )
         ):
-            raise Breach(f"2: {request.name} is refused though it may have run")
+            raise RuleViolated(f"2: {request.name} is refused though it may have run")
         if answer.kind is Kind.FAILED:
-            self.failed_told.add((client.name, front.name))
+            self.reported_failed.add((client.name, front.name))
         if answer.kind is Kind.PLAYS:
             front_session = answer.front_session
-            # another life may know better: that it failed says that it may have run all the same
-            if self.package.paid_at_setup and (client.name, front.name) in self.failed_told:
-                raise Breach(f"2: {request.name} is told that it plays after it was told that it failed")
+            # Only within one life: a later one may have found the session, as a failed set-up may have run all the same.
+            if self.package.paid_at_setup and (client.name, front.name) in self.reported_failed:
+                raise RuleViolated(f"2: {request.name} is answered as playing after it was answered as failed")
             if front_session not in front.tokens:
                 front.tokens[front_session] = f"t {front_session.session}"
-                self.note(
+                self.write(
                     "book", front.book.began(remembered(front_session, front.tokens[front_session], None, front_session.session))
                 )
 
-    def _tell_end(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _report_failure(self, attempt: Attempt, outcome: Outcome) -> None:
         front = self.front
         if front is None or front.name != attempt.life:
             return
         if self.package.paid_at_setup:
-            self.note("intents", front.intents.ended(attempt.tune_in.front_session.held.key, outcome))
+            self.write("intents", front.intents.ended(attempt.tune_in.front_session.held.key, outcome))
         front.session_core.failed(attempt.tune_in, outcome)
 
     # ---- lives
@@ -334,102 +348,102 @@
         self.lives += 1
         self.front = Front(self, self.lives)
 
-    def kill(self, behind_lost: bool) -> None:
-        """Whatever the disk has not got yet may be there or not; what was flushed is."""
-        self._flush(() if behind_lost else self.behind)
+    def kill(self, unflushed_lost: bool) -> None:
+        """Flushed records stay; those that were not flushed are all on the disk or all lost."""
+        self._flush(() if unflushed_lost else self.unflushed)
         self.front = None
-        self.session_ends, self.commands, self.questions = [], [], []
+        self.session_ends, self.commands, self.queries = [], [], []
         for attempt in self.attempts:
-            attempt.let_go = True
+            attempt.abandoned = True
             if attempt.stage == "write":
                 attempt.stage, attempt.never_ran = "over", True
 
     def _flush(self, records) -> None:
-        for log, record in records:
-            (self.book_log if log == "book" else self.intents_log).append(record)
-        self.behind = []
+        for file, record in records:
+            (self.book_log if file == "book" else self.intents_log).append(record)
+        self.unflushed = []
 
-    def ask(self, client: Client) -> None:
-        name = f"{client.name}.{len(client.asks)}"
+    def send_request(self, client: Client) -> None:
+        name = f"{client.name}.{len(client.requests)}"
         client.lives.append(self.front.name)
-        # an answer may come before this returns
-        client.asks.append(None)
-        client.asks[-1] = self.front.session_core.asked(name, "p", "t", None, 0, client.key, Offer(client.name))
+        # the call below may answer before it returns: the request has its place in the list by then
+        client.requests.append(None)
+        client.requests[-1] = self.front.session_core.asked(name, "p", "t", None, 0, client.key, Offer(client.name))
 
-    # ---- what can happen next
+    # ---- possible steps
 
     def choices(self) -> list[tuple]:
-        """In a fixed order; each is a tuple that `do` understands and people can read."""
-        found: list[tuple] = []
-        budgets = self.budgets
+        """The steps that are possible next, in a fixed order: each is a readable label and, for some, a number or name."""
+        choices: list[tuple] = []
+        limits = self.limits
         for number, attempt in enumerate(self.attempts):
-            found += self._of_attempt(number, attempt)
+            choices += self._attempt_choices(number, attempt)
         if self.session_ends:
-            found.append(("an ending is done",))
-            if budgets.losses:
-                found.append(("an ending's answer is lost",))
-        if self.questions:
-            found.append(("a question is answered",))
-            if budgets.losses:
-                found.append(("a question's answer is lost",))
+            choices.append(("a session end is done",))
+            if limits.losses:
+                choices.append(("a session end's answer is lost",))
+        if self.queries:
+            choices.append(("a query is answered",))
+            if limits.losses:
+                choices.append(("a query's answer is lost",))
         for number, client in enumerate(self.clients):
-            found += self._of_client(number, client)
+            choices += self._client_choices(number, client)
         if self.front is None:
-            found.append(("the front starts",))
+            choices.append(("the front starts",))
         else:
-            if budgets.kills:
-                found.append(("the front is killed",))
-                if self.behind:
-                    found.append(("the front is killed, its disk behind",))
-            if budgets.rests and self.front.wake_at is not None:
-                found.append(("time passes",))
-            if budgets.offs and not any(place.told_off for place in self.places.values()):
-                found.append(("a server is told to drain",))
-        if budgets.deaths:
-            for name, place in self.places.items():
-                if place.sessions or any(
-                    one.stage in ("sent", "ran") and one.tune_in.server.name == name for one in self.attempts
+            if limits.kills:
+                choices.append(("the front is killed",))
+                if self.unflushed:
+                    choices.append(("the front is killed, unflushed records lost",))
+            if limits.time_steps and self.front.wake_at is not None:
+                choices.append(("time passes",))
+            if limits.drains and not any(media_server.draining for media_server in self.media_servers.values()):
+                choices.append(("a server is told to drain",))
+        if limits.server_crashes:
+            for name, media_server in self.media_servers.items():
+                if media_server.sessions or any(
+                    attempt.stage in ("sent", "ran") and attempt.tune_in.server.name == name for attempt in self.attempts
                 ):
-                    found.append(("a server dies", name))
-        return found
+                    choices.append(("a server crashes", name))
+        return choices
 
-    def _of_attempt(self, number: int, attempt: Attempt) -> list[tuple]:
-        if attempt.stage == "write" and not attempt.let_go:
-            return [("its intent is kept", number), *([("its intent is not kept", number)] * bool(self.budgets.not_kept))]
+    def _attempt_choices(self, number: int, attempt: Attempt) -> list[tuple]:
+        if attempt.stage == "write" and not attempt.abandoned:
+            return [("its intent is kept", number), *([("its intent is not kept", number)] * bool(self.limits.failed_writes))]
         if attempt.stage == "sent":
-            found = [("the server runs it", number)]
-            if attempt.let_go:
-                found.append(("it never gets there", number))
+            choices = [("the server runs it", number)]
+            if attempt.abandoned:
+                choices.append(("its request never arrives", number))
             else:
-                if self.budgets.full:
-                    found.append(("the server turns it away", number))
-                if self.budgets.losses:
-                    found.append(("its connection breaks", number))
-            return found
+                if self.limits.refusals:
+                    choices.append(("the server turns it away", number))
+                if self.limits.losses:
+                    choices.append(("its connection breaks", number))
+            return choices
         if attempt.stage == "ran":
-            found = [("its answer arrives", number)]
-            if attempt.let_go:
-                found = [("nobody takes its answer", number), *(found if self._alive(attempt) else ())]
-            elif self.budgets.losses:
-                found.append(("its answer is lost", number))
-            return found
+            choices = [("its answer arrives", number)]
+            if attempt.abandoned:
+                choices = [("nobody takes its answer", number), *(choices if self._alive(attempt) else ())]
+            elif self.limits.losses:
+                choices.append(("its answer is lost", number))
+            return choices
         return []
 
-    def _of_client(self, number: int, client: Client) -> list[tuple]:
-        last = client.asks[-1]
-        waits = last.answer is None and not last.gone
+    def _client_choices(self, number: int, client: Client) -> list[tuple]:
+        last = client.requests[-1]
+        waiting = last.answer is None and not last.gone
         if self.front is None:
             return []
-        here = client.lives[-1] == self.front.name
-        found = []
-        if waits and here and self.budgets.hang_ups:
-            found.append(("a client hangs up", number))
-        cut_off = (waits and not here) or last.gone
-        if self.budgets.again and (cut_off or (last.answer is not None and last.answer.kind is not Kind.PLAYS)):
-            found.append(("a client comes again", number))
+        same_life = client.lives[-1] == self.front.name
+        choices = []
+        if waiting and same_life and self.limits.hang_ups:
+            choices.append(("a client hangs up", number))
+        disconnected = (waiting and not same_life) or last.gone
+        if self.limits.retries and (disconnected or (last.answer is not None and last.answer.kind is not Kind.PLAYS)):
+            choices.append(("a client comes again", number))
         if self._front_session(client) is not None:
-            found.append(("a client leaves", number))
-        return found
+            choices.append(("a client leaves", number))
+        return choices
 
     def _alive(self, attempt: Attempt) -> bool:
         return self.front is not None and self.front.name == attempt.life
@@ -440,51 +454,51 @@
                 return front_session
         return None
 
-    # ---- and happens
+    # ---- running a step: the label's words are the name of its method
 
-    def do(self, what: str, number: object = None) -> None:
-        getattr(self, "_" + what.replace(" ", "_").replace(",", "").replace("'", ""))(*(() if number is None else (number,)))
-        self._look()
+    def do(self, label: str, number: object = None) -> None:
+        getattr(self, "_" + label.replace(" ", "_").replace(",", "").replace("'", ""))(*(() if number is None else (number,)))
+        self._after_step()
 
     def _its_intent_is_kept(self, number: int) -> None:
         attempt = self.attempts[number]
-        # what was written before it goes to the disk with it
-        self._flush([*self.behind, ("intents", attempt.record)])
+        # the flush takes along what was written before it
+        self._flush([*self.unflushed, ("intents", attempt.record)])
         self._step(attempt, True)
 
     def _its_intent_is_not_kept(self, number: int) -> None:
-        self.budgets.not_kept -= 1
+        self.limits.failed_writes -= 1
         self._step(self.attempts[number], False)
 
     def _the_server_runs_it(self, number: int) -> None:
         attempt = self.attempts[number]
-        place, key = self.places[attempt.tune_in.server.name], attempt.tune_in.front_session.held.key
+        media_server, key = self.media_servers[attempt.tune_in.server.name], attempt.tune_in.front_session.held.key
         self.paths += 1
         attempt.stage = "ran"
-        attempt.session = place.sessions[f"/{self.paths}"] = Session(
+        attempt.session = media_server.sessions[f"/{self.paths}"] = Session(
             f"/{self.paths}",
             attempt.life,
-            mark_of(key) if self.package.paid_at_setup else "",
+            request_tag_of(key) if self.package.paid_at_setup else "",
             attempt.client,
             attempt.tune_in.rung,
             too_late=not self._alive(attempt),
         )
 
     def _the_server_turns_it_away(self, number: int) -> None:
-        self.budgets.full -= 1
+        self.limits.refusals -= 1
         attempt = self.attempts[number]
         attempt.stage, attempt.never_ran = "over", True
-        self._tell_end(attempt, Outcome.FULL)
+        self._report_failure(attempt, Outcome.FULL)
 
-    def _it_never_gets_there(self, number: int) -> None:
+    def _its_request_never_arrives(self, number: int) -> None:
         self.attempts[number].stage = "over"
 
     def _its_connection_breaks(self, number: int) -> None:
-        """The front has enough of it; the server may run it all the same."""
-        self.budgets.losses -= 1
+        """The front sees the tune-in fail; the server may run it all the same."""
+        self.limits.losses -= 1
         attempt = self.attempts[number]
-        attempt.let_go = True
-        self._tell_end(attempt, Outcome.BROKEN)
+        attempt.abandoned = True
+        self._report_failure(attempt, Outcome.BROKEN)
 
     def _its_answer_arrives(self, number: int) -> None:
         attempt = self.attempts[number]
@@ -492,62 +506,65 @@
         self.front.session_core.played(attempt.tune_in, attempt.session.path)
 
     def _nobody_takes_its_answer(self, number: int) -> None:
-        """The server sees that nobody is there, and ends what it has set up; not if its front was killed meanwhile, as
-        then the answer may have gone out before."""
+        """The server notices that the front does not take the answer, and ends the session it has set up. It does not if the
+        front was killed meanwhile, as the answer may have gone out before."""
         attempt = self.attempts[number]
         attempt.stage = "over"
         if self._alive(attempt):
-            self.places[attempt.tune_in.server.name].sessions.pop(attempt.session.path, None)
+            self.media_servers[attempt.tune_in.server.name].sessions.pop(attempt.session.path, None)
 
     def _its_answer_is_lost(self, number: int) -> None:
-        self.budgets.losses -= 1
+        self.limits.losses -= 1
         attempt = self.attempts[number]
-        attempt.let_go = True
-        self._tell_end(attempt, Outcome.BROKEN)
+        attempt.abandoned = True
+        self._report_failure(attempt, Outcome.BROKEN)
 
-    def _an_ending_is_done(self) -> None:
+    def _a_session_end_is_done(self) -> None:
         _, session_end = self.session_ends.pop(0)
-        self.places[session_end.server.name].sessions.pop(session_end.session, None)
+        self.media_servers[session_end.server.name].sessions.pop(session_end.session, None)
         self.front.session_core.session_ended(session_end, True)
 
-    def _an_endings_answer_is_lost(self) -> None:
-        self.budgets.losses -= 1
+    def _a_session_ends_answer_is_lost(self) -> None:
+        self.limits.losses -= 1
         _, session_end = self.session_ends.pop(0)
-        self.places[session_end.server.name].sessions.pop(session_end.session, None)
+        self.media_servers[session_end.server.name].sessions.pop(session_end.session, None)
         self.front.session_core.session_ended(session_end, False)
 
-    def _a_question_is_answered(self) -> None:
-        _, what, server, paths = self.questions.pop(0)
-        place = self.places[server.name]
+    def _a_query_is_answered(self) -> None:
+        _, what, server, paths = self.queries.pop(0)
+        media_server = self.media_servers[server.name]
         if what == "list":
             self.front.recovery.listed(
                 server,
-                str(place.boot),
-                [ListedSession(one.path, one.life, one.rung, one.mark) for one in place.sessions.values()],
+                str(media_server.boot),
+                [
+                    ListedSession(session.path, session.life, session.rung, session.request_tag)
+                    for session in media_server.sessions.values()
+                ],
             )
         else:
-            self.front.recovery.adopted(server, self._adopt(place, paths))
+            self.front.recovery.adopted(server, self._adopt(media_server, paths))
 
-    def _a_questions_answer_is_lost(self) -> None:
-        self.budgets.losses -= 1
-        _, what, server, paths = self.questions.pop(0)
+    def _a_querys_answer_is_lost(self) -> None:
+        self.limits.losses -= 1
+        _, what, server, paths = self.queries.pop(0)
         if what == "adopt":
-            self._adopt(self.places[server.name], paths)
+            self._adopt(self.media_servers[server.name], paths)
         self.front.recovery.unanswered(server)
 
-    def _adopt(self, place: Place, paths: tuple) -> list[str]:
+    def _adopt(self, media_server: MediaServer, paths: tuple) -> list[str]:
         for path in paths:
-            if path in place.sessions:
-                place.sessions[path].life = self.front.name
-        return [path for path in paths if path in place.sessions]
+            if path in media_server.sessions:
+                media_server.sessions[path].life = self.front.name
+        return [path for path in paths if path in media_server.sessions]
 
     def _a_client_hangs_up(self, number: int) -> None:
-        self.budgets.hang_ups -= 1
-        self.front.session_core.hung_up(self.clients[number].asks[-1])
+        self.limits.hang_ups -= 1
+        self.front.session_core.hung_up(self.clients[number].requests[-1])
 
     def _a_client_comes_again(self, number: int) -> None:
-        self.budgets.again -= 1
-        self.ask(self.clients[number])
+        self.limits.retries -= 1
+        self.send_request(self.clients[number])
 
     def _a_client_leaves(self, number: int) -> None:
         self.front.session_core.closed(self._front_session(self.clients[number]))
@@ -556,78 +573,82 @@
         self.start()
 
     def _the_front_is_killed(self) -> None:
-        self.budgets.kills -= 1
+        self.limits.kills -= 1
         self.kill(False)
 
-    def _the_front_is_killed_its_disk_behind(self) -> None:
-        self.budgets.kills -= 1
+    def _the_front_is_killed_unflushed_records_lost(self) -> None:
+        self.limits.kills -= 1
         self.kill(True)
 
     def _time_passes(self) -> None:
-        self.budgets.rests -= 1
-        self.rest()
+        self.limits.time_steps -= 1
+        self.advance_time()
 
     def _a_server_is_told_to_drain(self) -> None:
-        self.budgets.offs -= 1
-        place = self.places["s1"]
-        place.told_off = True
+        self.limits.drains -= 1
+        media_server = self.media_servers["s1"]
+        media_server.draining = True
         front = self.front
         front.generation += 1
         front.session_core.list_change(
             "e", front.generation - 1, front.generation, [ServerEntry("s1", "drain", SECOND, "z", "r", 1e6, 50, "s1")]
         )
 
-    def _a_server_dies(self, name: str) -> None:
-        self.budgets.deaths -= 1
-        place = self.places[name]
-        place.boot += 1
-        place.sessions.clear()
-        broken = [one for one in self.attempts if one.tune_in.server.name == name and one.stage in ("sent", "ran")]
+    def _a_server_crashes(self, name: str) -> None:
+        self.limits.server_crashes -= 1
+        media_server = self.media_servers[name]
+        media_server.boot += 1
+        media_server.sessions.clear()
+        broken = [
+            attempt for attempt in self.attempts if attempt.tune_in.server.name == name and attempt.stage in ("sent", "ran")
+        ]
         for attempt in broken:
             attempt.stage = "over"
         for attempt in broken:
-            if not attempt.let_go:
-                self._tell_end(attempt, Outcome.BROKEN)
+            if not attempt.abandoned:
+                self._report_failure(attempt, Outcome.BROKEN)
         if self.front is not None:
             self.front.session_core.restarted(self.front.session_core.server_list.servers[name])
 
-    # ---- time, and the end of things
+    # ---- time, and checks
 
-    def rest(self, at_most: int = LONGEST_REST) -> None:
-        """Until something comes of it."""
-        ends, before = self.clock + at_most, self._events()
+    def advance_time(self, max_step: int = MAX_TIME_STEP) -> None:
+        """Advances the clock, wake-up by wake-up, until something happens or `max_step` (ns) has passed. In the latter case the
+        servers' answers to outstanding queries have timed out."""
+        ends, before = self.clock + max_step, self._progress()
         while (
             self.front is not None
             and self.front.wake_at is not None
             and self.front.wake_at <= ends
-            and (self._events() == before)
+            and (self._progress() == before)
         ):
             self.clock, self.front.wake_at = max(self.clock, self.front.wake_at), None
             self.front.session_core.time()
             self.front.recovery.time()
-            self._look()
-        if self._events() == before:
+            self._after_step()
+        if self._progress() == before:
             self.clock = ends
-            questions, self.questions = self.questions, []
-            for _, _, server, _ in questions:
+            queries, self.queries = self.queries, []
+            for _, _, server, _ in queries:
                 self.front.recovery.unanswered(server)
             self.front.recovery.time()
 
-    def _events(self) -> tuple:
+    def _progress(self) -> tuple:
+        """Counts of what the front has done so far: they differ if something happened."""
         return (
             len(self.answers),
             len(self.attempts),
             len(self.session_ends),
-            len(self.questions),
-            sum(attempt.let_go for attempt in self.attempts),
+            len(self.queries),
+            sum(attempt.abandoned for attempt in self.attempts),
         )
 
-    def _look(self) -> None:
-        """After each step: rungs that were told are taken at once, and nobody is kept waiting."""
+    def _after_step(self) -> None:
+        """After each step: servers apply commanded rungs at once, and no client may wait past the expiry of its request."""
         while self.commands:
             _name, command = self.commands.pop(0)
             session = (
-                self.places[command.front_session.viewing.server.name].sessions.get(command.front_session.session)
+                self.media_servers[command.front_session.viewing.server.name].sessions.get(command.front_session.session)
                 if command.front_session.viewing.server
                 else None
             )
@@ -635,7 +656,7 @@
                 session.rung = command.rung
             self.front.session_core.told_server(command, Result.DONE)
         for client in self.clients:
-            for life, request in zip(client.lives, client.asks):
+            for life, request in zip(client.lives, client.requests):
                 if (
                     request is not None
                     and request.answer is None
@@ -643,61 +664,61 @@
                     and self.front is not None
                     and (life == self.front.name and self.clock > request.expires)
                 ):
-                    raise Breach(f"1: {request.name} got no answer")
+                    raise RuleViolated(f"1: {request.name} got no answer")
         self._check_seats()
 
     def settle(self) -> None:
-        """Nothing goes wrong any more: what is out comes to its end, and then nobody may be left waiting, and nothing
-        may play for nobody."""
+        """Runs without further faults until everything outstanding has ended. Then no client may be left without an answer, and
+        no session may play that no front holds. Raises `RuleViolated`."""
         if self.front is None:
             self.start()
-        ends = self.clock + SETTLES
+        ends = self.clock + SETTLE_TIME
         while self.clock < ends:
             favourable = [
-                one
-                for one in self.choices()
-                if one[0]
+                choice
+                for choice in self.choices()
+                if choice[0]
                 in (
                     "its intent is kept",
                     "the server runs it",
                     "its answer arrives",
-                    "an ending is done",
-                    "a question is answered",
+                    "a session end is done",
+                    "a query is answered",
                 )
             ]
-            let_go = [
+            abandoned = [
                 ("nobody takes its answer", number)
                 for number, attempt in enumerate(self.attempts)
-                if attempt.stage == "ran" and attempt.let_go
+                if attempt.stage == "ran" and attempt.abandoned
             ]
-            if let_go or favourable:
-                self.do(*(let_go or favourable)[0])
+            if abandoned or favourable:
+                self.do(*(abandoned or favourable)[0])
             else:
-                self.rest()
-                self._look()
+                self.advance_time()
+                self._after_step()
         held = {
             front_session.session
             for front_session in self.front.session_core.front_sessions.values()
             if front_session.viewing.playing
         }
-        for place in self.places.values():
-            for path, session in place.sessions.items():
-                # servers that were silent all along end by themselves what is a front's that they do not hear of
-                silent = any(server.name == place.name for server in self.front.recovery.silent)
+        for media_server in self.media_servers.values():
+            for path, session in media_server.sessions.items():
+                # a server that recovery never reached ends by itself the sessions of a front that it does not hear from
+                silent = any(server.name == media_server.name for server in self.front.recovery.silent)
                 if path not in held and not session.too_late and not (silent and session.life != self.front.name):
-                    raise Breach(f"an orphan is left: {path} of {session.client} at {place.name}")
+                    raise RuleViolated(f"an orphan is left: {path} of {session.client} at {media_server.name}")
         for path in held:
-            if not any(path in place.sessions for place in self.places.values()):
-                raise Breach(f"{path} is held to play, and plays nowhere")
+            if not any(path in media_server.sessions for media_server in self.media_servers.values()):
+                raise RuleViolated(f"{path} is held by the front as playing, but plays at no server")
         for client in self.clients:
-            for life, request in zip(client.lives, client.asks):
+            for life, request in zip(client.lives, client.requests):
                 if life == self.front.name and request.answer is None and not request.gone:
-                    raise Breach(f"1: {request.name} got no answer")
+                    raise RuleViolated(f"1: {request.name} got no answer")
 
-    def mark(self) -> str:
-        """Two worlds with the same mark go on alike."""
+    def state_key(self) -> str:
+        """A text of all that affects the future: models with equal texts behave alike from here on."""
         front = self.front
-        inside = (
+        front_state = (
             ""
             if front is None
             else repr(
@@ -724,7 +745,10 @@
                     ],
                     sorted(front.session_core.doubts),
                     front.recovery.over,
-                    [(at.server.name, at.out, at.done, at.tries, at.adopting is not None) for at in front.recovery.at.values()],
+                    [
+                        (task.server.name, task.out, task.done, task.tries, task.adopting is not None)
+                        for task in front.recovery.at.values()
+                    ],
                     [
                         (
                             server.name,
@@ -750,33 +774,37 @@
                 self.clock,
                 self.lives,
                 self.paths,
-                self.budgets,
-                inside,
+                self.limits,
+                front_state,
                 self.book_log,
                 self.intents_log,
-                self.behind,
+                self.unflushed,
                 [
-                    (place.boot, place.told_off, sorted((one.path, one.life, one.rung) for one in place.sessions.values()))
-                    for place in self.places.values()
+                    (
+                        media_server.boot,
+                        media_server.draining,
+                        sorted((session.path, session.life, session.rung) for session in media_server.sessions.values()),
+                    )
+                    for media_server in self.media_servers.values()
                 ],
                 [
                     (
-                        one.stage,
-                        one.let_go,
-                        one.never_ran,
-                        one.life,
-                        one.tune_in.server.name,
-                        one.tune_in.outcome,
-                        one.session and one.session.path,
+                        attempt.stage,
+                        attempt.abandoned,
+                        attempt.never_ran,
+                        attempt.life,
+                        attempt.tune_in.server.name,
+                        attempt.tune_in.outcome,
+                        attempt.session and attempt.session.path,
                     )
-                    for one in self.attempts
+                    for attempt in self.attempts
                 ],
                 [session_end.session for _, session_end in self.session_ends],
-                [(what, server.name, paths) for _, what, server, paths in self.questions],
+                [(what, server.name, paths) for _, what, server, paths in self.queries],
                 [
                     [
                         (life, request.gone, request.answer and request.answer.kind.value, request.expires)
-                        for life, request in zip(client.lives, client.asks)
+                        for life, request in zip(client.lives, client.requests)
                     ]
                     for client in self.clients
                 ],
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -174,8 +174,8 @@
         # states shared the dict of tries: the walk went over states that were partly their neighbours'
         world = LeaseRounds((3, 4, 5))
         before = world.state()
-        other = world.copied()
-        other.take(("try", 0, (0, 1), (0, 1)))
+        other = world.clone()
+        other.apply(("try", 0, (0, 1), (0, 1)))
         self.assertEqual(world.state(), before)
 
     def test_each_planted_fault_has_a_shortest_course(self):
--- a/tests/test_model_checker.py
+++ b/tests/test_model_checker.py
@@ -1,59 +1,59 @@
-"""Every order of things in a small world, walked over the desk that serves; and faults planted to be found."""
+"""The model checker finds no violation in the program's session core, and finds each planted fault."""
 
 import unittest
 
 from curlewshift.model import Outcome
-from curlewshift.model_checker.session_checker import crash_points, done_again, walk
-from curlewshift.model_checker.world import Breach, Budgets, World
+from curlewshift.model_checker.session_checker import crash_points, replay_trace, walk
+from curlewshift.model_checker.world import Budgets, RuleViolated, World
 from curlewshift.session_core.session_core import SessionCore
 from curlewshift.state.setting_up import SEND, WRITE
 
 
-def world(paid=True, seats=0, clients=1, **more):
-    return lambda: World(Budgets(), paid, seats, clients, **more)
+def world(paid=True, seats=0, clients=1, **options):
+    return lambda: World(Budgets(), paid, seats, clients, **options)
 
 
-class Sound(unittest.TestCase):
+class NoViolations(unittest.TestCase):
     def test_all_orders_of_one_paid_viewing_keep_the_rules(self):
-        walked = walk(world(), 4, settle_all=True)
-        self.assertEqual((walked.breach, walked.course), ("", []))
-        self.assertGreater(walked.states, 300)
+        result = walk(world(), 4, settle_all=True)
+        self.assertEqual((result.breach, result.course), ("", []))
+        self.assertGreater(result.states, 300)
 
     def test_all_orders_of_two_viewings_that_want_one_seat(self):
         for paid in (True, False):
-            walked = walk(world(paid, seats=1, clients=2), 3)
-            self.assertEqual((walked.breach, walked.course), ("", []))
-            self.assertGreater(walked.states, 150)
+            result = walk(world(paid, seats=1, clients=2), 3)
+            self.assertEqual((result.breach, result.course), ("", []))
+            self.assertGreater(result.states, 150)
 
-    def test_a_kill_at_every_step_of_long_courses(self):
+    def test_a_kill_at_every_step_of_long_traces(self):
         for paid, seats in ((True, 0), (False, 1)):
-            crashed = crash_points(world(paid, seats, 1 + seats), 12, 20)
-            self.assertEqual((crashed.breach, crashed.course), ("", []))
-            self.assertGreater(crashed.points, 250)
-            self.assertGreater(crashed.taken_up, 2)
+            result = crash_points(world(paid, seats, 1 + seats), 12, 20)
+            self.assertEqual((result.breach, result.course), ("", []))
+            self.assertGreater(result.points, 250)
+            self.assertGreater(result.taken_up, 2)
 
-    def test_a_course_done_again_leads_to_the_same_world(self):
-        make, course = world(), []
+    def test_a_replayed_trace_leads_to_the_same_state(self):
+        make, trace = world(), []
         for _ in range(12):
-            here = done_again(make, course)
-            self.assertEqual(here.mark(), done_again(make, course).mark())
-            choices = here.choices()
+            model = replay_trace(make, trace)
+            self.assertEqual(model.state_key(), replay_trace(make, trace).state_key())
+            choices = model.choices()
             if not choices:
                 break
-            course.append(choices[len(course) % len(choices)])
+            trace.append(choices[len(trace) % len(choices)])
 
 
-class Planted(unittest.TestCase):
-    def caught(self, make, depth, rule, settle_all=False):
-        walked = walk(make, depth, settle_all)
-        self.assertTrue(walked.breach.startswith(rule), walked.breach)
-        # what led there leads there again
-        with self.assertRaises(Breach):
-            here = done_again(make, [step for step in walked.course if step != ("and all settles",)])
-            here.settle()
+class PlantedFaults(unittest.TestCase):
+    def assert_found(self, make, depth, rule, settle_all=False):
+        result = walk(make, depth, settle_all)
+        self.assertTrue(result.breach.startswith(rule), result.breach)
+        # the reported trace reproduces the violation
+        with self.assertRaises(RuleViolated):
+            model = replay_trace(make, [step for step in result.course if step != ("and all settles",)])
+            model.settle()
 
     def test_an_intent_written_after_the_act(self):
-        def after(session_core, tune_in, intents, intent):
+        def write_after_send(session_core, tune_in, intents, intent):
             if not session_core.stands(tune_in):
                 return Outcome.UNSENT
             yield SEND, None
@@ -61,66 +61,66 @@
                 yield WRITE, intents.began(intent)
             return None
 
-        self.caught(world(steps=after), 4, "2: c1 is sent again")
+        self.assert_found(world(steps=write_after_send), 4, "2: c1 is sent again")
 
     def test_a_paid_key_forgotten_when_its_client_hangs_up(self):
-        class Forgets(SessionCore):
+        class ForgettingKeys(SessionCore):
             def _close(self, front_session):
                 if front_session.answer is None and front_session.held is not None:
                     self.keys.forget(front_session.held)
                 super()._close(front_session)
 
-        self.caught(world(session_core_class=Forgets), 4, "2: c1 is sent again")
+        self.assert_found(world(session_core_class=ForgettingKeys), 4, "2: c1 is sent again")
 
     def test_a_failed_set_up_that_is_refused(self):
-        class Refuses(SessionCore):
+        class RefusingAfterFailure(SessionCore):
             def abort(self, viewing):
                 self.block(viewing, 0)
 
-        self.caught(world(session_core_class=Refuses), 3, "2: c1.0 is refused")
+        self.assert_found(world(session_core_class=RefusingAfterFailure), 3, "2: c1.0 is refused")
 
-    def test_sessions_for_nobody_that_are_not_torn_down(self):
-        class Leaves(SessionCore):
-            def __init__(self, *args, **how):
-                super().__init__(*args, **how)
+    def test_orphaned_sessions_that_are_not_torn_down(self):
+        class LeavingOrphans(SessionCore):
+            def __init__(self, *args, **kwargs):
+                super().__init__(*args, **kwargs)
                 self.session_ends.end = lambda server, session: None
 
-        self.caught(world(False, session_core_class=Leaves), 3, "an orphan is left", settle_all=True)
+        self.assert_found(world(False, session_core_class=LeavingOrphans), 3, "an orphan is left", settle_all=True)
 
-    def test_a_front_that_sends_where_it_was_told_not_to(self):
-        class Deaf(SessionCore):
+    def test_a_tune_in_sent_to_a_draining_server(self):
+        class IgnoringServerState(SessionCore):
             def stands(self, tune_in):
                 return tune_in.outcome is None
 
-        self.caught(world(session_core_class=Deaf), 2, "3: c1 is sent to s1")
+        self.assert_found(world(session_core_class=IgnoringServerState), 2, "3: c1 is sent to s1")
 
     def test_an_answer_that_is_not_given(self):
-        class Silent(SessionCore):
+        class NotAnswering(SessionCore):
             def _answer(self, request, answer):
                 if request.name.endswith(".0"):
                     self.waiting -= 1
                     return
                 super()._answer(request, answer)
 
-        self.caught(world(False, session_core_class=Silent), 3, "1: c1.0 got no answer", settle_all=True)
+        self.assert_found(world(False, session_core_class=NotAnswering), 3, "1: c1.0 got no answer", settle_all=True)
 
-    def test_a_paid_set_up_found_again_whose_seat_is_another_viewers(self):
-        class Crowds(SessionCore):
+    def test_a_recovered_paid_set_up_whose_seat_another_viewer_has(self):
+        class IgnoringSeats(SessionCore):
             def _seat_left(self, title, pack):
                 return True
 
-        course = [
+        trace = [
             ("its intent is kept", 0),
             ("the server runs it", 0),
             ("the front is killed",),
             ("the front starts",),
             ("a client comes again", 1),
         ]
-        here = done_again(world(seats=1, clients=2, session_core_class=Crowds), course)
-        with self.assertRaises(Breach) as caught:
-            here.settle()
+        model = replay_trace(world(seats=1, clients=2, session_core_class=IgnoringSeats), trace)
+        with self.assertRaises(RuleViolated) as caught:
+            model.settle()
         self.assertTrue(str(caught.exception).startswith("5: 2 held"), str(caught.exception))
-        done_again(world(seats=1, clients=2), course).settle()
+        replay_trace(world(seats=1, clients=2), trace).settle()
 
 
 if __name__ == "__main__":
