--- a/curlewshift/capture/__init__.py
+++ b/curlewshift/capture/__init__.py
@@ -1,1 +1,1 @@
-"""Everything a front was told and everything it decided, in one ordered stream, and the same decisions again."""
+"""Captures of a front: all input and all decisions of its session core in one ordered log, and the replay of that log."""
--- a/curlewshift/capture/against.py
+++ b/curlewshift/capture/against.py
@@ -1,8 +1,8 @@
-"""Another policy, or an earlier version of the rules, asked at each placing of a capture what it would have done.
+"""Compares the placings of a capture with those of another policy: a baseline, or an earlier revision of the rules.
 
-The capture is replayed by the rules that serve, so that each placing is looked at in the state in which it was made;
-the other one only says where it would have sent the viewing, and what it says changes nothing. So each difference is
-its own, and not an echo of an earlier one. What it would have come to over a day is a question for an emulator.
+The capture is replayed by the current rules, so that both policies decide each placing in the state in which it was made. The
+decision of the other policy is only counted and never carried out, so a difference is never the result of an earlier one. How
+the other policy performs over a day is a question for the emulator.
 """
 
 from __future__ import annotations
@@ -18,16 +18,19 @@
 from curlewshift.rules import Rules
 
 ROOT = Path(__file__).resolve().parents[2]
-KEPT_EXAMPLES = 10
+# Of the name of the module that holds a revision's rules; the revision follows.
+MODULE_PREFIX = "rules at "
+MAX_EXAMPLES = 10
 
 
 class NoSuchPolicy(Exception):
-    """It is neither a baseline nor a revision that has rules; its text says so."""
+    """The name is neither a baseline's nor that of a revision with rules, or the revision's rules cannot run on the objects of
+    this version; the text says which."""
 
 
 @dataclass(slots=True)
 class Compared:
-    """How the placings of a capture differ: `kinds` counts them, `examples` tells the first in words."""
+    """How the placings of a capture differ: `kinds` counts the kinds of differences, `examples` describes the first ones."""
 
     placings: int = 0
     kinds: Counter = field(default_factory=Counter)
@@ -40,77 +43,81 @@
         return BASELINES[name]
     if not name or name.startswith("-"):
         raise NoSuchPolicy(f"{name!r} is no revision")
-    told = subprocess.run(["git", "-C", str(ROOT), "show", f"{name}:curlewshift/rules.py"], capture_output=True, text=True)
-    if told.returncode:
+    shown = subprocess.run(["git", "-C", str(ROOT), "show", f"{name}:curlewshift/rules.py"], capture_output=True, text=True)
+    if shown.returncode:
         raise NoSuchPolicy(f"{name!r} is neither a baseline ({', '.join(BASELINES)}) nor a revision with rules")
-    module = types.ModuleType(f"rules at {name}")
+    module = types.ModuleType(f"{MODULE_PREFIX}{name}")
     try:
-        exec(compile(told.stdout, f"{name}:curlewshift/rules.py", "exec"), module.__dict__)
-    except ImportError as wrong:
-        raise NoSuchPolicy(f"the rules of {name} need what is there no more: {wrong}") from None
+        exec(compile(shown.stdout, f"{name}:curlewshift/rules.py", "exec"), module.__dict__)
+    except ImportError as error:
+        raise NoSuchPolicy(f"the rules of {name} import names that this version no longer has: {error}") from None
     return module.Rules
 
 
 def asked_of(other: type[Rules], compared: Compared) -> type[Rules]:
-    """The rules that serve, and at each placing what `other` would have done in the same state."""
+    """The current rules, which count in `compared`, at each placing, what `other` would have decided in the same state. Placing
+    raises `NoSuchPolicy` if `other` uses names that the objects of this version do not have."""
 
     class Shadow(other):
-        """Says where it would send, and sends nothing."""
+        """Notes the decision of `other`, and sends nothing."""
 
         def _tune_in(self, viewing, server, rung):
-            self.said = (server.name, rung)
+            self.shadow_placing = (server.name, rung)
 
         def _block(self, viewing):
-            self.said = None
+            self.shadow_placing = None
 
     class Asked(Rules):
-        said: tuple | None = None
+        shadow_placing: tuple | None = None
         aside = False
 
         def _place(self, viewing):
-            chance, self.chance = self.chance, Random(len(compared.kinds) + compared.placings)
+            rng, self.chance = self.chance, Random(len(compared.kinds) + compared.placings)
             state = {name: getattr(self, name) for name in ("unproven_left", "unproven_at")}
-            held, sent = (viewing.rung, viewing.over), [(server, list(server.sent)) for server in viewing.holders]
-            self.__class__, self.said = Shadow, None
+            decided, sent = (viewing.rung, viewing.over), [(server, list(server.sent)) for server in viewing.holders]
+            self.__class__, self.shadow_placing = Shadow, None
             try:
                 other._place(self, viewing)
-                would = self.said
+                shadow_placing = self.shadow_placing
+            except (AttributeError, TypeError) as error:
+                revision = other.__module__.removeprefix(MODULE_PREFIX)
+                raise NoSuchPolicy(f"the rules of {revision} use names that this version no longer has: {error}") from error
             finally:
-                self.__class__, self.chance = Asked, chance
-                viewing.rung, viewing.over = held
+                self.__class__, self.chance = Asked, rng
+                viewing.rung, viewing.over = decided
                 for name, value in state.items():
                     setattr(self, name, value)
                 for server, times in sent:
                     server.sent = times
-            self.done = None
+            self.own_placing = None
             super()._place(viewing)
             compared.placings += 1
-            kind = kind_of(self.done, would)
+            kind = difference_of(self.own_placing, shadow_placing)
             compared.kinds[kind] += 1
-            if kind != "the same" and len(compared.examples) < KEPT_EXAMPLES:
+            if kind != "the same" and len(compared.examples) < MAX_EXAMPLES:
                 compared.examples.append(
                     f"at {(self.host.now() - self.born) / 1e9:.3f} s viewing {viewing.name} of "
-                    f"{viewing.title!r}: {in_words(self.done)} here, {in_words(would)} there"
+                    f"{viewing.title!r}: {describe(self.own_placing)} here, {describe(shadow_placing)} there"
                 )
 
         def _tune_in(self, viewing, server, rung):
-            self.done = (server.name, rung)
+            self.own_placing = (server.name, rung)
             super()._tune_in(viewing, server, rung)
 
     return Asked
 
 
-def kind_of(done: tuple | None, would: tuple | None) -> str:
-    """How two placings of one viewing differ, in a word or two."""
-    if done == would:
+def difference_of(own: tuple | None, other: tuple | None) -> str:
+    """How two placings (server, rung) of one viewing differ; None is a refusal. `own` is that of the current rules."""
+    if own == other:
         return "the same"
-    if done is None:
+    if own is None:
         return "refused here, sent there"
-    if would is None:
+    if other is None:
         return "sent here, refused there"
-    return "another server" if done[0] != would[0] else "another rung"
+    return "another server" if own[0] != other[0] else "another rung"
 
 
-def in_words(placed: tuple | None) -> str:
+def describe(placing: tuple | None) -> str:
     """A placing, or a refusal, for people."""
-    return "refused" if placed is None else f"{placed[0]} on rung {placed[1]}"
+    return "refused" if placing is None else f"{placing[0]} on rung {placing[1]}"
--- a/curlewshift/capture/records.py
+++ b/curlewshift/capture/records.py
@@ -1,8 +1,8 @@
-"""The log's form: records of MessagePack, each with its length and checksum, in segments. No I/O but bytes.
+"""The format of a log: segments of MessagePack records, each with its length and checksum. Works on bytes; no I/O.
 
-A segment begins with a magic word and the version. A record is its length (4 bytes), the CRC-32 of its payload (4
-bytes) and the payload, so that a log cut off anywhere, or with a flipped bit, is read up to there and no further, and
-says where that was.
+A segment begins with a magic text that includes the version. A record is its length (4 bytes), the CRC-32 of its payload (4
+bytes), both little-endian, and the payload. So a log that is truncated anywhere, or has a flipped bit, is read up to that record
+and no further, and the position is reported.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 MAGIC = b"curlewshift capture 1\n"
 HEAD = struct.Struct("<II")
-# A longer record is a damaged length.
-MOST_BYTES = 32 * 1024 * 1024
+# A length above this means that the length itself is damaged.
+MAX_RECORD_BYTES = 32 * 1024 * 1024
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class InvalidCapture(Exception):
-    """The file does not begin as a capture does."""
+    """The file does not begin with the magic text of a capture, or cannot be decompressed."""
 
 
 def frame(record: list[Any]) -> bytes:
@@ -32,32 +32,32 @@
 
 
 class Reading:
-    """The records of one segment. After the last, `damage` says what ended it, empty if it is whole, and `whole` how
-    many bytes were read well."""
+    """Iterates over the records of one segment. Afterwards `damage` says why reading ended early (empty if the segment is
+    complete), and `whole` is the number of bytes that were valid. Raises `InvalidCapture` if the magic text is not there."""
 
     def __init__(self, raw: bytes, name: str = "capture"):
         if not raw.startswith(MAGIC):
-            raise InvalidCapture(f"{name}: this is no capture, or one of another version")
+            raise InvalidCapture(f"{name}: not a capture, or one of another version")
         self.raw, self.name, self.damage, self.whole = raw, name, "", len(MAGIC)
 
     def __iter__(self) -> Iterator[list[Any]]:
         at = len(MAGIC)
         while at < len(self.raw):
             if at + HEAD.size > len(self.raw):
-                self.damage = f"{self.name}: cut off inside a record's head at byte {at}"
+                self.damage = f"{self.name}: truncated in the header of a record at byte {at}"
                 return
             length, checksum = HEAD.unpack_from(self.raw, at)
             payload = self.raw[at + HEAD.size : at + HEAD.size + length]
-            if length > MOST_BYTES or len(payload) < length:
-                self.damage = f"{self.name}: cut off inside a record at byte {at}"
+            if length > MAX_RECORD_BYTES or len(payload) < length:
+                self.damage = f"{self.name}: truncated in the record at byte {at}"
                 return
             if zlib.crc32(payload) != checksum:
                 self.damage = f"{self.name}: the record at byte {at} is damaged"
                 return
             try:
                 record = msgspec.msgpack.decode(payload)
-            except msgspec.DecodeError as wrong:
-                self.damage = f"{self.name}: the record at byte {at} cannot be read: {wrong}"
+            except msgspec.DecodeError as error:
+                self.damage = f"{self.name}: the record at byte {at} cannot be decoded: {error}"
                 return
             at = self.whole = at + HEAD.size + length
             yield record
--- a/curlewshift/capture/replay.py
+++ b/curlewshift/capture/replay.py
@@ -1,7 +1,7 @@
-"""The same things told to a desk again, and whether it decides the same. Called by `curlewshift replay` and by tests.
+"""Replays a capture: calls a session core as the log says, and compares its acts. Called by `curlewshift replay` and by tests.
 
-The desk is the one that serves. Where a run first differs from the log, the replay says at which record, of what, and
-in which field; then it stops, as from there on the log is of another day.
+The session core is the one in service. At the first difference from the log the replay reports the record, the act, and what was
+logged and done; then it stops, as the rest of the log belongs to another state.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Opaque:
-    """What only the outside could read, known by its number."""
+    """Stands for an object that only the driver could read, and of which the log has only the number."""
 
     def __init__(self, number: int):
         self.number = number
@@ -30,38 +30,40 @@
 
 @dataclass(slots=True)
 class Difference:
-    """Record number (from 0), and what was logged and what came instead."""
+    """`record` is the number of the record (from 0), `what` names the act; `logged` is in the log, `actual` in this run."""
 
     record: int
     what: str
     logged: Any
-    came: Any
+    actual: Any
 
     def __str__(self) -> str:
-        return f"record {self.record}: {self.what}: the log has {self.logged!r}, this run {self.came!r}"
+        return f"record {self.record}: {self.what}: the log has {self.logged!r}, this run {self.actual!r}"
 
 
 @dataclass(slots=True)
-class Replayed:
+class ReplayResult:
+    """`told` and `did` count the replayed calls and acts; `until` is the time of the last call (ns of the front's clock)."""
+
     told: int = 0
     did: int = 0
     until: int = 0
     difference: Difference | None = None
-    # why each tune-in and refusal of the viewing asked about came to be, in plain words
+    # the reasons for each placing and refusal of the viewing to explain, for people
     explained: list[str] = field(default_factory=list)
 
 
-class Again:
-    """The outside of a replay: the clock of the log, and acts compared with what the log has next."""
+class ReplayDriver:
+    """The driver of a replay: its clocks are those of the log, and its acts do nothing. `Replay` compares the acts."""
 
     def __init__(self, replay: Replay):
-        self.replay, self.at, self.walls = replay, 0, 0
+        self.replay, self.at, self.wall_time = replay, 0, 0
 
     def now(self) -> int:
         return self.at
 
     def wall(self) -> int:
-        return self.walls
+        return self.wall_time
 
     def wake(self, at: int) -> None:
         pass
@@ -69,96 +71,98 @@
     def withdraw(self, tune_in) -> bool:
         return self.replay.next_result("withdraw")
 
-    def _nothing(self, *things) -> None:
+    def _ignore(self, *args) -> None:
         pass
 
-    tune_in = tell = end_session = probe = answer = whole_list = _nothing
+    tune_in = tell = end_session = probe = answer = whole_list = _ignore
 
 
 class Replay:
-    """`viewing` is the number of one to explain; `rules` may be others than those that serve, to compare."""
+    """`viewing` is the number of the viewing to explain. Calls after `until` (ns of the front's clock) are left out. `rules` may
+    be a class derived from the ones in service, for a comparison."""
 
     def __init__(self, records: Iterable[list], viewing: int | None = None, until: int | None = None, rules: type[Rules] = Rules):
         self.records = list(records)
         self.viewing, self.until, self.rules = viewing, until, rules
         self.position = 0
-        self.done = Replayed()
+        self.result = ReplayResult()
         self.began = 0
 
-    def run(self) -> Replayed:
+    def run(self) -> ReplayResult:
+        """Raises `ValueError` if the log does not begin with the terms."""
         if not self.records or self.records[0][0] != BEGAN:
             raise ValueError("the log does not begin with the terms of its front")
         _, terms, (uplinks, titles), peaks, limits = self.records[0]
-        terms = terms_in(terms)
+        terms = terms_from_dict(terms)
         self.began = terms.now
-        self.driver = Again(self)
+        self.driver = ReplayDriver(self)
         self.driver.at = terms.now
         calendar = Calendar(terms.packages)
         for peak in peaks:
             calendar.peaks[peak["name"]] = Peak(**peak)
         self.position = 1
-        self.session_core = tapped(SessionCore, self._note)(
+        self.session_core = tapped(SessionCore, self._compare)(
             self.driver, terms, ServerList(uplinks, titles), calendar=calendar, rules=self._rules(), **limits
         )
-        while self.position < len(self.records) and self.done.difference is None:
+        while self.position < len(self.records) and self.result.difference is None:
             record = self.records[self.position]
             if record[0] != TOLD:
-                self._differs("nothing was done here", record, None)
+                self._set_difference("no act", record, None)
                 break
             if self.until is not None and record[1] > self.until:
                 break
-            self._tell(record)
-        return self.done
+            self._call(record)
+        return self.result
 
-    # ---- one thing told
+    # ---- one call
 
-    def _tell(self, record: list) -> None:
-        _, at, wall, name, args, how = record
-        self.driver.at, self.driver.walls = at, wall
-        self.done.until = at
+    def _call(self, record: list) -> None:
+        _, at, wall, name, args, kwargs = record
+        self.driver.at, self.driver.wall_time = at, wall
+        self.result.until = at
         before = self.position
         try:
             getattr(self.session_core, name)(
-                *[self._thing(one) for one in args], **{key: self._thing(one) for key, one in how.items()}
+                *[self._object(arg) for arg in args], **{key: self._object(arg) for key, arg in kwargs.items()}
             )
         except (InvalidRequest, InvalidPeak):
-            # the log has the same: it was told, and did nothing
+            # as when the log was written: the call was recorded, and did nothing
             pass
-        self.done.told += 1
-        if self.done.difference is None and self.position < len(self.records) and self.records[self.position][0] == DID:
-            self._differs(f"after {name}", self.records[self.position][1:3], None)
-        assert self.position > before or self.done.difference, "a replay goes on"
-
-    def _note(self, record: list) -> None:
-        """What the desk of this run notes, in step with the log."""
-        if record[0] == BEGAN or self.done.difference is not None:
+        self.result.told += 1
+        if self.result.difference is None and self.position < len(self.records) and self.records[self.position][0] == DID:
+            self._set_difference(f"after {name}", self.records[self.position][1:3], None)
+        assert self.position > before or self.result.difference, "each call advances the replay"
+
+    def _compare(self, record: list) -> None:
+        """Compares a record of this run with the next one of the log."""
+        if record[0] == BEGAN or self.result.difference is not None:
             return
         if record[0] == TOLD:
             self.position += 1
             return
         if self.position >= len(self.records):
-            # the log was cut off here
+            # the log is truncated here
             return
         logged = self.records[self.position]
-        self.done.did += 1
-        came, had = record[1:3], logged[1:3] if logged[0] == DID else None
-        if came != had:
-            self._differs(record[1], had, came)
+        self.result.did += 1
+        actual, expected = record[1:3], logged[1:3] if logged[0] == DID else None
+        if actual != expected:
+            self._set_difference(record[1], expected, actual)
             return
         self.position += 1
 
     def next_result(self, name: str) -> bool:
-        """What the outside said then to an act that asks something."""
+        """The result that the driver returned for this act when the log was written; True if the log does not say."""
         logged = self.records[self.position] if self.position < len(self.records) else None
         return bool(logged[3]) if logged and logged[0] == DID and logged[1] == name else True
 
-    def _differs(self, what: str, logged, came) -> None:
-        if self.done.difference is None:
-            self.done.difference = Difference(self.position, what, logged, came)
+    def _set_difference(self, what: str, logged, actual) -> None:
+        if self.result.difference is None:
+            self.result.difference = Difference(self.position, what, logged, actual)
 
     # ---- ids to objects
 
-    def _thing(self, value: Any) -> Any:
+    def _object(self, value: Any) -> Any:
         if not isinstance(value, list):
             return value
         kind, *rest = value
@@ -171,11 +175,11 @@
         if kind == "peak":
             return Peak(**rest[0])
         if kind == "list":
-            return [self._thing(one) for one in rest[0]]
+            return [self._object(item) for item in rest[0]]
         if kind == "dict":
-            return {name: self._thing(one) for name, one in rest[0].items()}
+            return {name: self._object(item) for name, item in rest[0].items()}
         if kind == "call":
-            return lambda *what: None
+            return lambda *args: None
         ids = self.session_core.tap_ids
         if kind == "opaque" and rest[0] == len(ids.objects):
             ids.of(Opaque(rest[0]))
@@ -191,50 +195,50 @@
                 if replay.viewing is None or viewing.name != replay.viewing:
                     super()._place(viewing)
                     return
-                lines = replay._why(self, viewing)
+                lines = replay._explanation(self, viewing)
                 super()._place(viewing)
-                replay.done.explained += [*lines, replay._outcome(viewing)]
+                replay.result.explained += [*lines, replay._outcome(viewing)]
 
         return Explained
 
-    def _why(self, rules: Rules, viewing) -> list[str]:
-        when = (self.driver.at - self.began) / SECOND
+    def _explanation(self, rules: Rules, viewing) -> list[str]:
+        seconds = (self.driver.at - self.began) / SECOND
         lines = [
-            f"at {when:.3f} s: viewing {viewing.name} of {viewing.title!r}, package {viewing.package.name}, rungs "
+            f"at {seconds:.3f} s: viewing {viewing.name} of {viewing.title!r}, package {viewing.package.name}, rungs "
             f"{viewing.package.floor} to {min(viewing.ceiling, viewing.package.top)}, {viewing.tune_ins} tune-ins so far"
         ]
         for server in viewing.holders:
-            lines.append("  " + self._of_holder(rules, viewing, server))
+            lines.append("  " + self._describe_holder(rules, viewing, server))
         seats = viewing.package.seats
         if seats:
             lines.append(f"  {rules.seats[viewing.title, viewing.package]} of {seats} seats of this title are taken")
         return lines
 
-    def _of_holder(self, rules: Rules, viewing, server: Server) -> str:
+    def _describe_holder(self, rules: Rules, viewing, server: Server) -> str:
         link = server.link
         held = sum(room for package, room in link.holds.items() if package is not viewing.package)
-        said = [
+        texts = [
             f"{server.name}: link of {link.size:.0f} kB/s, own use {link.own:.0f}, others "
             f"{max(0.0, rules._others(link)):.0f}" + (f", held for other packages {held:.0f}" if held else "")
         ]
         if not server.open:
-            said.append("told draining or gone")
+            texts.append("reported draining or gone")
         elif not rules._may_send(server):
-            said.append("cold, full or failed: nothing may be sent now")
+            texts.append("cold, full or failed: nothing may be sent now")
         else:
             fits = [
                 rung
                 for rung in range(viewing.package.floor, min(viewing.ceiling, viewing.package.top) + 1)
                 if rules._room(server, viewing.package.rates[rung], viewing=viewing) >= 0
             ]
-            said.append(f"rungs up to {max(fits)} pass the test" if fits else "no rung passes the test")
+            texts.append(f"rungs up to {max(fits)} pass the test" if fits else "no rung passes the test")
         if rules._sick(server):
-            said.append("in doubt after failures")
+            texts.append("in doubt after failures")
         if server in viewing.tried:
-            said.append("tried already")
+            texts.append("tried already")
         if rules._short(link) or rules._short(server.rack.link):
-            said.append("short delivery noted")
-        return "; ".join(said)
+            texts.append("short delivery noted")
+        return "; ".join(texts)
 
     @staticmethod
     def _outcome(viewing) -> str:
@@ -243,7 +247,7 @@
         return "  so: refused"
 
 
-def terms_in(out: dict) -> Terms:
-    """The terms that `terms_out` wrote into a capture."""
-    packages = [Package(**{**package, "rates": tuple(package["rates"])}) for package in out["packages"]]
-    return Terms(**{**out, "packages": packages})
+def terms_from_dict(values: dict) -> Terms:
+    """The terms that `terms_to_dict` of tap.py wrote into a capture."""
+    packages = [Package(**{**package, "rates": tuple(package["rates"])}) for package in values["packages"]]
+    return Terms(**{**values, "packages": packages})
--- a/curlewshift/capture/retention.py
+++ b/curlewshift/capture/retention.py
@@ -1,7 +1,8 @@
-"""Which old captures are let go. No I/O.
+"""Decides which old captures are removed. No I/O.
 
-A front keeps the captures of its earlier lives, as the one that ended badly is the one that is looked for. They go by
-age, and the oldest first while all together are too large; what is being written never goes.
+A front keeps the captures of its earlier lives (runs of the process), as an operator looks for the one that ended badly.
+Captures are removed above an age, and the oldest first while their total size is too large; the one being written is never
+removed.
 """
 
 from __future__ import annotations
@@ -10,26 +11,33 @@
 
 SECOND = 1_000_000_000
 DAY = 86_400 * SECOND
-KEPT_FOR = 7 * DAY
-MOST_BYTES = 1024 * 1024 * 1024
+RETENTION_NS = 7 * DAY
+MAX_TOTAL_BYTES = 1024 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """One life's capture: `last` is when it was last written to (Unix ns)."""
+class StoredCapture:
+    """The capture of one life. `written_at` is the time of its last write (Unix ns), `size` is in bytes."""
 
     name: str
-    last: int
+    written_at: int
     size: int
 
 
-def to_let_go(captures: list[Kept], writing: str, now: int, kept_for: int = KEPT_FOR, most_bytes: int = MOST_BYTES) -> list[str]:
-    """Names, oldest first. A time in the future (the clock was set back) is no reason to go."""
-    oldest_first = sorted(captures, key=lambda kept: (kept.last, kept.name))
-    size = sum(kept.size for kept in captures)
-    going = []
-    for kept in oldest_first:
-        if kept.name != writing and (now - kept.last > kept_for or size > most_bytes):
-            going.append(kept.name)
-            size -= kept.size
-    return going
+def captures_to_remove(
+    captures: list[StoredCapture],
+    writing: str,
+    now: int,
+    retention: int = RETENTION_NS,
+    max_total_bytes: int = MAX_TOTAL_BYTES,
+) -> list[str]:
+    """Names of the captures to remove, oldest first. `writing` names the one being written; `now` is Unix ns. A time in the
+    future (the clock was set back) does not count as an age."""
+    oldest_first = sorted(captures, key=lambda capture: (capture.written_at, capture.name))
+    size = sum(capture.size for capture in captures)
+    removed = []
+    for capture in oldest_first:
+        if capture.name != writing and (now - capture.written_at > retention or size > max_total_bytes):
+            removed.append(capture.name)
+            size -= capture.size
+    return removed
--- a/curlewshift/capture/store.py
+++ b/curlewshift/capture/store.py
@@ -1,10 +1,10 @@
-"""A capture on disk: written by a thread, in segments, within a budget. Answers never wait for it.
+"""A capture on disk: written by a thread, in segments, within a budget of bytes. Answers to clients never wait for it.
 
-Each life of a front has a folder of its own in the one it was told; a segment that is whole is packed (Zstandard, RFC
-8878) and indexed.
+Each life of a front (one run of the process) has a folder of its own in the configured one. A complete segment is compressed
+(Zstandard, RFC 8878) and indexed.
 
-What cannot be kept, as the disk is full or slower than the front, ends the capture with a word in the log: a stream with
-a hole could not be replayed, and the front goes on without.
+If a record cannot be stored, because the disk is full or slower than the front, the capture ends with a message in the log and
+the front continues without it: a capture with a gap could not be replayed.
 """
 
 from __future__ import annotations
@@ -19,65 +19,71 @@
 
 from curlewshift.capture.index import Index, Indexer
 from curlewshift.capture.records import MAGIC, InvalidCapture, Reading, frame
-from curlewshift.capture.retention import Kept, to_let_go
+from curlewshift.capture.retention import StoredCapture, captures_to_remove
 from curlewshift.state.background_writer import BackgroundWriter
 
-SEGMENT = 4 * 1024 * 1024
-BUDGET = 256 * 1024 * 1024
+SEGMENT_BYTES = 4 * 1024 * 1024
+BUDGET_BYTES = 256 * 1024 * 1024
 # Bytes that may wait for the disk.
-MOST_WAITING = 16 * 1024 * 1024
-# Packing a segment rests so long (s) after so many records.
-REST, SLICE = 0.002, 100
-LEVEL, PACKED = 3, ".zst"
-# What comes within this (s) is written together.
-TOGETHER = 0.02
+MAX_WAITING_BYTES = 16 * 1024 * 1024
+# Indexing a segment pauses for this time after each slice of this number of records.
+INDEX_PAUSE_S, INDEX_SLICE = 0.002, 100
+COMPRESSION_LEVEL, PACKED_SUFFIX = 3, ".zst"
+# Records that come within this time are written together.
+BATCH_S = 0.02
 
 
 class CaptureWriter:
-    """`ended(why)` is called once, from the writer's thread or the noting one, if the capture ends before `close`."""
+    """Writes the capture of one life. If it ends before `close`, `ended(reason)` is called once, from the writer's thread or the
+    one that calls `note` or `stop`. `budget` and `segment` are in bytes, `together` in seconds."""
 
     def __init__(
-        self, folder: Path, ended: Callable[[str], None], budget: int = BUDGET, segment: int = SEGMENT, together: float = TOGETHER
+        self,
+        folder: Path,
+        ended: Callable[[str], None],
+        budget: int = BUDGET_BYTES,
+        segment: int = SEGMENT_BYTES,
+        together: float = BATCH_S,
     ):
         folder.mkdir(parents=True, exist_ok=True)
         self.folder, self.ended, self.budget, self.segment = folder, ended, budget, segment
         self.indexer = Indexer()
-        self.held = self.written = self.number = 0
-        self.over = ""
+        self.waiting_bytes = self.written = self.number = 0
+        self.end_reason = ""
         self.file = None
-        self.behind = BackgroundWriter(self._write, together)
+        self.background = BackgroundWriter(self._write, together)
 
     def note(self, record: list) -> None:
-        """Never blocks on the disk."""
-        if self.over:
+        """Stores a record. Never blocks on the disk."""
+        if self.end_reason:
             return
         raw = frame(record)
-        with self.behind.wake:
-            if self.held + len(raw) > MOST_WAITING:
-                self._end("the disk is slower than what is to be kept")
+        with self.background.wake:
+            if self.waiting_bytes + len(raw) > MAX_WAITING_BYTES:
+                self._end("the disk is slower than the capture")
                 return
-            self.held += len(raw)
-            self.behind.put(raw)
+            self.waiting_bytes += len(raw)
+            self.background.put(raw)
 
-    def stop(self, why: str) -> None:
-        """Nothing is written from here on: what follows could not be played again."""
-        self._end(why)
+    def stop(self, reason: str) -> None:
+        """Ends the capture: nothing is written from here on, as what follows could not be replayed."""
+        self._end(reason)
 
     def close(self) -> None:
-        """What was noted is on the disk when this returns."""
-        self.behind.close()
+        """Returns when all records are written to the file."""
+        self.background.close()
         if self.file is not None:
             self.file.close()
-            self._shut(Path(self.file.name), 0.0)
+            self._pack(Path(self.file.name), 0.0)
 
     def _write(self, records: list[bytes]) -> None:
         raw = b"".join(records)
-        with self.behind.wake:
-            self.held -= len(raw)
-        if not self.over:
-            self._out(raw)
+        with self.background.wake:
+            self.waiting_bytes -= len(raw)
+        if not self.end_reason:
+            self._append(raw)
 
-    def _out(self, raw: bytes) -> None:
+    def _append(self, raw: bytes) -> None:
         try:
             if self.written + len(raw) > self.budget:
                 self._end(f"its budget of {self.budget} bytes is used up")
@@ -85,73 +91,75 @@
             if self.file is None or self.file.tell() > self.segment:
                 if self.file is not None:
                     self.file.close()
-                    self._shut(Path(self.file.name), REST)
-                # with the first segment too: lives that never filled one were kept for ever
-                let_go(self.folder.parent, self.folder.name)
+                    self._pack(Path(self.file.name), INDEX_PAUSE_S)
+                # with each new segment, the first included: a life that never fills one must remove old captures too
+                remove_old_captures(self.folder.parent, self.folder.name)
                 self.number += 1
                 self.file = open(self.folder / f"{self.number:06}.capture", "wb", buffering=0)
                 self.file.write(MAGIC)
             self.file.write(raw)
             self.written += len(raw)
-        except OSError as wrong:
-            self._end(f"it cannot be written: {wrong.strerror}")
+        except OSError as error:
+            self._end(f"it cannot be written: {error.strerror}")
 
-    def _shut(self, segment: Path, rest: float) -> None:
-        """A whole segment is indexed and compressed, in small slices: the front decides on the same processor."""
+    def _pack(self, segment: Path, pause: float) -> None:
+        """Indexes and compresses a complete segment. Indexing pauses (s) between small slices, as the front's decisions share
+        the processor."""
         try:
-            self.indexer.begin()
-            raw, beside = segment.read_bytes(), segment.with_suffix(".new")
+            self.indexer.reset()
+            raw, packed = segment.read_bytes(), segment.with_suffix(".new")
             for number, record in enumerate(Reading(raw, segment.name)):
                 self.indexer.add(record)
-                if rest and number % SLICE == SLICE - 1:
-                    time.sleep(rest)
-            # this gives the processor free by itself
-            beside.write_bytes(zstandard.ZstdCompressor(level=LEVEL).compress(raw))
-            segment.with_suffix(".index").write_bytes(msgspec.json.encode(self.indexer.whole()))
-            os.replace(beside, segment.with_suffix(PACKED))
+                if pause and number % INDEX_SLICE == INDEX_SLICE - 1:
+                    time.sleep(pause)
+            # compression releases the interpreter lock, and needs no pauses
+            packed.write_bytes(zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(raw))
+            segment.with_suffix(".index").write_bytes(msgspec.json.encode(self.indexer.to_index()))
+            os.replace(packed, segment.with_suffix(PACKED_SUFFIX))
             segment.unlink()
-        except OSError as wrong:
-            # it stays as it is, which can be read as well
-            self._end(f"a segment cannot be packed: {wrong.strerror}")
+        except OSError as error:
+            # the segment stays uncompressed, and can be read so
+            self._end(f"a segment cannot be packed: {error.strerror}")
 
-    def _end(self, why: str) -> None:
-        if not self.over:
-            self.over = why
-            self.ended(why)
+    def _end(self, reason: str) -> None:
+        if not self.end_reason:
+            self.end_reason = reason
+            self.ended(reason)
 
 
-def let_go(folder: Path, writing: str) -> list[str]:
-    """Removes captures of earlier lives that are too old or too much; those that cannot be removed stay."""
+def remove_old_captures(folder: Path, writing: str) -> list[str]:
+    """Removes captures of earlier lives that are too old or too large, except that of `writing`. Returns their names. Foreign
+    files stay, and then so does their folder."""
     lives = []
     for life in folder.iterdir() if folder.is_dir() else ():
-        files = [file.stat() for file in ours(life)] if life.is_dir() and segments_of(life) else []
+        files = [file.stat() for file in capture_files(life)] if life.is_dir() and segments_of(life) else []
         if files:
-            lives.append(Kept(life.name, max(file.st_mtime_ns for file in files), sum(file.st_size for file in files)))
-    gone = to_let_go(lives, writing, time.time_ns())
-    for name in gone:
-        for file in ours(folder / name):
+            lives.append(StoredCapture(life.name, max(file.st_mtime_ns for file in files), sum(file.st_size for file in files)))
+    removed = captures_to_remove(lives, writing, time.time_ns())
+    for name in removed:
+        for file in capture_files(folder / name):
             file.unlink(missing_ok=True)
         try:
             (folder / name).rmdir()
         except OSError:
             continue
-    return gone
+    return removed
 
 
-def ours(life: Path) -> list[Path]:
-    """What a capture is made of; anything else in its folder is somebody's own."""
-    return [file for file in life.iterdir() if file.suffix in (".capture", PACKED, ".index", ".new")]
+def capture_files(life: Path) -> list[Path]:
+    """The files of a capture; other files in its folder are not the program's."""
+    return [file for file in life.iterdir() if file.suffix in (".capture", PACKED_SUFFIX, ".index", ".new")]
 
 
 def segments_of(folder: Path) -> list[Path]:
-    """In their order; where a kill left one both packed and not, the packed one is whole."""
-    packed = {segment.stem: segment for segment in folder.glob("*" + PACKED)}
+    """The segments in their order. Where a kill left one both compressed and not, the compressed one is taken: it is complete."""
+    packed = {segment.stem: segment for segment in folder.glob("*" + PACKED_SUFFIX)}
     plain = {segment.stem: segment for segment in folder.glob("*.capture")}
     return [{**plain, **packed}[stem] for stem in sorted({*plain, *packed})]
 
 
 def life_in(folder: Path) -> Path:
-    """The capture to read: the folder itself, or that of the newest life in it. Raises `FileNotFoundError`."""
+    """The folder of the capture to read: the given one, or that of the newest life in it. Raises `FileNotFoundError`."""
     if not folder.is_dir() or segments_of(folder):
         return folder
     lives = sorted(life for life in folder.iterdir() if life.is_dir() and segments_of(life))
@@ -161,18 +169,18 @@
 
 
 def read_segment(segment: Path) -> Reading:
-    """Raises `OSError`, `InvalidCapture`."""
+    """The reader of a segment, which is decompressed first if need be. Raises `OSError`, `InvalidCapture`."""
     raw = segment.read_bytes()
-    if segment.suffix == PACKED:
+    if segment.suffix == PACKED_SUFFIX:
         try:
             raw = zstandard.ZstdDecompressor().decompressobj().decompress(raw)
-        except zstandard.ZstdError as wrong:
-            raise InvalidCapture(f"{segment.name} cannot be unpacked: {wrong}") from None
+        except zstandard.ZstdError as error:
+            raise InvalidCapture(f"{segment.name} cannot be decompressed: {error}") from None
     return Reading(raw, segment.name)
 
 
 def read_capture(folder: Path) -> tuple[list[list], str]:
-    """All records in order, and what ended them early, empty if nothing did. Raises `OSError`, `InvalidCapture`."""
+    """All records in order, and why they end early (empty if they do not). Raises `OSError`, `InvalidCapture`."""
     folder = life_in(folder)
     records: list[list] = []
     for segment in segments_of(folder) if folder.is_dir() else [folder]:
@@ -184,15 +192,15 @@
 
 
 def index_of(segment: Path, indexer: Indexer) -> Index:
-    """As it was kept, or made now. Raises `OSError`, `InvalidCapture`."""
-    kept = segment.with_suffix(".index")
-    if kept.exists():
+    """The stored index of a segment, or one made from its records. Raises `OSError`, `InvalidCapture`."""
+    stored = segment.with_suffix(".index")
+    if stored.exists():
         try:
-            return msgspec.json.decode(kept.read_bytes(), type=Index)
+            return msgspec.json.decode(stored.read_bytes(), type=Index)
         except msgspec.DecodeError:
-            # an index is nothing that cannot be made again
+            # a damaged index is made again from the records
             pass
-    indexer.begin()
+    indexer.reset()
     for record in read_segment(segment):
         indexer.add(record)
-    return indexer.whole()
+    return indexer.to_index()
--- a/curlewshift/capture/tap.py
+++ b/curlewshift/capture/tap.py
@@ -1,12 +1,13 @@
-"""A desk that notes what it is told and what it does, in the order in which it happens.
+"""A session core that records its input and its decisions, in the order in which they happen.
 
-`tapped(SessionCore)` makes the class. Each thing that the desk is told is one record, `[TOLD, at, wall, what, arguments]`; each
-thing that it does in answer is one record after it, `[DID, what, arguments, result]`. While one is worked on, the clocks
-stand still at what they were when it came, so that the same records give the same decisions again: chance comes from
-the seed in the first record, and nothing else comes in from outside. Things told in one instant keep their order.
+`tapped(SessionCore)` makes the class. Each call of an entry is one record, `[TOLD, at, wall, name, args, kwargs]`; each act (a
+call of the session core on its driver) during it is one record after it, `[DID, name, values, result]`. During a call the clocks
+stand still at its beginning, so that the same records give the same decisions again: random numbers come from the seed in the
+first record, and there is no other input. Calls at the same instant keep their order.
 
-Objects go into the log as ids: servers by name, courses, requests and tune-ins by number; what only the outside can
-read (sessions, patches) by number too. The desk below is the one that serves, not a copy.
+Objects are recorded as ids: servers by name; front sessions, requests, tune-ins (attempts to set up a session), server commands
+and session ends by number, as are objects that only the driver can read (sessions, patches). The class derives from the session
+core that is in service; it is not a copy.
 """
 
 from __future__ import annotations
@@ -23,9 +24,10 @@
 from curlewshift.session_core.server_list import ServerEntry, ServerList
 from curlewshift.session_core.session_core import SessionCore
 
+# Kinds of records: the beginning (terms and limits), the call of an entry, an act.
 BEGAN, TOLD, DID = 0, 1, 2
 
-# Everything by which a desk is told something.
+# The methods by which a session core gets its input.
 ENTRIES = (
     "asked",
     "hung_up",
@@ -69,124 +71,124 @@
     "again_stopped",
     "share_rights",
 )
-# What objects that go in by number are called in a capture.
+# The names, in a capture, of the kinds of objects that are recorded by number.
 KINDS = {FrontSession: "course", Request: "request", TuneIn: "tunein", ServerCommand: "errand", SessionEnd: "ending"}
-# Everything that it does.
+# The methods of the driver by which a session core acts.
 ACTS = ("tune_in", "withdraw", "tell", "end_session", "probe", "answer", "whole_list")
 
 
-class Ids:
-    """Numbers for objects, in the order in which they are first met; the same in a replay, which meets them in the
-    same order. Offers are equal if their credentials are, and then have one number."""
+class ObjectIds:
+    """Numbers objects in the order in which they first occur, which is the same in a replay. Objects that are equal share a
+    number: so do offers with the same credentials."""
 
     def __init__(self):
         self.numbers: dict[Any, int] = {}
         self.objects: list[Any] = []
 
-    def of(self, thing: Any) -> int:
-        key = thing if type(thing).__hash__ is not None else ("unhashable", id(thing))
+    def of(self, obj: Any) -> int:
+        key = obj if type(obj).__hash__ is not None else ("unhashable", id(obj))
         number = self.numbers.get(key)
         if number is None:
-            # kept, so that no other object gets its identity while the log goes on
+            # a reference is held, so that no later object of this capture has the same id()
             number = self.numbers[key] = len(self.objects)
-            self.objects.append(thing)
+            self.objects.append(obj)
         return number
 
 
-def plain(ids: Ids, thing: Any) -> Any:
-    """A value as it goes into the log: objects as [kind, id]."""
-    if thing is None or isinstance(thing, (str, int, float, bool)):
-        return thing
-    if isinstance(thing, Server):
-        return ["server", thing.name]
-    if isinstance(thing, (Outcome, Result)):
-        return ["outcome" if isinstance(thing, Outcome) else "result", thing.value]
-    if isinstance(thing, ServerEntry):
-        return ["row", thing.server, thing.state, thing.started, thing.zone, thing.rack, thing.link, thing.streams, thing.shelf]
-    if isinstance(thing, Peak):
-        return ["peak", asdict(thing)]
-    if isinstance(thing, (list, tuple)):
-        return ["list", [plain(ids, one) for one in thing]]
-    if isinstance(thing, dict):
-        return ["dict", {name: plain(ids, one) for name, one in thing.items()}]
-    if type(thing) in KINDS:
-        return [KINDS[type(thing)], ids.of(thing)]
-    if callable(thing):
+def to_plain(ids: ObjectIds, value: Any) -> Any:
+    """The value as it is recorded: objects as [kind, id]."""
+    if value is None or isinstance(value, (str, int, float, bool)):
+        return value
+    if isinstance(value, Server):
+        return ["server", value.name]
+    if isinstance(value, (Outcome, Result)):
+        return ["outcome" if isinstance(value, Outcome) else "result", value.value]
+    if isinstance(value, ServerEntry):
+        return ["row", value.server, value.state, value.started, value.zone, value.rack, value.link, value.streams, value.shelf]
+    if isinstance(value, Peak):
+        return ["peak", asdict(value)]
+    if isinstance(value, (list, tuple)):
+        return ["list", [to_plain(ids, item) for item in value]]
+    if isinstance(value, dict):
+        return ["dict", {name: to_plain(ids, item) for name, item in value.items()}]
+    if type(value) in KINDS:
+        return [KINDS[type(value)], ids.of(value)]
+    if callable(value):
         return ["call"]
-    return ["opaque", ids.of(thing)]
+    return ["opaque", ids.of(value)]
 
 
-def act(ids: Ids, thing: Any) -> list:
-    """What was done, in plain values and with what people want to read of it."""
-    if isinstance(thing, TuneIn):
-        viewing = thing.front_session.viewing
-        return [ids.of(thing), viewing.name, thing.server.name, thing.number, thing.rung, thing.until]
-    if isinstance(thing, ServerCommand):
-        return [ids.of(thing), thing.front_session.viewing.name, -1 if thing.rung is None else thing.rung]
-    if isinstance(thing, SessionEnd):
-        return [ids.of(thing), thing.server.name, thing.tries]
-    if isinstance(thing, Server):
-        return [thing.name]
-    return [plain(ids, thing)]
+def act_values(ids: ObjectIds, subject: Any) -> list:
+    """The subject of an act as plain values, with those of its fields that a reader of the log needs."""
+    if isinstance(subject, TuneIn):
+        viewing = subject.front_session.viewing
+        return [ids.of(subject), viewing.name, subject.server.name, subject.number, subject.rung, subject.until]
+    if isinstance(subject, ServerCommand):
+        return [ids.of(subject), subject.front_session.viewing.name, -1 if subject.rung is None else subject.rung]
+    if isinstance(subject, SessionEnd):
+        return [ids.of(subject), subject.server.name, subject.tries]
+    if isinstance(subject, Server):
+        return [subject.name]
+    return [to_plain(ids, subject)]
 
 
-class Frozen:
-    """The outside as the desk sees it while it is tapped: clocks that stand still, and every act noted."""
+class FrozenDriver:
+    """The driver of a tapped session core: its clocks stand still between two calls of `freeze`, and it records every act."""
 
-    def __init__(self, driver, note: Callable[[list], None], ids: Ids):
-        self.driver, self.note, self.ids = driver, note, ids
-        self.at, self.walls = driver.now(), driver.wall()
+    def __init__(self, driver, record: Callable[[list], None], ids: ObjectIds):
+        self.driver, self.record, self.ids = driver, record, ids
+        self.at, self.wall_time = driver.now(), driver.wall()
         for name in ACTS:
-            setattr(self, name, self._noted(name))
+            setattr(self, name, self._recorded(name))
 
-    def _noted(self, name: str):
-        def done(*things):
-            result = getattr(self.driver, name)(*things)
-            what = act(self.ids, things[0]) if things else []
+    def _recorded(self, name: str):
+        def act(*args):
+            result = getattr(self.driver, name)(*args)
+            values = act_values(self.ids, args[0]) if args else []
             if name == "answer":
-                request, answer = things
-                what = [self.ids.of(request), request.name, answer.kind.value, answer.cause, answer.wait]
-            self.note([DID, name, what, bool(result)])
+                request, answer = args
+                values = [self.ids.of(request), request.name, answer.kind.value, answer.cause, answer.wait]
+            self.record([DID, name, values, bool(result)])
             return result
 
-        return done
+        return act
 
     def now(self) -> int:
         return self.at
 
     def wall(self) -> int:
-        return self.walls
+        return self.wall_time
 
     def wake(self, at: int) -> None:
         self.driver.wake(at)
 
     def freeze(self) -> None:
-        self.at, self.walls = max(self.at, self.driver.now()), self.driver.wall()
+        self.at, self.wall_time = max(self.at, self.driver.now()), self.driver.wall()
 
 
-def tapped(base: type[SessionCore], note: Callable[[list], None]) -> type[SessionCore]:
-    """A class like `base` that notes each record by `note`, which must not block."""
+def tapped(base: type[SessionCore], record: Callable[[list], None]) -> type[SessionCore]:
+    """A class like `base` that passes each record to `record`, which must not block."""
 
     class Tapped(base):
-        def __init__(self, driver, terms: Terms, server_list: ServerList, *args, calendar: Calendar | None = None, **how):
-            self.tap_ids, self.tap_depth = Ids(), 0
-            self.tap_driver = Frozen(driver, note, self.tap_ids)
-            limits = {name: how[name] for name in ("most_waiting", "most_keys") if name in how}
-            note(
+        def __init__(self, driver, terms: Terms, server_list: ServerList, *args, calendar: Calendar | None = None, **kwargs):
+            self.tap_ids, self.tap_depth = ObjectIds(), 0
+            self.tap_driver = FrozenDriver(driver, record, self.tap_ids)
+            limits = {name: kwargs[name] for name in ("most_waiting", "most_keys") if name in kwargs}
+            record(
                 [
                     BEGAN,
-                    terms_out(terms),
+                    terms_to_dict(terms),
                     [server_list.uplinks, {name: list(title.shelves) for name, title in server_list.titles.items()}],
                     [asdict(peak) for peak in (calendar.peaks.values() if calendar else ())],
                     limits,
                 ]
             )
             self.tap_driver.at = terms.now
-            super().__init__(self.tap_driver, terms, server_list, *args, calendar=calendar, **how)
+            super().__init__(self.tap_driver, terms, server_list, *args, calendar=calendar, **kwargs)
 
         def now(self) -> int:
             if not self.tap_depth:
-                # asked from outside, between two things told
+                # the caller asks for the time between two calls of entries
                 self.tap_driver.freeze()
             return self.tap_driver.at
 
@@ -195,26 +197,26 @@
             return super().stands(tune_in)
 
     def entry(name: str):
-        told = getattr(base, name)
+        method = getattr(base, name)
 
-        def noted(self, *args, **how):
+        def recorded(self, *args, **kwargs):
             if self.tap_depth:
-                return told(self, *args, **how)
+                return method(self, *args, **kwargs)
             self.tap_driver.freeze()
             ids = self.tap_ids
-            note(
+            record(
                 [
                     TOLD,
                     self.tap_driver.at,
-                    self.tap_driver.walls,
+                    self.tap_driver.wall_time,
                     name,
-                    [plain(ids, one) for one in args],
-                    {key: plain(ids, one) for key, one in how.items()},
+                    [to_plain(ids, arg) for arg in args],
+                    {key: to_plain(ids, arg) for key, arg in kwargs.items()},
                 ]
             )
             self.tap_depth += 1
             try:
-                result = told(self, *args, **how)
+                result = method(self, *args, **kwargs)
             finally:
                 self.tap_depth -= 1
             if isinstance(result, Request) and result.front_session is not None:
@@ -224,15 +226,15 @@
                 ids.of(result)
             return result
 
-        return noted
+        return recorded
 
     for name in ENTRIES:
         setattr(Tapped, name, entry(name))
     return Tapped
 
 
-def terms_out(terms: Terms) -> dict:
+def terms_to_dict(terms: Terms) -> dict:
     """The terms as plain values, for a capture."""
-    out = {name: getattr(terms, name) for name in Terms.__slots__ if name != "packages"}
-    out["packages"] = [{name: getattr(package, name) for name in type(package).__slots__} for package in terms.packages]
-    return out
+    values = {name: getattr(terms, name) for name in Terms.__slots__ if name != "packages"}
+    values["packages"] = [{name: getattr(package, name) for name in type(package).__slots__} for package in terms.packages]
+    return values
--- a/tests/test_captures_kept.py
+++ b/tests/test_captures_kept.py
@@ -1,4 +1,5 @@
-"""Captures of failures met: each is decided again as it was, in other processes and over other hash seeds."""
+"""Captures of failures that occurred are replayed with the same decisions, in several processes with different hash seeds; other
+policies are compared on them; and captures are stored, removed and indexed."""
 
 import itertools
 import os
@@ -8,18 +9,21 @@
 import threading
 import unittest
 from pathlib import Path
+from unittest import mock
 
 import msgspec
+from click.testing import CliRunner
 
 from curlewshift.baselines.baselines import BASELINES
 from curlewshift.capture.against import Compared, NoSuchPolicy, asked_of, policy
 from curlewshift.capture.index import Indexer, in_words
 from curlewshift.capture.records import InvalidCapture
 from curlewshift.capture.replay import Replay
-from curlewshift.capture.retention import DAY, Kept, to_let_go
-from curlewshift.capture.store import CaptureWriter, index_of, let_go, read_capture, segments_of
+from curlewshift.capture.retention import DAY, StoredCapture, captures_to_remove
+from curlewshift.capture.store import CaptureWriter, index_of, read_capture, remove_old_captures, segments_of
+from curlewshift.commands.main import main
 from curlewshift.rules import Rules
-from tests.test_capture import a_day
+from tests.test_capture import captured_run
 
 ROOT = Path(__file__).resolve().parents[1]
 CAPTURES = sorted((ROOT / "examples" / "captures").glob("*.zst"))
@@ -30,22 +34,23 @@
 from curlewshift.capture.store import read_capture
 from curlewshift.rules import Rules
 class Planted(Rules):
-    def _place(self, vw):
-        by_name = {server.name: server for server in self._open_to(vw)}
-        if by_name and not vw.tune_ins:
-            self._tune_in(vw, by_name[next(iter(set(by_name)))], vw.package.floor)
+    def _place(self, viewing):
+        by_name = {server.name: server for server in self._open_to(viewing)}
+        if by_name and not viewing.tune_ins:
+            self._tune_in(viewing, by_name[next(iter(set(by_name)))], viewing.package.floor)
         else:
-            self._block(vw)
+            self._block(viewing)
 for path in sys.argv[2:]:
     records, damage = read_capture(Path(path))
-    done = Replay(records, rules=Planted if sys.argv[1] == "planted" else Rules).run()
-    print(Path(path).name, damage, done.told, done.did, done.difference)
+    result = Replay(records, rules=Planted if sys.argv[1] == "planted" else Rules).run()
+    print(Path(path).name, damage, result.told, result.did, result.difference)
 """
 
 
-def replayed(hash_seed, which="sound"):
+def replay_process(hash_seed, rules="current"):
+    """A process that replays all captures and prints a line for each."""
     return subprocess.Popen(
-        [sys.executable, "-c", REPLAY, which, *map(str, CAPTURES)],
+        [sys.executable, "-c", REPLAY, rules, *map(str, CAPTURES)],
         cwd=ROOT,
         text=True,
         stdout=subprocess.PIPE,
@@ -53,19 +58,19 @@
     )
 
 
-class KeptOnes(unittest.TestCase):
+class StoredExamples(unittest.TestCase):
     def test_the_same_decisions_in_five_processes_over_five_hash_seeds(self):
         self.assertGreater(len(CAPTURES), 5)
-        told = [run.communicate(timeout=60)[0] for run in [replayed(seed) for seed in range(5)]]
-        self.assertEqual(len(set(told)), 1)
-        lines = told[0].splitlines()
+        outputs = [run.communicate(timeout=60)[0] for run in [replay_process(seed) for seed in range(5)]]
+        self.assertEqual(len(set(outputs)), 1)
+        lines = outputs[0].splitlines()
         self.assertEqual(len(lines), len(CAPTURES))
         for line in lines:
             self.assertTrue(line.endswith(" None"), line)
 
-    def test_a_decision_by_the_order_of_a_set_is_seen(self):
-        told = {run.communicate(timeout=60)[0] for run in [replayed(seed, "planted") for seed in range(4)]}
-        self.assertGreater(len(told), 1)
+    def test_a_decision_that_depends_on_the_order_of_a_set_is_found(self):
+        outputs = {run.communicate(timeout=60)[0] for run in [replay_process(seed, "planted") for seed in range(4)]}
+        self.assertGreater(len(outputs), 1)
 
 
 class Against(unittest.TestCase):
@@ -74,9 +79,9 @@
 
     def compare(self, other):
         compared = Compared()
-        done = Replay(self.records, rules=asked_of(other, compared)).run()
-        # to be asked changes nothing
-        self.assertIsNone(done.difference)
+        result = Replay(self.records, rules=asked_of(other, compared)).run()
+        # the comparison does not change the decisions of the replay
+        self.assertIsNone(result.difference)
         return compared
 
     def test_the_rules_against_themselves_are_the_same_at_each_placing(self):
@@ -84,28 +89,68 @@
         self.assertGreater(compared.placings, 30)
         self.assertEqual(dict(compared.kinds), {"the same": compared.placings})
 
-    def test_every_baseline_can_be_asked_and_differs(self):
+    def test_every_baseline_can_be_compared_and_differs(self):
         for name, baseline in BASELINES.items():
             compared = self.compare(baseline)
             self.assertLess(compared.kinds["the same"], compared.placings, name)
             self.assertTrue(compared.examples, name)
 
-    def test_what_is_no_policy_is_told(self):
+    def test_an_unknown_policy_is_refused(self):
         for name in ("nonsense", "--all", ""):
             with self.assertRaises(NoSuchPolicy):
                 policy(name)
 
+    def test_rules_that_use_names_this_version_lacks_are_refused(self):
+        placed = []
+
+        class MissingAttribute(Rules):
+            __module__ = "rules at 1a2b3c4"
+
+            def _place(self, viewing):
+                placed.append((self, self.chance, viewing, self.unproven_left, viewing.rung, viewing.over))
+                self.unproven_left, viewing.rung, viewing.over = -1.0, 99, True
+                return self.no_such_attribute
+
+        class MissingKeyword(Rules):
+            __module__ = "rules at 1a2b3c4"
+
+            def _place(self, viewing):
+                self._room(viewing.holders[0], no_such_keyword=1)
+
+        for other, name in ((MissingAttribute, "no_such_attribute"), (MissingKeyword, "no_such_keyword")):
+            compared = Compared()
+            with self.assertRaises(NoSuchPolicy) as refused:
+                Replay(self.records, rules=asked_of(other, compared)).run()
+            text = str(refused.exception)
+            self.assertTrue(text.startswith("the rules of 1a2b3c4 use names that this version no longer has: "), text)
+            self.assertIn(name, text)
+            self.assertEqual(compared.placings, 0)
+        # the state that the other rules changed is restored
+        [(rules, shadow_rng, viewing, *before)] = placed
+        self.assertEqual([rules.unproven_left, viewing.rung, viewing.over], before)
+        self.assertIsNot(rules.chance, shadow_rng)
+        self.assertNotIsInstance(rules, MissingAttribute)
+
+        with mock.patch("curlewshift.capture.against.policy", lambda name: MissingAttribute):
+            log = str(ROOT / "examples" / "captures" / "a-crowd-and-crashes.zst")
+            run = CliRunner().invoke(main, ["replay", log, "--against", "1a2b3c4"])
+        self.assertEqual(run.exit_code, 2, run.output)
+        self.assertTrue(
+            run.stderr.startswith("curlewshift: the rules of 1a2b3c4 use names that this version no longer has"), run.stderr
+        )
+        self.assertEqual(run.stderr.count("\n"), 1)
+
 
-class LettingGo(unittest.TestCase):
-    def test_by_age_and_by_size_the_oldest_first_and_never_what_is_written(self):
+class RemovalOfOldCaptures(unittest.TestCase):
+    def test_by_age_and_by_size_the_oldest_first_and_never_the_one_being_written(self):
         now = 100 * DAY
-        lives = [Kept(str(number), now - number * DAY, 10) for number in range(10)]
-        self.assertEqual(to_let_go(lives, "9", now, kept_for=5 * DAY), ["8", "7", "6"])
-        self.assertEqual(to_let_go(lives, "0", now, 1000 * DAY, most_bytes=35), ["9", "8", "7", "6", "5", "4", "3"])
-        self.assertEqual(to_let_go(lives, "9", now, 1000 * DAY, most_bytes=5)[-1], "0")
+        lives = [StoredCapture(str(number), now - number * DAY, 10) for number in range(10)]
+        self.assertEqual(captures_to_remove(lives, "9", now, retention=5 * DAY), ["8", "7", "6"])
+        self.assertEqual(captures_to_remove(lives, "0", now, 1000 * DAY, max_total_bytes=35), ["9", "8", "7", "6", "5", "4", "3"])
+        self.assertEqual(captures_to_remove(lives, "9", now, 1000 * DAY, max_total_bytes=5)[-1], "0")
 
-    def test_a_clock_set_back_lets_nothing_go(self):
-        self.assertEqual(to_let_go([Kept("a", 50 * DAY, 1)], "b", 10 * DAY), [])
+    def test_a_clock_that_was_set_back_removes_nothing(self):
+        self.assertEqual(captures_to_remove([StoredCapture("a", 50 * DAY, 1)], "b", 10 * DAY), [])
 
     def test_only_captures_are_removed(self):
         with tempfile.TemporaryDirectory() as name:
@@ -116,36 +161,36 @@
                 os.utime(folder / life / "000001.capture", (1, 1))
             (folder / "a" / "notes.txt").write_text("mine")
             (folder / "other").mkdir()
-            self.assertEqual(let_go(folder, "b"), ["a"])
+            self.assertEqual(remove_old_captures(folder, "b"), ["a"])
             self.assertEqual(sorted(path.name for path in folder.rglob("*")), ["000001.capture", "a", "b", "notes.txt", "other"])
 
-    def test_a_new_life_lets_go_of_what_is_too_old(self):
+    def test_a_new_life_removes_captures_that_are_too_old(self):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             for life in ("old", "late"):
                 (folder / life).mkdir()
                 (folder / life / "000001.capture").write_bytes(b"x")
             os.utime(folder / "old" / "000001.capture", (1, 1))
-            writer = CaptureWriter(folder / "now", lambda why: None)
+            writer = CaptureWriter(folder / "now", lambda reason: None)
             writer.note([0])
             writer.close()
             self.assertEqual(sorted(path.name for path in folder.iterdir()), ["late", "now"])
 
 
-class Packed(unittest.TestCase):
+class PackedSegments(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name) / "life"
-        self.records = msgspec.msgpack.decode(msgspec.msgpack.encode(a_day(3)[0]))
-        self.ended = []
+        self.records = msgspec.msgpack.decode(msgspec.msgpack.encode(captured_run(3)[0]))
+        self.end_reasons = []
 
     def write(self, segment):
-        writer = CaptureWriter(self.folder, self.ended.append, segment=segment, together=0.0)
+        writer = CaptureWriter(self.folder, self.end_reasons.append, segment=segment, together=0.0)
         for record in self.records:
             writer.note(record)
-            # the writer takes what waits as one piece: here each record is a piece
-            writer_idle(writer)
+            # the writer writes all waiting records together, and ends a segment only between two writes: one record a write
+            wait_until_idle(writer)
         writer.close()
 
     def test_segments_are_packed_and_indexed_and_read_as_one(self):
@@ -155,16 +200,16 @@
         self.assertEqual({segment.suffix for segment in segments}, {".zst"})
         self.assertEqual(read_capture(self.folder.parent)[0], self.records)
         indexer = Indexer()
-        told = [index_of(segment, indexer) for segment in segments]
-        self.assertEqual(sum(index.records for index in told), len(self.records))
-        again = Indexer()
-        of_viewings = [again.add(record) for record in self.records]
+        indexes = [index_of(segment, indexer) for segment in segments]
+        self.assertEqual(sum(index.records for index in indexes), len(self.records))
+        all_segments = Indexer()
+        viewings = [all_segments.add(record) for record in self.records]
         self.assertEqual(
-            {viewing for index in told for viewing in index.viewings}, {viewing for viewing in of_viewings if viewing is not None}
+            {viewing for index in indexes for viewing in index.viewings}, {viewing for viewing in viewings if viewing is not None}
         )
-        self.assertTrue(all(before.last <= after.first for before, after in itertools.pairwise(told)))
+        self.assertTrue(all(before.last <= after.first for before, after in itertools.pairwise(indexes)))
 
-    def test_an_index_that_is_lost_or_damaged_is_made_again(self):
+    def test_a_lost_or_damaged_index_is_made_again(self):
         self.write(10**9)
         segment = segments_of(self.folder)[0]
         before = index_of(segment, Indexer())
@@ -173,7 +218,7 @@
         segment.with_suffix(".index").unlink()
         self.assertEqual(index_of(segment, Indexer()), before)
 
-    def test_a_packed_segment_that_is_damaged_is_told(self):
+    def test_a_damaged_packed_segment_is_reported(self):
         self.write(10**9)
         segment = segments_of(self.folder)[0]
         raw = bytearray(segment.read_bytes())
@@ -182,7 +227,7 @@
         with self.assertRaises(InvalidCapture):
             read_capture(self.folder)
 
-    def test_a_kill_while_it_is_packed_loses_nothing(self):
+    def test_a_kill_while_a_segment_is_packed_loses_nothing(self):
         self.write(10**9)
         segment = segments_of(self.folder)[0]
         packed = segment.read_bytes()
@@ -194,27 +239,27 @@
         segment.with_suffix(".new").write_bytes(packed[:100])
         self.assertEqual(read_capture(self.folder)[0], self.records)
 
-    def test_every_record_can_be_read_by_a_person(self):
+    def test_every_record_has_a_text_for_people(self):
         for record in self.records[1:]:
             self.assertTrue(in_words(record, 0).strip())
 
     def test_the_newest_life_is_read(self):
         for name, life in (("20260101T000000Z-f.1", self.records[:5]), ("20260102T000000Z-f.2", self.records[:9])):
-            writer = CaptureWriter(self.folder / name, self.ended.append)
+            writer = CaptureWriter(self.folder / name, self.end_reasons.append)
             for record in life:
                 writer.note(record)
             writer.close()
         self.assertEqual(len(read_capture(self.folder)[0]), 9)
 
 
-def writer_idle(writer):
-    """Waits until nothing waits for the writer's thread."""
+def wait_until_idle(writer):
+    """Waits until no record waits for the writer's thread."""
     for _ in range(2000):
-        with writer.behind.wake:
-            if not writer.behind.waiting:
+        with writer.background.wake:
+            if not writer.background.waiting:
                 return
         threading.Event().wait(0.0005)
-    raise AssertionError("the writer does not write")
+    raise AssertionError("the writer did not write all records within its time")
 
 
 if __name__ == "__main__":
