--- a/curlewshift/capture/against.py
+++ b/curlewshift/capture/against.py
@@ -18,7 +18,7 @@
 from curlewshift.rules import Rules
 
 ROOT = Path(__file__).resolve().parents[2]
-# Of the name of the module that holds a revision's rules; the revision follows.
+# A revision's rules are loaded as a module with this prefix and the revision as its name.
 MODULE_PREFIX = "rules at "
 MAX_EXAMPLES = 10
 
