--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -176,8 +176,8 @@
         # neighbours.
         world = LeaseRounds((3, 4, 5))
         before = world.state()
-        other = world.copied()
-        other.take(("try", 0, (0, 1), (0, 1)))
+        other = world.clone()
+        other.apply(("try", 0, (0, 1), (0, 1)))
         self.assertEqual(world.state(), before)
 
     def test_each_planted_fault_is_found_at_its_least_depth(self):
