--- a/curlewshift/front/__init__.py
+++ b/curlewshift/front/__init__.py
@@ -1,1 +1,1 @@
-"""The running front: anyio task groups round the desk."""
+"""The front process: anyio tasks that drive the I/O-free session core on real sockets."""
--- a/curlewshift/front/begun.py
+++ b/curlewshift/front/begun.py
@@ -1,6 +1,7 @@
-"""What a front begins with: its disk where that is whole, its file otherwise; and what is wrong with a content, in words.
+"""Which settings a front starts with (the stored copy if it is intact, the site file otherwise), and the check of new settings.
 
-Called by the command that starts a front, by the front for what comes later, and by control machines for what is put.
+Used by the command that starts a front, by a running front for versions that arrive later, and by control machines for content
+that an operator wants in force.
 """
 
 from __future__ import annotations
@@ -15,30 +16,34 @@
 from curlewshift.site.site import SCHEMA, Site, read_site, site_of
 from curlewshift.state.configured import Record
 
-# A refusal is told over the channel and in tables: of more mistakes the first, and how many there are.
-MOST_TOLD = 5
-# Records in the state folder: what is in force, and what was refused as it needs a restart, for the next start.
-NOW, NEXT = "configuration", "configuration-next"
+# A refusal is sent over the peer channel and shown in tables, so only the first errors are listed, with the number of the rest.
+MAX_REPORTED_ERRORS = 5
+# Record files in the state folder: the settings in force, and those that need a restart and are kept for the next start.
+IN_FORCE_RECORD, NEXT_START_RECORD = "configuration", "configuration-next"
 
 
 @dataclass(slots=True)
-class Begun:
-    """What a front begins with. `path` is the file that it was given, `how` is `disk` or `file`, `cause` why not the disk."""
+class StartupConfiguration:
+    """The settings that a front starts with.
+
+    `path` is the site file it was given, `how` is `disk` or `file`, `cause` says why the stored copy was not used, and `copy` is
+    the raw stored record.
+    """
 
     path: Path
     site: Site
     how: str = "file"
     cause: str = ""
-    held: Version | None = None
+    held_version: Version | None = None
     copy: bytes | None = None
 
     @property
     def version(self) -> str:
-        return (self.held or NONE).text
+        return (self.held_version or NONE).text
 
 
-class Reading:
-    """Outside of a copy that is only read: what the disk has, before there is a front."""
+class StoredCopyReader:
+    """Driver of a `Copy` that only reads the stored record, before there is a front to apply it."""
 
     def __init__(self, path: Path):
         self.path, self.site, self.cause = path, None, ""
@@ -49,8 +54,8 @@
     def check_configuration(self, content: bytes) -> str | None:
         try:
             self.site = read_site(self.path, content)
-        except SiteErrors as wrong:
-            return told(self.path, wrong)
+        except SiteErrors as error:
+            return told(self.path, error)
         return None
 
     def take_configuration(self, version: str, content: bytes) -> str | None:
@@ -68,40 +73,47 @@
 
 def begin(
     path: Path, site: Site, state: Path | None, record_class: type[Record] = Record, copy_class: type[Copy] = Copy
-) -> Begun:
-    """From the disk where what is there is whole, and from the file (`site`, as read) otherwise."""
+) -> StartupConfiguration:
+    """The newer intact record of the state folder, or the site file (`site`, as read) if neither is usable."""
     if state is None or site.configuration is None:
-        return Begun(path, site)
-    begun = [_from_record(path, site, record_class(state / name), copy_class) for name in (NOW, NEXT)]
-    held, after = begun
-    if after.held is not None and (held.held is None or after.held.over(held.held)):
-        return after
-    return held
-
-
-def _from_record(path: Path, site: Site, record: Record, copy_class: type[Copy]) -> Begun:
+        return StartupConfiguration(path, site)
+    candidates = [
+        _from_record(path, site, record_class(state / name), copy_class) for name in (IN_FORCE_RECORD, NEXT_START_RECORD)
+    ]
+    in_force, next_start = candidates
+    if next_start.held_version is not None and (
+        in_force.held_version is None or next_start.held_version.over(in_force.held_version)
+    ):
+        return next_start
+    return in_force
+
+
+def _from_record(path: Path, site: Site, record: Record, copy_class: type[Copy]) -> StartupConfiguration:
     raw = record.read()
     if raw is None:
-        return Begun(path, site, cause=record.damage or "nothing is on the disk")
-    reading = Reading(path)
-    copy = copy_class(reading)
+        return StartupConfiguration(path, site, cause=record.damage or "nothing is on the disk")
+    reader = StoredCopyReader(path)
+    copy = copy_class(reader)
     if not copy.start(raw):
-        return Begun(path, site, cause=reading.cause)
-    return Begun(path, reading.site, "disk", "", copy.version, raw)
+        return StartupConfiguration(path, site, cause=reader.cause)
+    return StartupConfiguration(path, reader.site, "disk", "", copy.version, raw)
 
 
-def told(path: Path, mistakes: SiteErrors) -> str:
-    """The mistakes of a site file in one line, the first few of them."""
-    lines = [f"{path.name}:{line}: {wrong}" for line, wrong in mistakes.found]
-    more = [f"and {len(lines) - MOST_TOLD} more"] if len(lines) > MOST_TOLD else []
-    return "; ".join(lines[:MOST_TOLD] + more)
+def told(path: Path, errors: SiteErrors) -> str:
+    """The errors of a site file in one line: the first `MAX_REPORTED_ERRORS` of them, and how many more there are."""
+    lines = [f"{path.name}:{line}: {error}" for line, error in errors.found]
+    more = [f"and {len(lines) - MAX_REPORTED_ERRORS} more"] if len(lines) > MAX_REPORTED_ERRORS else []
+    return "; ".join(lines[:MAX_REPORTED_ERRORS] + more)
 
 
 def checked(path: Path, running: Site, content: bytes) -> Site:
-    """The site of this content, fit to take the place of the running one. Raises `SiteErrors`."""
+    """The site that this content describes, checked to be able to replace the running one.
+
+    Raises `SiteErrors`; `RestartRequired` if the content is valid and only needs a restart.
+    """
     root = read_xml(path, SCHEMA, content)
     site = site_of(path, root)
-    wrong = refusals(running, site, root)
-    if wrong:
-        raise (SiteErrors if unalike(running, site, root) else RestartRequired)(path, wrong)
+    errors = refusals(running, site, root)
+    if errors:
+        raise (SiteErrors if unalike(running, site, root) else RestartRequired)(path, errors)
     return site
--- a/curlewshift/front/control.py
+++ b/curlewshift/front/control.py
@@ -1,7 +1,7 @@
-"""The front's control socket: commands of operators on the same machine, one JSON line each way.
+"""The front's control socket: commands of operators on the same machine, one line of JSON in each direction.
 
-A Unix socket in the front's state folder. Who may write to it is decided by the file's permissions (owner alone), and
-who did is told by the kernel and goes into the log with the reason that was given.
+It is a Unix socket in the front's state folder. The file's permissions (owner only) decide who may write to it. The kernel tells
+which user has connected; the name is logged together with the reason given.
 """
 
 from __future__ import annotations
@@ -21,13 +21,14 @@
 from curlewshift.peaks.calendar import InvalidPeak, Peak
 from curlewshift.schedule.clock import SkewedClock
 
-MOST_BYTES = 64 * 1024
+MAX_COMMAND_BYTES = 64 * 1024
+# Time-out of one command, at the front and at the caller (s).
 WITHIN = 5.0
 
 
 class Command(msgspec.Struct):
-    """`do` is `peaks`, `announce`, `cancel`, `limits`, `peers`, `shared`, `leases`, `overload`, `configuration`, `live`,
-    `release`, or, where the front may be led, `clock`, `path` or `stop-in-act`."""
+    """One command. `do` is `peaks`, `announce`, `cancel`, `limits`, `peers`, `shared`, `leases`, `overload`, `configuration`,
+    `live` or `release`; at a front started with `--led` also `clock`, `path` or `stop-in-act`."""
 
     do: str
     peak: dict = {}
@@ -39,33 +40,34 @@
 
 
 class Socket:
-    """Listens at `path`, reads one command a connection, and tells what `_carry_out` makes of it."""
+    """Listens at `path`, reads one command per connection of at most `most_bytes` and within `within` (s), and answers with the
+    result of `_carry_out`."""
 
-    most_bytes, within = MOST_BYTES, WITHIN
+    most_bytes, within = MAX_COMMAND_BYTES, WITHIN
 
     def __init__(self, path: Path):
         self.path = path
 
     async def run(self, *, task_status=TASK_STATUS_IGNORED) -> None:
-        """Tells once it listens: a front that answers at its door takes commands too."""
+        """Serves commands. Reports as started once it listens, so that a front that accepts viewers also accepts commands."""
         self.path.unlink(missing_ok=True)
-        before = os.umask(0o177)
+        previous_umask = os.umask(0o177)
         try:
             listener = await anyio.create_unix_listener(self.path)
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
         task_status.started()
         async with listener:
-            await listener.serve(self._one)
+            await listener.serve(self._serve_connection)
 
-    async def _one(self, stream) -> None:
+    async def _serve_connection(self, stream) -> None:
         async with stream:
             try:
                 with anyio.fail_after(self.within):
                     raw = bytearray()
                     while not raw.endswith(b"\n") and len(raw) < self.most_bytes:
                         raw += await stream.receive()
-                    answer = await self._carry_out(bytes(raw), _who(stream))
+                    answer = await self._carry_out(bytes(raw), _peer_user(stream))
                     await stream.send(msgspec.json.encode(answer) + b"\n")
             except (TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError):
                 return
@@ -75,6 +77,8 @@
 
 
 class Control(Socket):
+    """The commands that a front accepts. `store` is where announced peaks are kept."""
+
     def __init__(self, front, path: Path, store):
         super().__init__(path)
         self.front, self.store = front, store
@@ -96,8 +100,8 @@
                 leased = self.front.leased
                 return {"ok": True, "leases": leased.show() if leased is not None else None}
             if command.do == "overload":
-                sheds = self.front.sheds
-                return {"ok": True, "overload": sheds.show() if sheds is not None else None}
+                shedding = self.front.shedding
+                return {"ok": True, "overload": shedding.show() if shedding is not None else None}
             if command.do == "configuration":
                 configured = self.front.configured
                 return {"ok": True, "configuration": configured.show() if configured is not None else None}
@@ -105,11 +109,11 @@
                 configured = self.front.configured
                 return {"ok": True, "live": configured.live() if configured is not None else None}
             if command.do == "clock":
-                return self._lead(command)
+                return self._skew_clock(command)
             if command.do == "path":
-                return self._lose_path(command)
+                return self._set_path_lost(command)
             if command.do == "stop-in-act":
-                return self._stop_in_act()
+                return self._arm_stop()
             if not command.why.strip():
                 raise InvalidPeak("say why: it goes into the log with your name")
             if command.do == "release":
@@ -119,22 +123,22 @@
             if command.do == "cancel":
                 return await self._cancel(command, who)
             raise InvalidPeak(f"there is no command {command.do!r}")
-        except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
-            return {"ok": False, "wrong": f"this is no command: {wrong}"}
-        except (InvalidPeak, sqlite3.Error) as wrong:
-            self.front.log.info("control-refused", who=who, cause=str(wrong))
-            return {"ok": False, "wrong": str(wrong)}
+        except (msgspec.DecodeError, msgspec.ValidationError) as error:
+            return {"ok": False, "wrong": f"this is no command: {error}"}
+        except (InvalidPeak, sqlite3.Error) as error:
+            self.front.log.info("control-refused", who=who, cause=str(error))
+            return {"ok": False, "wrong": str(error)}
 
     async def _announce(self, command: Command, who: str) -> dict:
         try:
             peak = msgspec.convert({**command.peak, "who": who, "why": command.why}, Peak)
-        except msgspec.ValidationError as wrong:
-            raise InvalidPeak(f"this is no peak: {wrong}") from None
+        except msgspec.ValidationError as error:
+            raise InvalidPeak(f"this is no peak: {error}") from None
         self.front.session_core.announce(peak)
         try:
             await anyio.to_thread.run_sync(self.store.announced, peak, self.front.wall())
         except sqlite3.Error:
-            # what is not kept is not confirmed, and not in force either
+            # a peak that could not be stored is neither confirmed nor in force
             self.front.session_core.cancel(peak.name)
             raise
         self.front.log.info("peak-announced", peak=peak.name, package=peak.package, who=who, cause=command.why)
@@ -149,25 +153,26 @@
         self.front.log.info("peak-cancelled", peak=command.name, who=who, cause=command.why)
         return {"ok": True}
 
-    def _lead(self, command: Command) -> dict:
+    def _skew_clock(self, command: Command) -> dict:
         if not isinstance(self.front.clock, SkewedClock):
             raise InvalidPeak("this front's clock is not to be led")
         self.front.clock.lead(command.rate, command.step)
         self.front.log.info("clock-led", rate=command.rate, step_s=command.step / 1e9)
         return {"ok": True}
 
-    def _lose_path(self, command: Command) -> dict:
-        if not hasattr(self.front.server_pool, "lost"):
+    def _set_path_lost(self, command: Command) -> dict:
+        if not hasattr(self.front.server_pool, "path_lost"):
             raise InvalidPeak("this front's path is not to be led")
-        self.front.server_pool.lost = command.lost
+        self.front.server_pool.path_lost = command.lost
         self.front.log.info("path-led", lost=command.lost)
         return {"ok": True}
 
-    def _stop_in_act(self) -> dict:
-        """The process stops itself between its next look at a lease and the act that follows; who asked has to let it go on."""
-        if not hasattr(self.front.server_pool, "stops_in_act"):
+    def _arm_stop(self) -> dict:
+        """Makes the process stop itself between its next check of a lease and the probe that follows; the caller must continue it
+        with SIGCONT."""
+        if not hasattr(self.front.server_pool, "stop_before_probe"):
             raise InvalidPeak("this front is not to be stopped in an act")
-        self.front.server_pool.stops_in_act = True
+        self.front.server_pool.stop_before_probe = True
         return {"ok": True}
 
     def _release(self, command: Command, who: str) -> dict:
@@ -179,7 +184,7 @@
         return {"ok": True}
 
     def _limits(self) -> dict:
-        front, admission = self.front, self.front.door.admission
+        front, admission = self.front, self.front.http_listener.admission
         gate = {
             "connections": len(front.gate.connections),
             "most_connections": front.gate.most,
@@ -194,20 +199,20 @@
         for peak in self.front.calendar.peaks.values():
             held = holding.get(peak.name)
             package = self.front.calendar.packages[peak.package]
-            kept = sum(link.holds.get(package, 0.0) for link in self.front.session_core.peaks.held)
+            held_bandwidth = sum(link.holds.get(package, 0.0) for link in self.front.session_core.peaks.held)
             rows.append(
                 {
                     **msgspec.to_builtins(peak),
                     "phase": held.phase if held else "ahead",
                     "needs": round(held.need if held else 0.0),
-                    "held_here": round(kept),
+                    "held_here": round(held_bandwidth),
                 }
             )
         return rows
 
 
-def _who(stream) -> str:
-    """The user at the other end, as the kernel knows it."""
+def _peer_user(stream) -> str:
+    """The user at the other end of the connection, as reported by the kernel; the number if the user has no name."""
     raw = stream.extra(SocketAttribute.raw_socket)
     _, uid, _ = struct.unpack("3i", raw.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i")))
     try:
@@ -217,7 +222,10 @@
 
 
 async def tell(state: Path, command: dict, within: float = WITHIN) -> dict:
-    """A front's or control machine's answer to one command. Raises `OSError` if none listens there."""
+    """Sends one command to the front or control machine with this state folder and returns its answer.
+
+    Raises `OSError` if none listens there, `TimeoutError` if it does not answer within `within` (s).
+    """
     with anyio.fail_after(within):
         async with await anyio.connect_unix(state / "control") as stream:
             await stream.send(msgspec.json.encode(command) + b"\n")
--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -1,4 +1,7 @@
-"""One running front: the desk's outside on real sockets, and the life of the process."""
+"""One running front: drives the session core on real sockets, from the start of the process to its end.
+
+Each run of the process is called a life and has a name of its own, so a restarted front is a new life.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +17,14 @@
 from curlewshift.capture.tap import tapped
 from curlewshift.exchange.server import serve
 from curlewshift.exchange.tls import InvalidCertificate, ServerTls, client_context
-from curlewshift.front.begun import Begun
-from curlewshift.front.configured import Configured
+from curlewshift.front.begun import StartupConfiguration
+from curlewshift.front.configuration_host import ConfigurationHost
 from curlewshift.front.control import Control
-from curlewshift.front.followers import ListFollower, NotesFollower, row_of
+from curlewshift.front.followers import ListFollower, NotesFollower, server_entry_of
 from curlewshift.front.http_listener import HttpListener
-from curlewshift.front.kept import KeptList, KeptShared
-from curlewshift.front.server_pool import ServerPool, Session, doubt_mark
+from curlewshift.front.server_pool import ServerPool, Session, key_digest
 from curlewshift.front.session_writer import SessionWriter
+from curlewshift.front.stored_state import StoredList, StoredSharing
 from curlewshift.limits.admission import Admission
 from curlewshift.limits.descriptors import DescriptorGate
 from curlewshift.limits.permits import InvalidKeySet, Permits, read_keys
@@ -50,31 +53,37 @@
 from curlewshift.state.session_registry import SessionRegistry, StoredSession
 
 NS = 1_000_000_000
-# A front that shares hears from its peers for so long at the most before its door opens (s).
-LEARN_WITHIN = 1.0
-# Between looks for sessions that have ended, and for files that have changed (s).
-SWEEP = 1.0
-# Between looks at who waits for a place at the door (s).
-LINES_EVERY = 0.05
-# Between looks for servers that have to be asked again after a start (s).
-RECOVER_EVERY = 0.1
-# Work behind: how often it is looked for, and how long and how often it is held back while requests are in work (s).
-LOOK = 0.05
-HELD_BACK = 0.002
-MOST_HELD_BACK = 50
-# For the last DELETEs of a front that stops (s).
-LAST_WORDS = 2.0
+# How long a front that shares budgets waits for reports from its peers before its listener opens.
+PEER_LEARN_TIMEOUT_S = 1.0
+# Between checks for sessions that have ended, and for certificate and key files that have changed.
+SWEEP_INTERVAL_S = 1.0
+# Between checks of the admission queues.
+QUEUE_CHECK_INTERVAL_S = 0.05
+# Between checks for servers that must be queried again during recovery.
+RECOVERY_INTERVAL_S = 0.1
+# Background work: how often it is checked for, and how long and how often it is deferred while requests are in progress.
+BACKGROUND_POLL_INTERVAL_S = 0.05
+BACKGROUND_DEFERRAL_S = 0.002
+MAX_BACKGROUND_DEFERRALS = 50
+# At shutdown, for the last DELETEs to be answered, and again for the last requests.
+SHUTDOWN_STEP_TIMEOUT_S = 2.0
 
 
 class Front:
-    """Made for the number-th front of the site. `name` tells servers and list which life of which front speaks."""
+    """The front with index `number` of the site.
+
+    `life` is the name of this life; if empty, one is made from the front's name and the time. `state` is the folder for what
+    survives a restart, `capture` one for recordings of what the session core is given and decides. With `led`, its clock and its
+    path to servers can be disturbed by control commands. `core_options` go to the session core. Raises `OSError`,
+    `InvalidKeySet`, `InvalidCertificate` or `FolderInUse` if a file, key, certificate or folder cannot be used.
+    """
 
     server_pool_class = ServerPool
     peers_class = PeerWire
     shared_class = SharedWire
     leased_class = LeaseWire
     overload_class = OverloadWire
-    configured_class = Configured
+    configuration_host_class = ConfigurationHost
     distribution_class = DistributionWire
 
     def __init__(
@@ -85,70 +94,77 @@
         state: Path | None,
         log,
         life: str = "",
-        session_core: type[SessionCore] = SessionCore,
+        session_core_class: type[SessionCore] = SessionCore,
         capture: Path | None = None,
         led: bool = False,
-        begun: Begun | None = None,
-        **how,
+        begun: StartupConfiguration | None = None,
+        **core_options,
     ):
         self.site, self.log = site, log
-        self.door_at = site.front_addresses[number]
+        self.address = site.front_addresses[number]
         self.clock = SkewedClock() if led else Clock()
         if led and self.server_pool_class is ServerPool:
-            from curlewshift.front.led import LedServerPool
+            from curlewshift.front.led import FaultInjectingServerPool
 
-            self.server_pool_class = LedServerPool
-        self.name = life or f"{self.door_at.name}.{self.clock.now() // 1_000_000 % 10**9}"
+            self.server_pool_class = FaultInjectingServerPool
+        self.name = life or f"{self.address.name}.{self.clock.now() // 1_000_000 % 10**9}"
         self.rng = Random(seed)
-        self.kept = KeptList(state / "list.json", log) if state else None
-        # what these files lack is told before anything listens
+        self.stored_list = StoredList(state / "list.json", log) if state else None
+        # errors in these files are raised before anything listens
         self.permits = Permits(read_keys(site.token_keys.read_bytes())) if site.token_keys else None
         self.tls = ServerTls(*site.tls) if site.tls else None
         self.servers_tls = client_context(site.authority) if site.authority else None
-        self.door = HttpListener(site, log, self.permits)
-        self.door.now = self.clock.now
-        self.keys_read = b""
+        self.http_listener = HttpListener(site, log, self.permits)
+        self.http_listener.now = self.clock.now
+        self.last_token_keys = b""
         self.gate = DescriptorGate(resource.getrlimit(resource.RLIMIT_NOFILE)[0], time.monotonic)
         if site.limits is not None:
-            self.door.admission = Admission(site.limits, self.rng.getrandbits(32), self.clock.now(), self.door.ticket_told)
-        self.waking = WakeupTimer(self.clock, lambda: self.session_core.time())
-        self.followed: dict[Server, anyio.CancelScope] = {}
+            self.http_listener.admission = Admission(
+                site.limits, self.rng.getrandbits(32), self.clock.now(), self.http_listener.ticket_decided
+            )
+        self.wakeup_timer = WakeupTimer(self.clock, lambda: self.session_core.time())
+        self.notes_scopes: dict[Server, anyio.CancelScope] = {}
         self.terms = site.terms(self.clock.now(), seed, number)
         self.calendar = Calendar(site.packages)
         self.control = None
         self.intents, self.journal = Intents(), None
-        self.keeper: SessionWriter | None = None
+        self.session_writer: SessionWriter | None = None
         self.recovery: Recovery | None = None
         if state is not None:
-            # one front a folder: two would each think the other's set-ups never happened
+            # one front per folder: of two, neither would know of the other's set-ups
             self.lock = Lock(state)
             self.journal = Journal(state / "intents.log")
             if self.journal.damage:
                 log.error("intents-damaged", cause=self.journal.damage)
-            self._open_book(Journal(state / "sessions.log"))
+            self._open_session_log(Journal(state / "sessions.log"))
             store = PeakStore(state / "peaks.db")
-            self._take_calendar(store)
+            self._restore_calendar(store)
             self.control = Control(self, state / "control", store)
         self.capture = None
         if capture is not None:
-            # names sort by time, so that the newest life is the last
-            life_at = capture / f"{time.strftime('%Y%m%dT%H%M%SZ', time.gmtime())}-{self.name}"
-            self.capture = CaptureWriter(life_at, lambda why: log.warning("capture-ended", cause=why))
-            session_core = tapped(session_core, self.capture.note)
-        # the desk's first wake comes while it is made
-        self.session_core = session_core(
-            self, self.terms, ServerList(site.uplinks, site.titles), most_waiting=site.most_waiting, calendar=self.calendar, **how
+            # names sort by time, so the newest life comes last
+            capture_folder = capture / f"{time.strftime('%Y%m%dT%H%M%SZ', time.gmtime())}-{self.name}"
+            self.capture = CaptureWriter(capture_folder, lambda why: log.warning("capture-ended", cause=why))
+            session_core_class = tapped(session_core_class, self.capture.note)
+        # the session core already calls `wake` while it is being constructed
+        self.session_core = session_core_class(
+            self,
+            self.terms,
+            ServerList(site.uplinks, site.titles),
+            most_waiting=site.most_waiting,
+            calendar=self.calendar,
+            **core_options,
         )
-        self.door.session_core = self.session_core
+        self.http_listener.session_core = self.session_core
         self.peers: PeerWire | None = None
         if site.peers is not None:
-            self.peers = self.peers_class(site.name, self.door_at, site.peers, self.clock, log, Random(self.rng.random()))
+            self.peers = self.peers_class(site.name, self.address, site.peers, self.clock, log, Random(self.rng.random()))
         self.shared: SharedWire | None = None
         if self.peers is not None and site.sharing is not None:
             self.shared = self.shared_class(
                 self.peers.channel,
                 self.session_core,
-                [door.name for door in site.front_addresses],
+                [address.name for address in site.front_addresses],
                 number,
                 site.sharing,
                 site.together,
@@ -157,99 +173,110 @@
                 log,
                 Random(self.rng.random()),
             )
-        self.kept_shared = None
+        self.stored_sharing = None
         if self.shared is not None and state is not None:
-            self.kept_shared = KeptShared(state / "shared.json", self.shared.sharing, self.wall, log)
+            self.stored_sharing = StoredSharing(state / "shared.json", self.shared.sharing, self.wall, log)
         self.leased: LeaseWire | None = None
         if self.peers is not None and site.leases is not None:
-            wants = site.leases
+            lease_settings = site.leases
             self.leased = self.leased_class(
                 self.peers.channel,
                 self,
-                [door.name for door in site.front_addresses],
+                [address.name for address in site.front_addresses],
                 number,
-                wants.keepers,
-                wants.terms,
-                wants.shards,
-                wants.probe_each,
+                lease_settings.keepers,
+                lease_settings.terms,
+                lease_settings.shards,
+                lease_settings.probe_each,
                 log,
                 Random(self.rng.random()),
-                wants.tasks,
-                wants.orphans_after,
+                lease_settings.tasks,
+                lease_settings.orphans_after,
             )
-        self.sheds: OverloadWire | None = None
+        self.shedding: OverloadWire | None = None
         if site.overload is not None:
-            self.sheds = self.door.sheds = self.overload_class(
+            self.shedding = self.http_listener.shedding = self.overload_class(
                 self.peers.channel if self.peers is not None else None,
                 self,
-                self.door_at.name,
-                frozenset(door.name for door in site.front_addresses),
+                self.address.name,
+                frozenset(address.name for address in site.front_addresses),
                 site.overload,
                 log,
                 Random(self.rng.random()),
             )
-        self.configured: Configured | None = None
+        self.configured: ConfigurationHost | None = None
         if self.peers is not None and site.configuration is not None:
-            self.configured = self.configured_class(self, begun or Begun(Path("site.xml"), site), state)
+            self.configured = self.configuration_host_class(self, begun or StartupConfiguration(Path("site.xml"), site), state)
             self.configured.wire = self.distribution_class(
                 self.peers.channel,
                 self.configured,
-                self.door_at.name,
+                self.address.name,
                 places_of(site),
                 distribution_of(site),
                 lambda: 0,
                 self.clock,
                 log,
                 Random(self.rng.random()),
-                self.configured.begun.copy,
+                self.configured.startup.copy,
                 None,
             )
-        self.background = Background(self.clock.now(), time.monotonic_ns, self._overran)
-        if self.door.admission is not None:
+        self.background = Background(self.clock.now(), time.monotonic_ns, self._log_overrun)
+        if self.http_listener.admission is not None:
             self.background.add(
-                "lines", lambda: self.door.admission.tick(self.now()), self.clock.now(), priority=0, every=int(LINES_EVERY * NS)
+                "lines",
+                lambda: self.http_listener.admission.tick(self.now()),
+                self.clock.now(),
+                priority=0,
+                every=int(QUEUE_CHECK_INTERVAL_S * NS),
             )
-        for name, work in (("sweep", self.door.sweep), ("renew", self._start_renewal)):
-            self.background.add(name, work, self.clock.now() + int(SWEEP * NS), every=int(SWEEP * NS))
+        for name, work in (("sweep", self.http_listener.sweep), ("renew", self._start_credential_reload)):
+            self.background.add(name, work, self.clock.now() + int(SWEEP_INTERVAL_S * NS), every=int(SWEEP_INTERVAL_S * NS))
 
-    def _open_book(self, journal: Journal) -> None:
+    def _open_session_log(self, journal: Journal) -> None:
         if journal.damage:
             self.log.error("sessions-damaged", cause=journal.damage)
-        book = SessionRegistry()
-        book.restore(journal.records)
+        registry = SessionRegistry()
+        registry.restore(journal.records)
         journal.records = []
-        self.keeper = self.door.sessions.keeper = SessionWriter(book, journal, self.log)
+        self.session_writer = self.http_listener.sessions.session_writer = SessionWriter(registry, journal, self.log)
 
     def _recover(self) -> None:
-        """What earlier lives left, before the door opens. Sessions first: a key whose session plays is in no doubt."""
-        if self.keeper is None:
+        """Starts the recovery of what earlier lives left; call before the listener opens.
+
+        Sessions take precedence over interrupted set-ups: if a key's session plays, the outcome of its set-up is known.
+        """
+        if self.session_writer is None:
             return
         intents = self.intents.restore(self.journal.records, self.wall())
         self.journal.records = []
         for intent in intents:
-            self.log.info("interrupted", package=intent.package, server=intent.server, cause="it may have run")
-        self.recovery = recovery_of(self, self.session_core, self.name, self.keeper.book, intents, doubt_mark)
+            self.log.info(
+                "interrupted", package=intent.package, server=intent.server, cause="the set-up may have run at the server"
+            )
+        self.recovery = recovery_of(self, self.session_core, self.name, self.session_writer.registry, intents, key_digest)
         self.recovery.begin()
         if not self.recovery.over:
-            self.recovering = self.background.add("recover", self._go_on_recovering, self.now(), every=int(RECOVER_EVERY * NS))
+            self.recovering = self.background.add(
+                "recover", self._continue_recovery, self.now(), every=int(RECOVERY_INTERVAL_S * NS)
+            )
 
-    def _go_on_recovering(self) -> None:
-        done = self.recovery
-        done.time()
-        if done.over:
+    def _continue_recovery(self) -> None:
+        recovery = self.recovery
+        recovery.time()
+        if recovery.over:
             self.background.cancel(self.recovering)
             self.log.info(
                 "recovered",
-                kept=done.kept,
-                found=done.found,
-                ended=done.ended,
-                orphans=done.orphans,
-                given_up=done.given_up,
-                silent=[server.name for server in done.silent],
-                after_ms=(self.now() - done.began) // 1_000_000,
+                kept=recovery.kept,
+                found=recovery.found,
+                ended=recovery.ended,
+                orphans=recovery.orphans,
+                given_up=recovery.given_up,
+                silent=[server.name for server in recovery.silent],
+                after_ms=(self.now() - recovery.began) // 1_000_000,
             )
 
-    # ---- recovery's outside, see curlewshift/recovery/recovery.py
+    # ---- the driver of recovery, see curlewshift/recovery/recovery.py
 
     def ask_sessions(self, server: Server) -> None:
         self.server_pool.ask_sessions(server, self.recovery)
@@ -257,52 +284,52 @@
     def adopt(self, server: Server, paths: list[str]) -> None:
         self.server_pool.adopt(server, paths, self.recovery)
 
-    def taken_up(self, one: StoredSession, server: Server) -> FrontSession:
-        session = Session(one.path, one.answer, one.etag, one.ufrag)
+    def taken_up(self, stored: StoredSession, server: Server) -> FrontSession:
+        session = Session(stored.path, stored.answer, stored.etag, stored.ufrag)
         front_session = self.session_core.handed_over(
-            one.package,
-            one.title,
-            one.ceiling,
+            stored.package,
+            stored.title,
+            stored.ceiling,
             server,
             session,
-            one.rung,
-            one.key,
-            Offer(one.offer, way=one.way, ufrag=one.ufrag),
+            stored.rung,
+            stored.key,
+            Offer(stored.offer, way=stored.way, ufrag=stored.ufrag),
         )
-        self.door.sessions.take_up(front_session, one.token, one.holder)
+        self.http_listener.sessions.restore(front_session, stored.token, stored.holder)
         return front_session
 
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> Session:
         return Session(found.path, found.answer, found.etag)
 
-    def forgotten(self, one: StoredSession) -> None:
-        self.keeper.ended(one.token)
+    def forgotten(self, stored: StoredSession) -> None:
+        self.session_writer.ended(stored.token)
 
-    def _take_calendar(self, store: PeakStore) -> None:
-        """The calendar as it was; what is over or makes no sense under other settings is named and left out."""
+    def _restore_calendar(self, store: PeakStore) -> None:
+        """Restores the announced peaks; those that have ended or do not fit the present settings are logged and skipped."""
         if store.damage:
             self.log.error("calendar-damaged", cause=store.damage)
         for peak in store.read():
             try:
                 self.calendar.announce(peak, self.wall())
-            except InvalidPeak as wrong:
-                self.log.warning("peak-left-out", peak=peak.name, cause=str(wrong))
+            except InvalidPeak as error:
+                self.log.warning("peak-left-out", peak=peak.name, cause=str(error))
 
-    async def run(self, ready=None) -> None:
-        """Serves until told to end. `ready` is called once the door is open."""
+    async def run(self, on_ready=None) -> None:
+        """Serves until a signal ends it. `on_ready` is called once the listener is open."""
         try:
-            await self._run(ready)
+            await self._run(on_ready)
         finally:
             with anyio.CancelScope(shield=True):
                 await self.server_pool.close()
                 if self.journal is not None:
-                    await anyio.to_thread.run_sync(self.keeper.close)
+                    await anyio.to_thread.run_sync(self.session_writer.close)
                     self.journal.close()
                     self.lock.release()
                 if self.capture is not None:
                     await anyio.to_thread.run_sync(self.capture.close)
 
-    async def _run(self, ready) -> None:
+    async def _run(self, on_ready) -> None:
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
             self.server_pool = self.server_pool_class(
@@ -316,8 +343,8 @@
                 self.journal,
                 self.wall,
             )
-            if self.kept is not None:
-                rows = [row_of(row) for row in self.kept.read()]
+            if self.stored_list is not None:
+                rows = [server_entry_of(row) for row in self.stored_list.read()]
                 if rows:
                     self.log.info("list", what="kept", servers=len(rows))
                     self.session_core.list_full("", -1, rows, stale=True)
@@ -325,13 +352,13 @@
                 self.session_core,
                 *self.site.list_at,
                 self.name,
-                self.kept,
+                self.stored_list,
                 Random(self.rng.random()),
                 self.log,
                 self._follow_servers,
             )
             if self.leased is not None:
-                self.lists.on_news = self.leased.listing.read
+                self.lists.on_update = self.leased.listing.read
             self._recover()
             if self.control is not None:
                 await tasks.start(self.control.run)
@@ -343,44 +370,50 @@
                 tasks.start_soon(self.configured.run)
                 await self.configured.start()
             if self.shared is not None:
-                if self.kept_shared is not None:
-                    self.log.info("shared-kept", rows=self.kept_shared.read())
-                    tasks.start_soon(self.kept_shared.run)
+                if self.stored_sharing is not None:
+                    self.log.info("shared-kept", rows=self.stored_sharing.read())
+                    tasks.start_soon(self.stored_sharing.run)
                 tasks.start_soon(self.shared.run)
-                await self.shared.learn(LEARN_WITHIN)
+                await self.shared.learn(PEER_LEARN_TIMEOUT_S)
             if self.leased is not None:
                 tasks.start_soon(self.leased.run)
-            if self.sheds is not None:
-                tasks.start_soon(self.sheds.run)
-            listener = await anyio.create_tcp_listener(local_host=self.door_at.host, local_port=self.door_at.port, backlog=1024)
+            if self.shedding is not None:
+                tasks.start_soon(self.shedding.run)
+            listener = await anyio.create_tcp_listener(local_host=self.address.host, local_port=self.address.port, backlog=1024)
             tasks.start_soon(self._signals)
-            tasks.start_soon(self.waking.run)
-            tasks.start_soon(self._work_behind)
+            tasks.start_soon(self.wakeup_timer.run)
+            tasks.start_soon(self._run_background)
             tasks.start_soon(self.lists.run)
-            if self.kept is not None:
-                tasks.start_soon(self.kept.run)
+            if self.stored_list is not None:
+                tasks.start_soon(self.stored_list.run)
             self.listener = listener.listeners[0]
             tasks.start_soon(
-                serve, self.listener, self.door.serve, self._door_fault, tasks, self.tls.context if self.tls else None, self.gate
+                serve,
+                self.listener,
+                self.http_listener.serve,
+                self._connection_fault,
+                tasks,
+                self.tls.context if self.tls else None,
+                self.gate,
             )
-            self.log.info("open", front=self.door_at.name, port=self.door_at.port)
-            if ready is not None:
-                ready()
+            self.log.info("open", front=self.address.name, port=self.address.port)
+            if on_ready is not None:
+                on_ready()
 
     # ---- the life of the process
 
     async def _signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-            async for which in signals:
-                self.log.info("drain", cause=signal.Signals(which).name, waiting=self.session_core.waiting)
-                await self.end()
+            async for received in signals:
+                self.log.info("drain", cause=signal.Signals(received).name, waiting=self.session_core.waiting)
+                await self.shut_down()
                 return
 
-    async def end(self) -> None:
-        """New requests are refused with advice, those taken are answered, what plays is ended; then all stops."""
+    async def shut_down(self) -> None:
+        """Refuses new requests with advice when to retry, answers the pending ones, ends all sessions, and stops."""
         self.session_core.drain()
-        longest = max(package.patience for package in self.site.packages) / NS
-        with anyio.move_on_after(longest + 1):
+        max_patience = max(package.patience for package in self.site.packages) / NS
+        with anyio.move_on_after(max_patience + 1):
             while self.session_core.waiting:
                 await anyio.sleep(0.02)
         if self.leased is not None:
@@ -390,78 +423,80 @@
         await anyio.sleep(0.05)
         for front_session in list(self.session_core.front_sessions.values()):
             self.session_core.closed(front_session)
-        self.door.sweep()
-        with anyio.move_on_after(LAST_WORDS):
+        self.http_listener.sweep()
+        with anyio.move_on_after(SHUTDOWN_STEP_TIMEOUT_S):
             while len(self.session_core.session_ends):
                 await anyio.sleep(0.02)
-        # Closed before the process ends, which takes a while: who comes now is turned away by the machine at once
-        # and not reset later, and what was taken is still answered.
+        # Closed well before the process exits: the kernel now refuses new connections at once instead of resetting them
+        # later, and requests that were accepted are still answered.
         await self.listener.aclose()
-        with anyio.move_on_after(LAST_WORDS):
-            while self.door.busy:
+        with anyio.move_on_after(SHUTDOWN_STEP_TIMEOUT_S):
+            while self.http_listener.busy:
                 await anyio.sleep(0.01)
         self.log.info("ended", cause="drained")
         self.tasks.cancel_scope.cancel()
 
-    def _door_fault(self, fault: Exception) -> None:
+    def _connection_fault(self, fault: Exception) -> None:
         self.log.error("door-fault", cause=repr(fault), exc_info=fault)
 
-    async def _work_behind(self) -> None:
-        """Slices of background work, one between two looks at the sockets, and none while the door is at work unless
-        it has been kept waiting too long."""
-        held_back = 0
+    async def _run_background(self) -> None:
+        """Runs background work in slices between turns of the event loop. While requests are in progress a slice is deferred, at
+        most `MAX_BACKGROUND_DEFERRALS` times."""
+        deferrals = 0
         while True:
             now = self.now()
             at = self.background.next_run(now)
             if at is None or at > now:
-                await anyio.sleep(min(LOOK, (at - now) / NS) if at is not None else LOOK)
-            elif self.door.busy and held_back < MOST_HELD_BACK:
-                held_back += 1
-                await anyio.sleep(HELD_BACK)
+                await anyio.sleep(
+                    min(BACKGROUND_POLL_INTERVAL_S, (at - now) / NS) if at is not None else BACKGROUND_POLL_INTERVAL_S
+                )
+            elif self.http_listener.busy and deferrals < MAX_BACKGROUND_DEFERRALS:
+                deferrals += 1
+                await anyio.sleep(BACKGROUND_DEFERRAL_S)
             else:
-                held_back = 0
+                deferrals = 0
                 try:
                     self.background.run(now)
                 except Exception as fault:
                     self.log.error("fault", what="background work", cause=repr(fault), exc_info=fault)
                 await anyio.sleep(0.001)
 
-    def _overran(self, job: Job, cost: int) -> None:
+    def _log_overrun(self, job: Job, cost: int) -> None:
         self.log.info("overran", job=job.name, took_ms=round(cost / 1e6, 1), times=job.overran)
 
-    def _start_renewal(self) -> None:
-        self.tasks.start_soon(anyio.to_thread.run_sync, self._renew)
+    def _start_credential_reload(self) -> None:
+        self.tasks.start_soon(anyio.to_thread.run_sync, self._reload_credentials)
 
-    def _renew(self) -> None:
-        """Keys and certificates that have changed are in force from now on; bad ones change nothing."""
+    def _reload_credentials(self) -> None:
+        """Loads token keys and certificates that have changed; invalid files are logged and change nothing."""
         if self.tls is not None and self.tls.changed():
             try:
                 self.tls.load()
                 self.log.info("renewed", what="certificate")
-            except InvalidCertificate as wrong:
-                self.log.warning("not-renewed", what="certificate", cause=str(wrong))
+            except InvalidCertificate as error:
+                self.log.warning("not-renewed", what="certificate", cause=str(error))
         if self.permits is not None:
             try:
                 raw = self.site.token_keys.read_bytes()
-                if raw != self.keys_read:
-                    came, went = self.permits.replace(read_keys(raw))
-                    self.keys_read = raw
-                    self.log.info("renewed", what="keys", came=sorted(came), went=sorted(went))
-            except (OSError, InvalidKeySet) as wrong:
-                self.log.warning("not-renewed", what="keys", cause=str(wrong))
+                if raw != self.last_token_keys:
+                    added, removed = self.permits.replace(read_keys(raw))
+                    self.last_token_keys = raw
+                    self.log.info("renewed", what="keys", came=sorted(added), went=sorted(removed))
+            except (OSError, InvalidKeySet) as error:
+                self.log.warning("not-renewed", what="keys", cause=str(error))
 
-    # ---- servers of the list are listened to
+    # ---- the notes of the listed servers
 
     def _follow_servers(self) -> None:
         if self.recovery is not None:
             self.recovery.list_told()
-        held = self.session_core.server_list.shelf_of
-        for server in held:
-            if server not in self.followed:
-                scope = self.followed[server] = anyio.CancelScope()
+        listed_servers = self.session_core.server_list.shelf_of
+        for server in listed_servers:
+            if server not in self.notes_scopes:
+                scope = self.notes_scopes[server] = anyio.CancelScope()
                 self.tasks.start_soon(self._follow, server, scope)
-        for server in [server for server in self.followed if server not in held]:
-            self.followed.pop(server).cancel()
+        for server in [server for server in self.notes_scopes if server not in listed_servers]:
+            self.notes_scopes.pop(server).cancel()
             self.server_pool.forget(server)
 
     async def _follow(self, server: Server, scope: anyio.CancelScope) -> None:
@@ -473,16 +508,16 @@
             self.log,
             self._front_session_of,
             self.servers_tls,
-            self.keeper.boot if self.keeper is not None else None,
+            self.session_writer.boot if self.session_writer is not None else None,
         )
         with scope:
             while True:
                 try:
                     await follower.run()
                 except Exception as fault:
-                    # one server's notes that go wrong in a way on no list must not end the front
+                    # an unexpected error in the notes of one server must not end the front
                     self.log.error("fault", server=server.name, cause=repr(fault), exc_info=fault)
-                    await anyio.sleep(SWEEP)
+                    await anyio.sleep(SWEEP_INTERVAL_S)
 
     def _front_session_of(self, server: Server, path: str) -> FrontSession | None:
         for viewing in server.link.playing:
@@ -491,7 +526,7 @@
                 return front_session
         return None
 
-    # ---- the desk's outside, see curlewshift/session_core/driver.py
+    # ---- the driver of the session core, see curlewshift/session_core/driver.py
 
     def now(self) -> int:
         return self.clock.now()
@@ -500,7 +535,7 @@
         return self.clock.wall()
 
     def wake(self, at: int) -> None:
-        self.waking.at(at)
+        self.wakeup_timer.at(at)
 
     def tune_in(self, tune_in: TuneIn) -> None:
         viewing = tune_in.front_session.viewing
@@ -514,13 +549,13 @@
         )
         if self.shared is not None:
             self.shared.sharing.sent(tune_in.server, tune_in.number > 1)
-        if self.sheds is not None:
-            self.sheds.tune_in(tune_in)
+        if self.shedding is not None:
+            self.shedding.tune_in(tune_in)
         self.server_pool.tune_in(tune_in)
 
     def withdraw(self, tune_in: TuneIn) -> bool:
         self.log.info(
-            "withdrawn", viewing=tune_in.front_session.viewing.name, server=tune_in.server.name, cause="its time is over"
+            "withdrawn", viewing=tune_in.front_session.viewing.name, server=tune_in.server.name, cause="its time-out has passed"
         )
         return self.server_pool.withdraw(tune_in)
 
@@ -528,7 +563,7 @@
         viewing = command.front_session.viewing
         if command.rung is not None:
             self.log.info("rung", viewing=viewing.name, server=viewing.server.name, rung=command.rung)
-            self.door.rung_changed(command.front_session, command.rung)
+            self.http_listener.rung_changed(command.front_session, command.rung)
         else:
             self.log.info("patch", viewing=viewing.name, server=viewing.server.name)
         self.server_pool.tell(command)
@@ -542,10 +577,10 @@
         self.server_pool.probe(server)
 
     def answer(self, request: Request, answer: Answer) -> None:
-        if self.sheds is not None:
-            self.sheds.answered(request, answer)
+        if self.shedding is not None:
+            self.shedding.answered(request, answer)
         viewing = request.front_session.viewing.name if request.front_session is not None else 0
-        more = (
+        server_field = (
             {"server": answer.front_session.viewing.server.name}
             if answer.kind is Kind.PLAYS and answer.front_session.viewing.server
             else {}
@@ -557,12 +592,12 @@
             answer=answer.kind.value,
             cause=answer.cause,
             after_ms=(self.now() - request.arrived) // 1_000_000,
-            **more,
+            **server_field,
         )
-        self.door.answer(request, answer)
+        self.http_listener.answer(request, answer)
 
     def whole_list(self) -> None:
         self.log.info("list-gap")
         if self.leased is not None:
             self.leased.listing.gap()
-        self.lists.stream.afresh()
+        self.lists.stream.restart()
--- a/curlewshift/front/http_listener.py
+++ b/curlewshift/front/http_listener.py
@@ -1,6 +1,6 @@
-"""The door: WHEP and WHIP requests, checked before they cost anything, and answered once each.
+"""WHEP and WHIP requests over HTTP: each is checked before any work is done for it, and answered once.
 
-WHIP is RFC 9725, WHEP draft-ietf-wish-whep. What a session takes after it plays is in sessions.py beside this file.
+WHIP is RFC 9725, WHEP draft-ietf-wish-whep. Requests on a session that plays are handled in sessions.py.
 """
 
 from __future__ import annotations
@@ -11,7 +11,14 @@
 
 from curlewshift.exchange.server import Exchange, PeerDisconnected
 from curlewshift.front.server_pool import SDP
-from curlewshift.front.sessions import EVENTS, LAYERS, PATCHES, PREFLIGHT, RequestError, Sessions
+from curlewshift.front.sessions import (
+    EVENTS_EXTENSION,
+    LAYER_EXTENSION,
+    PATCH_CONTENT_TYPE,
+    PREFLIGHT_HEADERS,
+    RequestError,
+    Sessions,
+)
 from curlewshift.limits.admission import Admission
 from curlewshift.limits.permits import Permit, PermitDenied, Permits, allow
 from curlewshift.limits.queue import Ticket
@@ -23,17 +30,17 @@
 
 MS = 1_000_000
 NS = 1_000_000_000
-WAIT = re.compile(r"wait=([0-9]{1,6})")
-MOST_NAME = 128
-# Any page may ask: what a request may do hangs on its token and not on where its page came from.
-CORS = [
+WAIT_PREFERENCE = re.compile(r"wait=([0-9]{1,6})")
+MAX_NAME_LENGTH = 128
+# Pages of any origin may send requests: what a request may do depends on its token, not on the origin.
+CORS_HEADERS = [
     ("access-control-allow-origin", "*"),
     ("access-control-expose-headers", "location, link, etag, retry-after, accept-patch"),
 ]
 
 
 class HttpListener:
-    """`permits` is None where anyone may ask."""
+    """Accepts viewers' requests and passes them to the session core. `permits` is None if no token is required."""
 
     def __init__(self, site: Site, log, permits: Permits | None = None):
         self.way_back, self.log, self.permits = site.obligations.way_back, log, permits
@@ -43,14 +50,14 @@
         self.waiters: dict[Request, anyio.Event] = {}
         self.sessions = Sessions(self, log)
         self.admission: Admission | None = None
-        self.admitted: dict[Ticket, anyio.Event] = {}
-        # who is let in when not all can be; None: who comes first
-        self.sheds = None
-        self.names = 0
-        # requests read and not yet answered
+        self.admission_events: dict[Ticket, anyio.Event] = {}
+        # decides who is admitted under overload; None: first come, first served
+        self.shedding = None
+        self.request_count = 0
+        # requests that have been read and not yet answered
         self.busy = 0
 
-    # ---- the desk's side
+    # ---- called by the front for the session core
 
     def answer(self, request: Request, answer: Answer | None) -> None:
         waiter = self.waiters.pop(request, None)
@@ -63,19 +70,19 @@
     def sweep(self) -> None:
         self.sessions.sweep()
 
-    # ---- the viewers' side
+    # ---- viewers' requests
 
     async def serve(self, exchange: Exchange) -> None:
         self.busy += 1
-        exchange.always = CORS
+        exchange.always = CORS_HEADERS
         try:
             await self._serve(exchange)
-        except RequestError as wrong:
-            await exchange.problem(wrong.status, str(wrong), headers=wrong.headers, retry_after_ms=wrong.retry_after_ms)
-        except PermitDenied as wrong:
-            await exchange.problem(wrong.status, str(wrong), headers=[("www-authenticate", wrong.challenge)])
-        except InvalidRequest as wrong:
-            await exchange.problem(404 if isinstance(wrong, UnknownResource) else 422, str(wrong))
+        except RequestError as error:
+            await exchange.problem(error.status, str(error), headers=error.headers, retry_after_ms=error.retry_after_ms)
+        except PermitDenied as error:
+            await exchange.problem(error.status, str(error), headers=[("www-authenticate", error.challenge)])
+        except InvalidRequest as error:
+            await exchange.problem(404 if isinstance(error, UnknownResource) else 422, str(error))
         finally:
             self.busy -= 1
 
@@ -93,34 +100,34 @@
             )
 
     def permit(self, exchange: Exchange) -> Permit | None:
-        """Who asks, where tokens are asked for. Raises `PermitDenied`."""
+        """The permit that the request's token gives, None if no tokens are required. Raises `PermitDenied`."""
         if self.permits is None:
             return None
         return self.permits.read(exchange.headers.get("authorization"), self.now())
 
-    async def _endpoint(self, exchange: Exchange, way: str, package: str, title: str) -> None:
+    async def _endpoint(self, exchange: Exchange, protocol: str, package: str, title: str) -> None:
         if exchange.method == "OPTIONS":
-            # a preflight bears no token (Fetch, 4.8), and tells nothing that a token would hide
-            await exchange.answer(204, [("accept-post", SDP), ("allow", "OPTIONS, POST"), *PREFLIGHT, *self._ice()])
+            # a preflight request carries no token (Fetch, 4.8), and its answer discloses nothing that a token protects
+            await exchange.answer(204, [("accept-post", SDP), ("allow", "OPTIONS, POST"), *PREFLIGHT_HEADERS, *self._ice_links()])
             return
         if exchange.method != "POST":
             raise RequestError(405, "sessions are asked for by POST", [("allow", "OPTIONS, POST")])
         permit = self.permit(exchange)
         if permit is not None:
-            allow(permit, package, title, way == PUBLISHES, exchange.connection.peer)
+            allow(permit, package, title, protocol == PUBLISHES, exchange.connection.peer)
         if self.admission is None:
-            await self._taken(exchange, way, package, title, permit)
+            await self._set_up(exchange, protocol, package, title, permit)
             return
-        # before anything is parsed: to refuse has to cost little
+        # before anything is parsed, so that a refusal costs little
         ticket = await self._admit(exchange, permit, package)
         played = False
         try:
-            played = await self._taken(exchange, way, package, title, permit)
+            played = await self._set_up(exchange, protocol, package, title, permit)
         finally:
             self.admission.answered(ticket, self.now(), played)
 
     async def _admit(self, exchange: Exchange, permit: Permit | None, package: str) -> Ticket:
-        """A place for this request, perhaps after a wait. Raises `RequestError` with advice if there is none."""
+        """Waits for admission of the request. Raises `RequestError` with a time to retry if it is refused."""
         ticket = self.admission.asked(
             exchange.connection.peer,
             permit.holder if permit else None,
@@ -129,77 +136,84 @@
             self.now(),
         )
         if ticket.state == "waiting":
-            told = self.admitted[ticket] = anyio.Event()
-            exchange.on_hang_up(told.set)
+            decided = self.admission_events[ticket] = anyio.Event()
+            exchange.on_hang_up(decided.set)
             try:
-                await told.wait()
+                await decided.wait()
             finally:
-                self.admitted.pop(ticket, None)
+                self.admission_events.pop(ticket, None)
                 if ticket.state == "waiting" or exchange.connection.gone:
                     self.admission.gave_up(ticket, self.now())
             if exchange.connection.gone:
                 raise PeerDisconnected
         if ticket.state == "no":
-            # RFC 6585, 4 for who asks too much; whoever only came at a full time is refused as ever
+            # 429 (RFC 6585, 4) if the client exceeds its own rate; 503 if it only came at a time of high load
             status = 429 if ticket.limit else 503
             wait = str(-(-ticket.wait // NS))
             raise RequestError(status, ticket.cause, [("retry-after", wait)], ticket.wait // MS)
         return ticket
 
-    def ticket_told(self, ticket: Ticket) -> None:
-        told = self.admitted.get(ticket)
-        if told is not None:
-            told.set()
+    def ticket_decided(self, ticket: Ticket) -> None:
+        decided = self.admission_events.get(ticket)
+        if decided is not None:
+            decided.set()
 
-    async def _taken(self, exchange: Exchange, way: str, package: str, title: str, permit: Permit | None) -> bool:
-        """Whether it plays."""
+    async def _set_up(self, exchange: Exchange, protocol: str, package: str, title: str, permit: Permit | None) -> bool:
+        """Validates the request, passes it to the session core and writes the answer; returns whether the viewing plays."""
         if exchange.headers.get("content-type", "").partition(";")[0].strip().lower() != SDP:
             raise RequestError(415, f"sessions are asked for with an offer of type {SDP}", [("accept-post", SDP)])
-        if package in self.session_core.packages and (package in self.published) != (way == PUBLISHES):
-            other = PUBLISHES if way == PLAYS else PLAYS
-            raise RequestError(404, f"package {package!r} is asked for at /{other}/")
-        offer = self._offer(exchange, way)
+        if package in self.session_core.packages and (package in self.published) != (protocol == PUBLISHES):
+            other_protocol = PUBLISHES if protocol == PLAYS else PLAYS
+            raise RequestError(404, f"package {package!r} is asked for at /{other_protocol}/")
+        offer = self._offer(exchange, protocol)
         name, key = exchange.headers.get("x-request-id"), exchange.headers.get("idempotency-key")
-        for what, value in (("X-Request-Id", name), ("Idempotency-Key", key)):
-            if value is not None and not (0 < len(value) <= MOST_NAME and value.isprintable()):
-                raise RequestError(400, f"{what} has to be 1 to {MOST_NAME} printable characters")
-        # Without a key the offer is one: its credentials are made anew for each session (RFC 8839, 5.4). A holder's
-        # keys are its own, so that nobody gets at another's session by guessing one.
-        mine = f"{permit.holder if permit else ''}\n{f'key {key}' if key else f'offer {way} {offer.identity}'}"
-        self.names += 1
-        who = self._shed(exchange, package, title, permit, mine)
+        for header, value in (("X-Request-Id", name), ("Idempotency-Key", key)):
+            if value is not None and not (0 < len(value) <= MAX_NAME_LENGTH and value.isprintable()):
+                raise RequestError(400, f"{header} has to be 1 to {MAX_NAME_LENGTH} printable characters")
+        # Without an Idempotency-Key the offer serves as the key, as its ICE credentials are new for each session (RFC 8839,
+        # 5.4). Keys are scoped to the permit's holder, so that nobody reaches another's session by guessing its key.
+        request_key = f"{permit.holder if permit else ''}\n{f'key {key}' if key else f'offer {protocol} {offer.identity}'}"
+        self.request_count += 1
+        viewer = self._viewer_name(exchange, package, title, permit, request_key)
         request = self.session_core.asked(
-            name or f"r{self.names}", package, title, self._ceiling(exchange), self._patience(exchange, package), mine, offer
+            name or f"r{self.request_count}",
+            package,
+            title,
+            self._ceiling(exchange),
+            self._patience(exchange, package),
+            request_key,
+            offer,
         )
-        if who:
-            self.sheds.taken(request, who)
-        await self._answered(exchange, request, permit)
+        if viewer:
+            self.shedding.taken(request, viewer)
+        await self._await_answer(exchange, request, permit)
         return request.answer.kind is Kind.PLAYS
 
-    def _shed(self, exchange: Exchange, package: str, title: str, permit: Permit | None, key: str) -> str:
-        """By what name the viewing is known at every front, where fronts shed: what its client calls it, or who holds the permit.
-        Raises `RequestError` with advice if it is not let in. What is known by its key is in already, and goes round no more."""
-        if self.sheds is None:
+    def _viewer_name(self, exchange: Exchange, package: str, title: str, permit: Permit | None, key: str) -> str:
+        """The name by which all fronts know the viewer under overload control: the client's own, with the permit's holder. Empty
+        without overload control. A request whose key is known was admitted before and is not judged again. Raises
+        `RequestError` with a time to retry if the viewing is not admitted."""
+        if self.shedding is None:
             return ""
-        called = exchange.headers.get("x-viewing", "")[:MOST_NAME]
-        who = f"{permit.holder if permit else ''} {called or ('' if permit else key)}"
+        client_name = exchange.headers.get("x-viewing", "")[:MAX_NAME_LENGTH]
+        viewer = f"{permit.holder if permit else ''} {client_name or ('' if permit else key)}"
         if not self.session_core.draining and not self.session_core.knows(key):
-            wait = self.sheds.asked(package, title, who)
+            wait = self.shedding.asked(package, title, viewer)
             if wait:
                 raise RequestError(
                     503, "more is asked for than there is room", [("retry-after", str(-(-wait // NS)))], wait // MS
                 )
-        return who
+        return viewer
 
-    def _offer(self, exchange: Exchange, way: str) -> Offer:
+    def _offer(self, exchange: Exchange, protocol: str) -> Offer:
         try:
             text = exchange.body.decode("utf-8")
-            checked = checked_offer(text, way)
+            checked = checked_offer(text, protocol)
         except UnicodeDecodeError:
             raise RequestError(400, "the offer is not UTF-8 text") from None
-        except InvalidDescription as wrong:
-            raise RequestError(400, f"the offer: {wrong}") from None
-        return Offer(identity(checked), text, way, checked.first("ice-ufrag", checked.media[0]))
+        except InvalidDescription as error:
+            raise RequestError(400, f"the offer: {error}") from None
+        return Offer(identity(checked), text, protocol, checked.first("ice-ufrag", checked.media[0]))
 
     def _ceiling(self, exchange: Exchange) -> int | None:
         top = exchange.query.get("top")
@@ -210,27 +224,28 @@
         return int(top)
 
     def _patience(self, exchange: Exchange, package: str) -> int:
-        """What the viewer says by `Prefer: wait` (RFC 7240, 4.3; s), or the package's, less the way back."""
-        pack = self.session_core.packages.get(package)
-        if pack is None:
+        """How long the request may take (ns): `Prefer: wait` (RFC 7240, 4.3; s) up to the package's patience, less `way_back`,
+        the time reserved for the answer to reach the client."""
+        service_class = self.session_core.packages.get(package)
+        if service_class is None:
             return 0
-        said = WAIT.search(exchange.headers.get("prefer", ""))
-        patience = min(pack.patience, int(said[1]) * NS) if said else pack.patience
+        preferred = WAIT_PREFERENCE.search(exchange.headers.get("prefer", ""))
+        patience = min(service_class.patience, int(preferred[1]) * NS) if preferred else service_class.patience
         return max(1, patience - self.way_back)
 
-    async def _answered(self, exchange: Exchange, request: Request, permit: Permit | None) -> None:
+    async def _await_answer(self, exchange: Exchange, request: Request, permit: Permit | None) -> None:
         if request.answer is None:
             waiter = self.waiters[request] = anyio.Event()
 
-            def gone() -> None:
+            def peer_hung_up() -> None:
                 self.session_core.hung_up(request)
                 self.answer(request, None)
 
-            exchange.on_hang_up(gone)
+            exchange.on_hang_up(peer_hung_up)
             try:
                 await waiter.wait()
             finally:
-                # whatever ended the wait, nothing is owed to this request any more
+                # however the wait ended, this request needs no answer from the session core any more
                 self.session_core.hung_up(request)
                 self.waiters.pop(request, None)
         if request.answer is None:
@@ -241,7 +256,7 @@
         if answer.kind is Kind.PLAYS:
             await self._write_plays(exchange, answer.front_session, permit)
         elif answer.kind is Kind.REFUSED:
-            # whole seconds, rounded up: never sooner than advised
+            # Retry-After is in whole seconds, rounded up so that no client returns sooner than advised
             wait = [("retry-after", str(-(-answer.wait // NS)))] if answer.wait else []
             await exchange.problem(503, answer.cause, headers=wait, retry_after_ms=answer.wait // MS or None)
         else:
@@ -250,12 +265,12 @@
     async def _write_plays(self, exchange: Exchange, front_session: FrontSession, permit: Permit | None) -> None:
         path = self.sessions.path_of(front_session, permit)
         etag = [("etag", front_session.session.etag)] if front_session.session.etag else []
-        links = [("link", f'<{path}/layer>; rel="{LAYERS}"'), ("link", f'<{path}/events>; rel="{EVENTS}"')]
+        links = [("link", f'<{path}/layer>; rel="{LAYER_EXTENSION}"'), ("link", f'<{path}/events>; rel="{EVENTS_EXTENSION}"')]
         await exchange.answer(
             201,
-            [("content-type", SDP), ("location", path), ("accept-patch", PATCHES), *etag, *links, *self._ice()],
+            [("content-type", SDP), ("location", path), ("accept-patch", PATCH_CONTENT_TYPE), *etag, *links, *self._ice_links()],
             front_session.session.answer.encode(),
         )
 
-    def _ice(self) -> list[tuple[str, str]]:
+    def _ice_links(self) -> list[tuple[str, str]]:
         return [("link", server) for server in self.ice_servers]
--- a/curlewshift/front/planted_configuration_faults.py
+++ b/curlewshift/front/planted_configuration_faults.py
@@ -1,58 +1,68 @@
-"""How fronts and control machines are spoilt in what they make of versions; see planted_faults.py."""
+"""Planted faults in how fronts and control machines handle versions of the settings; see planted_faults.py."""
 
 from __future__ import annotations
 
 from curlewshift.control.machine import Machine
 from curlewshift.emulator.version_histories import DigestUncheckedCopy, planted
 from curlewshift.front.begun import begin
-from curlewshift.front.configured import Configured
+from curlewshift.front.configuration_changes import ChangeSet
+from curlewshift.front.configuration_host import ConfigurationHost
 from curlewshift.front.front import Front
-from curlewshift.front.in_service import Swap
 from curlewshift.state.configured import Record
 
 
-class HalfSwap(Swap):
-    """Takes what it came to and no more: every second step is left out."""
+class HalfChangeSet(ChangeSet):
+    """Applies only every second step."""
 
-    def carry_out(self):
+    def apply(self):
         self.steps = self.steps[::2]
-        super().carry_out()
+        super().apply()
 
 
-class HalfConfigured(Configured):
-    swap_class = HalfSwap
+class HalfConfigurationHost(ConfigurationHost):
+    """Applies versions with `HalfChangeSet`."""
+
+    change_set_class = HalfChangeSet
 
 
 class HalfInForce(Front):
-    configured_class = HalfConfigured
+    """Puts half of a version in force."""
+
+    configuration_host_class = HalfConfigurationHost
+
 
+class RecordWithoutDigestCheck(Record):
+    """Accepts a stored record whatever its digest."""
 
-class BelievingRecord(Record):
     def holds(self, head, data):
         return True
 
 
 class DigestUnchecked(Front):
-    """Takes any content for that of the version that it comes with."""
+    """Accepts any content for the version that it comes with, without checking the digest."""
 
     distribution_class = planted("digest-unchecked")
 
 
 class OldOverNew(Front):
+    """Lets an older version replace a newer one."""
+
     distribution_class = planted("old-over-new")
 
 
 class NoMajority(Machine):
+    """A control machine that makes versions without a majority."""
+
     distribution_class = planted("no-majority")
 
 
-# Of fronts, and of control machines.
+# Faults by name: of fronts, and of control machines.
 FRONTS = {"half-in-force": HalfInForce, "digest-unchecked": DigestUnchecked, "old-over-new": OldOverNew}
 MACHINES = {"no-majority": NoMajority}
 
 
 def spoilt_begin(name: str, *args):
-    """How a front that is spoilt so begins."""
+    """The settings that a front with the planted fault of this name starts with."""
     if name == "digest-unchecked":
-        return begin(*args, record_class=BelievingRecord, copy_class=DigestUncheckedCopy)
+        return begin(*args, record_class=RecordWithoutDigestCheck, copy_class=DigestUncheckedCopy)
     return begin(*args)
--- a/curlewshift/front/planted_faults.py
+++ b/curlewshift/front/planted_faults.py
@@ -1,6 +1,6 @@
-"""Fronts spoilt on purpose, one rule each: the rehearsal has to catch every one of them.
+"""Fronts with planted faults, each of which breaks one rule: a fault injection run must detect every one of them.
 
-Only `curlewshift front --sabotage NAME` reaches this; no front that serves anyone is made from it.
+Used only by `curlewshift front --sabotage NAME`, never by a front in service.
 """
 
 from __future__ import annotations
@@ -32,40 +32,43 @@
 from curlewshift.sharing.sharing import Sharing
 from curlewshift.sharing.standing import StandingLoans
 
-EVERY = 8
+# A fault that is not to hit everything hits one in this many.
+FAULT_INTERVAL = 8
 
 
 class LoseAnswer(Front):
-    """Forgets to answer one request in some."""
+    """Leaves one in `FAULT_INTERVAL` requests without an answer."""
 
     count = 0
 
     def answer(self, request, answer):
         self.count += 1
-        if self.count % EVERY:
+        if self.count % FAULT_INTERVAL:
             super().answer(request, answer)
 
 
-class TwiceHttpListener(HttpListener):
-    """Writes some answers a second time on the same connection."""
+class DuplicateAnswerListener(HttpListener):
+    """Writes a second response after one in `FAULT_INTERVAL` answers on the same connection."""
 
     count = 0
 
     async def write(self, exchange, answer, permit=None):
         await super().write(exchange, answer, permit)
         self.count += 1
-        if not self.count % EVERY:
+        if not self.count % FAULT_INTERVAL:
             await exchange.connection.stream.send(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")
 
 
 class AnswerTwice(Front):
-    def __init__(self, *args, **how):
-        super().__init__(*args, **how)
-        self.door.__class__ = TwiceHttpListener
+    """Answers some requests twice; see `DuplicateAnswerListener`."""
+
+    def __init__(self, *args, **options):
+        super().__init__(*args, **options)
+        self.http_listener.__class__ = DuplicateAnswerListener
 
 
 class ResendPaid(Rules):
-    """Takes every failed set-up for one that never ran."""
+    """Treats every failed set-up as one that never ran."""
 
     def ended(self, viewing, outcome, closed):
         if not closed and not viewing.playing and not viewing.over and outcome not in NEVER_RAN:
@@ -74,7 +77,7 @@
 
 
 class IgnoreDrain(Rules):
-    """Holds every server that it has seen open to be open for ever."""
+    """Treats every server as open, also when it drains."""
 
     def listed(self, lines, stale):
         super().listed(lines, stale)
@@ -86,19 +89,21 @@
 
 
 class SessionCoreIgnoringLeavers(SessionCore):
+    """Sends a waiting tune-in even if its server has left the list or its time has passed meanwhile."""
+
     def stands(self, tune_in):
         return tune_in.outcome is None
 
 
-class DeafSessionCore(SessionCore):
-    """Does not hear that a viewer has left."""
+class SessionCoreIgnoringHangUps(SessionCore):
+    """Ignores that a viewer has closed its connection."""
 
     def hung_up(self, request):
         pass
 
 
 class PushCold(Rules):
-    """Likes cold servers best and keeps no pace there."""
+    """Prefers cold servers and does not limit the rate of tune-ins to them."""
 
     def listed(self, lines, stale):
         super().listed(lines, stale)
@@ -114,136 +119,144 @@
 
 
 class UnderFloor(Front):
-    """Knows of no floor."""
+    """Ignores the floors of packages."""
 
-    def __init__(self, site, *args, **how):
+    def __init__(self, site, *args, **options):
         site.packages = [replace(package, floor=0) for package in site.packages]
-        super().__init__(site, *args, **how)
+        super().__init__(site, *args, **options)
 
     def tune_in(self, tune_in):
-        tune_in.rung = 0 if tune_in.number == 1 and tune_in.front_session.viewing.name % EVERY == 0 else tune_in.rung
+        tune_in.rung = 0 if tune_in.number == 1 and tune_in.front_session.viewing.name % FAULT_INTERVAL == 0 else tune_in.rung
         super().tune_in(tune_in)
 
 
 class OverSeats(Front):
-    """Knows of no seats."""
+    """Ignores the seats of packages."""
 
-    def __init__(self, site, *args, **how):
+    def __init__(self, site, *args, **options):
         site.packages = [replace(package, seats=0) for package in site.packages]
-        super().__init__(site, *args, **how)
+        super().__init__(site, *args, **options)
 
 
 class Overspend(Front):
-    """Knows of no budget for further tune-ins, and sends them freely."""
+    """Has no budget for further tune-ins and sends as many as it likes."""
 
     @property
     def server_pool_class(self):
         return WastefulServerPool
 
-    def __init__(self, site, *args, **how):
+    def __init__(self, site, *args, **options):
         site.obligations = replace(site.obligations, free_further=None, most_tune_ins=50)
-        super().__init__(site, *args, **how)
+        super().__init__(site, *args, **options)
 
 
 class WastefulServerPool(ServerPool):
-    """Takes one answer in two for none."""
+    """Treats every second successful set-up of an unpaid viewing as a refusal, so that further tune-ins follow."""
 
     count = 0
 
-    def _judge(self, tune_in, answered):
+    def _handle_response(self, tune_in, response):
         self.count += 1
-        if answered.status == 201 and not tune_in.front_session.viewing.package.paid_at_setup and self.count % 2:
+        if response.status == 201 and not tune_in.front_session.viewing.package.paid_at_setup and self.count % 2:
             self.session_core.failed(tune_in, Outcome.FULL)
         else:
-            super()._judge(tune_in, answered)
+            super()._handle_response(tune_in, response)
 
 
 class DoubleServerPool(ServerPool):
-    """Asks a second server along with the first, as one who wants to be quick might."""
+    """Sends every third tune-in to a second server at the same time, as an attempt to reduce latency might."""
 
     count = 0
 
-    async def _ask(self, tune_in, call, request):
+    async def _send_tune_in(self, tune_in, connection, request):
         self.count += 1
-        others = [server for server in tune_in.front_session.viewing.holders if server is not tune_in.server and server.open]
-        if others and not self.count % 3:
+        other_holders = [
+            server for server in tune_in.front_session.viewing.holders if server is not tune_in.server and server.open
+        ]
+        if other_holders and not self.count % 3:
             offer, viewing = tune_in.front_session.offer, tune_in.front_session.viewing
             self.tasks.start_soon(
-                self._call,
-                others[0],
+                self._send_request,
+                other_holders[0],
                 "POST",
                 f"/{offer.way}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
                 [("content-type", "application/sdp"), ("x-request-id", request), ("x-tune-in", str(tune_in.number + 1))],
                 offer.text.encode(),
             )
-        return await super()._ask(tune_in, call, request)
+        return await super()._send_tune_in(tune_in, connection, request)
 
 
 class DoubleTuneIn(Front):
+    """Sends some tune-ins to two servers; see `DoubleServerPool`."""
+
     server_pool_class = DoubleServerPool
 
 
 class LostTeardown(SessionCore):
-    """Forgets the sessions that nobody was told of."""
+    """Does not end sessions whose viewer never received the answer."""
 
-    def __init__(self, *args, **how):
-        super().__init__(*args, **how)
+    def __init__(self, *args, **options):
+        super().__init__(*args, **options)
         self.session_ends.end = lambda server, session: None
 
 
 class LeaveOrphans(Front):
-    """Begins anew as if nothing had been before."""
+    """Starts without recovering the sessions of earlier lives."""
 
     def _recover(self):
         self.intents.restore(self.journal.records, self.wall())
 
 
-class DeafIncarnation(Membership):
-    """Does not contradict who accuses it."""
+class MembershipWithoutRefutation(Membership):
+    """Does not refute a suspicion of itself."""
 
     def _own_name(self, claim):
         pass
 
 
-class OldLifeTaken(Membership):
-    """Takes a datagram of an earlier life for one of the member's present one."""
+class MembershipAcceptingOldLives(Membership):
+    """Treats a datagram of a member's earlier life as one of its current life."""
 
     def heard(self, claim):
         held = self.members.get(claim.name)
         return super().heard(claim._replace(life=held.life) if held is not None else claim)
 
 
-class NeverForget(Membership):
+class MembershipKeepingGoneMembers(Membership):
+    """Never removes members that are gone."""
+
     def _forget(self):
         pass
 
 
-def wired(membership: type[Membership]) -> type[Front]:
-    """A front with this membership."""
+def front_with_membership(membership: type[Membership]) -> type[Front]:
+    """A front class that uses this membership class."""
 
     class Wire(PeerWire):
         membership_class = membership
 
-    class Spoilt(Front):
+    class FrontWithMembership(Front):
         peers_class = Wire
 
-    return Spoilt
+    return FrontWithMembership
 
 
-def leasing(proposer: type[LeaseProposer] = LeaseProposer, acceptor: type[LeaseAcceptor] = LeaseAcceptor) -> type[Front]:
-    """A front with this asker and this keeper of leases."""
+def front_with_leases(
+    proposer: type[LeaseProposer] = LeaseProposer, acceptor: type[LeaseAcceptor] = LeaseAcceptor
+) -> type[Front]:
+    """A front class that uses these lease proposer and acceptor classes."""
 
     class Wire(LeaseWire):
         proposer_class, acceptor_class = proposer, acceptor
 
-    class Holder(Front):
+    class FrontWithLeases(Front):
         leased_class = Wire
 
-    return Holder
+    return FrontWithLeases
 
 
-class LiarBelieved(Evidence):
-    """Takes the word of any one front against a server."""
+class EvidenceFromOneFront(Evidence):
+    """Doubts a server as soon as any one other front has more bad than good observations of it."""
 
     def doubts(self, now):
         self.doubted = {
@@ -254,61 +267,61 @@
         return self.doubted
 
 
-def lending(
+def front_with_sharing(
     loans: type[Loans] = Loans, seats: type[StandingLoans] = StandingLoans, evidence: type[Evidence] = Evidence
 ) -> type[Front]:
-    """A front with these parts in sharing."""
+    """A front class that uses these classes for sharing."""
 
-    class Spoilt(Sharing):
+    class SharingWithFault(Sharing):
         loans_class, seats_class, evidence_class = loans, seats, evidence
 
     class Wire(SharedWire):
-        sharing_class = Spoilt
+        sharing_class = SharingWithFault
 
-    class Lender(Front):
+    class FrontWithSharing(Front):
         shared_class = Wire
 
-    return Lender
+    return FrontWithSharing
 
 
-def shedding(overload: type[Overload]) -> type[Front]:
-    """A front with this part in overload."""
+def front_with_overload(overload: type[Overload]) -> type[Front]:
+    """A front class that uses this overload class."""
 
     class Wire(OverloadWire):
         overload_class = overload
 
-    class Shedder(Front):
+    class FrontWithOverload(Front):
         overload_class = Wire
 
-    return Shedder
+    return FrontWithOverload
 
 
-def spoilt(name: str, *args, **how) -> Front:
-    """A front with the planted fault of this name."""
+def spoilt(name: str, *args, **options) -> Front:
+    """A front with the planted fault of this name; `args` and `options` are those of `Front`."""
     return {
-        "lose-answer": lambda: LoseAnswer(*args, **how),
-        "answer-twice": lambda: AnswerTwice(*args, **how),
-        "resend-paid": lambda: Front(*args, **how, rules=ResendPaid),
-        "ignore-drain": lambda: Front(*args, **how, session_core=SessionCoreIgnoringLeavers, rules=IgnoreDrain),
-        "deaf-to-leaving": lambda: Front(*args, **how, session_core=DeafSessionCore),
-        "push-cold": lambda: Front(*args, **how, rules=PushCold),
-        "under-floor": lambda: UnderFloor(*args, **how),
-        "over-seats": lambda: OverSeats(*args, **how),
-        "overspend-budget": lambda: Overspend(*args, **how),
-        "double-tune-in": lambda: DoubleTuneIn(*args, **how),
-        "lost-teardown": lambda: Front(*args, **how, session_core=LostTeardown),
-        "leave-orphans": lambda: LeaveOrphans(*args, **how),
-        "deaf-incarnation": lambda: wired(DeafIncarnation)(*args, **how),
-        "old-life-taken": lambda: wired(OldLifeTaken)(*args, **how),
-        **{fault: lambda loans=loans: lending(loans)(*args, **how) for fault, loans in FAULTS.items()},
-        **{fault: lambda seats=seats: lending(seats=seats)(*args, **how) for fault, seats in SEAT_FAULTS.items()},
-        **{fault: lambda sheds=sheds: shedding(sheds)(*args, **how) for fault, sheds in SHED_FAULTS.items()},
-        "liar-believed": lambda: lending(evidence=LiarBelieved)(*args, **how),
-        **{fault: lambda how_so=how_so: leasing(**how_so)(*args, **how) for fault, how_so in LEASE_FAULTS.items()},
-        "never-forget": lambda: wired(NeverForget)(*args, **how),
-        **{fault: lambda front=front: front(*args, **how) for fault, front in CONFIGURATION_FAULTS.items()},
-        # of control machines alone
-        **{fault: lambda: Front(*args, **how) for fault in MACHINE_FAULTS},
+        "lose-answer": lambda: LoseAnswer(*args, **options),
+        "answer-twice": lambda: AnswerTwice(*args, **options),
+        "resend-paid": lambda: Front(*args, **options, rules=ResendPaid),
+        "ignore-drain": lambda: Front(*args, **options, session_core_class=SessionCoreIgnoringLeavers, rules=IgnoreDrain),
+        "deaf-to-leaving": lambda: Front(*args, **options, session_core_class=SessionCoreIgnoringHangUps),
+        "push-cold": lambda: Front(*args, **options, rules=PushCold),
+        "under-floor": lambda: UnderFloor(*args, **options),
+        "over-seats": lambda: OverSeats(*args, **options),
+        "overspend-budget": lambda: Overspend(*args, **options),
+        "double-tune-in": lambda: DoubleTuneIn(*args, **options),
+        "lost-teardown": lambda: Front(*args, **options, session_core_class=LostTeardown),
+        "leave-orphans": lambda: LeaveOrphans(*args, **options),
+        "deaf-incarnation": lambda: front_with_membership(MembershipWithoutRefutation)(*args, **options),
+        "old-life-taken": lambda: front_with_membership(MembershipAcceptingOldLives)(*args, **options),
+        **{fault: lambda loans=loans: front_with_sharing(loans)(*args, **options) for fault, loans in FAULTS.items()},
+        **{fault: lambda seats=seats: front_with_sharing(seats=seats)(*args, **options) for fault, seats in SEAT_FAULTS.items()},
+        **{fault: lambda sheds=sheds: front_with_overload(sheds)(*args, **options) for fault, sheds in SHED_FAULTS.items()},
+        "liar-believed": lambda: front_with_sharing(evidence=EvidenceFromOneFront)(*args, **options),
+        **{fault: lambda parts=parts: front_with_leases(**parts)(*args, **options) for fault, parts in LEASE_FAULTS.items()},
+        "never-forget": lambda: front_with_membership(MembershipKeepingGoneMembers)(*args, **options),
+        **{fault: lambda front=front: front(*args, **options) for fault, front in CONFIGURATION_FAULTS.items()},
+        # faults of control machines only: the front itself is unmodified
+        **{fault: lambda: Front(*args, **options) for fault in MACHINE_FAULTS},
     }[name]()
 
 
--- a/curlewshift/front/session_writer.py
+++ b/curlewshift/front/session_writer.py
@@ -1,7 +1,7 @@
-"""Writes down what plays, from a thread, in the order in which it came; requests never wait for it.
+"""Records the sessions that play, in a thread and in the order of the events; requests never wait for it.
 
-What it decides to write stands in curlewshift/state/session_registry.py. A disk that takes no more ends it with a word in the
-log: the front goes on, and what it sets up from then on is not known after a kill.
+Which records are written is decided in curlewshift/state/session_registry.py. If the disk fails or falls too far behind, an error
+is logged and recording stops: the front continues, and sessions set up from then on cannot be recovered after a kill.
 """
 
 from __future__ import annotations
@@ -11,68 +11,72 @@
 from curlewshift.state.journal import Journal, WriteFailed
 from curlewshift.state.session_registry import SessionRegistry, remembered
 
-# Records that may wait for a disk that stalls.
-MOST_WAITING = 100_000
-# What comes within this (s) is written together; a kill loses no more than that.
-TOGETHER = 0.005
+# Records that may be queued while the disk stalls.
+MAX_QUEUED_RECORDS = 100_000
+# Records that arrive within this time are written together; a kill loses no more than these.
+BATCH_WINDOW_S = 0.005
 
 
 class SessionWriter:
-    def __init__(self, book: SessionRegistry, journal: Journal, log):
-        self.book, self.journal, self.log = book, journal, log
-        self.over = False
-        self.behind = BackgroundWriter(self._write, TOGETHER)
+    """Appends the registry's records of sessions to the journal; `stopped` once that has failed."""
 
-    # ---- what happens
+    def __init__(self, registry: SessionRegistry, journal: Journal, log):
+        self.registry, self.journal, self.log = registry, journal, log
+        self.stopped = False
+        self.writer = BackgroundWriter(self._write, BATCH_WINDOW_S)
+
+    # ---- events
 
     def began(self, token: str, holder: str | None, front_session: FrontSession) -> None:
         session = front_session.session
-        self._note(
-            self.book.began(remembered(front_session, token, holder, session.path, session.etag, session.ufrag, session.answer))
+        self._enqueue(
+            self.registry.began(
+                remembered(front_session, token, holder, session.path, session.etag, session.ufrag, session.answer)
+            )
         )
 
     def changed(self, token: str, **values: object) -> None:
-        for what, value in values.items():
-            self._note(self.book.changed(token, what, value))
+        for field, value in values.items():
+            self._enqueue(self.registry.changed(token, field, value))
 
     def ended(self, token: str) -> None:
-        self._note(self.book.ended(token))
+        self._enqueue(self.registry.ended(token))
 
     def boot(self, server: str, boot: str) -> None:
-        self._note(self.book.boot(server, boot))
+        self._enqueue(self.registry.boot(server, boot))
 
     def close(self) -> None:
-        """What was noted is with the disk when this returns."""
-        self.behind.close()
+        """Returns when everything queued has been written to the disk."""
+        self.writer.close()
         self.journal.close()
 
-    # ---- inside
+    # ---- internal
 
-    def _note(self, record: list | None) -> None:
-        if record is None or self.over:
+    def _enqueue(self, record: list | None) -> None:
+        if record is None or self.stopped:
             return
-        behind = self.behind
-        with behind.wake:
-            if len(behind.waiting) >= MOST_WAITING:
-                self._end("the disk is slower than what is to be kept")
-            elif self.book.stale():
-                # the snapshot has all that waits as well
-                behind.waiting.clear()
-                behind.put((True, self.book.snapshot()))
+        writer = self.writer
+        with writer.wake:
+            if len(writer.waiting) >= MAX_QUEUED_RECORDS:
+                self._stop(f"the disk is too slow: {MAX_QUEUED_RECORDS} records are queued")
+            elif self.registry.stale():
+                # the snapshot contains the queued records as well
+                writer.waiting.clear()
+                writer.put((True, self.registry.snapshot()))
             else:
-                behind.put((False, record))
+                writer.put((False, record))
 
-    def _write(self, work: list[tuple[bool, list]]) -> None:
+    def _write(self, batch: list[tuple[bool, list]]) -> None:
         try:
-            for whole, records in work:
-                if whole:
+            for is_snapshot, records in batch:
+                if is_snapshot:
                     self.journal.begin_anew(records)
-                elif not self.over:
+                elif not self.stopped:
                     self.journal.add(records, False)
-        except WriteFailed as wrong:
-            self._end(str(wrong))
+        except WriteFailed as error:
+            self._stop(str(error))
 
-    def _end(self, why: str) -> None:
-        if not self.over:
-            self.over = True
+    def _stop(self, why: str) -> None:
+        if not self.stopped:
+            self.stopped = True
             self.log.error("sessions-not-kept", cause=why)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -17,7 +17,7 @@
 from curlewshift.exchange.client import connect
 from curlewshift.fault_injection.processes import PORTS
 from curlewshift.front import server_pool
-from curlewshift.front.planted_faults import DeafSessionCore
+from curlewshift.front.planted_faults import SessionCoreIgnoringHangUps
 from curlewshift.standins.traffic import TICK, arrived_at
 from curlewshift.state.journal import Journal
 from curlewshift.verdict.attempts import judge_attempts
@@ -141,7 +141,7 @@
                     await anyio.sleep(0.15)
                     go.set()
                     # what went out would be seen well before its time is over
-                    await until(lambda: not site.front.server_pool.out)
+                    await until(lambda: not site.front.server_pool.in_flight)
                     await anyio.sleep(0.05)
                     tasks.cancel_scope.cancel()
                 await call.close()
@@ -194,13 +194,13 @@
 
     @story
     async def test_a_front_that_does_not_hear_of_it_is_caught(self):
-        told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), session_core=DeafSessionCore)
+        told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), session_core=SessionCoreIgnoringHangUps)
         self.assertEqual((told["late"], told["clean"]), (1, False), told)
         self.assertGreater(told["latest_ms"], 140)
 
     @story
     async def test_a_server_that_accepts_late_gets_nothing_for_who_left_meanwhile_unless_the_front_is_deaf(self):
-        for session_core, begun in ((None, 0), (DeafSessionCore, 1)):
+        for session_core, begun in ((None, 0), (SessionCoreIgnoringHangUps, 1)):
             async with SmallSite(servers=1, patience=4 * 1000 * MS).up() as site:
                 if session_core is not None:
                     site.front.session_core.__class__ = session_core
@@ -210,13 +210,13 @@
                 site.traffic.seen("ask", request="q", front="f")
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self.asks, call, "clip")
-                    await until(lambda: site.front.server_pool.out)
+                    await until(lambda: site.front.server_pool.in_flight)
                     await anyio.sleep(0.1)
                     call.say_no_more()
                     site.traffic.seen("left", request="q", front="f", how="shut-down", answered=False)
                     await anyio.sleep(0.1)
                     server.accept_again()
-                    await until(lambda: not site.front.server_pool.out)
+                    await until(lambda: not site.front.server_pool.in_flight)
                     await anyio.sleep(0.05)
                     tasks.cancel_scope.cancel()
                 await call.close()
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -17,12 +17,12 @@
 from curlewshift.distribution.versions import Version, digest_of
 from curlewshift.fault_injection.configuring import marked
 from curlewshift.fault_injection.processes import free_ports
-from curlewshift.front.begun import Begun, begin, checked
-from curlewshift.front.configured import Configured
+from curlewshift.front.begun import StartupConfiguration, begin, checked
+from curlewshift.front.configuration_changes import ChangeSet, plan_changes
+from curlewshift.front.configuration_host import ConfigurationHost
 from curlewshift.front.control import tell
 from curlewshift.front.front import Front
-from curlewshift.front.in_service import Swap, in_service
-from curlewshift.front.planted_configuration_faults import HalfSwap, spoilt_begin
+from curlewshift.front.planted_configuration_faults import HalfChangeSet, spoilt_begin
 from curlewshift.peering.frames import Frame, encode
 from curlewshift.session_core.server_list import ServerEntry
 from curlewshift.site.changes import refusals
@@ -237,16 +237,16 @@
     )
 
 
-class Stumbles(Swap):
+class Stumbles(ChangeSet):
     """Its step of that number goes wrong; those back do not."""
 
     at = 0
 
-    def _step(self, held, name, value):
+    def _apply_step(self, held, name, value):
         self.done = getattr(self, "done", -1) + 1
         if self.done == self.at:
             raise RuntimeError("stumbled")
-        super()._step(held, name, value)
+        super()._apply_step(held, name, value)
 
 
 class AtARunningFront(InAFolder):
@@ -255,7 +255,9 @@
         self.path.write_text(SMALL)
         self.front = Front(read_site(self.path), 0, 1, None, mock.Mock())
         self.front.server_pool = mock.Mock()
-        self.configured = self.front.configured = Configured(self.front, Begun(self.path, self.front.site), None)
+        self.configured = self.front.configured = ConfigurationHost(
+            self.front, StartupConfiguration(self.path, self.front.site), None
+        )
         now = self.front.now()
         self.front.session_core.list_full(
             "e", 1, [ServerEntry(f"h{n}", "on", now - 3600 * SECOND, "z", "r1", 4200.0, 24, f"s{n}") for n in range(1, 13)]
@@ -276,7 +278,7 @@
             [rack.link.size for rack in session_core.server_list.racks.values()],
             session_core.rules.wait,
             session_core.rules.free_further,
-            self.front.door.admission.bounds,
+            self.front.http_listener.admission.bounds,
             self.front.site.obligations,
             self.front.site.titles,
         )
@@ -373,19 +375,19 @@
                 ('<title name="t01" shelves="', '<title name="t01" shelves="s12 '),
             ],
         )
-        steps = Swap()
-        in_service(self.front, read_site(self.path, self.site(*changes, text=SMALL)), steps)
+        steps = ChangeSet()
+        plan_changes(self.front, read_site(self.path, self.site(*changes, text=SMALL)), steps)
         self.assertEqual(self.state(), before, "planning changes nothing")
         for at in range(len(steps.steps)):
-            self.configured.swap_class = type("At", (Stumbles,), {"at": at})
+            self.configured.change_set_class = type("At", (Stumbles,), {"at": at})
             self.assertIn("what was in force before is again", self.take(*changes) or "", at)
             self.assertEqual(self.state(), before, at)
-        self.configured.swap_class = Swap
+        self.configured.change_set_class = ChangeSet
         self.assertIsNone(self.take(*changes))
         self.assertNotEqual(self.state(), before)
         # the planted half does leave another state than either
         whole = self.state()
-        self.configured.swap_class = HalfSwap
+        self.configured.change_set_class = HalfChangeSet
         self.assertIsNone(self.configured.take_configuration("7.2-abc", SMALL.encode()))
         self.assertNotIn(self.state()[1:], (whole[1:], before[1:]))
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -178,7 +178,7 @@
     async def test_a_list_that_breaks_off_is_resumed_and_one_with_a_gap_sent_whole(self):
         async with SmallSite(servers=2).up() as site:
             rows = list(site.list.rows.values())
-            site.front.lists.stream.call.cut()
+            site.front.lists.stream.connection.cut()
             site.list._publish([rows[0]])
             await until(lambda: site.front.session_core.server_list.generation == 1)
             self.assertEqual(len(site.traffic.all("told-all")), 1)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -96,7 +96,7 @@
     async def test_bytes_that_mean_nothing(self):
         rng, faults = random.Random(7), []
         async with SmallSite(servers=1).up() as site:
-            site.front._door_fault = faults.append
+            site.front._connection_fault = faults.append
             statuses = []
 
             async def one(data):
@@ -116,7 +116,7 @@
             self.assertEqual(faults, [])
             self.assertEqual([status for status in statuses if status >= 500 and status != 503], [])
             self.assertGreater(sum(400 <= status < 500 for status in statuses), 100)
-            await until(lambda: site.front.door.busy == 0 and site.front.session_core.waiting == 0)
+            await until(lambda: site.front.http_listener.busy == 0 and site.front.session_core.waiting == 0)
             self.assertEqual((await site.ask()).status, 201)
 
     @story
@@ -124,7 +124,7 @@
         rng, faults = random.Random(8), []
         words = ["whep", "whip", "session", "layer", "events", "clip", "paid", "t", "..", "%2e", "x" * 300, "", "ä", "?", "*"]
         async with SmallSite(servers=1).up() as site:
-            site.front._door_fault = faults.append
+            site.front._connection_fault = faults.append
             statuses = []
             for _ in range(150):
                 method = rng.choice(["GET", "POST", "PATCH", "DELETE", "OPTIONS", "HEAD", "PUT", "BREW"])
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -315,7 +315,7 @@
             self.assertEqual(len(site.traffic.all("setup")), statuses[201])
             refused = next(answer for answer in answers if answer.status == 429)
             self.assertGreaterEqual(int(refused.headers["retry-after"]), 1)
-            self.assertEqual(site.front.door.admission.in_work, 0)
+            self.assertEqual(site.front.http_listener.admission.in_work, 0)
 
     @story
     async def test_ten_thousand_requests_down_one_connection_are_each_answered(self):
@@ -377,7 +377,7 @@
                 first.append(await site.ask())
 
             site.tasks.start_soon(one)
-            admission = site.front.door.admission
+            admission = site.front.http_listener.admission
             await until(lambda: admission.in_work == 1)
             call = await connect("127.0.0.1", site.port, 2.0)
             with anyio.move_on_after(0.1):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -434,7 +434,7 @@
     """One front on sockets, whose level the test sets."""
 
     def shut(self, site):
-        overload = site.front.sheds.overload
+        overload = site.front.shedding.overload
         overload.time()
         level = overload.levels["z"]
         level.cut = overload.order.top
@@ -447,7 +447,7 @@
             answered = await site.ask(headers=[("x-viewing", "v1")])
             self.assertEqual((answered.status, site.traffic.all("setup")), (503, []))
             self.assertGreaterEqual(int(answered.headers["retry-after"]), 1)
-            site.front.sheds.overload.levels["z"].cut = 0
+            site.front.shedding.overload.levels["z"].cut = 0
             self.assertEqual((await site.ask(headers=[("x-viewing", "v2")])).status, 201)
 
     @story
@@ -469,9 +469,9 @@
             for server in site.servers.values():
                 server.draining = True
             await site.ask()
-            spent = site.front.sheds.overload.again.spent
+            spent = site.front.shedding.overload.again.spent
             await site.ask()
-            self.assertEqual((spent, site.front.sheds.overload.again.spent), (1, 1))
+            self.assertEqual((spent, site.front.shedding.overload.again.spent), (1, 1))
             self.assertTrue(site.front.session_core.rules.again_stopped)
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
 
 from curlewshift.emulator.peer_histories import PERIOD, History, membership_terms
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet
-from curlewshift.front.planted_faults import DeafIncarnation
+from curlewshift.front.planted_faults import MembershipWithoutRefutation
 from curlewshift.membership.member import Claim, Rank
 from curlewshift.membership.membership import Probe
 from curlewshift.membership.terms import default_membership_terms
@@ -142,7 +142,7 @@
         self.assertGreater(made.posts[0].channel.membership.members["f1"].incarnation, 0)
 
     def test_that_it_contradicts_is_what_brings_it_back(self):
-        made = PeerFleet(6, 1, membership_terms(), membership=DeafIncarnation)
+        made = PeerFleet(6, 1, membership_terms(), membership=MembershipWithoutRefutation)
         made.start()
         made.until(made.agreed, 10)
         made.posts[1].pause()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -367,9 +367,9 @@
             def full(record, flush):
                 raise WriteFailed("no space left")
 
-            site.front.keeper.journal.add = full
+            site.front.session_writer.journal.add = full
             self.assertEqual((await site.ask()).status, 201)
-            await until(lambda: site.front.keeper.over)
+            await until(lambda: site.front.session_writer.stopped)
             self.assertEqual((await site.ask()).status, 201)
 
     def test_a_torn_log_of_sessions_is_read_up_to_there(self):
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -216,7 +216,7 @@
             session = await OneSession.of(site)
             site.servers["s0"].freeze()
             self.assertEqual((await session.ask("DELETE")).status, 200)
-            with mock.patch("curlewshift.front.server_pool.PATIENT", 0.1):
+            with mock.patch("curlewshift.front.server_pool.CALL_TIMEOUT_S", 0.1):
                 await until(lambda: any(here.silent for here in site.front.session_core.session_ends.servers.values()))
             site.servers["s0"].unfreeze()
             await until(lambda: not site.servers["s0"].sessions)
