--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""A whole small site inside one process on loopback: stand-in servers, a list, and one front."""
+"""A complete small site in one process on loopback: stand-in servers, a server list and one front."""
 
 import contextlib
 import random
@@ -24,8 +24,8 @@
 SDP = ("content-type", "application/sdp")
 
 
-class Seen(Traffic):
-    """Traffic kept in a list."""
+class RecordedTraffic(Traffic):
+    """Keeps the recorded events in a list."""
 
     def __init__(self):
         super().__init__(None)
@@ -42,20 +42,21 @@
     return offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
 
 
-async def until(what, within=5.0):
-    """Waits for something to come true; a story that waits in vain fails."""
+async def until(condition, within=5.0):
+    """Waits until `condition()` is true; raises `TimeoutError` after `within` (s)."""
     with anyio.fail_after(within):
-        while not what():
+        while not condition():
             await anyio.sleep(0.005)
 
 
 class SmallSite:
-    """`servers` stand-ins that hold title t, each on a shelf of its own."""
+    """A site with `servers` stand-ins that hold title t, each on its own shelf. `site` has further fields of `Site`, and
+    `obligations` those of `Obligations` that differ from the defaults."""
 
     def __init__(self, servers=2, patience=2 * SECOND, site=None, **obligations):
-        self.traffic = Seen()
+        self.traffic = RecordedTraffic()
         ports = free_ports(servers + 2, random.Random())
-        facts = dict(
+        defaults = dict(
             way_back=100 * MS,
             longest_wait=2 * SECOND,
             most_tune_ins=3,
@@ -72,7 +73,7 @@
             probes=False,
             uplinks=True,
         )
-        self.obligations = Obligations(**{**facts, **obligations})
+        self.obligations = Obligations(**{**defaults, **obligations})
         self.packages = [
             package(name="clip", join_target=SECOND, patience=patience, floor=1),
             package(name="paid", join_target=SECOND, patience=patience, paid_at_setup=True),
@@ -106,14 +107,14 @@
     async def start_server(self, machine, cold=False):
         link = LinkModel(machine.link, self.uplink)
         self.uplink.links.append(link)
-        born = time.monotonic_ns() - (0 if cold else 3600 * SECOND)
+        started_at = time.monotonic_ns() - (0 if cold else 3600 * SECOND)
         server = MediaServer(
             machine,
             f"127.0.0.1:{machine.port}",
             link,
             {pack.name: pack.rates for pack in self.packages},
             self.obligations,
-            born,
+            started_at,
             random.Random(len(self.uplink.links)),
             self.traffic,
             setup_work=0.005,
@@ -125,7 +126,7 @@
 
     @contextlib.asynccontextmanager
     async def up(self, state=None, follow=True):
-        """All of it running, with the front having heard of every server and its notes."""
+        """Runs the site; entered once the front follows the notes of every server, unless `follow` is false."""
         from curlewshift.exchange.server import serve
 
         async with anyio.create_task_group() as self.tasks:
@@ -149,30 +150,30 @@
         return await connect("127.0.0.1", self.port, 2.0)
 
     async def ask(self, pack="clip", headers=(), offer=None, query="", title="t"):
-        """One request for a viewing on a connection of its own; its whole answer."""
+        """Sends one request for a viewing on a new connection and returns the complete response."""
         call = await self.call()
         try:
             return await call.ask("POST", f"/whep/{pack}/{title}{query}", [SDP, *headers], an_offer() if offer is None else offer)
         finally:
             await call.close()
 
-    async def raw(self, data: bytes, end=False) -> bytes:
-        """Bytes to the door, and all that comes back until it closes."""
+    async def raw(self, request: bytes, end=False) -> bytes:
+        """Sends bytes to the front and returns everything received until it closes the connection."""
         stream = await anyio.connect_tcp("127.0.0.1", self.port)
-        got = b""
+        received = b""
         async with stream:
             try:
-                await stream.send(data)
+                await stream.send(request)
                 if end:
                     await stream.send_eof()
                 while True:
-                    got += await stream.receive()
+                    received += await stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
-                return got
+                return received
 
 
 def story(test):
-    """An async test method as an ordinary one."""
+    """Decorator that runs an async test method as an ordinary one."""
 
     def run(self):
         anyio.run(test, self)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,3 +1,5 @@
+"""One front against stand-in servers in the same process: requests, server list, notes, shutdown and client connections."""
+
 import json
 import os
 import signal
@@ -15,37 +17,37 @@
 from tests.sockets import SmallSite, an_offer, story, until
 
 
-class Course(unittest.TestCase):
-    """A viewing through a running front, on loopback sockets."""
+class ViewingThroughAFront(unittest.TestCase):
+    """Requests for viewings at a running front, on loopback sockets."""
 
     @story
-    async def test_a_viewing_from_its_offer_to_its_end(self):
+    async def test_viewing_from_offer_to_end(self):
         async with SmallSite().up() as site:
-            answered = await site.ask()
-            self.assertEqual((answered.status, answered.headers["content-type"]), (201, "application/sdp"))
-            self.assertIn(b"a=candidate", answered.body)
+            response = await site.ask()
+            self.assertEqual((response.status, response.headers["content-type"]), (201, "application/sdp"))
+            self.assertIn(b"a=candidate", response.body)
             session = site.traffic.all("session")[0]
             self.assertEqual(session["rung"], 2)
-            call = await site.call()
-            rung = await call.ask("POST", answered.headers["location"] + "/layer", [], encode(LayerChoice("1")))
+            connection = await site.call()
+            rung = await connection.ask("POST", response.headers["location"] + "/layer", [], encode(LayerChoice("1")))
             self.assertEqual(rung.status, 204)
             await until(lambda: site.traffic.all("layer"))
             self.assertEqual(site.traffic.all("layer")[0]["rung"], 1)
-            self.assertTrue(call.again())
-            floor = await call.ask("POST", answered.headers["location"] + "/layer", [], encode(LayerChoice("0")))
+            self.assertTrue(connection.again())
+            floor = await connection.ask("POST", response.headers["location"] + "/layer", [], encode(LayerChoice("0")))
             self.assertEqual(floor.status, 422)
-            self.assertTrue(call.again())
-            self.assertEqual((await call.ask("DELETE", answered.headers["location"])).status, 200)
+            self.assertTrue(connection.again())
+            self.assertEqual((await connection.ask("DELETE", response.headers["location"])).status, 200)
             await until(lambda: site.traffic.all("session-end"))
-            self.assertTrue(call.again())
-            self.assertEqual((await call.ask("DELETE", answered.headers["location"])).status, 404)
+            self.assertTrue(connection.again())
+            self.assertEqual((await connection.ask("DELETE", response.headers["location"])).status, 404)
             self.assertFalse(site.front.session_core.front_sessions)
-            await call.close()
+            await connection.close()
 
     @story
-    async def test_what_is_wrong_with_a_request_is_said_and_costs_no_tune_in(self):
+    async def test_invalid_requests_are_explained_and_cause_no_tune_in(self):
         async with SmallSite().up() as site:
-            for status, words, how in (
+            for status, text, options in (
                 (404, "no package 'nope'", dict(pack="nope")),
                 (404, "no title 'nope'", dict(title="nope")),
                 (400, "line 1: expected 'v=0'", dict(offer=b"v=1\n")),
@@ -54,17 +56,17 @@
                 (422, "under rung 1", dict(query="?top=0")),
                 (400, "Idempotency-Key", dict(headers=[("idempotency-key", "x" * 500)])),
             ):
-                answered = await site.ask(**how)
-                body = json.loads(answered.body)
-                self.assertEqual((answered.status, answered.headers["content-type"]), (status, "application/problem+json"))
-                self.assertEqual((body["status"], words in body["detail"]), (status, True), body)
-            call = await site.call()
-            self.assertEqual((await call.ask("POST", "/whep/clip/t", [("content-type", "text/html")], b"x")).status, 415)
-            await call.close()
+                response = await site.ask(**options)
+                body = json.loads(response.body)
+                self.assertEqual((response.status, response.headers["content-type"]), (status, "application/problem+json"))
+                self.assertEqual((body["status"], text in body["detail"]), (status, True), body)
+            connection = await site.call()
+            self.assertEqual((await connection.ask("POST", "/whep/clip/t", [("content-type", "text/html")], b"x")).status, 415)
+            await connection.close()
             self.assertEqual(site.traffic.all("setup"), [])
 
     @story
-    async def test_a_retry_on_a_slow_answer_joins_it_and_makes_no_second_tune_in(self):
+    async def test_retry_joins_the_pending_request_without_a_second_tune_in(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
             offer, answers = an_offer(), []
@@ -78,14 +80,14 @@
                 tasks.start_soon(ask)
                 await until(lambda: site.front.session_core.waiting == 2)
                 site.servers["s0"].unfreeze()
-            self.assertEqual([answered.status for answered in answers], [201, 201])
+            self.assertEqual([response.status for response in answers], [201, 201])
             self.assertEqual(answers[0].headers["location"], answers[1].headers["location"])
             self.assertEqual(len(site.traffic.all("setup")), 1)
             other = await site.ask("paid", [("idempotency-key", "k")])
             self.assertEqual(other.status, 422)
 
     @story
-    async def test_a_viewer_that_hangs_up_leaves_nothing_behind(self):
+    async def test_viewer_that_disconnects_leaves_no_session(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
             with anyio.move_on_after(0.1):
@@ -97,7 +99,7 @@
             self.assertEqual(site.front.session_core.server_list.servers[site.servers["s0"].name].out, 0)
 
     @story
-    async def test_a_reset_after_the_request_was_written_fails_a_paid_viewing_and_moves_another(self):
+    async def test_reset_after_the_request_was_written_fails_paid_viewings_only(self):
         async with SmallSite(servers=2).up() as site:
             for server in site.servers.values():
                 server.loses_answers = "reset"
@@ -109,7 +111,7 @@
             self.assertEqual(statuses, [201] * 4)
 
     @story
-    async def test_a_refused_connection_sends_a_paid_viewing_on(self):
+    async def test_refused_connection_moves_a_paid_viewing_to_another_server(self):
         async with SmallSite(servers=2).up() as site:
             with (
                 mock.patch("curlewshift.session_core.session_core.SessionCore.notes_broke"),
@@ -121,38 +123,38 @@
             self.assertEqual(statuses, [201] * 6)
 
     @story
-    async def test_a_server_that_accepts_and_never_answers_costs_time_and_no_viewing(self):
+    async def test_server_that_never_answers_delays_viewings_but_fails_none(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].freeze()
-            began = time.monotonic()
+            started_at = time.monotonic()
             statuses = [(await site.ask()).status for _ in range(4)]
             self.assertEqual(statuses, [201] * 4)
-            self.assertLess(time.monotonic() - began, 3)
+            self.assertLess(time.monotonic() - started_at, 3)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
     @story
-    async def test_with_nobody_left_a_request_is_answered_before_patience_ends(self):
+    async def test_request_is_answered_within_its_patience_if_no_server_is_left(self):
         for pack, status in (("clip", 503), ("paid", 502)):
             async with SmallSite(servers=1).up() as site:
                 site.servers["s0"].freeze()
-                began = time.monotonic()
-                answered = await site.ask(pack)
-                self.assertEqual(answered.status, status)
-                self.assertLess(time.monotonic() - began, 2.0)
+                started_at = time.monotonic()
+                response = await site.ask(pack)
+                self.assertEqual(response.status, status)
+                self.assertLess(time.monotonic() - started_at, 2.0)
 
     @story
-    async def test_a_refusal_says_when_to_come_back(self):
+    async def test_refusal_says_when_to_retry(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].draining = True
-            answered = await site.ask()
-            body = json.loads(answered.body)
-            self.assertEqual((answered.status, answered.headers["retry-after"]), (503, "1"))
+            response = await site.ask()
+            body = json.loads(response.body)
+            self.assertEqual((response.status, response.headers["retry-after"]), (503, "1"))
             self.assertTrue(600 <= body["retryAfterMs"] <= 1000)
 
 
-class News(unittest.TestCase):
+class ServerListAndNotes(unittest.TestCase):
     @story
-    async def test_a_drain_told_by_the_list_is_kept_and_the_successor_used(self):
+    async def test_server_that_the_list_reports_as_draining_is_not_used(self):
         async with SmallSite(servers=2).up() as site:
             first = site.site.machines[0]
             site.list.knows(site.row(first, "fading"))
@@ -163,7 +165,7 @@
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
     @story
-    async def test_a_server_that_restarts_unannounced_is_known_by_its_notes(self):
+    async def test_unannounced_restart_is_detected_by_the_notes(self):
         async with SmallSite(servers=1).up() as site:
             self.assertEqual((await site.ask()).status, 201)
             site.servers["s0"].die()
@@ -175,14 +177,14 @@
             self.assertGreater(server.cold_until, site.front.now())
 
     @story
-    async def test_a_list_that_breaks_off_is_resumed_and_one_with_a_gap_sent_whole(self):
+    async def test_broken_list_stream_resumes_and_a_gap_requests_the_full_list(self):
         async with SmallSite(servers=2).up() as site:
             rows = list(site.list.rows.values())
             site.front.lists.stream.connection.cut()
             site.list._publish([rows[0]])
             await until(lambda: site.front.session_core.server_list.generation == 1)
             self.assertEqual(len(site.traffic.all("told-all")), 1)
-            # two generations that nobody kept: the next change does not follow on what is held
+            # two generations are lost: the next change does not follow the generation that the front has
             site.list.generation += 2
             site.list.changes.clear()
             site.list._publish([rows[1]])
@@ -190,30 +192,30 @@
             await until(lambda: len(site.traffic.all("told-all")) == 2)
 
     @story
-    async def test_the_list_outlives_the_front_and_is_stale_then(self):
+    async def test_stored_list_is_restored_after_a_restart_as_stale(self):
         with tempfile.TemporaryDirectory() as folder:
             async with SmallSite(servers=2).up(Path(folder)) as site:
-                kept = Path(folder) / "list.json"
-                await until(kept.exists)
+                stored = Path(folder) / "list.json"
+                await until(stored.exists)
                 names = {server.name for server in site.servers.values()}
-            again = SmallSite(servers=0)
-            async with again.up(Path(folder), follow=False) as site:
+            restarted = SmallSite(servers=0)
+            async with restarted.up(Path(folder), follow=False) as site:
                 servers = site.front.session_core.server_list.servers
                 self.assertLessEqual(names, set(servers))
                 self.assertTrue(all(server.unproven_until for server in servers.values() if server.name in names))
 
     @story
-    async def test_sessions_that_end_at_their_server_end_here_too(self):
+    async def test_session_ended_by_its_server_ends_at_the_front(self):
         async with SmallSite(servers=1).up() as site:
             await site.ask()
             server = site.servers["s0"]
-            server._end(next(iter(server.sessions.values())), "a story's end")
+            server._end(next(iter(server.sessions.values())), "ended by the test")
             await until(lambda: not site.front.session_core.front_sessions)
 
 
-class Life(unittest.TestCase):
+class Shutdown(unittest.TestCase):
     @story
-    async def test_told_to_end_it_answers_what_it_took_and_refuses_the_rest(self):
+    async def test_sigterm_answers_pending_requests_and_refuses_new_ones(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
             answers = []
@@ -236,8 +238,8 @@
                     await anyio.sleep(0.01)
 
 
-class Sockets(unittest.TestCase):
-    """What peers do to connections."""
+class ClientConnections(unittest.TestCase):
+    """Slow, malformed and broken connections from clients, and to servers."""
 
     HEAD = (
         b"POST /whep/clip/t HTTP/1.1\r\nhost: x\r\ncontent-type: application/sdp\r\n"
@@ -245,7 +247,7 @@
     )
 
     @story
-    async def test_a_byte_at_a_time_is_served_and_a_head_that_never_ends_is_cut_off(self):
+    async def test_request_sent_byte_by_byte_is_served_and_incomplete_ones_time_out(self):
         async with SmallSite(servers=1).up() as site:
             offer = an_offer()
             stream = await anyio.connect_tcp("127.0.0.1", site.port)
@@ -254,15 +256,15 @@
             self.assertTrue((await stream.receive()).startswith(b"HTTP/1.1 201 "))
             await stream.aclose()
             with mock.patch.object(exchange_server, "HEAD_WITHIN", 0.2):
-                slow = await site.raw(b"POST /whep/clip/t HTTP/1.1\r\nho")
-            self.assertTrue(slow.startswith(b"HTTP/1.1 408 "), slow)
+                timed_out = await site.raw(b"POST /whep/clip/t HTTP/1.1\r\nho")
+            self.assertTrue(timed_out.startswith(b"HTTP/1.1 408 "), timed_out)
             with mock.patch.object(exchange_server, "BODY_WITHIN", 0.2):
-                slow = await site.raw(self.HEAD % 500 + b"v=0")
-            self.assertTrue(slow.startswith(b"HTTP/1.1 408 "), slow)
+                timed_out = await site.raw(self.HEAD % 500 + b"v=0")
+            self.assertTrue(timed_out.startswith(b"HTTP/1.1 408 "), timed_out)
             self.assertEqual((await site.ask()).status, 201)
 
     @story
-    async def test_too_much_and_malformed_are_said_to_be(self):
+    async def test_oversized_and_malformed_requests_get_an_error_status(self):
         async with SmallSite(servers=1).up() as site:
             for status, data in (
                 (413, self.HEAD % 10_000_000 + b"x" * 200_000),
@@ -271,23 +273,23 @@
                 (400, b"GET / HTTP/1.1\r\n\r\n"),
                 (400, b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: many\r\n\r\n"),
             ):
-                got = await site.raw(data)
-                self.assertTrue(got.startswith(b"HTTP/1.1 %d " % status), got[:300])
-                self.assertIn(b"application/problem+json", got)
+                received = await site.raw(data)
+                self.assertTrue(received.startswith(b"HTTP/1.1 %d " % status), received[:300])
+                self.assertIn(b"application/problem+json", received)
             self.assertEqual((await site.ask()).status, 201)
             self.assertEqual(len(site.traffic.all("setup")), 1)
 
     @story
-    async def test_requests_sent_one_behind_the_other_are_answered_in_order(self):
+    async def test_pipelined_requests_are_answered_in_order(self):
         async with SmallSite(servers=1).up() as site:
-            one = b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n"
+            request = b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n"
             last = b"OPTIONS /whep/clip/t HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
-            got = await site.raw(one * 20 + last)
-            self.assertEqual((got.count(b"HTTP/1.1 404 "), got.count(b"HTTP/1.1 204 ")), (20, 1))
+            received = await site.raw(request * 20 + last)
+            self.assertEqual((received.count(b"HTTP/1.1 404 "), received.count(b"HTTP/1.1 204 ")), (20, 1))
 
     @story
-    async def test_an_answer_cut_off_is_broken_and_a_closed_port_never_reached(self):
-        async def cut(stream):
+    async def test_truncated_response_is_broken_and_a_closed_port_is_not_sent(self):
+        async def send_truncated_response(stream):
             await stream.receive()
             await stream.send(b"HTTP/1.1 201 Created\r\ncontent-length: 50\r\n\r\nhalf")
             await stream.aclose()
@@ -295,12 +297,12 @@
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(listener.serve, cut)
-            call = await connect("127.0.0.1", port, 1.0)
+            tasks.start_soon(listener.serve, send_truncated_response)
+            connection = await connect("127.0.0.1", port, 1.0)
             with self.assertRaises(ConnectionBroken):
-                await call.ask("GET", "/")
-            self.assertTrue(call.written)
-            await call.close()
+                await connection.ask("GET", "/")
+            self.assertTrue(connection.written)
+            await connection.close()
             tasks.cancel_scope.cancel()
         await listener.aclose()
         with self.assertRaises(RequestNotSent):
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""WHIP and WHEP through a running front: what a session takes, who may ask, and that no retry makes a second one."""
+"""WHIP and WHEP at a running front: requests on sessions, tokens and TLS, and that no retry makes a second session."""
 
 import base64
 import json
@@ -27,37 +27,37 @@
 from tests.fake import SECOND
 from tests.sockets import FINGERPRINT, SDP, SmallSite, an_offer, story, until
 
-HOST = "1 1 udp 2113929471 192.0.2.1 50000 typ host"
+HOST_CANDIDATE = "1 1 udp 2113929471 192.0.2.1 50000 typ host"
 
 
-class OneSession:
-    """A session of its own, asked for by hand."""
+class ClientSession:
+    """A client's session, set up with a plain HTTP request."""
 
-    def __init__(self, site, answered, ufrag, pwd):
-        self.site, self.path, self.etag = site, answered.headers["location"], answered.headers["etag"]
-        self.ufrag, self.pwd, self.answered = ufrag, pwd, answered
+    def __init__(self, site, response, ufrag, pwd):
+        self.site, self.path, self.etag = site, response.headers["location"], response.headers["etag"]
+        self.ufrag, self.pwd, self.response = ufrag, pwd, response
 
     @classmethod
-    async def of(cls, site, pack="clip", **how):
+    async def of(cls, site, package_name="clip", **options):
         ufrag, pwd = secrets.token_hex(4), secrets.token_hex(12)
-        answered = await site.ask(pack, offer=offer_text(ufrag, pwd, FINGERPRINT).encode(), **how)
-        assert answered.status == 201, answered
-        return cls(site, answered, ufrag, pwd)
+        response = await site.ask(package_name, offer=offer_text(ufrag, pwd, FINGERPRINT).encode(), **options)
+        assert response.status == 201, response
+        return cls(site, response, ufrag, pwd)
 
     async def ask(self, method, path="", headers=(), body=b""):
         return await ask("127.0.0.1", self.site.port, method, self.path + path, headers, body)
 
     async def patch(self, if_match, fragment=None, kind=FRAGMENT):
-        fragment = fragment or fragment_text(self.ufrag, self.pwd, [HOST])
+        fragment = fragment or fragment_text(self.ufrag, self.pwd, [HOST_CANDIDATE])
         match = [("if-match", if_match)] if if_match is not None else []
         return await self.ask("PATCH", "", [("content-type", kind), *match], fragment.encode())
 
 
-class Patches(unittest.TestCase):
+class SessionPatches(unittest.TestCase):
     @story
-    async def test_candidates_go_to_the_server_that_holds_the_session_under_its_tag(self):
+    async def test_candidates_are_passed_to_the_session_s_server_if_the_etag_matches(self):
         async with SmallSite(servers=2).up() as site:
-            session = await OneSession.of(site)
+            session = await ClientSession.of(site)
             self.assertEqual((await session.patch(session.etag)).status, 204)
             patched, held = site.traffic.all("patch")[0], site.traffic.all("session")[0]
             self.assertEqual((patched["server"], patched["session"], patched["candidates"]), (held["server"], held["session"], 1))
@@ -70,15 +70,15 @@
                 (400, session.etag, "a=ice-ufrag:x", FRAGMENT),
                 (400, session.etag, "hello", FRAGMENT),
             ):
-                answered = await session.patch(if_match, fragment, kind)
-                self.assertEqual(answered.status, status, (if_match, fragment, kind))
-                self.assertEqual(answered.headers["content-type"], "application/problem+json")
+                response = await session.patch(if_match, fragment, kind)
+                self.assertEqual(response.status, status, (if_match, fragment, kind))
+                self.assertEqual(response.headers["content-type"], "application/problem+json")
             self.assertEqual(len(site.traffic.all("patch")), 1)
 
     @story
-    async def test_a_restart_makes_another_tag_and_the_address_outlives_rungs(self):
+    async def test_ice_restart_changes_the_etag_and_the_session_address_survives_rung_changes(self):
         async with SmallSite(servers=1).up() as site:
-            session = await OneSession.of(site)
+            session = await ClientSession.of(site)
             await session.ask("POST", "/layer", [], b'{"encodingId":"1"}')
             await until(lambda: site.traffic.all("layer"))
             ufrag, pwd = secrets.token_hex(4), secrets.token_hex(12)
@@ -86,15 +86,15 @@
             self.assertEqual((restarted.status, restarted.headers["content-type"]), (200, FRAGMENT))
             self.assertIn(b"a=ice-ufrag:", restarted.body)
             self.assertNotEqual(restarted.headers["etag"], session.etag)
-            old = await session.patch(session.etag, fragment_text(ufrag, pwd, [HOST]))
+            old = await session.patch(session.etag, fragment_text(ufrag, pwd, [HOST_CANDIDATE]))
             self.assertEqual((old.status, old.headers["etag"]), (412, restarted.headers["etag"]))
-            new = await session.patch(restarted.headers["etag"], fragment_text(ufrag, pwd, [HOST], ended=True))
+            new = await session.patch(restarted.headers["etag"], fragment_text(ufrag, pwd, [HOST_CANDIDATE], ended=True))
             self.assertEqual(new.status, 204)
 
     @story
-    async def test_a_patch_to_a_session_whose_server_died_finds_it_gone_or_silent(self):
+    async def test_patch_of_a_session_whose_server_died_gets_404_or_504(self):
         async with SmallSite(servers=1).up() as site:
-            session = await OneSession.of(site)
+            session = await ClientSession.of(site)
             site.servers["s0"].die()
             await until(lambda: site.traffic.all("dead"))
             self.assertIn((await session.patch(session.etag)).status, (404, 504))
@@ -102,9 +102,9 @@
             self.assertEqual((await session.patch(session.etag)).status, 404)
 
     @story
-    async def test_a_hanging_server_keeps_patches_in_order_and_the_end_answers_them(self):
+    async def test_patches_queued_at_a_hanging_server_are_answered_when_the_session_ends(self):
         async with SmallSite(servers=1).up() as site:
-            session = await OneSession.of(site)
+            session = await ClientSession.of(site)
             site.servers["s0"].freeze()
             statuses = []
 
@@ -122,10 +122,10 @@
             await until(lambda: not site.servers["s0"].sessions)
 
     @story
-    async def test_what_the_papers_want_of_the_other_methods(self):
+    async def test_options_headers_and_unsupported_methods_follow_the_specifications(self):
         async with SmallSite(servers=1, site={"ice_servers": ('<stun:192.0.2.9>; rel="ice-server"',)}).up() as site:
-            session = await OneSession.of(site)
-            headers = session.answered.headers
+            session = await ClientSession.of(site)
+            headers = session.response.headers
             self.assertEqual(headers["accept-patch"], FRAGMENT)
             self.assertEqual(headers["access-control-allow-origin"], "*")
             for relation in ("ice-server", "core:layer", "core:server-sent-events"):
@@ -140,17 +140,17 @@
             self.assertEqual((await ask("127.0.0.1", site.port, "GET", "/whep/clip/t")).status, 405)
 
     @story
-    async def test_events_tell_the_rung_and_the_end(self):
+    async def test_event_stream_reports_the_rung_and_the_end(self):
         async with SmallSite(servers=1).up() as site:
-            session = await OneSession.of(site)
-            made = await session.ask("POST", "/events", [], b'["layers","inactive"]')
-            self.assertEqual(made.status, 201)
+            session = await ClientSession.of(site)
+            subscribed = await session.ask("POST", "/events", [], b'["layers","inactive"]')
+            self.assertEqual(subscribed.status, 201)
             self.assertEqual((await session.ask("POST", "/events", [], b'{"a":1}')).status, 400)
-            call, reader, events = await connect("127.0.0.1", site.port, 1.0), Reader(), []
-            self.assertEqual((await call.begin("GET", made.headers["location"])).status, 200)
+            connection, reader, events = await connect("127.0.0.1", site.port, 1.0), Reader(), []
+            self.assertEqual((await connection.begin("GET", subscribed.headers["location"])).status, 200)
 
             async def listen():
-                async for piece in call.pieces():
+                async for piece in connection.pieces():
                     events.extend(reader.feed(piece))
 
             async with anyio.create_task_group() as tasks:
@@ -159,14 +159,14 @@
                 await session.ask("POST", "/layer", [], b'{"encodingId":"1"}')
                 await until(lambda: len(events) == 2)
                 await session.ask("DELETE")
-            await call.close()
+            await connection.close()
             active = [json.loads(event.data)["0"]["active"][0]["encodingId"] for event in events[:2]]
             self.assertEqual((active, events[2].kind), (["2", "1"], "inactive"))
 
 
 class Publishing(unittest.TestCase):
     @story
-    async def test_a_publish_is_counted_like_any_viewing_and_keeps_its_seats(self):
+    async def test_publishing_is_counted_like_viewing_and_limited_by_seats(self):
         async with SmallSite(servers=1).up() as site:
             caller = Caller([f"http://127.0.0.1:{site.port}"])
 
@@ -190,16 +190,16 @@
 
 class Retries(unittest.TestCase):
     @story
-    async def test_the_same_offer_without_a_key_joins_itself_and_another_does_not(self):
+    async def test_same_offer_without_a_key_joins_the_first_request_and_another_does_not(self):
         async with SmallSite(servers=1).up() as site:
             offer = an_offer()
-            first, again, other = await site.ask(offer=offer), await site.ask(offer=offer), await site.ask()
-            self.assertEqual(first.headers["location"], again.headers["location"])
+            first, repeated, other = await site.ask(offer=offer), await site.ask(offer=offer), await site.ask()
+            self.assertEqual(first.headers["location"], repeated.headers["location"])
             self.assertNotEqual(first.headers["location"], other.headers["location"])
             self.assertEqual(len(site.traffic.all("setup")), 2)
 
     @story
-    async def test_an_answer_that_crosses_with_the_giving_up_is_read_and_its_session_ended(self):
+    async def test_late_answer_to_a_withdrawn_tune_in_is_read_and_its_session_ended(self):
         async with SmallSite(servers=1).up() as site:
             server = site.servers["s0"]
             server.stubborn = True
@@ -211,19 +211,19 @@
             self.assertEqual(len(site.traffic.all("setup")), 1)
 
     @story
-    async def test_a_session_whose_server_hangs_at_its_end_is_ended_once_it_answers(self):
+    async def test_session_end_at_a_hanging_server_is_retried_until_it_answers(self):
         async with SmallSite(servers=1).up() as site:
-            session = await OneSession.of(site)
+            session = await ClientSession.of(site)
             site.servers["s0"].freeze()
             self.assertEqual((await session.ask("DELETE")).status, 200)
             with mock.patch("curlewshift.front.server_pool.CALL_TIMEOUT_S", 0.1):
-                await until(lambda: any(here.silent for here in site.front.session_core.session_ends.servers.values()))
+                await until(lambda: any(pending.silent for pending in site.front.session_core.session_ends.servers.values()))
             site.servers["s0"].unfreeze()
             await until(lambda: not site.servers["s0"].sessions)
             await until(lambda: not len(site.front.session_core.session_ends))
 
     @story
-    async def test_a_redirect_from_a_server_ran_nothing_and_is_not_followed(self):
+    async def test_redirect_counts_as_not_run_and_is_not_followed(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].redirects = True
             statuses = [(await site.ask("paid")).status for _ in range(4)]
@@ -231,17 +231,17 @@
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
     @story
-    async def test_a_stand_in_that_drains_mid_request_sends_it_on(self):
+    async def test_server_that_drains_during_the_request_moves_it_to_another(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].freeze()
             site.servers["s1"].freeze()
             answers = []
 
-            async def one():
+            async def send_request():
                 answers.append((await site.ask("paid")).status)
 
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(one)
+                tasks.start_soon(send_request)
                 await until(lambda: site.traffic.all("setup"))
                 name = site.traffic.all("setup")[0]["server"]
                 draining = next(server for server in site.servers.values() if server.name == name)
@@ -252,43 +252,43 @@
             self.assertNotEqual(site.traffic.all("session")[0]["server"], name)
 
     @story
-    async def test_delete_racing_the_answer_ends_it_all_the_same(self):
+    async def test_client_that_leaves_while_the_answer_arrives_ends_the_session(self):
         async with SmallSite(servers=1).up() as site:
             for _ in range(20):
-                call = await site.call()
+                connection = await site.call()
                 with anyio.move_on_after(0.012):
-                    await call.ask("POST", "/whep/clip/t", [SDP], an_offer())
-                await call.close()
+                    await connection.ask("POST", "/whep/clip/t", [SDP], an_offer())
+                await connection.close()
             await until(lambda: site.front.session_core.waiting == 0)
             with anyio.fail_after(6):
                 await until(lambda: not site.servers["s0"].sessions, 6)
                 await until(lambda: not site.front.session_core.front_sessions, 6)
 
 
-class Counted(unittest.TestCase):
+class ConcurrentRequests(unittest.TestCase):
     @story
-    async def test_two_thousand_requests_under_faults_have_one_answer_and_one_set_up_each(self):
+    async def test_2001_requests_under_faults_get_one_answer_and_at_most_one_paid_set_up_each(self):
         site = SmallSite(servers=3, patience=SECOND)
         for machine in site.site.machines:
             machine.streams, machine.link, machine.cores = 5000, 1e8, 64
         async with site.up():
-            answers, mine = {}, {}
+            answers, packages = {}, {}
 
             async def ask_twice(number):
                 offer, key = an_offer(), [("idempotency-key", f"k{number}"), ("x-request-id", f"q{number}")]
-                pack = "paid" if number % 3 else "clip"
+                package_name = "paid" if number % 3 else "clip"
 
-                async def one(again):
-                    answered = await site.ask(pack, key, offer)
-                    answers.setdefault(number, []).append((answered.status, answered.headers.get("location")))
+                async def send_request(repeated):
+                    response = await site.ask(package_name, key, offer)
+                    answers.setdefault(number, []).append((response.status, response.headers.get("location")))
 
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(one, False)
+                    tasks.start_soon(send_request, False)
                     if number % 2:
-                        tasks.start_soon(one, True)
-                mine[number] = pack
+                        tasks.start_soon(send_request, True)
+                packages[number] = package_name
 
-            async def troubles():
+            async def inject_faults():
                 server = site.servers["s0"]
                 for _ in range(6):
                     server.loses_answers = "reset"
@@ -302,7 +302,7 @@
                     server.redirects = False
 
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(troubles)
+                tasks.start_soon(inject_faults)
                 slots = anyio.CapacityLimiter(60)
                 for number in range(1334):
 
@@ -318,14 +318,14 @@
             ran = {}
             for event in site.traffic.all("ran"):
                 ran.setdefault(event["request"], []).append(event)
-            paid_twice = [request for request, events in ran.items() if len(events) > 1 and mine[int(request[1:])] == "paid"]
+            paid_twice = [request for request, events in ran.items() if len(events) > 1 and packages[int(request[1:])] == "paid"]
             self.assertEqual(paid_twice, [])
             self.assertGreater(sum(got[0][0] == 201 for got in answers.values()), 600)
 
 
-class Callers(unittest.TestCase):
+class ClientLibrary(unittest.TestCase):
     @story
-    async def test_a_caller_keeps_one_key_over_a_lost_answer_and_moves_on_only_with_proof(self):
+    async def test_caller_reuses_its_key_after_a_lost_answer_and_follows_a_redirect(self):
         async with SmallSite(servers=1).up() as site:
             seen, mode = [], ["cut"]
 
@@ -351,31 +351,31 @@
             await until(lambda: not site.servers["s0"].sessions)
 
     @story
-    async def test_a_refusal_is_waited_out_and_a_failure_is_an_end(self):
+    async def test_caller_retries_after_a_refusal_and_gives_up_on_a_failure(self):
         async with SmallSite(servers=1).up() as site:
             caller = Caller(["http://127.0.0.1:1", f"http://127.0.0.1:{site.port}"], seed=1)
             site.servers["s0"].draining = True
-            began = time.monotonic()
+            started_at = time.monotonic()
 
-            async def relent():
+            async def reopen():
                 await anyio.sleep(0.3)
                 site.servers["s0"].draining = False
 
-            site.tasks.start_soon(relent)
+            site.tasks.start_soon(reopen)
             await (await caller.play("clip", "t", an_offer().decode())).close()
-            self.assertGreater(time.monotonic() - began, 0.6)
+            self.assertGreater(time.monotonic() - started_at, 0.6)
             site.servers["s0"].loses_answers = "reset"
             with self.assertRaises(Failed):
                 await caller.play("paid", "t", an_offer().decode())
 
-    def test_the_examples_run_against_the_stand_ins(self):
+    def test_example_scripts_run_against_the_stand_ins(self):
         root = Path(__file__).resolve().parents[1]
 
         async def story():
             async with SmallSite(servers=1).up() as site:
-                for script, how in (("watch.py", ("clip", "t")), ("publish.py", ("camera", "t"))):
+                for script, arguments in (("watch.py", ("clip", "t")), ("publish.py", ("camera", "t"))):
                     ran = await anyio.run_process(
-                        [sys.executable, str(root / "examples" / script), f"http://127.0.0.1:{site.port}", *how],
+                        [sys.executable, str(root / "examples" / script), f"http://127.0.0.1:{site.port}", *arguments],
                         cwd=root,
                         check=False,
                         env={"PYTHONPATH": str(root)},
@@ -384,7 +384,7 @@
 
         anyio.run(story)
 
-    def test_the_caller_without_async(self):
+    def test_synchronous_caller(self):
         with self.assertRaises(Failed):
             SyncCaller(["http://127.0.0.1:1"]).play("clip", "t", an_offer().decode(), patience=0.3)
 
@@ -394,9 +394,9 @@
 
 
 def token(row=SECRET, **claims):
-    facts = {"sub": "desk-1", "exp": time.time() + 60, **claims}
+    all_claims = {"sub": "desk-1", "exp": time.time() + 60, **claims}
     return jwt.encode(
-        {name: value for name, value in facts.items() if value is not None},
+        {name: value for name, value in all_claims.items() if value is not None},
         base64.urlsafe_b64decode(row["k"] + "="),
         "HS256",
         headers={"kid": row["kid"]},
@@ -413,14 +413,14 @@
             Permits(read_keys(json.dumps({"keys": [SECRET]}).encode())).read(authorization, self.now)
         return found.exception.status, found.exception.error
 
-    def test_what_is_no_token_of_ours_is_refused(self):
-        none = jwt.encode({"sub": "x", "exp": time.time() + 60}, None, "none", headers={"kid": "one"})
-        for shown in (None, "", "Basic eDp5", "Bearer "):
-            self.assertEqual(self.refused(shown), (401, ""))
-        for shown in (
+    def test_missing_and_invalid_tokens_are_refused(self):
+        unsigned = jwt.encode({"sub": "x", "exp": time.time() + 60}, None, "none", headers={"kid": "one"})
+        for authorization in (None, "", "Basic eDp5", "Bearer "):
+            self.assertEqual(self.refused(authorization), (401, ""))
+        for authorization in (
             "x",
             "a.b.c",
-            none,
+            unsigned,
             token(OTHER),
             token({**SECRET, "k": OTHER["k"]}),
             token(exp=time.time() - 60),
@@ -432,9 +432,9 @@
             token(addresses=["nowhere"]),
             token(packages=5),
         ):
-            self.assertEqual(self.refused(f"Bearer {shown}"), (401, "invalid_token"), shown[:60])
+            self.assertEqual(self.refused(f"Bearer {authorization}"), (401, "invalid_token"), authorization[:60])
 
-    def test_a_permit_is_for_what_it_says(self):
+    def test_permit_is_limited_to_its_claims(self):
         permits = Permits(read_keys(json.dumps({"keys": [SECRET]}).encode()))
         permit = permits.read(f"Bearer {token(packages=['clip'], titles=['t'], addresses=['127.0.0.0/8'])}", self.now)
         allow(permit, "clip", "t", False, "127.0.0.9")
@@ -448,7 +448,7 @@
                 allow(permit, *wanted)
             self.assertEqual(found.exception.status, 403)
 
-    def test_bad_keys_are_told_and_change_nothing(self):
+    def test_invalid_key_sets_are_rejected(self):
         for raw in (
             b"",
             b"{}",
@@ -461,7 +461,7 @@
                 read_keys(raw)
 
     @story
-    async def test_a_refused_token_costs_no_tune_in_and_keys_change_while_it_runs(self):
+    async def test_refused_token_causes_no_tune_in_and_keys_are_reloaded_while_running(self):
         with tempfile.TemporaryDirectory() as folder:
             keys = Path(folder) / "keys.json"
             keys.write_text(json.dumps({"keys": [SECRET]}))
@@ -473,7 +473,7 @@
                 self.assertEqual(scope.status, 403)
                 self.assertIn("insufficient_scope", scope.headers["www-authenticate"])
                 self.assertEqual(site.traffic.all("setup"), [])
-                session = await OneSession.of(site, headers=bearer)
+                session = await ClientSession.of(site, headers=bearer)
                 self.assertEqual((await session.ask("DELETE")).status, 401)
                 other = [("authorization", f"Bearer {token(sub='desk-2')}")]
                 self.assertEqual((await session.ask("DELETE", "", other)).status, 403)
@@ -488,10 +488,10 @@
 
 class Tls(unittest.TestCase):
     @story
-    async def test_the_door_by_a_private_authority_wrong_names_refused_and_renewed_while_it_runs(self):
+    async def test_tls_with_a_private_authority_rejects_wrong_names_and_reloads_certificates(self):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            authority = make_authority(folder / "ca", "a story's")
+            authority = make_authority(folder / "ca", "a test's")
             with self.assertRaises(AuthorityError):
                 make_authority(folder / "ca", "again")
             pem, key = issue(folder / "ca", ["127.0.0.1"], folder / "door")
