--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
 
 from curlewshift.emulator.peer_histories import PERIOD, History, membership_terms
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet
-from curlewshift.front.planted_faults import DeafIncarnation
+from curlewshift.front.planted_faults import MembershipWithoutRefutation
 from curlewshift.membership.member import Claim, Rank
 from curlewshift.membership.membership import Probe
 from curlewshift.membership.terms import default_membership_terms
@@ -143,7 +143,7 @@
         self.assertGreater(fleet.posts[0].channel.membership.members["f1"].incarnation, 0)
 
     def test_paused_process_that_does_not_refute_stays_gone(self):
-        fleet = PeerFleet(6, 1, membership_terms(), membership=DeafIncarnation)
+        fleet = PeerFleet(6, 1, membership_terms(), membership=MembershipWithoutRefutation)
         fleet.start()
         fleet.until(fleet.agreed, 10)
         fleet.posts[1].pause()
