--- a/curlewshift/standins/__init__.py
+++ b/curlewshift/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a front meets: media servers, the server list, viewers, and what goes wrong with them."""
+"""Stand-ins (test doubles) for the environment of a front: media servers, the server list, viewers and injected faults."""
--- a/curlewshift/standins/physics.py
+++ b/curlewshift/standins/physics.py
@@ -1,4 +1,4 @@
-"""How links are shared and how a machine warms up. Pure figures; rates are kB a second, times nanoseconds."""
+"""Model of shared links and of the warm-up of a server, without I/O. Rates are kB/s, times ns."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 
 @dataclass(eq=False, slots=True)
 class Uplink:
+    """The uplink of a rack, shared by the links of its servers."""
+
     size: float
     links: list[LinkModel] = field(default_factory=list)
 
     def asked(self) -> float:
-        """What comes through the servers' links towards the uplink."""
+        """Total rate that the servers' links pass on to the uplink."""
         return sum(min(link.asked, link.gives()) for link in self.links)
 
     def share(self) -> float:
@@ -25,7 +27,7 @@
 
 @dataclass(eq=False, slots=True)
 class LinkModel:
-    """A server's link: `taken` is the part that another program has, `shrunk` what the weak link is divided by."""
+    """A server's link. `asked`: demanded rate; `taken`: share used by another program; `shrunk`: divisor of a degraded size."""
 
     size: float
     uplink: Uplink
@@ -40,35 +42,35 @@
         return self.asked / self.gives()
 
     def share(self) -> float:
-        """What each viewing gets of its rate: all lose the same share, of the link and then of the uplink."""
+        """Share of its rate that each viewing gets: the link and then the uplink are shared in proportion to demand."""
         own = min(1.0, self.gives() / self.asked) if self.asked > 0 else 1.0
         return own * self.uplink.share()
 
 
 def as_of(history: Sequence[tuple[int, float, float, float]], when: int) -> tuple[int, float, float, float]:
-    """The newest entry that is no younger than `when`, or the oldest there is: late reports tell of then."""
-    held = history[0]
+    """The newest entry up to `when`, or else the oldest one. Used for reports that are late."""
+    found = history[0]
     for entry in history:
         if entry[0] > when:
             break
-        held = entry
-    return held
+        found = entry
+    return found
 
 
-def falls_over(arrivals: deque[int], now: int, born: int, streams: int, obligations: Obligations) -> bool:
-    """Counts one more arrival: a cold machine that is sent more than a multiple of its present pace within the window
-    falls over."""
+def falls_over(arrivals: deque[int], now: int, started_at: int, streams: int, obligations: Obligations) -> bool:
+    """Counts one more arrival. Returns true if a cold server has got more set-ups within the window than the multiple of
+    its present rate that it withstands; it then fails."""
     arrivals.append(now)
     while arrivals[0] <= now - obligations.fall_within:
         arrivals.popleft()
-    if now - born >= obligations.warm_within:
+    if now - started_at >= obligations.warm_within:
         return False
-    pace = streams / obligations.warm_within * warmth(now - born, obligations.warm_within, obligations.start_capacity)
+    pace = streams / obligations.warm_within * warmth(now - started_at, obligations.warm_within, obligations.start_capacity)
     return len(arrivals) > max(1.0, obligations.fall_multiple * pace * obligations.fall_within)
 
 
 def warmth(age: int, warm_within: int, start_capacity: float) -> float:
-    """The share of its pace that a machine of this age has: rises evenly from the start's to 1."""
+    """Share of its full set-up rate that a server of this age has: rises linearly from `start_capacity` to 1."""
     if age >= warm_within or warm_within <= 0:
         return 1.0
     return start_capacity + (1 - start_capacity) * max(0, age) / warm_within
--- a/curlewshift/standins/running.py
+++ b/curlewshift/standins/running.py
@@ -1,4 +1,5 @@
-"""Stand-ins as processes: a whole site where it says, its list alone, or the fleet of a rehearsal."""
+"""Runs stand-ins as processes: a full site at its configured addresses, its server list alone, or the fleet of a rehearsal
+(a scripted fault injection run)."""
 
 from __future__ import annotations
 
@@ -23,6 +24,7 @@
 
 
 async def until_told(tasks) -> None:
+    """Cancels `tasks` on SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             tasks.cancel_scope.cancel()
@@ -30,21 +32,23 @@
 
 
 async def run_site(site: Site, traffic: Path | None, setup_work: float) -> None:
+    """Runs all servers of a site and its list at their configured addresses until a signal."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(until_told, tasks)
-        await Fleet(site, 1, Traffic(traffic), own_ports=True, setup_work=setup_work).start(tasks)
+        await Fleet(site, 1, Traffic(traffic), use_site_ports=True, setup_work=setup_work).start(tasks)
         print(f"{len(site.machines)} servers and their list are up", file=sys.stderr)
 
 
 async def run_list(site: Site) -> None:
-    told = ServerList(Random(1), Traffic(None))
-    long_ago = int((time.time() - 3600) * 1000)
-    told.begin(
+    """Runs the server list of a site alone; it reports all servers as running for an hour."""
+    server_list = ServerList(Random(1), Traffic(None))
+    started_ms = int((time.time() - 3600) * 1000)
+    server_list.begin(
         [
             ListRow(
                 f"{machine.host}:{machine.port}",
                 "on",
-                long_ago,
+                started_ms,
                 machine.zone,
                 machine.rack,
                 machine.link,
@@ -58,12 +62,13 @@
     listener = (await anyio.create_tcp_listener(local_host=host, local_port=port)).listeners[0]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(until_told, tasks)
-        tasks.start_soon(told.run)
-        tasks.start_soon(serve, listener, told.serve, lambda fault: None)
+        tasks.start_soon(server_list.run)
+        tasks.start_soon(serve, listener, server_list.serve, lambda fault: None)
 
 
 async def run_fleet(script: Script, seed: int, path: Path) -> None:
-    """Writes the list's port as one JSON line; a line on standard input says when the day begins, its end is the end."""
+    """Prints the port of the list as one JSON line. A line on standard input gives the start of the run (s, monotonic clock);
+    the end of standard input ends the fleet."""
     traffic = Traffic(path)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(until_told, tasks)
@@ -74,22 +79,22 @@
         if not line.strip():
             tasks.cancel_scope.cancel()
             return
-        tasks.start_soon(sample_use, fleet, traffic)
-        await fleet.play(script, float(line))
-        # whoever started this has gone if nothing more can come
+        tasks.start_soon(sample_utilization, fleet, traffic)
+        await fleet.schedule_troubles(script, float(line))
+        # the end of standard input means that the parent process has exited
         await anyio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True)
         tasks.cancel_scope.cancel()
 
 
-async def sample_use(fleet: Fleet, traffic: Traffic) -> None:
-    """How full the links are, once a second, for the chart."""
+async def sample_utilization(fleet: Fleet, traffic: Traffic) -> None:
+    """Records the utilization of the links once a second, for the chart."""
     while True:
-        links = [place.link for place in fleet.places]
-        sessions = [session for place in fleet.places for session in place.server.sessions.values()]
+        links = [slot.link for slot in fleet.slots]
+        sessions = [session for slot in fleet.slots for session in slot.server.sessions.values()]
         rungs = [session.rung for session in sessions]
         used: dict[str, float] = {}
         for session in sessions:
-            used[session.package] = used.get(session.package, 0.0) + session.rate * session.truth
+            used[session.package] = used.get(session.package, 0.0) + session.rate * session.rate_factor
         traffic.seen(
             "use",
             asked=round(sum(link.asked for link in links)),
--- a/curlewshift/standins/script.py
+++ b/curlewshift/standins/script.py
@@ -1,4 +1,5 @@
-"""A rehearsal's script: who comes, and what goes wrong when, to which part, and how much."""
+"""The script of a rehearsal (a scripted fault injection run): arriving viewers, announced peaks, and troubles (injected faults
+and load changes) with their time, extent and size."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 
 SCHEMA = Path(__file__).with_name("script.xsd")
 NS = 1_000_000_000
-# What a trouble is where the script does not say: lasts (s), part of the servers or fronts, size.
+# Defaults of each kind of trouble: duration (s), affected share of the servers or fronts, size.
 USUAL = {
     "burst": (6, 1.0, 2.0),
     "crowd": (6, 1.0, 1.0),
@@ -51,26 +52,35 @@
     "front-spoilt": (1, 0.2, 1.0),
     "slow-accept": (1.5, 0.25, 1.0),
 }
-# What befalls datagrams between fronts, by the relay that all of them pass.
-OF_PEERS = ("cut", "one-way", "loss", "late", "doubled", "reordered", "spoilt", "control-cut")
-# What the operator of the settings does and what befalls the machines and disks that keep them.
-OF_CONFIGURATION = ("put", "bad-put", "writer-pause", "writer-crash", "control-lost", "front-lost", "front-spoilt")
-# What befalls processes and their clocks.
-OF_FRONTS = ("front-crash", "front-roll", "pause", "clock-rate", "clock-step", "bad-path", "pause-in-act", *OF_CONFIGURATION)
+# Troubles of datagrams between fronts, injected by the relay that all of them pass.
+PEER_TROUBLES = ("cut", "one-way", "loss", "late", "doubled", "reordered", "spoilt", "control-cut")
+# Changes of the configuration by the operator, and faults of the control machines and disks that store it.
+CONFIGURATION_TROUBLES = ("put", "bad-put", "writer-pause", "writer-crash", "control-lost", "front-lost", "front-spoilt")
+# Troubles of front processes and their clocks.
+OF_FRONTS = (
+    "front-crash",
+    "front-roll",
+    "pause",
+    "clock-rate",
+    "clock-step",
+    "bad-path",
+    "pause-in-act",
+    *CONFIGURATION_TROUBLES,
+)
+# Changes of the load by viewers.
 OF_VIEWERS = ("burst", "crowd", "peak")
-# What deployments in the emulator's world know; it has viewers, servers and fronts, but nothing between fronts, and no queues for
-# connections.
-EMULATED = tuple(kind for kind in USUAL if kind not in (*OF_PEERS, *OF_FRONTS[2:], "peak", "slow-accept"))
-# Arrivals a second beside the usual ones, and the title or package that they are for.
+# Kinds that the emulator supports: it has viewers, servers and fronts, but no network between fronts and no connection queues.
+EMULATED = tuple(kind for kind in USUAL if kind not in (*PEER_TROUBLES, *OF_FRONTS[2:], "peak", "slow-accept"))
+# Arrivals per second in addition to the usual ones, and the title or package that they request.
 Part = tuple[float, str | None, str | None]
-# A longer day or more viewers than this a second is not for one machine.
-LONGEST_DAY = 600 * NS
-MOST_EACH_SECOND = 200.0
+# Limits of what one machine can run: duration (ns) and arrivals per second.
+MAX_RUN_NS = 600 * NS
+MAX_ARRIVALS_PER_S = 200.0
 
 
 @dataclass(slots=True)
 class Trouble:
-    """Times are seconds from the start of the day."""
+    """One trouble; times are seconds from the start of the run."""
 
     kind: str
     at: float
@@ -82,7 +92,7 @@
 
 @dataclass(slots=True)
 class Announced:
-    """What fronts are told of at the start of the day; seconds of the day."""
+    """A demand peak announced to the fronts at the start of the run; times are seconds from then."""
 
     name: str
     package: str
@@ -94,6 +104,8 @@
 
 @dataclass(slots=True)
 class PlannedViewing:
+    """Viewings of one package: their share of all arrivals, and their mean duration (s)."""
+
     package: str
     share: float
     watches: float
@@ -101,6 +113,9 @@
 
 @dataclass(slots=True)
 class Script:
+    """A parsed script. `lasts`: duration (s); `each_second`: arrivals per second; `come_again`, `hang_up` and `leave` are
+    probabilities of a retry after a failed request, of hanging up with a retry, and of hanging up for good."""
+
     site_path: Path
     site: Site
     lasts: float
@@ -112,13 +127,13 @@
     planned_viewings: list[PlannedViewing]
     troubles: list[Trouble]
     announced: list[Announced]
-    # whether servers end by themselves what nobody watches and what a front that is gone has left
+    # whether servers end unwatched sessions, and sessions of fronts that are gone, by themselves
     tidy: bool = True
 
 
 def pressure(script: Script, now: float, titles: list[str], factor: float = 1.0) -> tuple[float, list[Part]]:
-    """Arrivals a second at this moment (s of the day): the usual ones, `factor` times what the script says, and those of
-    each crowd (with its title) and peak (with its package) on top of them."""
+    """Arrivals per second at `now` (s from the start of the run): the usual ones, which are `factor` times those of the script,
+    and additionally those of each crowd (with its title) and peak (with its package)."""
     base = rate = script.each_second * factor
     more: list[Part] = []
     for trouble in script.troubles:
@@ -132,9 +147,9 @@
     return rate, more
 
 
-def drawn_part(rate: float, more: list[Part], chance: float) -> tuple[str | None, str | None]:
-    """Title of the crowd or package of the peak that an arrival belongs to, by a chance from 0 to 1."""
-    drawn = chance * (rate + sum(part for part, _, _ in more)) - rate
+def drawn_part(rate: float, more: list[Part], draw: float) -> tuple[str | None, str | None]:
+    """Title of the crowd or package of the peak that an arrival belongs to, chosen by `draw` from 0 to 1."""
+    drawn = draw * (rate + sum(part for part, _, _ in more)) - rate
     for part, title, package in more:
         if 0 <= drawn < part:
             return title, package
@@ -143,13 +158,14 @@
 
 
 def usual(kind: str, at: float) -> Trouble:
+    """A trouble of this kind with the default duration, part and size."""
     return Trouble(kind, at, *USUAL[kind])
 
 
 def read_script(path: Path | str) -> Script:
-    """Raises `SiteErrors`, of this file or of the site that it names."""
+    """Reads a script and its site. Raises `SiteErrors` for either file."""
     root = read_xml(path, SCHEMA)
-    wrong: list[tuple[int, str]] = []
+    errors: list[tuple[int, str]] = []
     site_path = Path(path).parent / root.get("site")
     site = read_site(site_path)
     viewers = root.find("viewers")
@@ -157,7 +173,7 @@
     planned_viewings = []
     for planned_viewing in viewers.iterfind("wants"):
         if planned_viewing.get("package") not in known:
-            wrong.append(
+            errors.append(
                 (planned_viewing.sourceline, f"wants: {site_path.name} has no package {planned_viewing.get('package')!r}")
             )
         planned_viewings.append(
@@ -166,13 +182,13 @@
             )
         )
     if sum(planned_viewing.share for planned_viewing in planned_viewings) <= 0:
-        wrong.append((viewers.sourceline, "viewers: the shares of what is wanted come to nothing"))
+        errors.append((viewers.sourceline, "viewers: the shares of all <wants> add up to 0"))
     lasts = span(root.get("lasts"))
-    if lasts > LONGEST_DAY:
-        wrong.append((root.sourceline, f"rehearsal: a day lasts {LONGEST_DAY // NS} s at most"))
+    if lasts > MAX_RUN_NS:
+        errors.append((root.sourceline, f"rehearsal: lasts may be {MAX_RUN_NS // NS} s at most"))
     each_second = float(viewers.get("each-second"))
-    if each_second > MOST_EACH_SECOND:
-        wrong.append((viewers.sourceline, f"viewers: {MOST_EACH_SECOND:g} come each second at most"))
+    if each_second > MAX_ARRIVALS_PER_S:
+        errors.append((viewers.sourceline, f"viewers: each-second may be {MAX_ARRIVALS_PER_S:g} at most"))
     troubles = []
     for element in root.iterfind("trouble"):
         trouble = usual(element.get("kind"), span(element.get("at")) / NS)
@@ -180,27 +196,27 @@
         trouble.part = float(element.get("part", trouble.part))
         trouble.size = float(element.get("size", trouble.size))
         if trouble.at * NS >= lasts:
-            wrong.append((element.sourceline, f"trouble {trouble.kind}: begins after the day has ended"))
+            errors.append((element.sourceline, f"trouble {trouble.kind}: begins after the day has ended"))
         if trouble.kind == "neighbour" and trouble.size >= 1:
-            wrong.append((element.sourceline, "trouble neighbour: size is the part of the link taken, under 1"))
+            errors.append((element.sourceline, "trouble neighbour: size is the share of the link in use, less than 1"))
         trouble.package = element.get("package", "")
         if trouble.kind == "peak" and trouble.package not in known:
-            wrong.append((element.sourceline, f"trouble peak: {site_path.name} has no package {trouble.package!r}"))
-        if trouble.kind in OF_PEERS and site.peers is None:
-            wrong.append((element.sourceline, f"trouble {trouble.kind}: {site_path.name} has no peers that it could befall"))
-        if trouble.kind in (*OF_CONFIGURATION, "control-cut") and site.configuration is None:
-            wrong.append(
+            errors.append((element.sourceline, f"trouble peak: {site_path.name} has no package {trouble.package!r}"))
+        if trouble.kind in PEER_TROUBLES and site.peers is None:
+            errors.append((element.sourceline, f"trouble {trouble.kind}: {site_path.name} has no peers that it could befall"))
+        if trouble.kind in (*CONFIGURATION_TROUBLES, "control-cut") and site.configuration is None:
+            errors.append(
                 (element.sourceline, f"trouble {trouble.kind}: {site_path.name} has no <configuration> that it could befall")
             )
         if trouble.kind in ("loss", "doubled", "reordered", "spoilt") and trouble.size > 1:
-            wrong.append((element.sourceline, f"trouble {trouble.kind}: size is the share of datagrams, at most 1"))
+            errors.append((element.sourceline, f"trouble {trouble.kind}: size is the share of datagrams, at most 1"))
         if trouble.kind == "clock-rate" and not 0.9 <= trouble.size <= 1.1:
-            wrong.append((element.sourceline, "trouble clock-rate: size is from 0.9 to 1.1 times as fast"))
+            errors.append((element.sourceline, "trouble clock-rate: size is the speed of the clock, from 0.9 to 1.1"))
         troubles.append(trouble)
     announced = []
     for element in root.iterfind("announce"):
         if element.get("package") not in known:
-            wrong.append((element.sourceline, f"announce: {site_path.name} has no package {element.get('package')!r}"))
+            errors.append((element.sourceline, f"announce: {site_path.name} has no package {element.get('package')!r}"))
         announced.append(
             Announced(
                 element.get("name"),
@@ -211,8 +227,8 @@
                 float(element.get("most", "0.5")),
             )
         )
-    if wrong:
-        raise SiteErrors(path, wrong)
+    if errors:
+        raise SiteErrors(path, errors)
     return Script(
         site_path,
         site,
--- a/curlewshift/standins/traffic.py
+++ b/curlewshift/standins/traffic.py
@@ -1,4 +1,4 @@
-"""What was seen on a stand-in's own sockets, one JSON line an event, on the clock that all processes share."""
+"""Records what stand-ins observe on their own sockets: one JSON line per event, timed by the clock that all processes share."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from anyio.abc import SocketAttribute
 
 MS = 1_000_000
-# Where TCP_INFO (tcp(7), linux/tcp.h) has the age of the last bytes that came, in ms; it is counted in the kernel's ticks
-# (ns), which CLOCK_MONOTONIC_COARSE (linux/time.h) tells.
-LAST_DATA_RECV = 8 + 11 * 4
-# and how many bytes have come on it at all.
-BYTES_RECEIVED = 8 + 24 * 4 + 3 * 8
-TICK = int(time.clock_getres(6) * 1_000_000_000)
+# Offset in TCP_INFO (tcp(7), linux/tcp.h) of `tcpi_last_data_recv`, the age of the last received bytes in ms. Its resolution is
+# the kernel's tick, which is the resolution of CLOCK_MONOTONIC_COARSE (linux/time.h).
+LAST_DATA_RECV_OFFSET = 8 + 11 * 4
+# Offset of `tcpi_bytes_received`, the total number of bytes received.
+BYTES_RECEIVED_OFFSET = 8 + 24 * 4 + 3 * 8
+COARSE_CLOCK_TICK_NS = int(time.clock_getres(6) * 1_000_000_000)
 
 
 class Traffic:
-    """`seen(ev, **facts)` adds a line with `at`, nanoseconds of the machine's monotonic clock."""
+    """`seen(ev, **facts)` appends a line with `at`, the time on the machine's monotonic clock (ns)."""
 
     def __init__(self, path: Path | None):
-        # unbuffered: a process that is killed leaves whole lines behind
+        # unbuffered, so that a killed process leaves only complete lines
         self.file = open(path, "ab", buffering=0) if path else None
         self.encoder = msgspec.json.Encoder()
 
@@ -37,41 +37,42 @@
 
 
 def read_traffic(path: Path) -> list[dict]:
+    """All events of a recorded file, in file order."""
     decoder = msgspec.json.Decoder()
     with open(path, "rb") as lines:
         return [decoder.decode(line) for line in lines]
 
 
 def arrived_at(sock: socket.socket) -> int:
-    """When the kernel took the last bytes that have come on this socket, ns of the monotonic clock: a process that reads late,
-    or accepts late, must not make its peer's bytes late. Never earlier than it was, and later by two ticks at the most."""
-    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV + 4)
-    return time.monotonic_ns() - max(0, struct.unpack_from("=I", info, LAST_DATA_RECV)[0] * MS - TICK)
+    """When the kernel received the last bytes on this socket (ns, monotonic clock), so that a process that reads or accepts late
+    does not make its peer's bytes appear late. Never earlier than the actual time, and at most two ticks later."""
+    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_OFFSET + 4)
+    return time.monotonic_ns() - max(0, struct.unpack_from("=I", info, LAST_DATA_RECV_OFFSET)[0] * MS - COARSE_CLOCK_TICK_NS)
 
 
-def bytes_come(sock: socket.socket) -> int:
-    """How many bytes the kernel has taken on this socket, read or not."""
-    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, BYTES_RECEIVED + 8)
-    return struct.unpack_from("=Q", info, BYTES_RECEIVED)[0]
+def bytes_received(sock: socket.socket) -> int:
+    """Number of bytes that the kernel has received on this socket, read or not."""
+    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, BYTES_RECEIVED_OFFSET + 8)
+    return struct.unpack_from("=Q", info, BYTES_RECEIVED_OFFSET)[0]
 
 
-class Arrivals:
-    """A stream that notes when the first byte of what is read next came in."""
+class ArrivalTimedStream:
+    """A stream that records when the first byte of the next message arrived."""
 
     def __init__(self, stream):
         self.stream = stream
-        self.first: int | None = None
+        self.first_byte_at: int | None = None
 
-    async def receive(self, most: int = 65536) -> bytes:
-        data = await self.stream.receive(most)
-        if self.first is None:
-            self.first = arrived_at(self.stream.extra(SocketAttribute.raw_socket))
+    async def receive(self, max_bytes: int = 65536) -> bytes:
+        data = await self.stream.receive(max_bytes)
+        if self.first_byte_at is None:
+            self.first_byte_at = arrived_at(self.stream.extra(SocketAttribute.raw_socket))
         return data
 
     def first_byte(self) -> int:
-        """Of the message that has been read; the next one begins anew."""
-        first, self.first = self.first, None
-        return time.monotonic_ns() if first is None else first
+        """Arrival time (ns) of the first byte of the message just read; resets it for the next message."""
+        first_byte_at, self.first_byte_at = self.first_byte_at, None
+        return time.monotonic_ns() if first_byte_at is None else first_byte_at
 
     def __getattr__(self, name: str):
         return getattr(self.stream, name)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The judge of attempts that begin for clients that have left: by days made up for it, and by real sockets."""
+"""Tests of the check for set-up attempts that begin after their client has left: with made-up events and with real sockets."""
 
 import contextlib
 import json
@@ -18,7 +18,7 @@
 from curlewshift.fault_injection.processes import PORTS
 from curlewshift.front import server_pool
 from curlewshift.front.planted_faults import DeafSessionCore
-from curlewshift.standins.traffic import TICK, arrived_at
+from curlewshift.standins.traffic import COARSE_CLOCK_TICK_NS, arrived_at
 from curlewshift.state.journal import Journal
 from curlewshift.verdict.attempts import judge_attempts
 from tests.sockets import SDP, SmallSite, an_offer, story, until
@@ -27,8 +27,8 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 
-class Day:
-    """Short hands for events; times are milliseconds."""
+class Events:
+    """Shorthand for building events; times are milliseconds."""
 
     def __init__(self):
         self.events = []
@@ -46,63 +46,63 @@
     def attempt(self, first, request, read=0):
         return self.add("setup", first + read, request=request, server="s", first_byte=first * MS)
 
-    def told(self, *names):
-        told = judge_attempts(self.events)
-        return tuple(told[name] for name in names)
+    def result(self, *names):
+        result = judge_attempts(self.events)
+        return tuple(result[name] for name in names)
 
 
-class Judged(unittest.TestCase):
-    def test_an_attempt_within_the_span_is_counted_and_one_past_it_is_late(self):
-        day = Day().ask(0, "a").attempt(10, "a").left(200, "a").attempt(300, "a")
-        self.assertEqual(day.told("left", "looked_at", "after", "late", "latest_ms", "clean"), (1, 2, 1, 0, 100.0, True))
-        day.attempt(301, "a")
-        self.assertEqual(day.told("looked_at", "after", "late", "latest_ms", "clean"), (3, 2, 1, 101.0, False))
-        self.assertIn("a began at s 101 ms after its client had left (closed)", judge_attempts(day.events)["examples"])
+class AttemptVerdict(unittest.TestCase):
+    def test_attempt_within_the_allowed_delay_is_counted_and_a_later_one_is_late(self):
+        run = Events().ask(0, "a").attempt(10, "a").left(200, "a").attempt(300, "a")
+        self.assertEqual(run.result("left", "looked_at", "after", "late", "latest_ms", "clean"), (1, 2, 1, 0, 100.0, True))
+        run.attempt(301, "a")
+        self.assertEqual(run.result("looked_at", "after", "late", "latest_ms", "clean"), (3, 2, 1, 101.0, False))
+        self.assertIn("a began at s 101 ms after its client had left (closed)", judge_attempts(run.events)["examples"])
 
-    def test_each_way_to_leave_counts(self):
+    def test_each_kind_of_leaving_counts(self):
         for how in ("closed", "shut-down", "cancelled"):
-            day = Day().ask(0, "a").attempt(10, "a").left(200, "a", how).attempt(500, "a")
-            self.assertEqual(day.told("late", "ways"), (1, {how: 1}))
-
-    def test_a_day_on_which_nothing_could_be_seen_is_not_clean_and_says_why(self):
-        self.assertEqual(Day().told("clean", "says"), (False, "nobody left before being answered: not tried"))
-        day = Day().ask(0, "a").attempt(10, "a").left(200, "a", answered=True)
-        self.assertEqual(day.told("clean", "says"), (False, "nobody left before being answered: not tried"))
-        day = Day().ask(0, "a").left(200, "a").ask(0, "b").attempt(10, "b")
-        self.assertEqual(day.told("left", "clean", "says"), (1, False, "no attempt was made for who left: not tried"))
-        day = Day().ask(0, "a").attempt(10, "a").left(200, "a").attempt(20, "x")
+            run = Events().ask(0, "a").attempt(10, "a").left(200, "a", how).attempt(500, "a")
+            self.assertEqual(run.result("late", "ways"), (1, {how: 1}))
+
+    def test_run_without_anything_to_check_is_not_clean_and_gives_the_reason(self):
+        self.assertEqual(Events().result("clean", "says"), (False, "nobody left before being answered: not tried"))
+        run = Events().ask(0, "a").attempt(10, "a").left(200, "a", answered=True)
+        self.assertEqual(run.result("clean", "says"), (False, "nobody left before being answered: not tried"))
+        run = Events().ask(0, "a").left(200, "a").ask(0, "b").attempt(10, "b")
+        self.assertEqual(run.result("left", "clean", "says"), (1, False, "no attempt was made for who left: not tried"))
+        run = Events().ask(0, "a").attempt(10, "a").left(200, "a").attempt(20, "x")
         self.assertEqual(
-            day.told("late", "unjoined", "clean", "says"), (0, 1, False, "1 attempts belong to no client that was seen")
+            run.result("late", "unjoined", "clean", "says"), (0, 1, False, "1 attempts belong to no client that was seen")
         )
 
-    def test_one_who_comes_again_under_its_id_waits_again_and_only_until_it_leaves_again(self):
-        day = Day().ask(0, "v1.0h").left(100, "v1.0h").ask(110, "v1.0").attempt(900, "v1.0h")
-        self.assertEqual(day.told("after", "late"), (0, 0))
-        day.left(1000, "v1.0").attempt(1050, "v1.0").attempt(1200, "v1.0")
-        self.assertEqual(day.told("after", "late", "latest_ms"), (2, 1, 200.0))
-
-    def test_what_begins_once_its_client_was_answered_and_has_closed_is_late_too(self):
-        day = Day().ask(0, "a").attempt(10, "a").left(500, "a", answered=True).attempt(700, "a")
-        self.assertEqual(day.told("looked_at", "after", "late"), (0, 1, 1))
-
-    def test_time_in_which_the_front_was_stopped_does_not_run_and_all_other_time_does(self):
-        stopped = Day().ask(0, "a").add("front-paused", 150, front="f").left(200, "a").add("front-goes-on", 1150, front="f")
-        self.assertEqual(stopped.attempt(1249, "a").told("late", "latest_ms"), (0, 99.0))
-        self.assertEqual(stopped.attempt(1251, "a").told("late", "latest_ms"), (1, 101.0))
-        # 50 ms before the stop and 60 after it are 110
-        before = Day().ask(0, "a").left(200, "a").add("front-paused", 250, front="f").add("front-goes-on", 1150, front="f")
-        self.assertEqual(before.attempt(1210, "a").told("late", "latest_ms"), (1, 110.0))
-        other = Day().ask(0, "a").left(200, "a").add("front-paused", 250, front="g").add("front-goes-on", 1150, front="g")
-        self.assertEqual(other.attempt(1150, "a").told("late"), (1,))
-        killed = Day().ask(0, "a").add("front-paused", 150, front="f").left(200, "a").add("front-down", 300, front="f")
-        self.assertEqual(killed.attempt(401, "a").told("late"), (1,))
-
-    def test_a_server_that_reads_late_makes_no_attempt_late(self):
-        self.assertEqual(Day().ask(0, "a").attempt(190, "a", read=900).left(200, "a").told("after", "late"), (0, 0))
-
-
-class Arrived(unittest.TestCase):
-    def test_bytes_that_wait_unaccepted_and_unread_have_come_when_the_kernel_took_them(self):
+    def test_client_that_returns_under_its_id_waits_again_until_it_leaves_again(self):
+        run = Events().ask(0, "v1.0h").left(100, "v1.0h").ask(110, "v1.0").attempt(900, "v1.0h")
+        self.assertEqual(run.result("after", "late"), (0, 0))
+        run.left(1000, "v1.0").attempt(1050, "v1.0").attempt(1200, "v1.0")
+        self.assertEqual(run.result("after", "late", "latest_ms"), (2, 1, 200.0))
+
+    def test_attempt_after_its_client_was_answered_and_closed_is_late(self):
+        run = Events().ask(0, "a").attempt(10, "a").left(500, "a", answered=True).attempt(700, "a")
+        self.assertEqual(run.result("looked_at", "after", "late"), (0, 1, 1))
+
+    def test_only_time_in_which_the_front_was_stopped_is_not_counted(self):
+        stopped = Events().ask(0, "a").add("front-paused", 150, front="f").left(200, "a").add("front-goes-on", 1150, front="f")
+        self.assertEqual(stopped.attempt(1249, "a").result("late", "latest_ms"), (0, 99.0))
+        self.assertEqual(stopped.attempt(1251, "a").result("late", "latest_ms"), (1, 101.0))
+        # 50 ms before the stop and 60 ms after it add up to 110 ms
+        before = Events().ask(0, "a").left(200, "a").add("front-paused", 250, front="f").add("front-goes-on", 1150, front="f")
+        self.assertEqual(before.attempt(1210, "a").result("late", "latest_ms"), (1, 110.0))
+        other = Events().ask(0, "a").left(200, "a").add("front-paused", 250, front="g").add("front-goes-on", 1150, front="g")
+        self.assertEqual(other.attempt(1150, "a").result("late"), (1,))
+        killed = Events().ask(0, "a").add("front-paused", 150, front="f").left(200, "a").add("front-down", 300, front="f")
+        self.assertEqual(killed.attempt(401, "a").result("late"), (1,))
+
+    def test_attempt_is_not_late_because_its_server_reads_late(self):
+        self.assertEqual(Events().ask(0, "a").attempt(190, "a", read=900).left(200, "a").result("after", "late"), (0, 0))
+
+
+class ArrivalTime(unittest.TestCase):
+    def test_arrival_time_is_when_the_kernel_received_the_bytes_even_if_accepted_and_read_later(self):
         with socket.create_server(("127.0.0.1", 0)) as listener, socket.create_connection(listener.getsockname()) as client:
             before = time.monotonic_ns()
             client.sendall(b"first")
@@ -115,64 +115,64 @@
                 accepted.recv(100)
                 for at in (unread, arrived_at(accepted)):
                     self.assertLessEqual(before, at)
-                    self.assertLessEqual(at, after + 2 * TICK + 2 * MS)
+                    self.assertLessEqual(at, after + 2 * COARSE_CLOCK_TICK_NS + 2 * MS)
                 time.sleep(0.05)
                 client.sendall(b"second")
                 self.assertGreater(arrived_at(accepted), after + 150 * MS)
 
 
-class AtAFront(unittest.TestCase):
-    """Viewers leave while the first byte of their attempt waits for something; it is let go 0.15 s later."""
+class AttemptsOfOneFront(unittest.TestCase):
+    """A viewer leaves while its attempt is held before the first byte is sent; the hold ends 0.15 s later."""
 
-    async def begun(self, hold, package, leaves, session_core=None, state=None):
-        """What the judge says, and how many sessions stand afterwards."""
-        go, waits = anyio.Event(), []
+    async def run_viewer(self, delay_attempt, package, leaves, session_core=None, state=None):
+        """Returns the verdict and the number of sessions that the front has afterwards."""
+        release, waiting = anyio.Event(), []
         async with SmallSite(servers=2).up(state) as site:
             if session_core is not None:
                 site.front.session_core.__class__ = session_core
-            with hold(go, waits):
-                call = await site.call()
+            with delay_attempt(release, waiting):
+                connection = await site.call()
                 site.traffic.seen("ask", request="q", front="f")
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self.asks, call, package)
-                    await until(lambda: waits)
-                    leaves(call)
+                    tasks.start_soon(self.send_request, connection, package)
+                    await until(lambda: waiting)
+                    leaves(connection)
                     site.traffic.seen("left", request="q", front="f", how="closed", answered=False)
                     await anyio.sleep(0.15)
-                    go.set()
-                    # what went out would be seen well before its time is over
+                    release.set()
+                    # an attempt that was sent would be recorded well before its time-out
                     await until(lambda: not site.front.server_pool.out)
                     await anyio.sleep(0.05)
                     tasks.cancel_scope.cancel()
-                await call.close()
+                await connection.close()
             return judge_attempts(site.traffic.events), len(site.front.session_core.front_sessions)
 
     @staticmethod
-    async def asks(call, package):
+    async def send_request(connection, package):
         with contextlib.suppress(Exception):
-            await call.ask("POST", f"/whep/{package}/t", [SDP, ("x-request-id", "q")], an_offer())
+            await connection.ask("POST", f"/whep/{package}/t", [SDP, ("x-request-id", "q")], an_offer())
 
     @staticmethod
     @contextlib.contextmanager
-    def dials(go, waits):
+    def hold_connecting(release, waiting):
         async def held(*args):
-            call = await connect(*args)
-            waits.append(call)
-            await go.wait()
-            return call
+            connection = await connect(*args)
+            waiting.append(connection)
+            await release.wait()
+            return connection
 
         with mock.patch.object(server_pool, "connect", held):
             yield
 
     @staticmethod
     @contextlib.contextmanager
-    def disk(go, waits):
+    def hold_journal_write(release, waiting):
         add = Journal.add
 
         def held(*args):
-            waits.append(args)
+            waiting.append(args)
             ends = time.monotonic() + 5
-            while not go.is_set() and time.monotonic() < ends:
+            while not release.is_set() and time.monotonic() < ends:
                 time.sleep(0.005)
             return add(*args)
 
@@ -180,52 +180,57 @@
             yield
 
     @story
-    async def test_no_attempt_begins_for_who_closed_or_shut_down_while_its_connection_was_being_made(self):
-        for leaves in (lambda call: call.cut(), lambda call: call.say_no_more()):
+    async def test_no_attempt_begins_if_the_client_leaves_while_the_server_connection_is_being_made(self):
+        for leaves in (lambda connection: connection.cut(), lambda connection: connection.say_no_more()):
             for package in ("clip", "paid"):
-                told, standing = await self.begun(self.dials, package, leaves)
-                self.assertEqual((told["left"], told["attempts"], standing), (1, 0, 0))
+                result, standing = await self.run_viewer(self.hold_connecting, package, leaves)
+                self.assertEqual((result["left"], result["attempts"], standing), (1, 0, 0))
 
     @story
-    async def test_nor_while_its_intent_was_being_written(self):
+    async def test_no_attempt_begins_if_the_client_leaves_while_the_journal_is_being_written(self):
         with tempfile.TemporaryDirectory() as folder:
-            told, standing = await self.begun(self.disk, "paid", lambda call: call.say_no_more(), state=Path(folder))
-        self.assertEqual((told["left"], told["attempts"], standing), (1, 0, 0))
+            result, standing = await self.run_viewer(
+                self.hold_journal_write, "paid", lambda connection: connection.say_no_more(), state=Path(folder)
+            )
+        self.assertEqual((result["left"], result["attempts"], standing), (1, 0, 0))
 
     @story
-    async def test_a_front_that_does_not_hear_of_it_is_caught(self):
-        told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), session_core=DeafSessionCore)
-        self.assertEqual((told["late"], told["clean"]), (1, False), told)
-        self.assertGreater(told["latest_ms"], 140)
+    async def test_front_that_ignores_leaving_clients_is_detected(self):
+        result, _ = await self.run_viewer(
+            self.hold_connecting, "clip", lambda connection: connection.say_no_more(), session_core=DeafSessionCore
+        )
+        self.assertEqual((result["late"], result["clean"]), (1, False), result)
+        self.assertGreater(result["latest_ms"], 140)
 
     @story
-    async def test_a_server_that_accepts_late_gets_nothing_for_who_left_meanwhile_unless_the_front_is_deaf(self):
-        for session_core, begun in ((None, 0), (DeafSessionCore, 1)):
+    async def test_server_that_accepts_late_gets_no_attempt_of_a_client_that_left_unless_the_front_ignores_leaving(self):
+        for session_core, attempts in ((None, 0), (DeafSessionCore, 1)):
             async with SmallSite(servers=1, patience=4 * 1000 * MS).up() as site:
                 if session_core is not None:
                     site.front.session_core.__class__ = session_core
                 [server] = site.servers.values()
-                await server.accept_late()
-                call = await site.call()
+                await server.pause_accepting()
+                connection = await site.call()
                 site.traffic.seen("ask", request="q", front="f")
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self.asks, call, "clip")
+                    tasks.start_soon(self.send_request, connection, "clip")
                     await until(lambda: site.front.server_pool.out)
                     await anyio.sleep(0.1)
-                    call.say_no_more()
+                    connection.say_no_more()
                     site.traffic.seen("left", request="q", front="f", how="shut-down", answered=False)
                     await anyio.sleep(0.1)
-                    server.accept_again()
+                    server.resume_accepting()
                     await until(lambda: not site.front.server_pool.out)
                     await anyio.sleep(0.05)
                     tasks.cancel_scope.cancel()
-                await call.close()
-                told = judge_attempts(site.traffic.events)
-                self.assertEqual((told["left"], told["attempts"], told["late"]), (1, begun, begun), told)
+                await connection.close()
+                result = judge_attempts(site.traffic.events)
+                self.assertEqual((result["left"], result["attempts"], result["late"]), (1, attempts, attempts), result)
 
 
-class AtTheNodeInService(unittest.TestCase):
-    """`curlewshift leavers`, as users start it: the node is a process of its own, sound or deaf to a way to leave."""
+class LeaversCommand(unittest.TestCase):
+    """Runs `curlewshift leavers` with the node as a separate process: without faults, and with a planted fault that ignores some
+    kinds of leaving."""
 
     FAULTS = {
         "deaf-to-ends": ("closed", "reset", "shut-down"),
@@ -233,7 +238,7 @@
         "deaf-to-leaving": ("closed", "reset", "shut-down", "cancelled"),
     }
 
-    def test_a_sound_one_begins_nothing_late_and_one_deaf_to_a_way_to_leave_is_caught_by_that_way(self):
+    def test_node_without_faults_begins_nothing_late_and_each_ignored_kind_of_leaving_is_detected(self):
         with tempfile.TemporaryDirectory() as folder:
             first, last = PORTS
             part = (last - first) // (1 + len(self.FAULTS))
@@ -261,23 +266,25 @@
                 )
                 for number, sabotage in enumerate(("", *self.FAULTS))
             }
-            told = {sabotage: run.communicate(timeout=60) for sabotage, run in runs.items()}
+            outputs = {sabotage: run.communicate(timeout=60) for sabotage, run in runs.items()}
             verdicts = {
                 sabotage: json.loads((Path(folder) / (sabotage or "sound") / "verdict.json").read_text()) for sabotage in runs
             }
-        sound = verdicts.pop("")
-        judged = sound["attempts_after_leaving"]
-        self.assertEqual((judged["late"], judged["unjoined"], judged["clean"], sound["unanswered"]), (0, 0, True, 0), told[""])
-        self.assertEqual(sound["faults"], {}, sound)
-        self.assertGreater(min(judged["left"], sound["played"], sound["refused"]), 5, sound)
+        healthy = verdicts.pop("")
+        judged = healthy["attempts_after_leaving"]
+        self.assertEqual(
+            (judged["late"], judged["unjoined"], judged["clean"], healthy["unanswered"]), (0, 0, True, 0), outputs[""]
+        )
+        self.assertEqual(healthy["faults"], {}, healthy)
+        self.assertGreater(min(judged["left"], healthy["played"], healthy["refused"]), 5, healthy)
         for sabotage, verdict in verdicts.items():
             judged = verdict["attempts_after_leaving"]
-            self.assertEqual((judged["clean"], runs[sabotage].returncode), (False, 1), told[sabotage])
+            self.assertEqual((judged["clean"], runs[sabotage].returncode), (False, 1), outputs[sabotage])
             self.assertGreater(judged["late"], 0, judged)
             for how in self.FAULTS[sabotage]:
                 self.assertGreater(judged["ways"].get(how, 0), 0, (sabotage, judged))
 
-    def test_a_sabotage_that_nobody_knows_ends_with_2(self):
+    def test_unknown_sabotage_exits_with_2(self):
         run = subprocess.run(
             [sys.executable, "-m", "curlewshift", "leavers", "--out", "/dev/null", "--sabotage", "sleepy"],
             cwd=ROOT,
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -155,7 +155,7 @@
     async def test_a_drain_told_by_the_list_is_kept_and_the_successor_used(self):
         async with SmallSite(servers=2).up() as site:
             first = site.site.machines[0]
-            site.list.knows(site.row(first, "fading"))
+            site.list.schedule_change(site.row(first, "fading"))
             name = site.servers["s0"].name
             await until(lambda: not site.front.session_core.server_list.servers[name].open)
             for _ in range(5):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -289,7 +289,9 @@
         """The front dies without a word, and its next life begins."""
         site.front.tasks.cancel_scope.cancel()
         await anyio.sleep(0.05)
-        await until(lambda: not any(listener.open for server in site.servers.values() for listener in server.listeners.values()))
+        await until(
+            lambda: not any(listener.open for server in site.servers.values() for listener in server.subscribers.values())
+        )
         site.front = Front(
             site.site, 0, 2, self.state if state is None else state, structlog.wrap_logger(structlog.ReturnLogger())
         )
@@ -350,7 +352,7 @@
 
             site.tasks.start_soon(first)
             await until(lambda: site.traffic.all("ran"))
-            server.stubborn = True
+            server.ignores_hang_ups = True
             front = await self.again(site)
             answered = await site.ask("paid", [key], offer)
             # the set-up had ended by then or not: it plays, or it is told as failed, and never comes about twice
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -202,7 +202,7 @@
     async def test_an_answer_that_crosses_with_the_giving_up_is_read_and_its_session_ended(self):
         async with SmallSite(servers=1).up() as site:
             server = site.servers["s0"]
-            server.stubborn = True
+            server.ignores_hang_ups = True
             server.freeze()
             self.assertEqual((await site.ask("paid")).status, 502)
             server.unfreeze()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -276,13 +276,13 @@
             lists.read_itself(False)
             await until(lambda: lists.reading.cancel_called)
             before = server_list.generation
-            site.list.knows(site.row(site.site.machines[0], "fading"))
+            site.list.schedule_change(site.row(site.site.machines[0], "fading"))
             await until(lambda: site.list.generation > before, 8)
             self.assertEqual(server_list.generation, before)
             row = ListRow(site.row(site.site.machines[0]).server, "fading", 0, "z", "r", 10.0, 5, "s0")
             lists.take_news(ListNews(server_list.epoch, before + 1, [row], before), full=False)
             self.assertEqual([server.open for server in site.front.session_core.rules.servers], [False])
-            site.list.knows(site.row(site.site.machines[0], "on"))
+            site.list.schedule_change(site.row(site.site.machines[0], "on"))
             lists.read_itself(True)
             await until(lambda: next(iter(site.front.session_core.rules.servers)).open, 8)
 
