--- a/curlewshift/verdict/__init__.py
+++ b/curlewshift/verdict/__init__.py
@@ -1,1 +1,2 @@
-"""The six rules, judged from what stand-ins and viewers saw on their own sockets. It knows no front and no desk."""
+"""Checks the six rules against what stand-ins and viewers recorded on their own sockets. Independent of the front and the
+session core."""
--- a/curlewshift/verdict/configuration.py
+++ b/curlewshift/verdict/configuration.py
@@ -1,8 +1,8 @@
-"""Judges from outside whether the fronts' configuration had one order, came into force whole, and in time.
+"""Checks that configuration versions were totally ordered, and came into force at every front completely and in time.
 
-Reads datagrams by their form in docs/peers.md and docs/distribution.md, what each front answered at its door and on its control
-socket, and what the operator was told; with nothing of the program that is judged. Each version bears a mark (a number) in
-several parts of the file. Called by the rehearsal. Times are ns.
+Uses only external observations and no code of the fronts: datagrams as specified in docs/peers.md and docs/distribution.md, what
+each front answered to HTTP requests and on its control socket, and the answers that the operator got. Each version carries a mark
+(a number) in several parts of the file. Called by the rehearsal. Times are ns.
 """
 
 from __future__ import annotations
@@ -12,70 +12,72 @@
 
 import msgspec
 
-from curlewshift.verdict.members import Fates, read_datagram
+from curlewshift.verdict.members import FrontFaults, read_datagram
 
 SECOND = 1_000_000_000
-PING, ACK, KIND = 1, 2, 20
-# Words of kind 20 by their first field: how a store stands, a writer's take, a word that there is something newer.
-STANDS, TAKE, TELL = 2, 4, 7
-# A version has to be in force everywhere within this; who was struck has so long from when that was over.
-IN_FORCE_WITHIN = 18 * SECOND
-KEPT_EXAMPLES = 8
-FILE = "file"
-Number = tuple[int, int]
+PING, ACK, DISTRIBUTION_KIND = 1, 2, 20
+# Messages of kind 20 by their first field: state of a store, version sent by a writer to the stores, announcement of a newer one.
+STORE_STATE, WRITER_TAKE, ANNOUNCE = 2, 4, 7
+# Time in which a version has to be in force at every front; affected fronts have it from the end of the fault.
+IN_FORCE_DEADLINE = 18 * SECOND
+MAX_EXAMPLES = 8
+SITE_FILE = "file"
+VersionNumber = tuple[int, int]
 
 
-def number_of(version: str) -> Number:
-    if version == FILE:
+def version_number(version: str) -> VersionNumber:
+    """(fence, count) of a version's name; (0, 0) for the site file that a front starts from."""
+    if version == SITE_FILE:
         return 0, 0
     fence, _, rest = version.partition(".")
     return int(fence), int(rest.partition("-")[0])
 
 
 def judge_configuration(events: list[dict]) -> dict:
-    """`versions`: those that came into force at a front. `in_force_p99_s`, `in_force_max_s`: from when the operator asked to when
-    a front is seen with it or a newer one, over versions and fronts; for fronts that were down, stopped or cut off meanwhile from
-    when that was over; `after_made_p99_s` from when a majority had it, as the operator was told. `regressions`: a front went to
-    an older one, within a life or over a restart with its disk. `forks`: two contents under one number. `half`: a front whose
-    parts are not of one version. `early`: told before a majority had it. `unfounded`: in force though its operator was told that
-    nothing came of it. `bad_taken`: a wrong file was taken, or refused without a line."""
+    """`versions`: those that came into force at a front. `in_force_p99_s`, `in_force_max_s`: time from the operator's request
+    until a front is seen with the version or a newer one, over versions and fronts; for fronts that were down, stopped or cut off
+    meanwhile, from the end of that. `after_made_p99_s`: the same from when a majority had it, as confirmed to the operator.
+    `regressions`: a front went back to an older version, within a life (one run of its process) or across a restart with its
+    disk. `forks`: two contents under one number. `half`: parts of a front were of different versions. `early`: announced before
+    a majority had it. `unfounded`: in force although the operator was told that the change failed. `bad_taken`: an invalid file
+    was accepted, or refused without a line number."""
     events = sorted(events, key=lambda event: event["at"])
-    over = max((event["at"] for event in events if event["ev"] == "day-over"), default=2**63)
-    events = [event for event in events if event["at"] <= over]
+    run_end = max((event["at"] for event in events if event["ev"] == "day-over"), default=2**63)
+    events = [event for event in events if event["at"] <= run_end]
     lives = [event for event in events if event["ev"] == "live"]
     puts = [event for event in events if event["ev"] == "put"]
-    told: list[str] = []
+    examples: list[str] = []
     result = {
-        "versions": len({event["version"] for event in lives} - {FILE}),
+        "versions": len({event["version"] for event in lives} - {SITE_FILE}),
         "puts": len(puts),
         "refused_puts": sum(not put["ok"] and not put["unknown"] for put in puts),
         "unknown_puts": sum(put["unknown"] for put in puts),
     }
-    result.update(_in_force(events, lives, puts, over, told))
-    result["regressions"] = _regressions(events, lives, told)
-    result["forks"] = _forks(events, lives, told)
-    result["half"] = _half(events, lives, told)
-    result["early"] = _early(events, told)
-    result["unfounded"] = _unfounded(lives, puts, told)
-    bad = [event for event in events if event["ev"] == "bad-put"]
-    wrong = [event for event in bad if event["ok"] or ".xml:" not in event["wrong"]]
-    told += [f"the bad file ({event['what']}) was answered: {event['wrong'] or 'taken'}" for event in wrong]
-    showed = {event["front"] for event in lives if {bad_one["mark"] for bad_one in bad} & set(event["marks"])}
-    told += [f"{front} has a bad file in force" for front in sorted(showed)]
-    result["bad_puts"], result["bad_taken"] = len(bad), len(wrong) + len(showed)
-    result["known"] = _known(events, lives)
+    result.update(_in_force(events, lives, puts, run_end, examples))
+    result["regressions"] = _regressions(events, lives, examples)
+    result["forks"] = _forks(events, lives, examples)
+    result["half"] = _mixed_versions(events, lives, examples)
+    result["early"] = _early(events, examples)
+    result["unfounded"] = _unfounded(lives, puts, examples)
+    bad_puts = [event for event in events if event["ev"] == "bad-put"]
+    not_refused = [event for event in bad_puts if event["ok"] or ".xml:" not in event["wrong"]]
+    examples += [f"the invalid file ({event['what']}) was answered: {event['wrong'] or 'accepted'}" for event in not_refused]
+    fronts_with_bad = {event["front"] for event in lives if {bad_put["mark"] for bad_put in bad_puts} & set(event["marks"])}
+    examples += [f"{front} has an invalid file in force" for front in sorted(fronts_with_bad)]
+    result["bad_puts"], result["bad_taken"] = len(bad_puts), len(not_refused) + len(fronts_with_bad)
+    result["known"] = _fleet_status(events, lives)
     result["broken"] = bool(
         result["versions"] == 0
         or result["late"]
         or result["missing"]
         or any(result[name] for name in ("regressions", "forks", "half", "early", "unfounded", "bad_taken"))
     )
-    result["examples"] = told[:KEPT_EXAMPLES]
+    result["examples"] = examples[:MAX_EXAMPLES]
     return result
 
 
 def _marks(lives: list[dict]) -> dict[str, set[int]]:
-    """By version, the marks that a front that is whole showed with it."""
+    """By version: the marks shown by fronts whose parts were all of one version."""
     marks: dict[str, set[int]] = defaultdict(set)
     for event in lives:
         if len(set(event["marks"])) == 1:
@@ -83,36 +85,36 @@
     return marks
 
 
-def _in_force(events, lives, puts, over: int, told: list[str]) -> dict:
-    fates = Fates(events, SECOND)
-    seen: dict[str, list[tuple[int, Number]]] = defaultdict(list)
+def _in_force(events, lives, puts, run_end: int, examples: list[str]) -> dict:
+    front_faults = FrontFaults(events, SECOND)
+    seen: dict[str, list[tuple[int, VersionNumber]]] = defaultdict(list)
     for event in lives:
-        seen[event["front"]].append((event["at"], number_of(event["version"])))
+        seen[event["front"]].append((event["at"], version_number(event["version"])))
     waits, made, late, missing = [], [], 0, 0
     for put in puts:
         if not put["ok"]:
             continue
-        number = number_of(put["version"])
+        number = version_number(put["version"])
         for front in seen:
             at = next((at for at, held in seen[front] if at >= put["asked"] and held >= number), None)
             since, moved = put["asked"], True
-            until = at if at is not None else over
+            until = at if at is not None else run_end
             while moved:
                 moved = False
-                for began, ended in fates.spans[front]:
-                    if began <= until and since < ended and began <= since + IN_FORCE_WITHIN:
+                for began, ended in front_faults.fault_spans[front]:
+                    if began <= until and since < ended and began <= since + IN_FORCE_DEADLINE:
                         since, moved = ended, True
             if at is None:
-                if over - since > IN_FORCE_WITHIN:
+                if run_end - since > IN_FORCE_DEADLINE:
                     missing += 1
-                    told.append(f"{front} never had {put['version']} in force")
+                    examples.append(f"{front} never had {put['version']} in force")
                 continue
             wait = max(0, at - since)
             waits.append(wait / SECOND)
             made.append(max(0, at - max(since, put["at"])) / SECOND)
-            if wait > IN_FORCE_WITHIN:
+            if wait > IN_FORCE_DEADLINE:
                 late += 1
-                told.append(f"{front} had {put['version']} in force {wait / SECOND:.1f} s after it could")
+                examples.append(f"{front} had {put['version']} in force {wait / SECOND:.1f} s after it could have")
     waits.sort()
     made.sort()
     return {
@@ -126,24 +128,24 @@
     }
 
 
-def _regressions(events, lives, told: list[str]) -> int:
-    """A life that follows one that lost its disk, or had it spoilt, begins where it can."""
+def _regressions(events, lives, examples: list[str]) -> int:
+    """Counts steps back to an older version. A life after one whose disk was lost or corrupted may start with any version."""
     lost = {event["life"] for event in events if event["ev"] == "disk"}
-    highest: dict[str, tuple[Number, str]] = {}
+    highest: dict[str, tuple[VersionNumber, str]] = {}
     count = 0
     for event in lives:
-        number, front, life = number_of(event["version"]), event["front"], event["life"]
+        number, front, life = version_number(event["version"]), event["front"], event["life"]
         before = highest.get(front)
         if before is not None and number < before[0] and (life == before[1] or before[1] not in lost):
             count += 1
-            told.append(f"{life} went from {before[0][0]}.{before[0][1]} back to {event['version']}")
+            examples.append(f"{life} went from {before[0][0]}.{before[0][1]} back to {event['version']}")
         if before is None or number >= before[0] or life != before[1]:
             highest[front] = number, life
     return count
 
 
 def _versions_in(value) -> list[tuple[int, int, bytes]]:
-    """All [fence, count, digest] anywhere in a decoded body."""
+    """All [fence, count, digest] triples anywhere in a decoded body."""
     if not isinstance(value, list):
         return []
     if (
@@ -157,13 +159,13 @@
     return [version for part in value for version in _versions_in(part)]
 
 
-def _words(events):
-    """(event, kind, decoded body) of each datagram that tells of versions."""
+def _version_messages(events):
+    """(event, kind, decoded body) of each datagram that can contain versions."""
     for event in events:
         if event["ev"] != "peer-said":
             continue
         frame = read_datagram(bytes.fromhex(event["data"]))
-        if frame is None or frame[7] not in (PING, ACK, KIND) or len(frame) < 13 or not frame[12]:
+        if frame is None or frame[7] not in (PING, ACK, DISTRIBUTION_KIND) or len(frame) < 13 or not frame[12]:
             continue
         try:
             yield event, frame[7], msgspec.msgpack.decode(frame[12])
@@ -171,91 +173,93 @@
             continue
 
 
-def _forks(events, lives, told: list[str]) -> int:
-    digests: dict[Number, set[str]] = defaultdict(set)
-    for _, _, body in _words(events):
+def _forks(events, lives, examples: list[str]) -> int:
+    digests: dict[VersionNumber, set[str]] = defaultdict(set)
+    for _, _, body in _version_messages(events):
         for fence, count, digest in _versions_in(body):
             digests[fence, count].add(digest.hex()[:12])
     for event in events:
-        if event["ev"] in ("live", "machine", "put") and event["version"] not in ("", FILE):
-            digests[number_of(event["version"])].add(event["version"].rpartition("-")[2])
+        if event["ev"] in ("live", "machine", "put") and event["version"] not in ("", SITE_FILE):
+            digests[version_number(event["version"])].add(event["version"].rpartition("-")[2])
     marks = _marks(lives)
     forked = [number for number, held in digests.items() if len(held) > 1]
-    told += [f"number {number} names {', '.join(sorted(digests[number]))}" for number in forked]
-    two = [version for version, held in marks.items() if len(held) > 1]
-    told += [f"{version} is in force with the marks {sorted(marks[version])}" for version in two]
-    return len(forked) + len(two)
+    examples += [f"number {number} has the digests {', '.join(sorted(digests[number]))}" for number in forked]
+    conflicting = [version for version, held in marks.items() if len(held) > 1]
+    examples += [f"{version} is in force with the marks {sorted(marks[version])}" for version in conflicting]
+    return len(forked) + len(conflicting)
 
 
-def _half(events, lives, told: list[str]) -> int:
-    half = 0
+def _mixed_versions(events, lives, examples: list[str]) -> int:
+    mixed = 0
     for event in lives:
         if len(set(event["marks"])) > 1:
-            half += 1
-            told.append(f"{event['life']} has {event['version']} with the marks {sorted(set(event['marks']))}")
+            mixed += 1
+            examples.append(f"{event['life']} has {event['version']} with the marks {sorted(set(event['marks']))}")
     marks = {version: next(iter(held)) for version, held in _marks(lives).items() if len(held) == 1}
-    # a door between two looks that showed one version shows that one
-    doors: dict[str, list[dict]] = defaultdict(list)
+    # an HTTP answer between two observations of one version has to show that version
+    listener_events: dict[str, list[dict]] = defaultdict(list)
     for event in events:
         if event["ev"] == "door":
-            doors[event["life"]].append(event)
+            listener_events[event["life"]].append(event)
     by_life: dict[str, list[dict]] = defaultdict(list)
     for event in lives:
         by_life[event["life"]].append(event)
-    for life, looks in by_life.items():
-        for before, after in itertools.pairwise(looks):
+    for life, observations in by_life.items():
+        for before, after in itertools.pairwise(observations):
             if before["version"] != after["version"] or before["version"] not in marks:
                 continue
-            for door in doors[life]:
+            for answer in listener_events[life]:
                 if (
-                    before["at"] <= door["asked"]
-                    and door["at"] <= after["asked"]
-                    and set(door["marks"]) != {marks[before["version"]]}
+                    before["at"] <= answer["asked"]
+                    and answer["at"] <= after["asked"]
+                    and set(answer["marks"]) != {marks[before["version"]]}
                 ):
-                    half += 1
-                    told.append(f"the door of {life} shows {door['marks']} with {before['version']} in force")
-    return half
+                    mixed += 1
+                    examples.append(f"the HTTP listener of {life} shows {answer['marks']} with {before['version']} in force")
+    return mixed
 
 
-def _early(events, told: list[str]) -> int:
-    """Versions of which somebody told, or which rode on a probe, when no majority of the control machines had said that it has
-    it. Of the writer's own store nothing goes over the wire: it counts as one."""
+def _early(events, examples: list[str]) -> int:
+    """Counts versions that were announced, or piggybacked on a probe, before a majority of the control machines had confirmed
+    them. The writer's own store sends nothing over the wire; the writer itself counts for it."""
     stores = {event["front"] for event in events if event["ev"] == "machine"}
     majority = len(stores) // 2 + 1
-    has: dict[tuple, set[str]] = defaultdict(set)
+    holders: dict[tuple, set[str]] = defaultdict(set)
     early = set()
-    for event, kind, body in _words(events):
-        if kind == KIND and body[0] == STANDS:
-            has[tuple(body[5])].add(event["front"])
-        elif kind == KIND and body[0] == TAKE:
-            has[tuple(body[3])].add(event["front"])
-        elif kind in (PING, ACK) or body[0] == TELL:
+    for event, kind, body in _version_messages(events):
+        if kind == DISTRIBUTION_KIND and body[0] == STORE_STATE:
+            holders[tuple(body[5])].add(event["front"])
+        elif kind == DISTRIBUTION_KIND and body[0] == WRITER_TAKE:
+            holders[tuple(body[3])].add(event["front"])
+        elif kind in (PING, ACK) or body[0] == ANNOUNCE:
             for version in _versions_in(body):
-                if len(has[version]) < majority and version not in early:
+                if len(holders[version]) < majority and version not in early:
                     early.add(version)
-                    told.append(f"{event['front']} told of {version[0]}.{version[1]} when {sorted(has[version])} had it")
+                    examples.append(
+                        f"{event['front']} announced {version[0]}.{version[1]} when only {sorted(holders[version])} had it"
+                    )
     return len(early)
 
 
-def _unfounded(lives, puts, told: list[str]) -> int:
+def _unfounded(lives, puts, examples: list[str]) -> int:
     refused = {put["mark"] for put in puts if not put["ok"] and not put["unknown"]}
     shown = {(event["front"], event["marks"][0]) for event in lives if len(set(event["marks"])) == 1}
     found = sorted((front, mark) for front, mark in shown if mark in refused)
-    told += [f"{front} has mark {mark} in force, of which nothing was to come" for front, mark in found]
+    examples += [f"{front} has mark {mark} in force, although that change was refused" for front, mark in found]
     return len(found)
 
 
-def _known(events, lives) -> dict:
-    """What each control machine said last of the fleet, beside what the fronts themselves showed last."""
+def _fleet_status(events, lives) -> dict:
+    """The last fleet status that each control machine reported, and the versions that the fronts themselves showed last."""
     last = {event["front"]: event["version"] for event in lives}
-    told = {}
+    reported = {}
     for event in events:
         if event["ev"] == "machine" and event["zones"]:
             zones = event["zones"]
-            told[event["front"]] = {
+            reported[event["front"]] = {
                 "nodes": sum(zone["nodes"] for zone in zones),
                 "at_newest": sum(zone["at_newest"] for zone in zones),
                 "refusing": sum(zone["refusing"] for zone in zones),
-                "lowest": min((zone["lowest"] for zone in zones), key=number_of),
+                "lowest": min((zone["lowest"] for zone in zones), key=version_number),
             }
-    return {"fronts": len(last), "in_force_at_end": sorted(set(last.values())), "told": told}
+    return {"fronts": len(last), "in_force_at_end": sorted(set(last.values())), "told": reported}
--- a/curlewshift/verdict/members.py
+++ b/curlewshift/verdict/members.py
@@ -1,8 +1,8 @@
-"""Judges from the traffic between fronts, and from what each says of the others, whether they know who is there.
+"""Checks membership, from the traffic between fronts and from the views that each reports of the others.
 
-Reads datagrams by their form in docs/peers.md, with nothing of the program that wrote them. Called by the rehearsal.
-`false_gone` counts who was called gone without anything having befallen it or its accuser; `malformed_taken` and
-`old_life_taken` count probes that were answered though they came spoilt, or from an earlier life of their sender.
+Reads datagrams as specified in docs/peers.md, without code of the fronts. Called by the rehearsal. `false_gone` counts fronts
+that were declared gone although no fault affected them or the front that declared it; `malformed_taken` and `old_life_taken`
+count probes that were answered although they arrived corrupt, or from an earlier life (run of the process) of their sender.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 import msgspec
 
 SECOND = 1_000_000_000
-# What befell a front still shows in views for so many periods after it is over.
-SHOWS_ON = 16
-# Who is gone is looked through once a period; with what asking takes.
-FORGETS_WITHIN = 4
-PING, ACK, ASK = 1, 2, 3
-KEPT_EXAMPLES = 5
+# Number of protocol periods for which a fault of a front may still show in views after its end.
+VIEW_LAG_PERIODS = 16
+# Tolerance of forgetting, in periods: fronts check for members to forget once a period, and views are polled.
+FORGET_LAG_PERIODS = 4
+PING, ACK, PING_REQUEST = 1, 2, 3
+MAX_EXAMPLES = 5
 
 
 def read_datagram(data: bytes) -> list | None:
-    """[site, name, host, port, life, incarnation, number, kind, probe, ...]; None if it is not whole."""
+    """[site, name, host, port, life, incarnation, number, kind, probe, ...]; None if the datagram is malformed."""
     if data[:4] != b"CWP\x01" or zlib.crc32(data[:-4]).to_bytes(4, "big") != data[-4:]:
         return None
     try:
@@ -32,99 +32,104 @@
     return frame if isinstance(frame, list) and len(frame) >= 9 else None
 
 
-class Fates:
-    """What befell each front and when, from the day's own events."""
+class FrontFaults:
+    """The faults that affected each front and when, from the events of the run. `period`: protocol period (ns)."""
 
     def __init__(self, events: list[dict], period: int):
-        self.spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
-        self.ends: list[int] = []
+        self.fault_spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
+        self.fault_ends: list[int] = []
         self.stopped: dict[str, list[tuple[int, int]]] = defaultdict(list)
-        self.up: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
+        self.lives: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
         open_troubles: dict[tuple, int] = {}
         paused: dict[str, int] = {}
-        born: dict[str, tuple[int, str]] = {}
+        started: dict[str, tuple[int, str]] = {}
         for event in events:
             at = event["at"]
             if event["ev"] == "front-up":
-                born[event["front"]] = (at, event["life"])
-                # a process takes a moment to be heard; so long it is neither there nor gone
-                self.spans[event["front"]].append((at, at + 4 * SECOND))
-                self.ends.append(at + 2 * SECOND)
+                started[event["front"]] = (at, event["life"])
+                # a started process needs up to 4 s to become known; until then it counts as neither present nor gone
+                self.fault_spans[event["front"]].append((at, at + 4 * SECOND))
+                self.fault_ends.append(at + 2 * SECOND)
             elif event["ev"] == "front-down":
-                began, life = born.pop(event["front"])
-                self.up[event["front"]].append((began, at, life))
-                self.spans[event["front"]].append((at, at))
+                began, life = started.pop(event["front"])
+                self.lives[event["front"]].append((began, at, life))
+                self.fault_spans[event["front"]].append((at, at))
             elif event["ev"] == "front-paused":
                 paused[event["front"]] = at
             elif event["ev"] == "front-goes-on" and event["front"] in paused:
                 span = (paused.pop(event["front"]), at)
-                self.spans[event["front"]].append(span)
+                self.fault_spans[event["front"]].append(span)
                 self.stopped[event["front"]].append(span)
-                self.ends.append(at)
+                self.fault_ends.append(at)
             elif event["ev"] == "trouble" and event["kind"] in ("cut", "one-way"):
                 open_troubles[event["kind"], tuple(event["fronts"])] = at
             elif event["ev"] == "trouble-over" and event["kind"] in ("cut", "one-way"):
                 began = open_troubles.pop((event["kind"], tuple(event["fronts"])))
-                self.ends.append(at)
-                # a cut befalls both sides: each is gone to the other
-                for front in event["fronts"] if event["kind"] == "one-way" else sorted(born):
-                    self.spans[front].append((began, at))
-        for front, (began, life) in born.items():
-            self.up[front].append((began, 2**63, life))
-        self.shows_on = SHOWS_ON * period
+                self.fault_ends.append(at)
+                # a cut affects both sides: each is gone for the other
+                for front in event["fronts"] if event["kind"] == "one-way" else sorted(started):
+                    self.fault_spans[front].append((began, at))
+        for front, (began, life) in started.items():
+            self.lives[front].append((began, 2**63, life))
+        self.view_lag = VIEW_LAG_PERIODS * period
 
-    def sound(self, front: str, at: int) -> bool:
-        """It runs, and nothing has befallen it for so long that views may still show it."""
-        runs = any(began <= at < ended for began, ended, _ in self.up[front])
-        return runs and all(not began <= at <= ended + self.shows_on for began, ended in self.spans[front])
+    def unaffected(self, front: str, at: int) -> bool:
+        """Whether the front runs and no fault affects it, including the time for which an ended one may still show in views."""
+        runs = any(began <= at < ended for began, ended, _ in self.lives[front])
+        return runs and all(not began <= at <= ended + self.view_lag for began, ended in self.fault_spans[front])
 
-    def running(self, at: int) -> set[str]:
-        return {front for front, lives in self.up.items() if any(began <= at < ended for began, ended, _ in lives)}
+    def running_fronts(self, at: int) -> set[str]:
+        return {front for front, lives in self.lives.items() if any(began <= at < ended for began, ended, _ in lives)}
 
 
 def judge_members(events: list[dict], period: int, forget_after: int) -> dict:
-    """`members` of the verdict. Times are ns; `period` and `forget_after` are the settings'."""
+    """The `members` part of the verdict. `period` and `forget_after` are those of the settings (ns)."""
     events = sorted(events, key=lambda event: event["at"])
-    over = max((event["at"] for event in events if event["ev"] == "day-over"), default=2**63)
-    events = [event for event in events if event["at"] <= over]
+    run_end = max((event["at"] for event in events if event["ev"] == "day-over"), default=2**63)
+    events = [event for event in events if event["at"] <= run_end]
     views = [event for event in events if event["ev"] == "view"]
-    fates = Fates(events, period)
-    told = {
-        **_false_gone(views, fates),
-        **_detection(views, fates, period),
-        **_agreement(views, fates, over),
-        **_forgetting(views, fates, forget_after, period),
-        **_taken(events),
+    front_faults = FrontFaults(events, period)
+    result = {
+        **_false_gone(views, front_faults),
+        **_detection(views, front_faults, period),
+        **_agreement(views, front_faults, run_end),
+        **_forgetting(views, front_faults, forget_after, period),
+        **_answered_invalid(events),
     }
-    told["datagrams"] = sum(event["ev"] == "peer-heard" for event in events)
-    told["bytes_a_second"] = _median([view["sent"] for view in views])
-    told["broken"] = bool(
-        told["false_gone"]
-        or told["malformed_taken"]
-        or told["old_life_taken"]
-        or told["not_forgotten"]
-        or told["agreed_after_s"] is None
+    result["datagrams"] = sum(event["ev"] == "peer-heard" for event in events)
+    result["bytes_a_second"] = _median([view["sent"] for view in views])
+    result["broken"] = bool(
+        result["false_gone"]
+        or result["malformed_taken"]
+        or result["old_life_taken"]
+        or result["not_forgotten"]
+        or result["agreed_after_s"] is None
     )
-    return told
+    return result
 
 
 def _median(values: list) -> float:
     return sorted(values)[len(values) // 2] if values else 0
 
 
-def _false_gone(views: list[dict], fates: Fates) -> dict:
+def _false_gone(views: list[dict], front_faults: FrontFaults) -> dict:
     called: dict[tuple, str] = {}
     for view in views:
         for name, life, rank, _ in view["members"]:
-            if rank == "gone" and fates.sound(name, view["asked"]) and fates.sound(view["front"], view["asked"]):
-                called.setdefault((view["front"], name, life), f"{view['front']} calls {name} gone")
-    return {"views": len(views), "false_gone": len(called), "false_gone_examples": list(called.values())[:KEPT_EXAMPLES]}
-
-
-def _detection(views: list[dict], fates: Fates, period: int) -> dict:
-    """Over kills and over all others that were sound: until they no longer held that life for in (in periods)."""
-    took, unseen = [], 0
-    for front, lives in fates.up.items():
+            if (
+                rank == "gone"
+                and front_faults.unaffected(name, view["asked"])
+                and front_faults.unaffected(view["front"], view["asked"])
+            ):
+                called.setdefault((view["front"], name, life), f"{view['front']} declares {name} gone")
+    return {"views": len(views), "false_gone": len(called), "false_gone_examples": list(called.values())[:MAX_EXAMPLES]}
+
+
+def _detection(views: list[dict], front_faults: FrontFaults, period: int) -> dict:
+    """Detection time over all ended lives and all unaffected observers: until the observer no longer lists that life as a
+    member (in periods)."""
+    durations, undetected = [], 0
+    for front, lives in front_faults.lives.items():
         for (_began, ended, _), _after in zip(lives, [*lives[1:], None]):
             if ended == 2**63:
                 continue
@@ -143,43 +148,46 @@
                     and (held is None or held[2] in ("gone", "left") or held[1] > before[view["front"]])
                 ):
                     seen.add(view["front"])
-                    if fates.sound(view["front"], view["at"]):
-                        took.append((view["at"] - ended) / period)
-            unseen += sum(
-                other not in seen and fates.sound(other, ended) and fates.sound(other, ended + fates.shows_on) for other in before
+                    if front_faults.unaffected(view["front"], view["at"]):
+                        durations.append((view["at"] - ended) / period)
+            undetected += sum(
+                other not in seen
+                and front_faults.unaffected(other, ended)
+                and front_faults.unaffected(other, ended + front_faults.view_lag)
+                for other in before
             )
-    took.sort()
+    durations.sort()
     return {
-        "detected": len(took),
-        "not_detected": unseen,
-        "detected_periods_median": round(_median(took), 2),
-        "detected_periods_p99": round(took[min(len(took) - 1, int(len(took) * 0.99))], 2) if took else None,
+        "detected": len(durations),
+        "not_detected": undetected,
+        "detected_periods_median": round(_median(durations), 2),
+        "detected_periods_p99": round(durations[min(len(durations) - 1, int(len(durations) * 0.99))], 2) if durations else None,
     }
 
 
-def _agreement(views: list[dict], fates: Fates, over: int) -> dict:
-    """After each trouble's end, until every front that runs holds exactly those for in that run; the longest (s), as far
-    as nothing else befell anyone before. None if they did not agree when the day was over."""
+def _agreement(views: list[dict], front_faults: FrontFaults, run_end: int) -> dict:
+    """Longest time (s) from the end of a fault until every running front lists exactly the running fronts as members, over
+    faults after which no other fault began before that. None if the fronts disagreed at the end of the run."""
     latest: dict[str, set[str]] = {}
     agreed_at: list[tuple[int, bool]] = []
     for view in views:
         latest[view["front"]] = {row[0] for row in view["members"] if row[2] in ("alive", "suspect")} | {view["front"]}
-        running = fates.running(view["asked"])
-        agreed_at.append((view["at"], all(latest.get(front) == running for front in running)))
+        running_fronts = front_faults.running_fronts(view["asked"])
+        agreed_at.append((view["at"], all(latest.get(front) == running_fronts for front in running_fronts)))
     waits = []
-    ends = sorted(end for end in fates.ends if end < over)
-    troubled = sorted({began for spans in fates.spans.values() for began, _ in spans})
-    for end in ends:
-        next_trouble = min((began for began in troubled if began > end), default=over)
-        met = next((at for at, agreed in agreed_at if at >= end and agreed), None)
-        if met is not None and met <= next_trouble:
-            waits.append((met - end) / SECOND)
+    fault_ends = sorted(end for end in front_faults.fault_ends if end < run_end)
+    fault_starts = sorted({began for fault_spans in front_faults.fault_spans.values() for began, _ in fault_spans})
+    for end in fault_ends:
+        next_trouble = min((began for began in fault_starts if began > end), default=run_end)
+        first_agreed_at = next((at for at, agreed in agreed_at if at >= end and agreed), None)
+        if first_agreed_at is not None and first_agreed_at <= next_trouble:
+            waits.append((first_agreed_at - end) / SECOND)
     last = agreed_at[-1][1] if agreed_at else False
     return {"agreed_after_s": (round(max(waits), 2) if waits else 0.0) if last else None, "agreed_times": len(waits)}
 
 
-def _forgetting(views: list[dict], fates: Fates, forget_after: int, period: int) -> dict:
-    """Who is gone and still listed long after it should have been forgotten."""
+def _forgetting(views: list[dict], front_faults: FrontFaults, forget_after: int, period: int) -> dict:
+    """Counts members that are gone and still listed after the time at which they have to be forgotten."""
     since: dict[tuple[str, str, int], int] = {}
     late = set()
     for view in views:
@@ -187,27 +195,27 @@
         since = {key: at for key, at in since.items() if key[0] != view["front"] or key in rows}
         for key in rows:
             began = since.setdefault(key, view["at"])
-            # a front that was stopped meanwhile has not counted that time
+            # time for which the observing front was stopped does not count
             stopped = sum(
                 min(until, view["at"]) - max(at, began)
-                for at, until in fates.stopped[view["front"]]
+                for at, until in front_faults.stopped[view["front"]]
                 if at < view["at"] and until > began
             )
-            if view["at"] - began - stopped > forget_after + FORGETS_WITHIN * period:
+            if view["at"] - began - stopped > forget_after + FORGET_LAG_PERIODS * period:
                 late.add(key)
     return {"not_forgotten": len(late)}
 
 
-def _taken(events: list[dict]) -> dict:
-    """Probes that came spoilt, or from a life that was over as their receiver had heard, and were answered all the same."""
+def _answered_invalid(events: list[dict]) -> dict:
+    """Counts probes that were answered although they arrived corrupt, or from a life that their receiver knew had ended."""
     lives: dict[tuple[str, str], int] = {}
-    # up, and not heard of yet: what is handed to a port that nobody has opened is heard by nobody
+    # started but not sending yet: its port may not be open, so datagrams sent to it may be lost
     starting: set[str] = set()
-    whole, earlier, answered = set(), set(), set()
+    valid, from_old_life, answered = set(), set(), set()
     counts = {"spoilt": 0, "old_life": 0}
     for event in events:
         if event["ev"] == "front-up":
-            # a front that starts has heard of no life yet
+            # a front that starts knows no lives yet
             lives = {key: life for key, life in lives.items() if key[0] != event["front"]}
             starting.add(event["front"])
         if event["ev"] not in ("peer-heard", "peer-said"):
@@ -224,10 +232,14 @@
         front, name, life = event["front"], frame[1], frame[4]
         if life < lives.get((front, name), 0):
             counts["old_life"] += 1
-            earlier.add((front, name, frame[8]))
+            from_old_life.add((front, name, frame[8]))
             continue
         if front not in starting:
             lives[front, name] = life
-        if frame[7] in (PING, ASK):
-            whole.add((front, name, frame[8]))
-    return {**counts, "old_life_taken": len(answered & earlier - whole), "malformed_taken": len(answered - whole - earlier)}
+        if frame[7] in (PING, PING_REQUEST):
+            valid.add((front, name, frame[8]))
+    return {
+        **counts,
+        "old_life_taken": len(answered & from_old_life - valid),
+        "malformed_taken": len(answered - valid - from_old_life),
+    }
--- a/curlewshift/verdict/phases.py
+++ b/curlewshift/verdict/phases.py
@@ -1,4 +1,4 @@
-"""Service by package before, during and after a peak, from the same traffic as the rules."""
+"""Service by package before, during and after a peak, from the same recorded traffic as the rules."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 from curlewshift.verdict.verdict import Figures
 
 SECOND = 1_000_000_000
-# What is measured as `after` begins so long after the peak's end: by then others should be back at their usual.
-BACK_WITHIN = 10 * SECOND
+# Time (ns) from the end of the peak to the phase `after`, by which other packages should be back at their usual service.
+RECOVERY_SPAN = 10 * SECOND
 
 
 def phases(events: list[dict], figures: Figures, starts: float, ends: float) -> dict:
-    """For each package and phase: viewings asked for, value asked for, value answered by a start within the join
-    target, and their ratio. A viewing belongs to the phase in which it was first asked for. `starts` and `ends` are
-    seconds of the day; `recovering` is the ten seconds after the end."""
-    day = next(event for event in events if event["ev"] == "day")
-    borders = {
+    """By package and phase: number of viewings requested, their value, the value of those that started within the join target,
+    and the served share. A viewing belongs to the phase in which it was first requested. `starts` and `ends` are seconds from
+    the start of the run; the phase `recovering` is the 10 s after the end."""
+    run_event = next(event for event in events if event["ev"] == "day")
+    bounds = {
         "before": (0.0, starts),
         "during": (starts, ends),
-        "recovering": (ends, ends + BACK_WITHIN / SECOND),
-        "after": (ends + BACK_WITHIN / SECOND, 1e9),
+        "recovering": (ends, ends + RECOVERY_SPAN / SECOND),
+        "after": (ends + RECOVERY_SPAN / SECOND, 1e9),
     }
-    asks = {event["request"]: event for event in events if event["ev"] == "ask"}
+    requests = {event["request"]: event for event in events if event["ev"] == "ask"}
     served = set()
     for event in events:
-        ask = asks.get(event["request"]) if event["ev"] == "answer" else None
-        if ask and event["status"] == 201 and event["at"] <= ask["at"] + figures.join_target[ask["package"]]:
-            served.add(ask["viewing"])
-    told: dict = defaultdict(dict)
+        request = requests.get(event["request"]) if event["ev"] == "answer" else None
+        if request and event["status"] == 201 and event["at"] <= request["at"] + figures.join_target[request["package"]]:
+            served.add(request["viewing"])
+    result: dict = defaultdict(dict)
     for package, value in figures.value.items():
-        for phase, (begin, end) in borders.items():
-            wanted = [
+        for phase, (begin, end) in bounds.items():
+            requested = [
                 event["viewing"]
                 for event in events
                 if event["ev"] == "viewing"
                 and event["package"] == package
-                and begin <= (event["at"] - day["begins"]) / SECOND < end
+                and begin <= (event["at"] - run_event["begins"]) / SECOND < end
             ]
-            got = sum(viewing in served for viewing in wanted)
-            told[package][phase] = {
-                "viewings": len(wanted),
-                "asked": round(value * len(wanted), 3),
-                "answered": round(value * got, 3),
-                "service": round(got / len(wanted), 4) if wanted else None,
+            served_count = sum(viewing in served for viewing in requested)
+            result[package][phase] = {
+                "viewings": len(requested),
+                "asked": round(value * len(requested), 3),
+                "answered": round(value * served_count, 3),
+                "service": round(served_count / len(requested), 4) if requested else None,
             }
-    return dict(told)
+    return dict(result)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -69,7 +69,7 @@
         run = Events().ask(0, "a").attempt(10, "a").left(200, "a", answered=True)
         self.assertEqual(run.result("clean", "says"), (False, "nobody left before being answered: not tried"))
         run = Events().ask(0, "a").left(200, "a").ask(0, "b").attempt(10, "b")
-        self.assertEqual(run.result("left", "clean", "says"), (1, False, "no attempt was made for who left: not tried"))
+        self.assertEqual(run.result("left", "clean", "says"), (1, False, "no attempt was made for a client that left: not tried"))
         run = Events().ask(0, "a").attempt(10, "a").left(200, "a").attempt(20, "x")
         self.assertEqual(
             run.result("late", "unjoined", "clean", "says"), (0, 1, False, "1 attempts belong to no client that was seen")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -14,7 +14,7 @@
 from curlewshift.overload.overload import Overload
 from curlewshift.overload.retry_budget import LEAST, RetryAdvice, RetryBudget
 from curlewshift.overload.terms import OverloadTerms
-from curlewshift.verdict.shed import judge_shed, storm_over
+from curlewshift.verdict.shed import judge_shed, storm_duration_s
 from curlewshift.verdict.verdict import Figures
 from tests.fake import package
 from tests.sockets import SmallSite, an_offer, story
@@ -540,7 +540,7 @@
         events = [{"ev": "ask", "at": at * SECOND // 10} for at in range(100)]
         events += [{"ev": "ask", "at": 10 * SECOND + at * SECOND // 40} for at in range(400)]
         events += [{"ev": "ask", "at": 20 * SECOND + at * SECOND // 10} for at in range(200)]
-        self.assertEqual(storm_over(events, 10 * SECOND, 13 * SECOND), 7.0)
+        self.assertEqual(storm_duration_s(events, 10 * SECOND, 13 * SECOND), 7.0)
 
 
 if __name__ == "__main__":
