--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -157,7 +157,7 @@
     async def test_server_that_the_list_reports_as_draining_is_not_used(self):
         async with SmallSite(servers=2).up() as site:
             first = site.site.machines[0]
-            site.list.knows(site.row(first, "fading"))
+            site.list.schedule_change(site.row(first, "fading"))
             name = site.servers["s0"].name
             await until(lambda: not site.front.session_core.server_list.servers[name].open)
             for _ in range(5):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -291,7 +291,9 @@
         """Kills the front without a shutdown, and starts its next life."""
         site.front.tasks.cancel_scope.cancel()
         await anyio.sleep(0.05)
-        await until(lambda: not any(listener.open for server in site.servers.values() for listener in server.listeners.values()))
+        await until(
+            lambda: not any(listener.open for server in site.servers.values() for listener in server.subscribers.values())
+        )
         site.front = Front(
             site.site, 0, 2, self.state if state is None else state, structlog.wrap_logger(structlog.ReturnLogger())
         )
@@ -352,7 +354,7 @@
 
             site.tasks.start_soon(first)
             await until(lambda: site.traffic.all("ran"))
-            server.stubborn = True
+            server.ignores_hang_ups = True
             front = await self.again(site)
             answered = await site.ask("paid", [key], offer)
             # depending on whether the set-up was complete, the session plays or the request failed; it never runs twice
