--- a/curlewshift/fault_injection/fleet_cost.py
+++ b/curlewshift/fault_injection/fleet_cost.py
@@ -1,4 +1,4 @@
-"""What a request and a list cost by the size of the fleet: the desk alone, no sockets, in one run."""
+"""Cost of a request and of applying a full server list by fleet size: the session core alone, without sockets."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 SIZES = (100, 400, 1600, 6400)
 
 
-class Nowhere:
-    """An outside in which every tune-in plays at once."""
+class InstantDriver:
+    """A driver that collects tune-ins (set-up attempts at one server); the caller has each played at once."""
 
     def __init__(self):
-        self.clock, self.out = 1000 * SECOND, []
+        self.clock, self.tune_ins = 1000 * SECOND, []
 
     def now(self):
         return self.clock
@@ -25,16 +25,16 @@
     wall = now
 
     def tune_in(self, tune_in):
-        self.out.append(tune_in)
+        self.tune_ins.append(tune_in)
 
-    def _nothing(self, *what):
+    def _ignore(self, *what):
         pass
 
-    wake = tell = end_session = probe = answer = whole_list = withdraw = _nothing
+    wake = tell = end_session = probe = answer = whole_list = withdraw = _ignore
 
 
-def one_size(fleet: int, requests: int) -> dict:
-    driver = Nowhere()
+def measure_size(fleet: int, requests: int) -> dict:
+    driver = InstantDriver()
     package = Package("p", 1.0, SECOND, 4 * SECOND, False, (1.0, 2.0, 4.0), 0, 2, 0)
     terms = Terms(
         driver.clock, 1, 0, 1, [package], True, SECOND // 2, 3, False, 2 * SECOND, 10 * SECOND, 0.5, 2.0, SECOND, None, 0.0, 0
@@ -44,22 +44,22 @@
     rows = [ServerEntry(f"m{n}", "on", SECOND, "z", f"r{n // 20}", 1e6, 1000, f"s{n}") for n in range(fleet)]
     began = time.perf_counter_ns()
     session_core.list_full("e", 1, rows)
-    listed = time.perf_counter_ns() - began
+    list_ns = time.perf_counter_ns() - began
     began = time.perf_counter_ns()
     for number in range(requests):
         request = session_core.asked(f"q{number}", "p", f"t{number % 50}")
-        session_core.played(driver.out.pop(), "session")
+        session_core.played(driver.tune_ins.pop(), "session")
         session_core.closed(request.front_session)
     return {
         "servers": fleet,
         "request_us": round((time.perf_counter_ns() - began) / requests / 1000, 1),
-        "list_ms": round(listed / 1e6, 2),
+        "list_ms": round(list_ns / 1e6, 2),
     }
 
 
 def measure_fleet(requests: int) -> dict:
-    one_size(SIZES[0], requests)
-    sizes = [one_size(fleet, requests) for fleet in SIZES]
+    measure_size(SIZES[0], requests)
+    sizes = [measure_size(fleet, requests) for fleet in SIZES]
     first, last = sizes[0], sizes[-1]
     return {
         "holders": HOLDERS,
--- a/curlewshift/fault_injection/flood.py
+++ b/curlewshift/fault_injection/flood.py
@@ -1,8 +1,8 @@
-"""A flood at a front's door, from many loopback addresses, with limits and without; every answer is counted on sockets.
+"""A request flood against a front's listener from many loopback addresses, with rate limits and without.
 
-Some clients ask now and then, each from an address of its own; flooders ask as fast as they get answers, over many
-connections. The front's descriptors are lowered, so that the flood could use them up. Clients and flooders run in a process
-each, so that the flood does not slow the clients but at the front.
+Clients send requests at random intervals, each from its own address; flooders send requests as fast as they are answered, over
+many connections. The front's limit of open descriptors is lowered, so that the flood can exhaust it. Clients and flooders run in
+separate processes, so that the flood slows the clients only through the front. Outcomes are counted on the clients' sockets.
 """
 
 from __future__ import annotations
@@ -20,38 +20,40 @@
 import anyio
 
 from curlewshift.exchange.client import ConnectionBroken, HttpClientConnection, RequestNotSent
-from curlewshift.fault_injection.joins import FINGERPRINT, SDP, all_listen, site_file
+from curlewshift.fault_injection.joins import FINGERPRINT, SDP, site_file, wait_until_ready
 from curlewshift.fault_injection.processes import ChildProcess, free_ports
 from curlewshift.signalling.sdp import offer_text
 
 SERVERS = 4
-LASTS = 8.0
-CLIENTS, EACH_SECOND = 20, 1.0
+DURATION_S = 8.0
+CLIENTS, REQUESTS_PER_SECOND = 20, 1.0
 FLOODERS, CONNECTIONS = 24, 8
 DESCRIPTORS = 160
 SETUP_MS = "30"
 LIMITS = '<limits from-source="3/s" burst="2s"/>'
-WITHIN = 5.0
+TIMEOUT_S = 5.0
 
 
-async def one_ask(port: int, address: str) -> tuple[str, float]:
-    """One request on a connection of its own: its status, or how it broke, and how long that took (s)."""
-    began, call = time.monotonic(), None
+async def send_request(port: int, address: str) -> tuple[str, float]:
+    """Sends one request on a new connection. Returns its status or kind of failure, and the duration in seconds."""
+    began, connection = time.monotonic(), None
     try:
-        with anyio.fail_after(WITHIN):
+        with anyio.fail_after(TIMEOUT_S):
             stream = await anyio.connect_tcp("127.0.0.1", port, local_host=address)
-            call = HttpClientConnection(stream, f"127.0.0.1:{port}")
+            connection = HttpClientConnection(stream, f"127.0.0.1:{port}")
             offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
-            answered = await call.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
+            response = await connection.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
             took = time.monotonic() - began
             extra = b""
-            if answered.status == 201:
+            if response.status == 201:
                 with anyio.move_on_after(0.02):
-                    extra = await call.more()
-                await call.close()
-                call = HttpClientConnection(await anyio.connect_tcp("127.0.0.1", port, local_host=address), f"127.0.0.1:{port}")
-                await call.ask("DELETE", answered.headers["location"])
-            return ("twice" if extra.startswith(b"HTTP/") else str(answered.status)), took
+                    extra = await connection.more()
+                await connection.close()
+                connection = HttpClientConnection(
+                    await anyio.connect_tcp("127.0.0.1", port, local_host=address), f"127.0.0.1:{port}"
+                )
+                await connection.ask("DELETE", response.headers["location"])
+            return ("twice" if extra.startswith(b"HTTP/") else str(response.status)), took
     except TimeoutError:
         return "no answer", time.monotonic() - began
     except RequestNotSent:
@@ -59,51 +61,52 @@
     except (ConnectionBroken, OSError, anyio.BrokenResourceError, anyio.EndOfStream):
         return "broke", time.monotonic() - began
     finally:
-        if call is not None:
-            await call.close()
-
-
-async def _clients(port: int, told: Counter, times: list[float]) -> None:
-    async def one(number: int, rng: Random) -> None:
-        ends = time.monotonic() + LASTS
-        while time.monotonic() < ends:
-            await anyio.sleep(rng.expovariate(EACH_SECOND))
-            how, took = await one_ask(port, f"127.0.2.{number + 1}")
-            told[how] += 1
-            if how == "201":
+        if connection is not None:
+            await connection.close()
+
+
+async def _clients(port: int, outcomes: Counter, times: list[float]) -> None:
+    async def client(number: int, rng: Random) -> None:
+        deadline = time.monotonic() + DURATION_S
+        while time.monotonic() < deadline:
+            await anyio.sleep(rng.expovariate(REQUESTS_PER_SECOND))
+            outcome, took = await send_request(port, f"127.0.2.{number + 1}")
+            outcomes[outcome] += 1
+            if outcome == "201":
                 times.append(took)
 
     async with anyio.create_task_group() as tasks:
         for number in range(CLIENTS):
-            tasks.start_soon(one, number, Random(number))
+            tasks.start_soon(client, number, Random(number))
 
 
 def clients_side(port: int, out: str) -> None:
-    told, times = Counter(), []
-    anyio.run(_clients, port, told, times)
-    Path(out).write_text(json.dumps({"told": told, "times": sorted(times)}))
+    outcomes, times = Counter(), []
+    anyio.run(_clients, port, outcomes, times)
+    Path(out).write_text(json.dumps({"told": outcomes, "times": sorted(times)}))
 
 
-async def _flooders(port: int, told: Counter) -> None:
-    async def one(number: int) -> None:
-        ends = time.monotonic() + LASTS
-        while time.monotonic() < ends:
-            how, _ = await one_ask(port, f"127.0.3.{number + 1}")
-            told[how] += 1
+async def _flooders(port: int, outcomes: Counter) -> None:
+    async def flooder(number: int) -> None:
+        deadline = time.monotonic() + DURATION_S
+        while time.monotonic() < deadline:
+            outcome, _ = await send_request(port, f"127.0.3.{number + 1}")
+            outcomes[outcome] += 1
 
     async with anyio.create_task_group() as tasks:
         for number in range(FLOODERS):
             for _ in range(CONNECTIONS):
-                tasks.start_soon(one, number)
+                tasks.start_soon(flooder, number)
 
 
 def flooders_side(port: int, out: str) -> None:
-    told = Counter()
-    anyio.run(_flooders, port, told)
-    Path(out).write_text(json.dumps({"told": told}))
+    outcomes = Counter()
+    anyio.run(_flooders, port, outcomes)
+    Path(out).write_text(json.dumps({"told": outcomes}))
 
 
-async def one_way(limits: str, flood: bool) -> dict:
+async def measure_case(limits: str, flood: bool) -> dict:
+    """`limits` is the front's element of rate limits in the site file, or empty."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         ports = free_ports(SERVERS + 2, Random(os.getpid() + len(limits) + flood))
@@ -111,31 +114,31 @@
         log = folder / "log"
         standin = ChildProcess(["standin", "server", str(site), "--setup-work", SETUP_MS], log)
         front = ChildProcess(["front", str(site), "--seed", "1"], log, descriptors=DESCRIPTORS)
-        sides = []
+        load_processes = []
         try:
-            await all_listen((ports[0], ports[2]), log)
+            await wait_until_ready((ports[0], ports[2]), log)
             context = multiprocessing.get_context("spawn")
             for target, wanted in ((clients_side, True), (flooders_side, flood)):
                 if wanted:
-                    side = context.Process(target=target, args=(ports[0], str(folder / target.__name__)))
-                    side.start()
-                    sides.append(side)
-            for side in sides:
-                while side.is_alive():
+                    load_process = context.Process(target=target, args=(ports[0], str(folder / target.__name__)))
+                    load_process.start()
+                    load_processes.append(load_process)
+            for load_process in load_processes:
+                while load_process.is_alive():
                     await anyio.sleep(0.05)
             alive = front.process.poll() is None
         finally:
-            for side in sides:
-                if side.is_alive():
-                    side.kill()
+            for load_process in load_processes:
+                if load_process.is_alive():
+                    load_process.kill()
             front.kill()
             standin.kill()
-        told = json.loads((folder / "clients_side").read_text())
+        clients = json.loads((folder / "clients_side").read_text())
         flooded = json.loads((folder / "flooders_side").read_text()) if flood else {"told": {}}
-    times = told["times"]
+    times = clients["times"]
     return {
-        "clients": told["told"],
-        "client_service": round(told["told"].get("201", 0) / max(1, sum(told["told"].values())), 3),
+        "clients": clients["told"],
+        "client_service": round(clients["told"].get("201", 0) / max(1, sum(clients["told"].values())), 3),
         "client_p50_ms": round(times[len(times) // 2] * 1000, 1) if times else None,
         "client_p99_ms": round(times[int(len(times) * 0.99)] * 1000, 1) if times else None,
         "flood": flooded["told"],
@@ -144,16 +147,20 @@
 
 
 async def measure_flood() -> dict:
-    calm, bare, bound = await one_way(LIMITS, False), await one_way("", True), await one_way(LIMITS, True)
+    undisturbed, without_limits, with_limits = (
+        await measure_case(LIMITS, False),
+        await measure_case("", True),
+        await measure_case(LIMITS, True),
+    )
     return {
         "clients": CLIENTS,
         "flooders": FLOODERS * CONNECTIONS,
         "descriptors": DESCRIPTORS,
-        "undisturbed": calm,
-        "flooded_without_limits": bare,
-        "flooded_with_limits": bound,
+        "undisturbed": undisturbed,
+        "flooded_without_limits": without_limits,
+        "flooded_with_limits": with_limits,
         "service_kept": {
-            "without": round(bare["client_service"] / max(0.001, calm["client_service"]), 3),
-            "with": round(bound["client_service"] / max(0.001, calm["client_service"]), 3),
+            "without": round(without_limits["client_service"] / max(0.001, undisturbed["client_service"]), 3),
+            "with": round(with_limits["client_service"] / max(0.001, undisturbed["client_service"]), 3),
         },
     }
--- a/curlewshift/fault_injection/joins.py
+++ b/curlewshift/fault_injection/joins.py
@@ -1,7 +1,7 @@
-"""Joins through a front beside the same joins straight at a stand-in, in one run on one machine.
+"""Cost of a join (a viewer's request for a session) through a front, compared with the same join directly at a stand-in server.
 
-The stand-in's set-up takes no time here, so that what is compared is the work of carrying a join: any real set-up
-makes the ratio smaller. Time is the viewer's, CPU that of the one process that answers.
+The stand-in sets up sessions in no time, so that the comparison covers only the work of carrying a join: any real set-up time
+makes the ratio smaller. Latency is measured at the viewer, CPU time in the process that answers.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 SDP = "application/sdp"
 FINGERPRINT = "sha-256 " + ":".join(["A5"] * 32)
 SERVERS = 4
-AT_ONCE = 16
-WARM_UP = 100
-PAUSE = 0.002
+CONCURRENT_VIEWERS = 16
+WARM_UP_JOINS = 100
+PAUSE_S = 0.002
 
 TLS = '<tls certificate="door.pem" key="door.key"/>'
-# What sites to be measured on have alike behind their fronts.
+# The elements after the fronts, which all measured sites share.
 BEHIND = """  <list address="127.0.0.1:{list}"/>
   <ladder><rung rate="100kB/s"/><rung rate="200kB/s"/></ladder>
   <packages><package name="p" value="1" join-target="1s" patience="4s"/></packages>
@@ -53,7 +53,7 @@
 
 
 def site_file(path: Path, front: int, list_port: int, servers: list[int], more: str = "") -> Path:
-    """A site of one front and servers with room for all, to be measured on; `more` goes with its front."""
+    """Writes a site of one front and of servers with capacity for all sessions; `more` is XML that is added to its fronts."""
     machines = "".join(
         f'<server shelf="s{n}" listen="127.0.0.1:{port}" link="9000MB/s" streams="100000"/>' for n, port in enumerate(servers)
     )
@@ -65,8 +65,9 @@
     return path
 
 
-async def all_listen(ports: Iterable[int], log: Path) -> None:
-    """Until all do, and fronts have heard of their servers. Raises `RuntimeError` with the end of the log."""
+async def wait_until_ready(ports: Iterable[int], log: Path) -> None:
+    """Waits until all ports accept connections, and then for fronts to receive their server list. Raises `RuntimeError` with the
+    end of the log."""
     for port in ports:
         if not await listens(port, 20.0):
             raise RuntimeError(f"nothing listens at port {port}: {log.read_text()[-500:]}")
@@ -74,59 +75,59 @@
 
 
 def cpu_of(pid: int) -> float:
-    """Seconds of CPU that a process has used so far."""
+    """CPU time in seconds that a process has used so far (proc(5))."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def joins(port: int, count: int, histogram: HdrHistogram, pause: float = 0.0, tls=None) -> None:
-    """One viewer after the other on one connection; each joins and leaves. Only the join is timed: `pause` (s) lets
-    the work of the leaving end before the next one comes."""
-    call = await connect("127.0.0.1", port, 2.0, tls)
+async def run_joins(port: int, count: int, histogram: HdrHistogram, pause: float = 0.0, tls=None) -> None:
+    """Runs viewers one after another on one connection; each joins and leaves. Only the join is timed (µs); `pause` (s) lets the
+    work of leaving finish before the next join."""
+    connection = await connect("127.0.0.1", port, 2.0, tls)
     try:
         for _ in range(count):
             offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
             began = time.perf_counter_ns()
-            answered = await call.ask(
+            response = await connection.ask(
                 "POST", "/whep/p/t?layer=0&top=1", [("content-type", SDP), ("x-front", "direct"), ("x-request-id", "q")], offer
             )
             histogram.record_value(max(1, (time.perf_counter_ns() - began) // 1000))
-            if answered.status != 201 or not call.again():
-                raise RuntimeError(f"a join was answered {answered.status}: {answered.body[:200]!r}")
-            ended = await call.ask("DELETE", answered.headers["location"])
-            if ended.status != 200 or not call.again():
-                raise RuntimeError(f"an end was answered {ended.status}")
+            if response.status != 201 or not connection.again():
+                raise RuntimeError(f"a join was answered with status {response.status}: {response.body[:200]!r}")
+            end_response = await connection.ask("DELETE", response.headers["location"])
+            if end_response.status != 200 or not connection.again():
+                raise RuntimeError(f"the end of a session was answered with status {end_response.status}")
             if pause:
                 await anyio.sleep(pause)
     finally:
-        await call.close()
+        await connection.close()
 
 
 async def one_way(port: int, pid: int, count: int, tls=None) -> dict:
-    """Latency of one viewer alone, then joins a second of CPU with many at once."""
-    await joins(port, WARM_UP, HdrHistogram(1, 10_000_000, 3), 0.0, tls)
-    alone, crowd = HdrHistogram(1, 10_000_000, 3), HdrHistogram(1, 10_000_000, 3)
-    await joins(port, count, alone, PAUSE, tls)
+    """Measures the latency of a single viewer, then joins per CPU second with concurrent viewers."""
+    await run_joins(port, WARM_UP_JOINS, HdrHistogram(1, 10_000_000, 3), 0.0, tls)
+    alone, concurrent = HdrHistogram(1, 10_000_000, 3), HdrHistogram(1, 10_000_000, 3)
+    await run_joins(port, count, alone, PAUSE_S, tls)
     cpu, began = cpu_of(pid), time.perf_counter()
     async with anyio.create_task_group() as tasks:
-        for _ in range(AT_ONCE):
-            tasks.start_soon(joins, port, max(1, count // AT_ONCE), crowd, 0.0, tls)
-    done, cpu, took = count // AT_ONCE * AT_ONCE, cpu_of(pid) - cpu, time.perf_counter() - began
+        for _ in range(CONCURRENT_VIEWERS):
+            tasks.start_soon(run_joins, port, max(1, count // CONCURRENT_VIEWERS), concurrent, 0.0, tls)
+    done, cpu, took = count // CONCURRENT_VIEWERS * CONCURRENT_VIEWERS, cpu_of(pid) - cpu, time.perf_counter() - began
     return {
         "p50_us": alone.get_value_at_percentile(50),
         "p99_us": alone.get_value_at_percentile(99),
         "joins_a_second_a_core": round(done / max(cpu, 0.01)),
         "joins_a_second": round(done / took),
-        "p99_us_at_once": crowd.get_value_at_percentile(99),
+        "p99_us_at_once": concurrent.get_value_at_percentile(99),
     }
 
 
 def fill_background(background, now: int) -> None:
-    """More work behind than there is ever time for: slices of half a millisecond, of several priorities, for ever."""
+    """Adds endless background tasks with slices of 0.5 ms and several priorities: more work than there is ever time for."""
 
     def burn() -> bool:
-        ends = time.perf_counter_ns() + 500_000
-        while time.perf_counter_ns() < ends:
+        deadline = time.perf_counter_ns() + 500_000
+        while time.perf_counter_ns() < deadline:
             pass
         return True
 
@@ -135,19 +136,21 @@
 
 
 async def open_sessions(port: int, count: int) -> None:
-    """Sessions that are asked for and not ended."""
-    call = await connect("127.0.0.1", port, 2.0)
+    """Starts `count` sessions and does not end them."""
+    connection = await connect("127.0.0.1", port, 2.0)
     try:
         for _ in range(count):
             offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
-            if (await call.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)).status != 201 or not call.again():
-                raise RuntimeError("a join was not answered well")
+            if (
+                await connection.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
+            ).status != 201 or not connection.again():
+                raise RuntimeError("a join failed or its connection cannot be used again")
     finally:
-        await call.close()
+        await connection.close()
 
 
 def memory_of(pid: int) -> float:
-    """Resident memory in kB."""
+    """Resident memory of a process in kB."""
     fields = Path(f"/proc/{pid}/statm").read_text().split()
     return int(fields[1]) * os.sysconf("SC_PAGE_SIZE") / 1024
 
@@ -179,31 +182,33 @@
             )
         )
         try:
-            await all_listen((ports[0], ports[1], ports[3], ports[4], ports[-1]), log)
+            await wait_until_ready((ports[0], ports[1], ports[3], ports[4], ports[-1]), log)
             context = client_context(authority)
-            ways = {
+            targets = {
                 "direct": (ports[4], standin, None),
                 "through": (ports[0], plain, None),
                 "through_tls": (ports[1], secure, context),
                 "through_busy": (ports[3], busy, None),
                 "through_noted": (ports[-1], noted, None),
             }
-            # each way by halves: a machine that slows down meanwhile slows all
-            halves: dict[str, list[dict]] = {way: [] for way in ways}
+            # each target is measured in two halves, so that a machine that slows down meanwhile affects all of them
+            halves: dict[str, list[dict]] = {target: [] for target in targets}
             for _ in range(2):
-                for way, (port, child, tls) in ways.items():
-                    halves[way].append(await one_way(port, child.process.pid, count // 2, tls))
+                for target, (port, child, tls) in targets.items():
+                    halves[target].append(await one_way(port, child.process.pid, count // 2, tls))
             before = memory_of(plain.process.pid)
             await open_sessions(ports[0], count)
             per_session = (memory_of(plain.process.pid) - before) / count
         finally:
             for child in (plain, secure, busy, noted, standin):
                 child.kill()
-    figures = {way: {name: round(sum(half[name] for half in parts) / 2) for name in parts[0]} for way, parts in halves.items()}
+    figures = {
+        target: {name: round(sum(half[name] for half in parts) / 2) for name in parts[0]} for target, parts in halves.items()
+    }
     direct = figures["direct"]
     ratios = {
-        way: {name: round(figures[way][name] / direct[name], 2) for name in ("p50_us", "p99_us", "joins_a_second_a_core")}
-        for way in ("through", "through_tls")
+        target: {name: round(figures[target][name] / direct[name], 2) for name in ("p50_us", "p99_us", "joins_a_second_a_core")}
+        for target in ("through", "through_tls")
     }
     for kind in ("busy", "noted"):
         ratios[f"{kind}_over_idle"] = {
--- a/curlewshift/fault_injection/key_cost.py
+++ b/curlewshift/fault_injection/key_cost.py
@@ -1,4 +1,4 @@
-"""What a key costs: the table with its buckets beside a plain dictionary that is swept, in one run."""
+"""Cost of an idempotency key: the key table with its expiry buckets compared with a dictionary that is swept as a whole."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from curlewshift.retries.keys import KeyTable
 
 SECOND = 1_000_000_000
-KEPT_FOR = 5 * SECOND
-SWEEP_EVERY = SECOND // 4
+RETENTION_NS = 5 * SECOND
+SWEEP_INTERVAL_NS = SECOND // 4
 
 
-class Swept:
-    """The plain way: a dictionary, and every quarter of a second a look at all of it."""
+class SweptDictionary:
+    """The baseline: a dictionary that is scanned for expired entries every quarter of a second."""
 
     def __init__(self, now: int):
         self.held: dict[str, tuple] = {}
         self.swept_at = now
 
     def find(self, key, now):
-        if now - self.swept_at >= SWEEP_EVERY:
+        if now - self.swept_at >= SWEEP_INTERVAL_NS:
             self.swept_at = now
             for old in [old for old, (_, _, until) in self.held.items() if until is not None and until <= now]:
                 del self.held[old]
@@ -36,8 +36,8 @@
         self.held[key] = (mark, front_session, until)
 
 
-def one(table, rate: int, seconds: int) -> dict:
-    """`rate` keys a second, each asked for, held, ended at once and kept for five seconds."""
+def measure_table(table, rate: int, seconds: int) -> dict:
+    """Adds `rate` keys a second; each is looked up, held, ended at once and kept for five seconds."""
     rng, now, gap = Random(1), 0, SECOND // rate
     took = []
     for number in range(rate * seconds):
@@ -45,7 +45,7 @@
         key = f"key {number} {rng.random()}"
         began = time.perf_counter_ns()
         if table.find(key, now) is None:
-            table.ended(table.hold(key, "mark", None), now + KEPT_FOR)
+            table.ended(table.hold(key, "mark", None), now + RETENTION_NS)
         took.append(time.perf_counter_ns() - began)
     took.sort()
     return {
@@ -59,7 +59,7 @@
     rows = []
     for rate in rates:
         seconds = max(10, min(60, 200_000 // rate))
-        table, swept = one(KeyTable(0, 10**9), rate, seconds), one(Swept(0), rate, seconds)
+        table, swept = measure_table(KeyTable(0, 10**9), rate, seconds), measure_table(SweptDictionary(0), rate, seconds)
         rows.append(
             {
                 "keys_a_second": rate,
--- a/curlewshift/fault_injection/limits_cost.py
+++ b/curlewshift/fault_injection/limits_cost.py
@@ -1,4 +1,4 @@
-"""What limits cost: a refusal beside a join, addresses in memory, and a sketch beside exact counts. One run."""
+"""Cost of rate limits: CPU time of a refusal and of a join, memory per address, and the error of the sketch of heavy hitters."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from random import Random
 
 from curlewshift.exchange.client import connect
-from curlewshift.fault_injection.joins import FINGERPRINT, SDP, SERVERS, all_listen, cpu_of, memory_of, site_file
+from curlewshift.fault_injection.joins import FINGERPRINT, SDP, SERVERS, cpu_of, memory_of, site_file, wait_until_ready
 from curlewshift.fault_injection.processes import ChildProcess, free_ports
 from curlewshift.limits.buckets import Buckets
 from curlewshift.limits.heavy import PLACES, HeavyHitters
@@ -22,52 +22,52 @@
 REQUESTS = 1500
 
 
-async def _asks(port: int, count: int, wanted: int) -> int:
-    """So many requests on one connection, each ended if it plays; how many were answered as wanted."""
-    call, good = await connect("127.0.0.1", port, 2.0), 0
+async def _send_requests(port: int, count: int, expected: int) -> int:
+    """Sends `count` requests on one connection and ends each session. Returns how many had the status `expected`."""
+    connection, as_expected = await connect("127.0.0.1", port, 2.0), 0
     for _ in range(count):
         offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
-        answered = await call.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
-        good += answered.status == wanted
-        if not call.again():
-            await call.close()
-            call = await connect("127.0.0.1", port, 2.0)
-        if answered.status == 201:
-            await call.ask("DELETE", answered.headers["location"])
-            if not call.again():
-                await call.close()
-                call = await connect("127.0.0.1", port, 2.0)
-    await call.close()
-    return good
+        response = await connection.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
+        as_expected += response.status == expected
+        if not connection.again():
+            await connection.close()
+            connection = await connect("127.0.0.1", port, 2.0)
+        if response.status == 201:
+            await connection.ask("DELETE", response.headers["location"])
+            if not connection.again():
+                await connection.close()
+                connection = await connect("127.0.0.1", port, 2.0)
+    await connection.close()
+    return as_expected
 
 
 async def request_costs() -> dict:
-    """CPU of the front for one request, in microseconds: a join with its end, without limits and with, and a refusal."""
+    """CPU time of the front per request in µs: a join with its end, without limits and with them, and a refusal."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         ports = free_ports(SERVERS + 4, Random(os.getpid()))
-        ways = {
+        cases = {
             "join_bare": "",
             "join_with_limits": '<limits from-source="100000/s" burst="10s"/>',
             "refusal": '<limits from-source="0.001/s" burst="1s"/>',
         }
         fronts, log = {}, folder / "log"
-        for number, (way, limits) in enumerate(ways.items()):
-            site_file(folder / f"{way}.xml", ports[number], ports[3], ports[4:], limits)
+        for number, (case, limits) in enumerate(cases.items()):
+            site_file(folder / f"{case}.xml", ports[number], ports[3], ports[4:], limits)
         standin = ChildProcess(["standin", "server", str(folder / "join_bare.xml"), "--setup-work", "0"], log)
         try:
-            for way in ways:
-                fronts[way] = ChildProcess(["front", str(folder / f"{way}.xml"), "--seed", "1"], log)
-            await all_listen([*ports[:3], ports[4]], log)
+            for case in cases:
+                fronts[case] = ChildProcess(["front", str(folder / f"{case}.xml"), "--seed", "1"], log)
+            await wait_until_ready([*ports[:3], ports[4]], log)
             costs = {}
-            for number, way in enumerate(ways):
-                wanted = 429 if way == "refusal" else 201
-                await _asks(ports[number], 50, wanted)
-                before = cpu_of(fronts[way].process.pid)
-                good = await _asks(ports[number], REQUESTS, wanted)
-                if good < REQUESTS * 0.98:
-                    raise RuntimeError(f"{way}: only {good} of {REQUESTS} were answered with {wanted}")
-                costs[way] = round((cpu_of(fronts[way].process.pid) - before) / REQUESTS * 1e6)
+            for number, case in enumerate(cases):
+                expected = 429 if case == "refusal" else 201
+                await _send_requests(ports[number], 50, expected)
+                before = cpu_of(fronts[case].process.pid)
+                as_expected = await _send_requests(ports[number], REQUESTS, expected)
+                if as_expected < REQUESTS * 0.98:
+                    raise RuntimeError(f"{case}: only {as_expected} of {REQUESTS} requests were answered with {expected}")
+                costs[case] = round((cpu_of(fronts[case].process.pid) - before) / REQUESTS * 1e6)
         finally:
             for child in (*fronts.values(), standin):
                 child.kill()
@@ -80,9 +80,9 @@
     }
 
 
-def _memory(make, use) -> dict:
-    """The growth of this process; what was measured before is let go, but its pages may be used again, so that the
-    smallest comes first."""
+def _memory_growth(make, use) -> dict:
+    """Growth of this process. What was measured before is freed, but its pages may be used again; callers therefore measure the
+    smallest structure first."""
     before, held, began = memory_of(os.getpid()), make(), time.perf_counter()
     for number in range(ADDRESSES):
         use(held, number)
@@ -96,34 +96,34 @@
 
 
 def memory() -> dict:
-    """A million addresses, each seen once."""
+    """Memory and time for a million addresses, each seen once."""
 
     def count(held: dict, number: int) -> None:
         key = _address(number)
         held[key] = held.get(key, 0) + 1
 
     return {
-        "sketch": _memory(lambda: HeavyHitters(0), lambda held, number: held.add(_address(number), number)),
-        "buckets": _memory(lambda: Buckets(1.0, 2.0, 0), lambda held, number: held.take(_address(number), number)),
-        "trie": _memory(lambda: Prefixes(1.0, 0), lambda held, number: held.source(_address(number), number)),
-        "dictionary": _memory(dict, count),
+        "sketch": _memory_growth(lambda: HeavyHitters(0), lambda held, number: held.add(_address(number), number)),
+        "buckets": _memory_growth(lambda: Buckets(1.0, 2.0, 0), lambda held, number: held.take(_address(number), number)),
+        "trie": _memory_growth(lambda: Prefixes(1.0, 0), lambda held, number: held.source(_address(number), number)),
+        "dictionary": _memory_growth(dict, count),
     }
 
 
 def sketch_error() -> dict:
-    """A tenth of a million requests: twenty heavy sources by a skewed law, the rest seen once."""
+    """Error of the sketch over 100,000 requests: half from twenty sources of weight 1/rank, the others from sources seen once."""
     rng, heavy, exact = Random(1), HeavyHitters(0), Counter()
     weights = [1 / rank for rank in range(1, 21)]
     for number in range(100_000):
         key = f"heavy {rng.choices(range(20), weights)[0]}" if rng.random() < 0.5 else f"one-off {number}"
         exact[key] += 1
         heavy.add(key, 0)
-    wanted = [key for key, _ in exact.most_common(20)]
+    expected = [key for key, _ in exact.most_common(20)]
     found = {key: count for key, count, _ in heavy.top(20)}
-    errors = [abs(found[key] - exact[key]) / exact[key] for key in wanted if key in found]
+    errors = [abs(found[key] - exact[key]) / exact[key] for key in expected if key in found]
     return {
         "places": PLACES,
-        "heaviest_20_found": sum(key in found for key in wanted),
+        "heaviest_20_found": sum(key in found for key in expected),
         "worst_error_of_those": round(max(errors), 3),
         "bound": round(100_000 / PLACES),
     }
--- a/curlewshift/fault_injection/mix.py
+++ b/curlewshift/fault_injection/mix.py
@@ -1,4 +1,4 @@
-"""A day of any mix of troubles, drawn by a seed: another script's site and viewers, and these troubles at drawn times."""
+"""Scripts with a mix of faults at random times: the site and the viewers of another script, and faults drawn by a seed."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from curlewshift.standins.script import USUAL
 
-# The first seconds are quiet, and so are the last ones of the day.
-QUIET = 2.0
+# No fault is injected in the first and in the last seconds of the run.
+QUIET_S = 2.0
 
 
 def mixed_script(base: Path, kinds: list[str], seed: int, out: Path) -> Path:
-    """Writes `script.xml` beside a copy of its site into `out`. Raises `ValueError` for a kind that there is not."""
+    """Writes `script.xml` and a copy of its site file into `out`. Raises `ValueError` for an unknown kind of fault."""
     for kind in kinds:
         if kind not in USUAL or kind == "peak":
-            raise ValueError(f"there is no trouble {kind!r}, but {', '.join(name for name in USUAL if name != 'peak')}")
+            raise ValueError(f"unknown trouble {kind!r}; the kinds are {', '.join(name for name in USUAL if name != 'peak')}")
     out.mkdir(parents=True, exist_ok=True)
     tree = etree.parse(str(base))
     root, rng = tree.getroot(), Random(f"{seed} {' '.join(kinds)}")
@@ -26,9 +26,9 @@
         root.remove(element)
     length = float(root.get("lasts").removesuffix("s"))
     for kind in kinds:
-        lasts = min(USUAL[kind][0], length / 3)
-        at = rng.uniform(QUIET, max(QUIET + 0.1, length - lasts - QUIET))
-        etree.SubElement(root, "trouble", kind=kind, at=f"{at:.2f}s", lasts=f"{lasts:g}s")
+        duration = min(USUAL[kind][0], length / 3)
+        at = rng.uniform(QUIET_S, max(QUIET_S + 0.1, length - duration - QUIET_S))
+        etree.SubElement(root, "trouble", kind=kind, at=f"{at:.2f}s", lasts=f"{duration:g}s")
     site = base.parent / root.get("site")
     shutil.copyfile(site, out / site.name)
     root.set("site", site.name)
--- a/curlewshift/fault_injection/recovery_cost.py
+++ b/curlewshift/fault_injection/recovery_cost.py
@@ -1,7 +1,8 @@
-"""How long a front takes to know again what plays, by how many sessions there are. One process, loopback sockets.
+"""Time that a restarted front needs to recover its sessions, by their number. One process, loopback sockets.
 
-Sessions are put into stand-in servers and into the front's book; then the front starts, and what is timed is its own:
-reading the book, taking all up, asking every server, and adopting. Requests come meanwhile, and their answers are timed.
+Sessions are put into stand-in servers and into the front's session journal. Then the front starts; what is timed is its work:
+reading the journal, restoring the sessions, querying every server and adopting the sessions. Requests are sent meanwhile, and
+their answers are timed.
 """
 
 from __future__ import annotations
@@ -36,18 +37,18 @@
 JOINS = 20
 
 
-async def one_size(sessions: int) -> dict:
+async def measure_size(sessions: int) -> dict:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         ports = free_ports(SERVERS + 2, Random(os.getpid() + sessions))
         site = read_site(site_file(folder / "site.xml", ports[0], ports[1], ports[2:]))
-        return await _measured(site, folder / "state", sessions)
+        return await _measure_site(site, folder / "state", sessions)
 
 
-async def _measured(site, state: Path, sessions: int) -> dict:
+async def _measure_site(site, state: Path, sessions: int) -> dict:
     state.mkdir()
     rng, traffic, uplink = Random(1), Traffic(None), Uplink(9e6)
-    book, journal = SessionRegistry(), Journal(state / "sessions.log")
+    registry, journal = SessionRegistry(), Journal(state / "sessions.log")
     async with anyio.create_task_group() as tasks:
         for number, machine in enumerate(site.machines):
             link = LinkModel(machine.link, uplink)
@@ -66,9 +67,9 @@
             for index in range(number, sessions, SERVERS):
                 session = Session(f"{index:016x}", f"{index:08x}", "f.1", "q", "p", "t", 0, 100.0, 1.0, watchers=1)
                 server.sessions[session.name] = server.media[session.ufrag] = session
-                # on the highest rung that its viewer allows: what may climb does so at the first tick, all together
+                # on the highest rung that its viewer allows: sessions that may climb would all do so at the first tick
                 journal.add(
-                    book.began(
+                    registry.began(
                         StoredSession(
                             f"token-{index}",
                             None,
@@ -91,22 +92,22 @@
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=machine.port)
             tasks.start_soon(server.run, listener.listeners[0])
         journal.close()
-        listing = ServerList(rng, traffic)
+        server_list = ServerList(rng, traffic)
         rows = [
             ListRow(f"127.0.0.1:{machine.port}", "on", 0, "z", "r", machine.link, machine.streams, machine.shelf)
             for machine in site.machines
         ]
-        listing.begin(rows)
+        server_list.begin(rows)
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=site.list_at[1])
-        tasks.start_soon(serve, listener.listeners[0], listing.serve, lambda fault: None)
+        tasks.start_soon(serve, listener.listeners[0], server_list.serve, lambda fault: None)
         began = time.perf_counter()
         front = Front(site, 0, 1, state, structlog.wrap_logger(structlog.ReturnLogger()), "f.2")
-        opened, waits = anyio.Event(), []
+        opened, join_times = anyio.Event(), []
         tasks.start_soon(front.run, opened.set)
         await opened.wait()
         open_after = time.perf_counter() - began
         async with anyio.create_task_group() as joining:
-            joining.start_soon(_joins, site.front_addresses[0].port, waits)
+            joining.start_soon(_joins, site.front_addresses[0].port, join_times)
             while not (front.recovery.over and front.recovery.kept == sessions):
                 await anyio.sleep(0.002)
             known_after = time.perf_counter() - began
@@ -117,30 +118,30 @@
         "door_open_after_ms": round(open_after * 1000),
         "all_adopted_after_ms": round(known_after * 1000),
         "kept": kept,
-        "longest_join_meanwhile_ms": round(max(waits) * 1000),
+        "longest_join_meanwhile_ms": round(max(join_times) * 1000),
     }
 
 
-async def _joins(port: int, waits: list[float]) -> None:
+async def _joins(port: int, join_times: list[float]) -> None:
     for _ in range(JOINS):
         offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
         began = time.perf_counter()
-        answered = await ask("127.0.0.1", port, "POST", "/whep/p/t", [("content-type", SDP)], offer, within=5.0)
-        if answered.status != 201:
-            # nothing is proven warm yet: it is refused in words, which is an answer too
-            assert answered.status == 503, answered.status
-        waits.append(time.perf_counter() - began)
+        response = await ask("127.0.0.1", port, "POST", "/whep/p/t", [("content-type", SDP)], offer, within=5.0)
+        if response.status != 201:
+            # no server is known to be warm yet: an explicit refusal counts as an answer too
+            assert response.status == 503, response.status
+        join_times.append(time.perf_counter() - began)
 
 
 async def measure_recovery() -> dict:
-    rows = [await one_size(sessions) for sessions in SIZES]
-    most, less = rows[-1], rows[1]
+    rows = [await measure_size(sessions) for sessions in SIZES]
+    largest, smaller = rows[-1], rows[1]
     return {
         "servers": SERVERS,
         "rows": rows,
         "ratios": {
             "ms_a_session_at_10000_over_1000": round(
-                most["all_adopted_after_ms"] / most["sessions"] / (less["all_adopted_after_ms"] / less["sessions"]), 2
+                largest["all_adopted_after_ms"] / largest["sessions"] / (smaller["all_adopted_after_ms"] / smaller["sessions"]), 2
             )
         },
     }
--- a/curlewshift/fault_injection/rehearse.py
+++ b/curlewshift/fault_injection/rehearse.py
@@ -1,4 +1,7 @@
-"""Plays a script: starts everything, lets the day pass, stops everything, and has the traffic judged."""
+"""Runs a fault injection script: starts all processes, injects the faults, stops the processes and has the traffic judged.
+
+In recorded events a run is called `day`. A life is one run of a front's process; a restart begins a new life.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 from curlewshift.capture.replay import Replay
 from curlewshift.capture.store import read_capture
-from curlewshift.fault_injection.configuring import OF_MACHINES, Configuring
+from curlewshift.fault_injection.configuration_operator import CONTROL_SABOTAGES, ConfigurationOperator
 from curlewshift.fault_injection.members import MemberProcess
 from curlewshift.fault_injection.processes import ChildProcess, free_ports, listens
 from curlewshift.front.control import tell
@@ -33,12 +36,12 @@
 from curlewshift.verdict.verdict import Figures, judge
 
 NS = 1_000_000_000
-# Python starts slowly on a machine that is busy (s).
-START_WITHIN = 30.0
-# Fronts get so long to hear of all servers before the day begins (s).
-SETTLE = 1.5
-# What an earlier day left in the folder; a front that found it would go on from there.
-LEFT_OVER = (
+# Python starts slowly on a busy machine.
+START_TIMEOUT_S = 30.0
+# How long fronts get to receive their server list before the run begins.
+SETTLE_S = 1.5
+# Files of an earlier run in the same folder, which are deleted; a front that found them would continue from their state.
+STALE_FILES = (
     "*/peaks.db*",
     "*/intents.log*",
     "*/sessions.log*",
@@ -51,23 +54,24 @@
     "*.log",
     "verdict.json",
 )
-# After the last arrival viewings run out, but no longer than this (s).
-RUN_OUT = 6.0
-# A front that holds a lease acts within so long (s).
-STOPS_WITHIN = 30.0
-# Troubles for which fronts are started so that they can be led astray.
-LED = ("clock-rate", "clock-step", "bad-path", "pause-in-act")
-# Fronts that know each other get so long after the day for their views to meet again (s); how often each is asked.
-VIEWS_MEET, WATCH_MEMBERS = 8.0, 0.2
-# The baseline's part of every link, kept all day: about what an announced peak holds at its height.
-RESERVE = 0.3
+# How long viewings may continue after the last arrival.
+RUN_OUT_S = 6.0
+# The longest wait for a front that holds a lease to start its next act (an action under the lease).
+ACT_TIMEOUT_S = 30.0
+# Faults that need fronts started with `--led`, which accept commands that change their clock or path, or stop them in an act.
+STEERED_TROUBLES = ("clock-rate", "clock-step", "bad-path", "pause-in-act")
+# How long fronts with peers get after the run for their membership views to converge, and how often each front is polled.
+VIEW_CONVERGENCE_S, WATCH_INTERVAL_S = 8.0, 0.2
+# The share of every link that the baseline `reserve` holds for the whole run: about what an announced peak holds at its height.
+RESERVE_SHARE = 0.3
 
 
 class StartFailed(Exception):
-    """A part of the rehearsal did not come up; its log says why."""
+    """A process of the run did not start; its log has the reason."""
 
 
 def figures_of(site: Site) -> Figures:
+    """The settings of the site that the judges check against."""
     obligations, packages = site.obligations, site.packages
     return Figures(
         grace=obligations.grace,
@@ -88,17 +92,17 @@
 
 
 class FrontProcess(MemberProcess):
-    """One front over its lives."""
+    """One front process over its lives."""
 
-    def __init__(self, day: FaultInjectionRun, number: int, port: int):
-        super().__init__(day, number, day.script.site.front_addresses[number].name)
+    def __init__(self, run: FaultInjectionRun, number: int, port: int):
+        super().__init__(run, number, run.script.site.front_addresses[number].name)
         self.port = port
 
     async def start(self) -> None:
-        self.another_life()
+        self.begin_life()
         arguments = [
             "front",
-            str(self.day.out / "site.xml"),
+            str(self.run.out / "site.xml"),
             "--name",
             self.name,
             "--life",
@@ -106,24 +110,28 @@
             "--state",
             str(self.state),
             "--seed",
-            str(self.day.seed * 1000 + self.number * 100 + self.lives),
+            str(self.run.seed * 1000 + self.number * 100 + self.lives),
         ]
-        if self.day.capture:
-            arguments += ["--capture", str(self.day.out / "captures" / self.life)]
-        if self.day.hold == "reserve":
-            for announced in self.day.script.announced[:1]:
-                arguments += ["--reserve", f"{announced.package}={RESERVE}"]
-        if any(trouble.kind in LED for trouble in self.day.script.troubles):
+        if self.run.capture:
+            arguments += ["--capture", str(self.run.out / "captures" / self.life)]
+        if self.run.hold == "reserve":
+            for announced in self.run.script.announced[:1]:
+                arguments += ["--reserve", f"{announced.package}={RESERVE_SHARE}"]
+        if any(trouble.kind in STEERED_TROUBLES for trouble in self.run.script.troubles):
             arguments += ["--led"]
-        if self.day.sabotage and self.day.sabotage not in OF_MACHINES:
-            arguments += ["--sabotage", self.day.sabotage]
-        self.child = ChildProcess(arguments, self.day.out / f"{self.name}.log")
-        if not await listens(self.port, START_WITHIN):
-            raise StartFailed(f"front {self.name} does not listen; see {self.day.out / (self.name + '.log')}")
+        if self.run.sabotage and self.run.sabotage not in CONTROL_SABOTAGES:
+            arguments += ["--sabotage", self.run.sabotage]
+        self.child = ChildProcess(arguments, self.run.out / f"{self.name}.log")
+        if not await listens(self.port, START_TIMEOUT_S):
+            raise StartFailed(f"front {self.name} does not listen; see {self.run.out / (self.name + '.log')}")
 
 
 class FaultInjectionRun:
-    """`progress(done, of)` is told seconds of the day."""
+    """One run of a script.
+
+    `progress(done, total)` is called with seconds of the run. With `hold` `announced` the script's peaks are announced to the
+    fronts, with `reserve` fronts hold a fixed reserve instead. `forget` deletes the session journal of killed fronts.
+    """
 
     def __init__(
         self,
@@ -141,19 +149,19 @@
         self.seed, self.sabotage, self.progress, self.hold = seed, sabotage, progress, hold
         self.capture, self.forget = capture, forget
         out.mkdir(parents=True, exist_ok=True)
-        for left_over in LEFT_OVER:
-            for old in out.glob(left_over):
+        for pattern in STALE_FILES:
+            for old in out.glob(pattern):
                 old.unlink(missing_ok=True)
         self.traffic = Traffic(out / "viewers.jsonl")
         self.fronts: list[FrontProcess] = []
-        self.configuring = Configuring(self) if script.site.configuration is not None else None
+        self.operator = ConfigurationOperator(self) if script.site.configuration is not None else None
         self.fleet: ChildProcess | None = None
         self.relay: ChildProcess | None = None
 
     async def run(self) -> dict:
-        """The verdict, which is written to the folder too. Raises `StartFailed`."""
+        """Returns the verdict, which is also written to `verdict.json`. Raises `StartFailed`."""
         try:
-            await self._day()
+            await self._play()
         finally:
             for child in [self.fleet, self.relay, *(process.child for process in self._members())]:
                 if child is not None:
@@ -162,24 +170,24 @@
         return self._judge()
 
     def _members(self) -> list:
-        """Processes that peers' datagrams go between."""
-        return [*self.fronts, *(self.configuring.machines if self.configuring is not None else [])]
+        """The processes that exchange membership datagrams: fronts and control machines."""
+        return [*self.fronts, *(self.operator.machines if self.operator is not None else [])]
 
-    def failed(self, why: str) -> StartFailed:
-        return StartFailed(why)
+    def start_failed(self, reason: str) -> StartFailed:
+        return StartFailed(reason)
 
-    async def _day(self) -> None:
+    async def _play(self) -> None:
         ports = free_ports(len(self.script.site.front_addresses), Random(os.getpid()))
         list_port = await self._start_fleet()
         peers = await self._start_relay() if self.script.site.peers is not None else []
         self._write_site(ports, list_port, peers)
         self.fronts = [FrontProcess(self, number, port) for number, port in enumerate(ports)]
         async with anyio.create_task_group() as tasks:
-            if self.configuring is not None:
-                tasks.start_soon(self.configuring.start)
+            if self.operator is not None:
+                tasks.start_soon(self.operator.start)
             for front in self.fronts:
                 tasks.start_soon(front.start)
-        await anyio.sleep(SETTLE)
+        await anyio.sleep(SETTLE_S)
         begins = time.monotonic() + 0.2
         self.begins = begins
         if self.hold == "announced":
@@ -192,25 +200,25 @@
                 child.process.stdin.flush()
         viewers = Viewers(self.script.site, self.script, [("127.0.0.1", port) for port in ports], self.seed, self.traffic)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._tell_progress, begins)
+            tasks.start_soon(self._report_progress, begins)
             if self.hold == "announced" and self.script.announced:
                 tasks.start_soon(self._watch_holds)
             if self.relay is not None:
                 for member in self._members():
                     tasks.start_soon(self._watch_members, member)
-            if self.configuring is not None:
-                tasks.start_soon(self.configuring.watch_machines)
+            if self.operator is not None:
+                tasks.start_soon(self.operator.watch_machines)
                 for front in self.fronts:
-                    tasks.start_soon(self.configuring.watch, front)
+                    tasks.start_soon(self.operator.watch, front)
             async with anyio.create_task_group() as troubles:
                 for trouble in self.script.troubles:
                     if trouble.kind in OF_FRONTS:
-                        troubles.start_soon(self._befall, trouble, begins)
-                with anyio.move_on_after(begins + self.script.lasts + RUN_OUT - time.monotonic()):
+                        troubles.start_soon(self._inject, trouble, begins)
+                with anyio.move_on_after(begins + self.script.lasts + RUN_OUT_S - time.monotonic()):
                     await viewers.come(begins)
                 if self.relay is not None:
-                    # views have to meet again before the fronts take leave
-                    await anyio.sleep(max(0.0, begins + self.script.lasts + VIEWS_MEET - time.monotonic()))
+                    # membership views have to converge before the fronts leave
+                    await anyio.sleep(max(0.0, begins + self.script.lasts + VIEW_CONVERGENCE_S - time.monotonic()))
             self.traffic.seen("day-over")
             tasks.cancel_scope.cancel()
         async with anyio.create_task_group() as tasks:
@@ -219,31 +227,31 @@
         await anyio.sleep(0.3)
         for child in (self.fleet, self.relay):
             if child is not None:
-                child.ask_to_end()
-                await child.ended()
+                child.terminate()
+                await child.wait_ended()
 
     async def _start_fleet(self) -> int:
         self.fleet = ChildProcess(
             ["standin", "fleet", str(self.script_path), "--traffic", str(self.out / "servers.jsonl"), "--seed", str(self.seed)],
             self.out / "fleet.log",
-            talks=True,
+            piped=True,
         )
         return int((await self._first_line(self.fleet, "the stand-in servers", "fleet.log"))["list"])
 
     async def _first_line(self, child: ChildProcess, what: str, log: str) -> dict:
-        with anyio.move_on_after(START_WITHIN):
+        with anyio.move_on_after(START_TIMEOUT_S):
             line = await anyio.to_thread.run_sync(child.process.stdout.readline, abandon_on_cancel=True)
             if line.strip():
                 return json.loads(line)
         raise StartFailed(f"{what} did not start; see {self.out / log}")
 
     async def _start_relay(self) -> list[tuple[int, int]]:
-        """For each front and control machine the port where its peers' datagrams come in, and the relay's by which they reach
-        it."""
+        """Starts the relay between peers. Returns for each front and control machine its own datagram port and the port of the
+        relay through which its peers reach it."""
         site = self.script.site
-        doors = [*site.front_addresses, *(site.control.machines if site.control is not None else [])]
-        ports = free_ports(len(doors), Random(os.getpid() + 1), socket.SOCK_DGRAM)
-        named = [f"--front={door.name}={port}" for door, port in zip(doors, ports)]
+        endpoints = [*site.front_addresses, *(site.control.machines if site.control is not None else [])]
+        ports = free_ports(len(endpoints), Random(os.getpid() + 1), socket.SOCK_DGRAM)
+        named = [f"--front={endpoint.name}={port}" for endpoint, port in zip(endpoints, ports)]
         self.relay = ChildProcess(
             [
                 "standin",
@@ -256,13 +264,13 @@
                 *named,
             ],
             self.out / "relay.log",
-            talks=True,
+            piped=True,
         )
-        reach = await self._first_line(self.relay, "the relay between fronts", "relay.log")
-        return [(port, reach[door.name]) for door, port in zip(doors, ports)]
+        relay_ports = await self._first_line(self.relay, "the relay between fronts", "relay.log")
+        return [(port, relay_ports[endpoint.name]) for endpoint, port in zip(endpoints, ports)]
 
     async def _announce(self, announced: Announced, begins: int) -> None:
-        """Each front is told, as an operator would. `begins` is Unix time."""
+        """Announces a peak to each front, as an operator does. `begins` is the start of the run in Unix time (ns)."""
         starts = begins + int(announced.at * NS)
         for front in self.fronts:
             answer = await tell(
@@ -281,27 +289,27 @@
                 },
             )
             if not answer["ok"]:
-                raise StartFailed(f"{front.name} does not take the peak {announced.name}: {answer['wrong']}")
+                raise StartFailed(f"{front.name} rejects the peak {announced.name}: {answer['wrong']}")
 
     def _write_site(self, ports: list[int], list_port: int, peers: list[tuple[int, int]]) -> None:
-        """The site as its fronts get it: with the ports of this run."""
+        """Writes the site file for the fronts, with the ports of this run."""
         tree = etree.parse(str(self.script.site_path))
         for front, port in zip(tree.iterfind("fronts/front"), ports):
             front.set("listen", f"127.0.0.1:{port}")
-        for front, (listen, reach) in zip([*tree.iterfind("fronts/front"), *tree.iterfind("control/machine")], peers):
+        for front, (listen, relay_port) in zip([*tree.iterfind("fronts/front"), *tree.iterfind("control/machine")], peers):
             front.set("peers-listen", f"127.0.0.1:{listen}")
-            front.set("peers-reach", f"127.0.0.1:{reach}")
+            front.set("peers-reach", f"127.0.0.1:{relay_port}")
         tree.find("list").set("address", f"127.0.0.1:{list_port}")
         tree.write(str(self.out / "site.xml"), encoding="utf-8", xml_declaration=True)
 
-    async def _tell_progress(self, begins: float) -> None:
-        whole = self.script.lasts + RUN_OUT
+    async def _report_progress(self, begins: float) -> None:
+        total = self.script.lasts + RUN_OUT_S
         while True:
-            self.progress(max(0.0, min(whole, time.monotonic() - begins)), whole)
+            self.progress(max(0.0, min(total, time.monotonic() - begins)), total)
             await anyio.sleep(0.5)
 
     async def _watch_holds(self) -> None:
-        """What each front holds, once a second, for the chart."""
+        """Records the capacity that each front holds for peaks, once a second, for the chart."""
         while True:
             for front in self.fronts:
                 try:
@@ -321,26 +329,27 @@
             await anyio.sleep(1)
 
     async def _watch_members(self, front: FrontProcess) -> None:
-        """What a front holds of the others, for the judge."""
+        """Records the membership view of a front, for the judge."""
         while True:
-            asked, life = time.monotonic_ns(), front.life
-            told = None if front.paused else await front.ask({"do": "peers"})
-            if told is not None and told["ok"] and told["peers"] and front.life == life and not front.paused:
-                peers = told["peers"]
+            requested_at, life = time.monotonic_ns(), front.life
+            response = None if front.paused else await front.ask({"do": "peers"})
+            if response is not None and response["ok"] and response["peers"] and front.life == life and not front.paused:
+                peers = response["peers"]
                 self.traffic.seen(
                     "view",
                     front=front.name,
                     life=life,
-                    asked=asked,
+                    asked=requested_at,
                     me=peers["life"],
                     sent=peers["sent_a_second"],
                     members=[[row["name"], row["life"], row["rank"], row["for_s"]] for row in peers["members"]],
                 )
-            await anyio.sleep(WATCH_MEMBERS)
+            await anyio.sleep(WATCH_INTERVAL_S)
 
-    # ---- what befalls fronts
+    # ---- faults of fronts
 
-    async def _befall(self, trouble: Trouble, begins: float) -> None:
+    async def _inject(self, trouble: Trouble, begins: float) -> None:
+        """Injects one fault of the script at its time. A kind that is not named below restarts the affected fronts in turn."""
         await anyio.sleep(max(0.0, begins + trouble.at - time.monotonic()))
         rng = Random(f"{self.seed} {trouble.kind} {trouble.at}")
         count = max(1, round(trouble.part * len(self.fronts)))
@@ -366,11 +375,11 @@
             for front in affected:
                 await front.ask({"do": "clock", "step": int(trouble.size * NS) * rng.choice((-1, 1))})
         elif trouble.kind == "pause-in-act":
-            await self._stop_in_act(trouble.lasts, count)
-        elif self.configuring is not None and await self.configuring.befall(trouble, affected):
+            await self._pause_in_act(trouble.lasts, count)
+        elif self.operator is not None and await self.operator.inject(trouble, affected):
             pass
         elif trouble.kind == "bad-path":
-            # a front of its own event: the judge has to know whose path it was
+            # an event of its own, as the judge has to know which front's path it was
             self.traffic.seen("bad-path", lasts=trouble.lasts, fronts=[front.name for front in affected])
             for lost in (True, False):
                 for front in affected:
@@ -384,19 +393,19 @@
                 await anyio.sleep(max(0.0, next_at - time.monotonic()))
         self.traffic.seen("trouble-over", kind=trouble.kind, fronts=[front.name for front in affected])
 
-    async def _stop_in_act(self, lasts: float, count: int) -> None:
-        """Holders of leases are stopped in the very middle of an act, and go on after others have begun."""
-        told = [(front, await front.ask({"do": "leases"})) for front in self.fronts if not front.paused]
+    async def _pause_in_act(self, lasts: float, count: int) -> None:
+        """Stops holders of leases in the middle of an act, and resumes them after other members have taken over."""
+        answers = [(front, await front.ask({"do": "leases"})) for front in self.fronts if not front.paused]
         holders = [
             front
-            for front, answer in told
+            for front, answer in answers
             if answer
             and answer.get("leases")
             and any(row["held_here"] and row["lease"].startswith("probe/") for row in answer["leases"]["leases"])
         ]
         async with anyio.create_task_group() as tasks:
             for front in holders[:count]:
-                tasks.start_soon(front.stop_in_act, lasts, STOPS_WITHIN)
+                tasks.start_soon(front.pause_in_act, lasts, ACT_TIMEOUT_S)
 
     # ---- the verdict
 
@@ -405,9 +414,9 @@
         if self.relay is not None:
             events += read_traffic(self.out / "peers.jsonl")
         events.sort(key=lambda event: event["at"])
-        with open(self.out / "traffic.jsonl", "w") as whole:
+        with open(self.out / "traffic.jsonl", "w") as merged:
             for event in events:
-                whole.write(json.dumps(event) + "\n")
+                merged.write(json.dumps(event) + "\n")
         verdict = judge(events, figures_of(self.script.site))
         verdict["attempts_after_leaving"] = judge_attempts(events)
         verdict["seed"], verdict["sabotage"], verdict["hold"] = self.seed, self.sabotage, self.hold
@@ -418,10 +427,10 @@
             membership_terms = self.script.site.peers.membership_terms
             verdict["members"] = judge_members(events, membership_terms.period, membership_terms.forget_after)
         if self.script.site.sharing is not None:
-            verdict["bounds"] = judge_bounds(events, figures_of(self.script.site), self._together())
+            verdict["bounds"] = judge_bounds(events, figures_of(self.script.site), self._shared_budgets())
         if self.script.site.leases is not None:
             verdict["leases"] = {**judge_leases(events), "orphans": judge_orphans(events)}
-        if self.configuring is not None:
+        if self.operator is not None:
             verdict["configuration"] = judge_configuration(events)
         if self.script.site.overload is not None:
             verdict["shed"] = self._judge_shed(events)
@@ -434,28 +443,29 @@
     def _judge_shed(self, events: list[dict]) -> dict:
         site = self.script.site
         begins = next(event["begins"] for event in events if event["ev"] == "day")
-        worth = {package.name: package.value / package.rates[package.floor] for package in site.packages}
+        value_per_rate = {package.name: package.value / package.rates[package.floor] for package in site.packages}
         losses = [
             (begins + int(trouble.at * NS), begins + int((trouble.at + trouble.lasts) * NS))
             for trouble in self.script.troubles
             if trouble.kind == "crash"
         ]
-        return judge_shed(events, figures_of(site), worth, site.overload.floor, losses)
+        return judge_shed(events, figures_of(site), value_per_rate, site.overload.floor, losses)
 
-    def _together(self) -> frozenset[str]:
+    def _shared_budgets(self) -> frozenset[str]:
+        """The budgets that all fronts keep together, by the name that the judge gives them."""
         together = self.script.site.together
         return frozenset([*(["further-tune-ins"] if together.free is not None else []), *(["seats"] if together.seats else [])])
 
     def _replays(self) -> dict:
-        """Each life of each front decided again; one that was killed is replayed up to where its capture ends."""
-        told = {}
+        """Replays the capture of each life of each front; that of a killed front is replayed up to where its capture ends."""
+        replays = {}
         for folder in sorted((self.out / "captures").iterdir()):
             records, damage = read_capture(folder)
             run = Replay(records).run()
-            told[folder.name] = {
+            replays[folder.name] = {
                 "told": run.told,
                 "did": run.did,
                 "cut_off": damage,
                 "difference": str(run.difference) if run.difference else "",
             }
-        return told
+        return replays
--- a/curlewshift/fault_injection/wheel_cost.py
+++ b/curlewshift/fault_injection/wheel_cost.py
@@ -1,4 +1,4 @@
-"""Timers on the wheel beside a heap with lazy cancelling, in one run, by how many are taken back before they are due."""
+"""Cost of timers on the timing wheel compared with a heap with lazy deletion, by the share that is cancelled before it is due."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 STEPS = 200_000
 
 
-class Heap:
-    """The plain way: what is taken back stays in the heap until it is due."""
+class LazyHeap:
+    """The baseline: a binary heap in which a cancelled timer stays until it is due."""
 
     def __init__(self, now: int):
         self.heap, self.count = [], 0
@@ -37,31 +37,31 @@
         return found
 
 
-def one(timers, taken_back: float) -> dict:
-    """Timers of one to thirty seconds, one set every 0.1 ms; some are taken back within a second."""
-    rng, now, open_ones = Random(1), 0, []
+def measure_timers(timers, cancelled_share: float) -> dict:
+    """Sets a timer of one to thirty seconds every 0.1 ms; `cancelled_share` of them are cancelled, within a second."""
+    rng, now, pending = Random(1), 0, []
     began = time.perf_counter_ns()
     for step in range(STEPS):
         now += MS // 10
         entry = timers.add(now + rng.randrange(1000, 30_000) * MS, step)
-        if rng.random() < taken_back:
-            open_ones.append(entry)
-            if len(open_ones) > 1000:
-                timers.cancel(open_ones.pop(rng.randrange(1000)))
+        if rng.random() < cancelled_share:
+            pending.append(entry)
+            if len(pending) > 1000:
+                timers.cancel(pending.pop(rng.randrange(1000)))
         if not step % 100:
             timers.due(now)
     took = time.perf_counter_ns() - began
-    held = len(timers.heap) if isinstance(timers, Heap) else len(timers)
+    held = len(timers.heap) if isinstance(timers, LazyHeap) else len(timers)
     return {"us_a_timer": round(took / STEPS / 1000, 2), "held_at_the_end": held}
 
 
 def measure_wheel() -> dict:
     rows = []
-    for taken_back in (0.0, 0.5, 0.95):
-        wheel, heap = one(Wheel(0, 10 * MS), taken_back), one(Heap(0), taken_back)
+    for cancelled_share in (0.0, 0.5, 0.95):
+        wheel, heap = measure_timers(Wheel(0, 10 * MS), cancelled_share), measure_timers(LazyHeap(0), cancelled_share)
         rows.append(
             {
-                "taken_back": taken_back,
+                "taken_back": cancelled_share,
                 "wheel": wheel,
                 "heap": heap,
                 "ratios": {
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -15,7 +15,7 @@
 from curlewshift.control.machine import Machine
 from curlewshift.distribution.copy import ENCODER, Kept
 from curlewshift.distribution.versions import Version, digest_of
-from curlewshift.fault_injection.configuring import marked
+from curlewshift.fault_injection.configuration_operator import with_marker
 from curlewshift.fault_injection.processes import free_ports
 from curlewshift.front.begun import Begun, begin, checked
 from curlewshift.front.configured import Configured
@@ -120,7 +120,7 @@
 
     def test_marked_file_can_be_applied_in_service_and_sets_its_mark_everywhere(self):
         self.path.write_bytes((EXAMPLES / "configuration-site.xml").read_bytes())
-        content = marked(self.path.read_bytes(), 7)
+        content = with_marker(self.path.read_bytes(), 7)
         site = checked(self.path, read_site(self.path), content)
         self.assertEqual({package.patience for package in site.packages}, {5_007_000_000})
         self.assertEqual((site.obligations.longest_wait, site.most_waiting), (1_893_000_000, 507))
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""A short day from end to end, with processes as users start them: one that keeps the rules, and one spoilt."""
+"""Short fault injection runs from end to end, with processes as users start them, with and without a planted fault."""
 
 import json
 import subprocess
@@ -22,7 +22,7 @@
 """
 
 
-class Days(unittest.TestCase):
+class FaultInjectionRuns(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -48,11 +48,11 @@
             text=True,
         )
 
-    def test_a_short_day_keeps_the_rules_and_a_spoilt_one_is_caught(self):
-        kept, spoilt = self.rehearse(), self.rehearse("--sabotage", "lose-answer")
-        told = [run.communicate(timeout=100) for run in (kept, spoilt)]
+    def test_short_run_keeps_the_rules_and_sabotage_is_detected(self):
+        kept, sabotaged = self.rehearse(), self.rehearse("--sabotage", "lose-answer")
+        output = [run.communicate(timeout=100) for run in (kept, sabotaged)]
         verdict = json.loads((self.folder / "out" / "verdict.json").read_text())
-        self.assertEqual((kept.returncode, [rule["broken"] for rule in verdict["rules"].values()]), (0, [0] * 6), told)
+        self.assertEqual((kept.returncode, [rule["broken"] for rule in verdict["rules"].values()]), (0, [0] * 6), output)
         self.assertGreater(verdict["requests"], 40)
         self.assertEqual((verdict["duplicates"], verdict["unanswered"], verdict["late"]), (0, 0, 0))
         self.assertGreater(verdict["service"], 0.5)
@@ -60,10 +60,10 @@
             self.assertGreater(verdict["rules"][number]["applied"], 0, number)
         self.assertIn("<svg", (self.folder / "out" / "day.svg").read_text())
         verdict = json.loads((self.folder / "out-lose-answer" / "verdict.json").read_text())
-        self.assertEqual(spoilt.returncode, 1, told)
+        self.assertEqual(sabotaged.returncode, 1, output)
         self.assertGreater(verdict["rules"]["1"]["broken"], 0)
 
-    def test_any_mix_of_troubles_is_drawn_by_its_seed_and_replayed(self):
+    def test_mix_of_faults_is_determined_by_its_seed_and_replays_without_difference(self):
         from curlewshift.fault_injection.mix import mixed_script
 
         base = self.folder / "day.xml"
@@ -76,15 +76,15 @@
         with self.assertRaises(ValueError):
             mixed_script(base, ["boredom"], 1, self.folder / "d")
         run = self.rehearse("--trouble", "front-crash,answer-lost", "--capture")
-        told = run.communicate(timeout=100)
+        output = run.communicate(timeout=100)
         out = next(self.folder.glob("out-*"))
         verdict = json.loads((out / "verdict.json").read_text())
-        self.assertEqual((run.returncode, verdict["troubles"]), (0, ["answer-lost", "front-crash"]), told)
+        self.assertEqual((run.returncode, verdict["troubles"]), (0, ["answer-lost", "front-crash"]), output)
         self.assertEqual([life["difference"] for life in verdict["replays"].values()], [""] * len(verdict["replays"]))
         self.assertGreater(len(verdict["replays"]), 3)
         self.assertGreater(sum(life["did"] for life in verdict["replays"].values()), 50)
 
-    def test_a_script_that_means_nothing_ends_with_2(self):
+    def test_script_with_an_unknown_trouble_kind_exits_with_status_2(self):
         (self.folder / "day.xml").write_text(SCRIPT.replace('kind="crash"', 'kind="boredom"'))
         run = self.rehearse()
         _, errors = run.communicate(timeout=60)
