--- a/curlewshift/fault_injection/node_planted_faults.py
+++ b/curlewshift/fault_injection/node_planted_faults.py
@@ -1,5 +1,5 @@
-"""`python -m curlewshift.fault_injection.node_planted_faults NAME`: a front node that does not see one way in which
-viewers leave. Started by node_day.py alone, to see that its judge catches each; no node that serves anyone is made from it."""
+"""`python -m curlewshift.fault_injection.node_planted_faults NAME`: a front node with a planted fault, which ignores one of the
+ways in which viewers leave. Started only by node_day.py, to check that its judge detects each fault; never used in service."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from curlewshift.node.client_listener import ClientListener, rtsp
 
 
-class DeafToEnds(ClientListener):
-    """Takes the end of a connection for nothing that its requests have to do with."""
+class IgnoresConnectionEnds(ClientListener):
+    """Does not cancel the requests of a connection that has ended."""
 
     def _left(self, connection):
         connection.waiting.clear()
@@ -22,8 +22,8 @@
         return asked is not None and not asked.connection.wire.gone and super().read_first(name, then)
 
 
-class DeafToCancels(ClientListener):
-    """Takes a cancel, and forgets it."""
+class IgnoresCancels(ClientListener):
+    """Confirms the cancel of a pending request and does nothing else."""
 
     def _torn_down(self, connection, name, number, message):
         asked = self.asked.get(name)
@@ -33,17 +33,17 @@
             connection.wire.send(rtsp.answer(200, number, name))
 
 
-class DeafNode(node.Node):
-    """Does not tell the desk that a viewer has left."""
+class IgnoresAbandonedRequests(node.Node):
+    """Does not notify the session core that a viewer has left."""
 
     def gave_up(self, request):
         pass
 
 
 FAULTS = {
-    "deaf-to-ends": lambda: setattr(node, "ClientListener", DeafToEnds),
-    "deaf-to-cancels": lambda: setattr(node, "ClientListener", DeafToCancels),
-    "deaf-to-leaving": lambda: setattr(node, "Node", DeafNode),
+    "deaf-to-ends": lambda: setattr(node, "ClientListener", IgnoresConnectionEnds),
+    "deaf-to-cancels": lambda: setattr(node, "ClientListener", IgnoresCancels),
+    "deaf-to-leaving": lambda: setattr(node, "Node", IgnoresAbandonedRequests),
 }
 
 
--- a/curlewshift/fault_injection/node_sides.py
+++ b/curlewshift/fault_injection/node_sides.py
@@ -1,7 +1,7 @@
-"""Both sides of a front node on loopback: viewers that leave in every way, and media servers that answer, refuse, break, hang,
-go away or accept late. What each sees on its own sockets goes into the traffic. Called by node_day.py.
+"""Viewers and media servers around a front node on loopback. Viewers leave in various ways; servers answer, refuse, fail, reset
+connections, never answer, stop listening or accept late. Each records the traffic on its own sockets. Called by node_day.py.
 
-Ids are read off the wire by their places on the pages, with nothing of the program that is judged.
+Messages are parsed by their offsets in the protocol description, with no code of the program that is judged.
 """
 
 from __future__ import annotations
@@ -15,24 +15,29 @@
 
 from curlewshift.standins.traffic import Traffic, arrived_at
 
+# Message kinds, field codes and cause codes of the media server protocol.
 SET_UP, ANSWER, RELEASE, RELEASED, PROBE, PROBED = 1, 9, 12, 16, 52, 53
 CAUSE, DESCRIPTION = 47, 48
 FULL, ERROR = 34, 47
 BACKLOG = 256
-# What a set-up meets, and how often.
-DEALS = {"plays": 8, "refuses": 8, "fails": 1, "breaks": 1, "hangs": 1}
-# It is dealt with after so long at the most (s); every other one at once.
-DEALT_WITHIN = 0.4
-# A server accepts late, or is away, for between so long (s), and is well for between so long.
-AWAY, WELL = (0.1, 0.8), (0.2, 2.0)
-# Of a hundred connections so many stay for their answers; the others leave by one of these.
-STAY = 25
-WAYS = ("closed", "reset", "shut-down", "cancelled")
-# They leave at once, within the time of a dial on loopback, or within that of a dial that is lost once (s).
-LEAVE_WITHIN = (0.0, 0.02, 0.3, 1.3)
-# Who stays is answered within this (s): the time that the node is told, from when it reads that; it may be stopped before.
-PATIENCE_MS, ANSWERED_WITHIN = 3000, 10.0
-LINGERS = 0.5
+# The outcomes of a set-up, and their weights.
+OUTCOME_WEIGHTS = {"plays": 8, "refuses": 8, "fails": 1, "breaks": 1, "hangs": 1}
+# About half of the set-ups are handled at once, the others after a random delay of up to this long.
+MAX_OUTCOME_DELAY_S = 0.4
+# Ranges of how long a server accepts late or does not listen, and of how long it works normally in between.
+FAULT_DURATION_S, HEALTHY_DURATION_S = (0.1, 0.8), (0.2, 2.0)
+# The percentage of connections that wait for their answers; the others leave by one of these methods.
+STAY_PERCENT = 25
+LEAVE_METHODS = ("closed", "reset", "shut-down", "cancelled")
+# Bounds of the random time after which they leave: at once, while the node connects on loopback, and while it connects after a
+# SYN was lost once.
+LEAVE_WITHIN_S = (0.0, 0.02, 0.3, 1.3)
+# The patience that requests carry, which the node counts from when it reads them, and the time-out of a viewer that waits for its
+# answers. The time-out is longer, as the node may be stopped before it reads a request.
+PATIENCE_MS, ANSWER_TIMEOUT_S = 3000, 10.0
+# How long a viewer keeps its connection open after a cancel or a half-close.
+LINGER_S = 0.5
+# RTSP statuses.
 PLAYS, REFUSED, FAILED = 200, 453, 500
 ANSWERED = re.compile(rb"RTSP/1\.0 (\d+) [^\r]*\r\nCSeq: \d+\r\nSession: ([0-9a-f]{16})\r\n")
 
@@ -43,56 +48,56 @@
 
 
 class Server:
-    """One media server. Listening on a queue that is full it cannot be dialled: the kernel drops who comes, and who comes again
-    a second later gets in, if it has made room by then."""
+    """One media server. While its accept queue is full nobody can connect to it: the kernel drops SYNs, and a client whose SYN is
+    retransmitted a second later gets in if there is space in the queue by then."""
 
     def __init__(self, number: int, port: int, rng: Random, traffic: Traffic):
         self.port = port
         self.name, self.number, self.rng, self.traffic = f"s-{number + 1:08x}", number, rng, traffic
-        self.given_up: set[bytes] = set()
-        self.accepts, self.parked, self.turn = anyio.Event(), anyio.Event(), anyio.CancelScope()
-        self.accepts.set()
+        self.released: set[bytes] = set()
+        self.accepting, self.idle, self.accept_scope = anyio.Event(), anyio.Event(), anyio.CancelScope()
+        self.accepting.set()
         self._listen()
 
     async def run(self, tasks) -> None:
         while True:
-            if not self.accepts.is_set():
-                self.parked.set()
-                await self.accepts.wait()
-            with anyio.CancelScope() as self.turn:
+            if not self.accepting.is_set():
+                self.idle.set()
+                await self.accepting.wait()
+            with anyio.CancelScope() as self.accept_scope:
                 await anyio.wait_readable(self.listener)
             try:
-                sock = self.listener.accept()[0] if self.accepts.is_set() else None
+                sock = self.listener.accept()[0] if self.accepting.is_set() else None
             except OSError:
                 continue
             if sock is not None:
                 sock.setblocking(False)
-                tasks.start_soon(self._line, sock, tasks)
-
-    async def befall(self, lasts: float) -> None:
-        """Now and then it accepts late, or is away and refuses who dials it."""
-        ends = anyio.current_time() + lasts
-        while anyio.current_time() < ends:
-            await anyio.sleep(self.rng.uniform(*WELL))
-            # nobody may wait on a listener that is closed: waits are known by a descriptor's number, and the next socket gets it
-            self.accepts, self.parked = anyio.Event(), anyio.Event()
-            self.turn.cancel()
-            await self.parked.wait()
+                tasks.start_soon(self._serve_connection, sock, tasks)
+
+    async def inject_faults(self, duration: float) -> None:
+        """At random times accepts late, or closes its listener, so that connections are refused."""
+        deadline = anyio.current_time() + duration
+        while anyio.current_time() < deadline:
+            await anyio.sleep(self.rng.uniform(*HEALTHY_DURATION_S))
+            # no task may wait on a closed listener: waits are registered by descriptor number, which the next socket gets
+            self.accepting, self.idle = anyio.Event(), anyio.Event()
+            self.accept_scope.cancel()
+            await self.idle.wait()
             late = self.rng.random() < 0.75
             fillers = [self._filler()] if late else []
             if not late:
                 self.listener.close()
-            await anyio.sleep(self.rng.uniform(*AWAY))
+            await anyio.sleep(self.rng.uniform(*FAULT_DURATION_S))
             for filler in fillers:
                 filler.close()
             if late:
                 self.listener.listen(BACKLOG)
             else:
                 self._listen()
-            self.accepts.set()
+            self.accepting.set()
 
     def _filler(self) -> socket.socket:
-        """Takes a place of the queue, which has one."""
+        """Fills the accept queue, which has one place with a backlog of 0."""
         self.listener.listen(0)
         filler = socket.socket()
         filler.setblocking(False)
@@ -103,19 +108,19 @@
         self.listener = socket.create_server(("127.0.0.1", self.port), backlog=BACKLOG)
         self.listener.setblocking(False)
 
-    async def _line(self, sock: socket.socket, tasks) -> None:
-        held, first = b"", 0
+    async def _serve_connection(self, sock: socket.socket, tasks) -> None:
+        buffered, first_byte_ns = b"", 0
         try:
             while sock.fileno() >= 0:
                 await anyio.wait_readable(sock)
-                came = arrived_at(sock)
+                arrived_ns = arrived_at(sock)
                 data = sock.recv(65536)
                 if not data:
                     break
-                first, held = first if held else came, held + data
-                while len(held) >= 2 and len(held) >= (whole := 2 + int.from_bytes(held[:2], "big")):
-                    self._take(sock, tasks, held[2], held[3:11], first)
-                    first, held = came, held[whole:]
+                first_byte_ns, buffered = first_byte_ns if buffered else arrived_ns, buffered + data
+                while len(buffered) >= 2 and len(buffered) >= (message_end := 2 + int.from_bytes(buffered[:2], "big")):
+                    self._handle_message(sock, tasks, buffered[2], buffered[3:11], first_byte_ns)
+                    first_byte_ns, buffered = arrived_ns, buffered[message_end:]
         except (OSError, ValueError, anyio.ClosedResourceError, anyio.BrokenResourceError):
             pass
         finally:
@@ -123,7 +128,7 @@
 
     @staticmethod
     def _close(sock: socket.socket, reset: bool = False) -> None:
-        """Who reads on it wakes and closes it."""
+        """Shuts down reading, so that the task that reads from the socket wakes up and closes it; with `reset` by an RST."""
         try:
             if reset:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -131,29 +136,31 @@
         except OSError:
             pass
 
-    def _take(self, sock: socket.socket, tasks, kind: int, id: bytes, first: int) -> None:
+    def _handle_message(self, sock: socket.socket, tasks, kind: int, id: bytes, first_byte_ns: int) -> None:
         if kind == SET_UP:
-            self.traffic.seen("setup", request=id.hex(), server=self.name, first_byte=first)
-            deal = self.rng.choices(list(DEALS), list(DEALS.values()))[0]
-            tasks.start_soon(self._deal, sock, id, deal, self.rng.choice((0.0, self.rng.uniform(0, DEALT_WITHIN))))
+            self.traffic.seen("setup", request=id.hex(), server=self.name, first_byte=first_byte_ns)
+            outcome = self.rng.choices(list(OUTCOME_WEIGHTS), list(OUTCOME_WEIGHTS.values()))[0]
+            tasks.start_soon(
+                self._apply_outcome, sock, id, outcome, self.rng.choice((0.0, self.rng.uniform(0, MAX_OUTCOME_DELAY_S)))
+            )
         elif kind == RELEASE:
-            self.given_up.add(id)
-            self._say(sock, message(RELEASED, id))
+            self.released.add(id)
+            self._send(sock, message(RELEASED, id))
         elif kind == PROBE:
-            self._say(sock, message(PROBED, id, CAUSE, b"\1"))
+            self._send(sock, message(PROBED, id, CAUSE, b"\1"))
 
-    async def _deal(self, sock: socket.socket, id: bytes, deal: str, after: float) -> None:
-        await anyio.sleep(after)
-        if id in self.given_up:
+    async def _apply_outcome(self, sock: socket.socket, id: bytes, outcome: str, delay: float) -> None:
+        await anyio.sleep(delay)
+        if id in self.released:
             return
-        if deal == "plays":
-            self._say(sock, message(ANSWER, id, DESCRIPTION, b"plays"))
-        elif deal in ("refuses", "fails"):
-            self._say(sock, message(RELEASE, id, CAUSE, bytes((FULL if deal == "refuses" else ERROR,))))
-        elif deal == "breaks":
+        if outcome == "plays":
+            self._send(sock, message(ANSWER, id, DESCRIPTION, b"plays"))
+        elif outcome in ("refuses", "fails"):
+            self._send(sock, message(RELEASE, id, CAUSE, bytes((FULL if outcome == "refuses" else ERROR,))))
+        elif outcome == "breaks":
             self._close(sock, reset=self.rng.random() < 0.5)
 
-    def _say(self, sock: socket.socket, data: bytes) -> None:
+    def _send(self, sock: socket.socket, data: bytes) -> None:
         try:
             sock.sendall(data)
         except (OSError, ValueError):
@@ -167,51 +174,51 @@
         self.rng, self.traffic, self.front = rng, traffic, front
         self.ids = [f"{number:08x}{place:08x}" for place in range(rng.choice((1, 1, 2, 3)))]
         self.answers: dict[str, int] = {}
-        self.heard = b""
-        # requests of one that stayed, and that nobody answered
+        self.received = b""
+        # the number of requests without an answer, if the viewer waited for them
         self.unanswered = 0
-        self.over: set[str] = set()
+        self.ended: set[str] = set()
 
     @property
-    def waits_for(self) -> list[str]:
-        return [id for id in self.ids if id not in self.answers and id not in self.over]
+    def pending(self) -> list[str]:
+        return [id for id in self.ids if id not in self.answers and id not in self.ended]
 
-    async def come(self, port: int) -> None:
-        # the whole way by system calls: what is noted is what the kernel has
+    async def run(self, port: int) -> None:
+        # plain system calls throughout, so that events are recorded when the kernel has the data
         try:
             self.sock = socket.create_connection(("127.0.0.1", port), 2.0)
         except OSError:
-            # it has asked for nothing
+            # no request was sent
             return
         self.sock.setblocking(False)
         try:
             for id in self.ids:
                 self.traffic.seen("ask", request=id, front=self.front)
             self.sock.sendall(b"".join(self._set_up(id) for id in self.ids))
-            stays = self.rng.randrange(100) < STAY
-            within = ANSWERED_WITHIN if stays else self.rng.uniform(0, self.rng.choice(LEAVE_WITHIN))
-            if not stays and not within:
-                # nobody has had a turn since the request went out
-                await self._leave(self.rng.choice(WAYS))
+            stays = self.rng.randrange(100) < STAY_PERCENT
+            delay = ANSWER_TIMEOUT_S if stays else self.rng.uniform(0, self.rng.choice(LEAVE_WITHIN_S))
+            if not stays and not delay:
+                # no other task has run since the requests were sent
+                await self._leave(self.rng.choice(LEAVE_METHODS))
                 return
-            with anyio.move_on_after(within):
-                while self.waits_for:
-                    await self._hear()
-            self.unanswered = len(self.waits_for) if stays else 0
-            await self._leave("closed" if stays else self.rng.choice(WAYS))
+            with anyio.move_on_after(delay):
+                while self.pending:
+                    await self._receive()
+            self.unanswered = len(self.pending) if stays else 0
+            await self._leave("closed" if stays else self.rng.choice(LEAVE_METHODS))
         except ConnectionError:
-            self._gone("broken")
+            self._record_left("broken")
         finally:
             self.sock.close()
 
-    async def _hear(self) -> None:
+    async def _receive(self) -> None:
         await anyio.wait_readable(self.sock)
         data = self.sock.recv(65536)
         if not data:
             raise ConnectionError
-        self.heard += data
-        for status, id in ANSWERED.findall(self.heard):
-            if id.decode() in self.waits_for:
+        self.received += data
+        for status, id in ANSWERED.findall(self.received):
+            if id.decode() in self.pending:
                 self.answers[id.decode()] = int(status)
                 self.traffic.seen("answer", request=id.decode(), status=int(status))
 
@@ -222,23 +229,23 @@
                     f"TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {id}\r\nContent-Length: 0\r\n\r\n".encode()
                 )
                 self.traffic.seen("left", request=id, front=self.front, how="cancelled", answered=id in self.answers)
-                self.over.add(id)
+                self.ended.add(id)
         if how == "reset":
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if how in ("cancelled", "shut-down"):
             if how == "shut-down":
                 self.sock.shutdown(socket.SHUT_WR)
-                self._gone(how)
-            await anyio.sleep(LINGERS)
+                self._record_left(how)
+            await anyio.sleep(LINGER_S)
         self.sock.close()
-        self._gone("closed" if how == "cancelled" else how)
+        self._record_left("closed" if how == "cancelled" else how)
 
-    def _gone(self, how: str) -> None:
-        """The end is in the kernel for all that is still asked here."""
+    def _record_left(self, how: str) -> None:
+        """Records that the viewer has left, once the kernel has the close, for all requests that have not ended."""
         for id in self.ids:
-            if id not in self.over:
+            if id not in self.ended:
                 self.traffic.seen("left", request=id, front=self.front, how=how, answered=id in self.answers)
-                self.over.add(id)
+                self.ended.add(id)
 
     def _set_up(self, id: str) -> bytes:
         package = self.rng.choice(("lesson", "clip"))
--- a/curlewshift/fault_injection/table.py
+++ b/curlewshift/fault_injection/table.py
@@ -1,4 +1,4 @@
-"""The verdict as tables for people."""
+"""Verdicts as tables for people."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 
 RULES = {
     "1": "each request answered once, in time",
-    "2": "no set-up twice",
+    "2": "no set-up made twice",
     "3": "drains kept",
-    "4": "cold servers spared",
+    "4": "pace of cold servers kept",
     "5": "floors and seats kept",
     "6": "further tune-ins within budget",
 }
 
 
 def verdict_tables(verdict: dict) -> list[Table]:
+    """Returns one table of counts and one of the rules."""
     counts = Table(title="requests and sessions")
     counts.add_column("")
     counts.add_column("count", justify="right")
@@ -49,12 +50,12 @@
     for name in ("refused", "out_of_order", "asks_a_viewing", "storm_over_s", "came_together", "went_round"):
         if "shed" in verdict:
             counts.add_row("shed: " + name.replace("_", " "), str(verdict["shed"][name]))
-    rules = Table(title="rules, from the sockets of stand-ins and viewers")
+    rules = Table(title="rules, judged from the sockets of stand-ins and viewers")
     for name in ("rule", "", "applied", "broken", "verdict"):
         rules.add_column(name)
     for number, rule in verdict["rules"].items():
-        word = "not tried" if not rule["tried"] else "BROKEN" if rule["broken"] else "kept"
-        rules.add_row(number, RULES[number], str(rule["applied"]), str(rule["broken"]), word)
+        result = "not tried" if not rule["tried"] else "BROKEN" if rule["broken"] else "kept"
+        rules.add_row(number, RULES[number], str(rule["applied"]), str(rule["broken"]), result)
         for example in rule["examples"]:
             rules.add_row("", f"  {example}", "", "", "")
     return [counts, rules]
