--- a/curlewshift/fault_injection/flood.py
+++ b/curlewshift/fault_injection/flood.py
@@ -2,7 +2,7 @@
 
 Clients send requests at random intervals, each from its own address; flooders send requests as fast as they are answered, over
 many connections. The front's limit of open descriptors is lowered, so that the flood can exhaust it. Clients and flooders run in
-separate processes, so that the flood slows the clients only through the front. Outcomes are counted on the clients' sockets.
+separate processes, so that the flood slows the clients only through the front. Outcomes are counted on the sockets of both.
 """
 
 from __future__ import annotations
