--- a/curlewshift/baselines/__init__.py
+++ b/curlewshift/baselines/__init__.py
@@ -1,1 +1,1 @@
-"""Other policies, for comparison alone; no front that serves anyone is made with one."""
+"""Baseline policies, used for comparison only; no front in service runs one."""
--- a/curlewshift/baselines/baselines.py
+++ b/curlewshift/baselines/baselines.py
@@ -1,7 +1,7 @@
-"""Simple policies in one place, to say what the rules are worth beside them.
+"""Simple placement policies that the rules are compared with.
 
-Each differs from the rules in how a viewing is placed, and where said in that nothing is stepped; all else, the guards
-on what may be sent among them, is the rules' own, so that a comparison is one of placing.
+Each differs from the rules in how a viewing is placed and, where stated, in never changing its rung afterwards. Everything
+else, including the limits on what may be sent to a server, is inherited from the rules, so that only placement is compared.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from curlewshift.rules import Rules
 
 
-class Simple(Rules):
-    """`_pick` chooses among the holders that may be sent to, on the highest rung the viewer allows."""
+class SimplePolicy(Rules):
+    """Places a viewing at a holder that `_pick` chooses among those open to it, on the highest rung the viewer allows."""
 
     def _place(self, viewing: Viewing) -> None:
         seats_left = not viewing.package.seats or self.seats[viewing.title, viewing.package] < viewing.package.seats
-        late = viewing.tune_ins >= self.max_tune_ins or self.host.now() >= viewing.expires
-        open_ones = [server for server in self._open_to(viewing) if server not in viewing.tried]
-        if late or not seats_left or not self._budget_left(viewing) or not open_ones:
+        expired = viewing.tune_ins >= self.max_tune_ins or self.host.now() >= viewing.expires
+        candidates = [server for server in self._open_to(viewing) if server not in viewing.tried]
+        if expired or not seats_left or not self._budget_left(viewing) or not candidates:
             self._block(viewing)
             return
-        self._tune_in(viewing, self._pick(viewing, open_ones), self._rung(viewing))
+        self._tune_in(viewing, self._pick(viewing, candidates), self._rung(viewing))
 
     def _pick(self, viewing: Viewing, servers: list[Server]) -> Server:
         raise NotImplementedError
@@ -28,41 +28,45 @@
     def _rung(self, viewing: Viewing) -> int:
         return max(viewing.package.floor, min(viewing.ceiling, viewing.package.top))
 
-    def _told_use(self, server: Server) -> float:
-        """The last report as it stood, whatever its age."""
+    def _reported_use(self, server: Server) -> float:
+        """Part of the link in use (0 to 1) by the last report, regardless of its age."""
         return (server.link.own + server.link.others) / server.link.size
 
 
-class RandomHolder(Simple):
+class RandomHolder(SimplePolicy):
+    """Picks any open holder at random."""
+
     def _pick(self, viewing, servers):
         return self.chance.choice(servers)
 
 
-class LeastReported(Simple):
-    """The lowest last report wins: all fronts that heard the same one send to the same server."""
+class LeastReported(SimplePolicy):
+    """Picks the server with the lowest reported use; all fronts that received the same reports pick the same server."""
 
     def _pick(self, viewing, servers):
-        return min(servers, key=lambda server: (self._told_use(server), server.name))
+        return min(servers, key=lambda server: (self._reported_use(server), server.name))
 
 
-class TwoChoices(Simple):
-    """The better of two drawn by chance (Mitzenmacher 2001)."""
+class TwoChoices(SimplePolicy):
+    """Picks the less used of two servers drawn at random (Mitzenmacher 2001)."""
 
     def _pick(self, viewing, servers):
         drawn = self.chance.sample(servers, min(2, len(servers)))
-        return min(drawn, key=self._told_use)
+        return min(drawn, key=self._reported_use)
+
 
+class RoundRobin(SimplePolicy):
+    """Picks the open holders in turn."""
 
-class RoundRobin(Simple):
-    turn = 0
+    placements = 0
 
     def _pick(self, viewing, servers):
-        self.turn += 1
-        return servers[self.turn % len(servers)]
+        self.placements += 1
+        return servers[self.placements % len(servers)]
 
 
 class FixedRung(Rules):
-    """The rules' choice of server, always on the lowest rung allowed, and no steps or climbs after."""
+    """Picks the server as the rules do, always on the lowest rung allowed, and never steps down or climbs afterwards."""
 
     def _place(self, viewing):
         ceiling, viewing.ceiling = viewing.ceiling, viewing.package.floor
--- a/curlewshift/experiments/__init__.py
+++ b/curlewshift/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Questions asked of the emulator: what is varied, over which seeds, what is measured, and how it compares."""
+"""Experiments in the emulator: factors that are varied, seeds, measures, and comparison with a baseline."""
--- a/curlewshift/experiments/experiment.py
+++ b/curlewshift/experiments/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment as it is written down: read from XML, checked, and spread out into runs."""
+"""Definition of an experiment: read from XML, validated, and expanded into runs."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from curlewshift.standins.script import EMULATED, Trouble, usual
 
 SCHEMA = Path(__file__).with_name("experiment.xsd")
-MOST_RUNS = 20_000
-# What fronts share in a run, to see what each part is worth.
+MAX_RUNS = 20_000
+# What fronts share in a run, to measure the effect of each part.
 SHARED = ("shared", "counts", "rights", "seen")
 
 
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Experiment:
-    """`sizes` are what is not varied; `baseline` is the level of the last factor that others are compared with."""
+    """`sizes` are the fixed parameters; `baseline` is the level of the last factor that the others are compared with."""
 
     name: str
     question: str
@@ -43,7 +43,7 @@
     baseline: str
 
     def runs(self) -> list[Run]:
-        """Seeds vary slowest, so that a run cut short has all levels over fewer seeds."""
+        """All combinations. Seeds vary slowest, so that an interrupted experiment has all levels, for fewer seeds."""
         return [
             Run(tuple(zip(self.factors, levels)), seed)
             for seed in range(1, self.seeds + 1)
@@ -52,39 +52,39 @@
 
 
 def read_experiment(path: Path | str) -> Experiment:
-    """Raises `SiteErrors` with all that is wrong."""
+    """Reads an experiment from XML. Raises `SiteErrors` with all errors."""
     root = read_xml(path, SCHEMA)
-    wrong: list[tuple[int, str]] = []
+    errors: list[tuple[int, str]] = []
     factors: dict[str, list[str]] = {}
     for element in root.iterfind("factor"):
         name, levels = element.get("name"), element.get("levels").split()
         if name in factors:
-            wrong.append((element.sourceline, f"factor {name}: it is varied twice"))
+            errors.append((element.sourceline, f"factor {name}: varied twice"))
         if len(set(levels)) < len(levels) or not levels:
-            wrong.append((element.sourceline, f"factor {name}: levels have to be some, and all different"))
+            errors.append((element.sourceline, f"factor {name}: at least one level is needed, and all different"))
         for level in levels:
-            wrong += [(element.sourceline, f"factor {name}: {text}") for text in _wrong_level(name, level)]
+            errors += [(element.sourceline, f"factor {name}: {text}") for text in _level_errors(name, level)]
         factors[name] = levels
     troubles = []
     for element in root.iterfind("trouble"):
         kind = element.get("kind")
         if kind not in EMULATED:
-            wrong.append((element.sourceline, f"trouble: there is no kind {kind!r} here"))
+            errors.append((element.sourceline, f"trouble: there is no kind {kind!r} in the emulator"))
             continue
         trouble = usual(kind, float(element.get("at")))
-        for what in ("lasts", "part", "size"):
-            if element.get(what) is not None:
-                setattr(trouble, what, float(element.get(what)))
+        for field in ("lasts", "part", "size"):
+            if element.get(field) is not None:
+                setattr(trouble, field, float(element.get(field)))
         troubles.append(trouble)
     baseline = root.get("baseline", "")
     last = list(factors.values())[-1]
     if baseline and baseline not in last:
-        wrong.append((root.sourceline, f"experiment: baseline {baseline!r} is no level of the last factor"))
+        errors.append((root.sourceline, f"experiment: baseline {baseline!r} is no level of the last factor"))
     sizes = {
         name: float(root.get(name, default))
         for name, default in (("fronts", 3), ("servers", 24), ("viewings", 2000), ("lasts", 60), ("load", 0.8), ("watches", 15))
     }
-    held = Experiment(
+    experiment = Experiment(
         root.get("name"),
         " ".join(root.findtext("question").split()),
         factors,
@@ -94,24 +94,24 @@
         troubles,
         baseline,
     )
-    count = held.seeds * prod(max(1, len(levels)) for levels in factors.values())
-    if count > MOST_RUNS:
-        wrong.append((root.sourceline, f"experiment: {count} runs are more than the {MOST_RUNS} that one may have"))
-    if wrong:
-        raise SiteErrors(path, wrong)
-    return held
+    count = experiment.seeds * prod(max(1, len(levels)) for levels in factors.values())
+    if count > MAX_RUNS:
+        errors.append((root.sourceline, f"experiment: {count} runs exceed the maximum of {MAX_RUNS}"))
+    if errors:
+        raise SiteErrors(path, errors)
+    return experiment
 
 
-def _wrong_level(name: str, level: str) -> list[str]:
+def _level_errors(name: str, level: str) -> list[str]:
     if name == "policy":
         known = ("rules", *BASELINES)
-        return [] if level in known else [f"there is no policy {level!r}, but {', '.join(known)}"]
+        return [] if level in known else [f"there is no policy {level!r}; known: {', '.join(known)}"]
     if name == "shared":
         known = ("alone", *SHARED)
-        return [] if level in known else [f"there is no way to share {level!r}, but {', '.join(known)}"]
+        return [] if level in known else [f"there is no sharing mode {level!r}; known: {', '.join(known)}"]
     if name == "trouble":
         known = ("none", *EMULATED)
-        return [] if level in known else [f"there is no trouble {level!r}, but {', '.join(known)}"]
+        return [] if level in known else [f"there is no trouble {level!r}; known: {', '.join(known)}"]
     try:
         value = float(level)
     except ValueError:
--- a/curlewshift/experiments/report.py
+++ b/curlewshift/experiments/report.py
@@ -1,4 +1,4 @@
-"""Charts as SVG and one HTML page that needs no network."""
+"""Report of an experiment: SVG charts and one self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 th:first-child,td:first-child{text-align:left}.wrong{color:#a00}"""
 
 
-def chart(experiment: Experiment, found: list[Cell], measure: str) -> str:
-    """One measure against the first factor, a line for each combination of the others; SVG text."""
+def chart(experiment: Experiment, result_cells: list[Cell], measure: str) -> str:
+    """Chart of one measure against the first factor, one line for each combination of the others, as SVG text."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -23,17 +23,17 @@
 
     matplotlib.rcParams["svg.hashsalt"] = experiment.name
     figure, panel = pyplot.subplots(figsize=(8, 4))
-    first = next(iter(experiment.factors))
+    first_factor = next(iter(experiment.factors))
     lines: dict[str, list[Cell]] = {}
-    for cell in found:
+    for cell in result_cells:
         if cell.measure == measure and cell.seeds:
-            lines.setdefault(", ".join(f"{name} {level}" for name, level in cell.levels[1:]) or first, []).append(cell)
-    levels = experiment.factors[first]
+            lines.setdefault(", ".join(f"{name} {level}" for name, level in cell.levels[1:]) or first_factor, []).append(cell)
+    levels = experiment.factors[first_factor]
     numbers = all(_number(level) is not None for level in levels)
     for name, cells in lines.items():
-        places = [_number(cell.levels[0][1]) if numbers else levels.index(cell.levels[0][1]) for cell in cells]
+        positions = [_number(cell.levels[0][1]) if numbers else levels.index(cell.levels[0][1]) for cell in cells]
         panel.errorbar(
-            places,
+            positions,
             [cell.median for cell in cells],
             yerr=[[cell.median - cell.low for cell in cells], [cell.high - cell.median for cell in cells]],
             marker="o",
@@ -46,7 +46,7 @@
         panel.set_xticks(range(len(levels)), levels, rotation=20)
     elif min(map(float, levels)) > 0 and max(map(float, levels)) / min(map(float, levels)) > 20:
         panel.set_xscale("log")
-    panel.set_xlabel(first)
+    panel.set_xlabel(first_factor)
     panel.set_ylabel(f"{measure} (median, 95%)")
     panel.legend(fontsize=7)
     figure.tight_layout()
@@ -64,8 +64,8 @@
         return None
 
 
-def write_report(experiment: Experiment, found: list[Cell], revision: str, out: Path) -> Path:
-    """`report.html` and a chart for each measure in `out`; returns the page."""
+def write_report(experiment: Experiment, result_cells: list[Cell], revision: str, out: Path) -> Path:
+    """Writes `report.html` and a chart for each measure to `out`; returns the path of the page."""
     out.mkdir(parents=True, exist_ok=True)
     parts = [
         f"<h1>{escape(experiment.name)}</h1><p>{escape(experiment.question)}</p>"
@@ -73,12 +73,12 @@
         f"{escape(', '.join(f'{name} {value:g}' for name, value in experiment.sizes.items()))}.</p>"
     ]
     for measure in experiment.measures:
-        svg = chart(experiment, found, measure)
+        svg = chart(experiment, result_cells, measure)
         (out / f"{measure}.svg").write_text(svg)
-        rows = "".join(_row(cell) for cell in found if cell.measure == measure)
+        rows = "".join(_row(cell) for cell in result_cells if cell.measure == measure)
         parts.append(
             f"<h2>{measure}</h2>{svg}<table><tr><th>levels</th><th>median</th><th>95%</th><th>seeds</th>"
-            f"<th>against {escape(experiment.baseline or 'nothing')}</th><th>wrong runs</th></tr>{rows}</table>"
+            f"<th>against {escape(experiment.baseline or 'nothing')}</th><th>invalid runs</th></tr>{rows}</table>"
         )
     page = out / "report.html"
     page.write_text(
@@ -90,9 +90,9 @@
 
 def _row(cell: Cell) -> str:
     levels = ", ".join(f"{name} {level}" for name, level in cell.levels)
-    against = "" if cell.against is None else "{:+.3f} ({:+.3f} to {:+.3f})".format(*cell.against)
-    mark = " class='wrong'" if cell.wrong else ""
+    difference = "" if cell.difference is None else "{:+.3f} ({:+.3f} to {:+.3f})".format(*cell.difference)
+    row_class = " class='wrong'" if cell.invalid_runs else ""
     return (
-        f"<tr{mark}><td>{escape(levels)}</td><td>{cell.median:.3f}</td><td>{cell.low:.3f} to {cell.high:.3f}</td>"
-        f"<td>{cell.seeds}</td><td>{against}</td><td>{cell.wrong or ''}</td></tr>"
+        f"<tr{row_class}><td>{escape(levels)}</td><td>{cell.median:.3f}</td><td>{cell.low:.3f} to {cell.high:.3f}</td>"
+        f"<td>{cell.seeds}</td><td>{difference}</td><td>{cell.invalid_runs or ''}</td></tr>"
     )
--- a/curlewshift/experiments/store.py
+++ b/curlewshift/experiments/store.py
@@ -1,4 +1,4 @@
-"""Runs that were carried out, in SQLite: a run is there whole or not at all, and is not done twice."""
+"""Completed runs, in SQLite: a run is stored completely or not at all, and is not repeated."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from curlewshift.experiments.experiment import Run
 
 
-class Busy(Exception):
-    """Another process writes this store."""
+class StoreLocked(Exception):
+    """Another process has the store open for writing."""
 
 
 class RunStore:
-    """One process writes; others may read meanwhile. `revision` is of the program, kept with each run."""
+    """One process writes; others may read at the same time. `revision`, stored with each run, is that of the program."""
 
     def __init__(self, path: Path, write: bool = True):
         self.db = sqlite3.connect(path, timeout=5.0, isolation_level=None)
@@ -25,21 +25,23 @@
         )
         self.lock = None
         if write:
-            # two that write one store would do each other's runs again
+            # two writers of one store would repeat each other's runs
             self.lock = sqlite3.connect(f"{path}.lock", timeout=0.0, isolation_level=None)
             try:
                 self.lock.execute("BEGIN EXCLUSIVE")
             except sqlite3.OperationalError:
                 self.db.close()
-                raise Busy(f"another process writes {path}") from None
+                raise StoreLocked(f"another process writes {path}") from None
 
-    def keep(self, experiment: str, revision: str, run: Run, figures: dict) -> None:
+    def save(self, experiment: str, revision: str, run: Run, figures: dict) -> None:
+        """Stores the figures of a run."""
         self.db.execute(
             "INSERT OR REPLACE INTO runs VALUES (?, ?, ?, ?, ?)",
             (experiment, revision, json.dumps(run.levels), run.seed, json.dumps(figures)),
         )
 
     def done(self, experiment: str, revision: str) -> dict[Run, dict]:
+        """Figures of the stored runs of an experiment at a revision."""
         rows = self.db.execute(
             "SELECT levels, seed, figures FROM runs WHERE experiment = ? AND revision = ?", (experiment, revision)
         )
@@ -48,7 +50,7 @@
         }
 
     def revisions(self, experiment: str) -> list[str]:
-        """The newest last."""
+        """Revisions with stored runs of an experiment, newest last."""
         return [
             row[0]
             for row in self.db.execute(
--- a/curlewshift/search/__init__.py
+++ b/curlewshift/search/__init__.py
@@ -1,1 +1,1 @@
-"""Days on which the decisions do badly, looked for in the emulator and shrunk to what makes them bad."""
+"""Search in the emulator for scripts on which the rules do badly, and reduction of those found to their cause."""
--- a/curlewshift/search/search.py
+++ b/curlewshift/search/search.py
@@ -1,8 +1,8 @@
-"""Mutates a day by seed towards a broken rule, or towards more lost against an oracle; then shrinks what it found.
+"""Mutates a script at random towards a broken rule or a larger gap to an oracle, then shrinks what it found.
 
-No I/O but the emulator's, which has none. A find is a day in which a rule is broken, or in which the rules answer less
-value than an oracle on the same day by more than `GAP`. Shrinking drops troubles and makes them shorter, rarer and
-smaller while the day stays a find, so that what is left is what matters.
+No I/O; the emulator has none either. A finding is a script on which a rule is broken, or on which the rules serve less value
+than an oracle on the same script by `FINDING_GAP` or more. Shrinking removes troubles and makes them shorter, rarer and smaller
+while the script stays a finding, so that only what matters is left.
 """
 
 from __future__ import annotations
@@ -18,129 +18,130 @@
 from curlewshift.standins.script import EMULATED, Script, usual
 from curlewshift.verdict.verdict import judge
 
-# A day is a find from this much service less than the oracle's.
-GAP = 0.08
-MOST_TROUBLES = 6
+# A script is a finding if its service is this much less than the oracle's (both 0 to 1).
+FINDING_GAP = 0.08
+MAX_TROUBLES = 6
 KINDS = EMULATED
-# A shrunk day keeps so much of its gap.
-KEEPS = 0.75
+# A shrunk script keeps at least this part of its gap.
+SHRUNK_GAP_SHARE = 0.75
 
 
 @dataclass(slots=True)
-class Found:
-    """`broken` names rules; `gap` is the oracle's service less the rules'."""
+class SearchResult:
+    """`broken` names rules; `gap` is the oracle's service minus the rules'; `limit_exceeded` is why a run did not end, if so."""
 
     script: Script
     gap: float
     service: float
     broken: tuple[str, ...]
-    runaway: str = ""
+    limit_exceeded: str = ""
 
     @property
-    def badness(self) -> float:
-        return (10.0 if self.broken or self.runaway else 0.0) + self.gap
+    def severity(self) -> float:
+        """Higher is worse; a broken rule or a run that does not end counts more than any gap."""
+        return (10.0 if self.broken or self.limit_exceeded else 0.0) + self.gap
 
     @property
-    def is_find(self) -> bool:
-        return bool(self.broken or self.runaway) or self.gap >= GAP
+    def is_finding(self) -> bool:
+        return bool(self.broken or self.limit_exceeded) or self.gap >= FINDING_GAP
 
 
-def look(script: Script, rules: type[Rules] = Rules, wrong: str = "") -> Found:
-    """One day, by the rules and by an oracle."""
+def evaluate(script: Script, rules: type[Rules] = Rules, sabotage: str = "") -> SearchResult:
+    """Runs one script with the rules and with an oracle."""
     traffic: list[dict] = []
     try:
-        World(script, script.seed, traffic, rules, wrong).run()
+        World(script, script.seed, traffic, rules, sabotage).run()
         best: list[dict] = []
         World(script, script.seed, best, Oracle).run()
-    except EventLimitExceeded as runaway:
-        return Found(script, 0.0, 0.0, (), str(runaway))
+    except EventLimitExceeded as limit_exceeded:
+        return SearchResult(script, 0.0, 0.0, (), str(limit_exceeded))
     figures = figures_of(script.site)
     verdict, oracle = judge(traffic, figures), judge(best, figures)
     broken = [number for number, rule in verdict["rules"].items() if rule["broken"]]
     broken += ["orphans"] * bool(verdict["orphans_left"]) + ["left standing"] * bool(verdict["left_standing"])
-    return Found(script, oracle["service"] - verdict["service"], verdict["service"], tuple(broken))
+    return SearchResult(script, oracle["service"] - verdict["service"], verdict["service"], tuple(broken))
 
 
-def mutated(script: Script, rng: Random) -> Script:
-    """Another day near this one."""
+def mutate(script: Script, rng: Random) -> Script:
+    """A copy of the script with one random change."""
     troubles = [replace(trouble) for trouble in script.troubles]
-    ways = (
-        ["add"] * (len(troubles) < MOST_TROUBLES)
+    mutations = (
+        ["add"] * (len(troubles) < MAX_TROUBLES)
         + ["drop", "move", "stretch", "widen", "grow"] * bool(troubles)
         + ["seed", "press"]
     )
-    way = rng.choice(ways)
-    one = rng.choice(troubles) if troubles else None
-    if way == "add":
+    mutation = rng.choice(mutations)
+    trouble = rng.choice(troubles) if troubles else None
+    if mutation == "add":
         kind = rng.choice(KINDS)
         troubles.append(usual(kind, round(rng.uniform(1, script.lasts * 0.8), 1)))
-    elif way == "drop":
-        troubles.remove(one)
-    elif way == "move":
-        one.at = round(min(script.lasts - 1, max(0.5, one.at + rng.gauss(0, 3))), 1)
-    elif way == "stretch":
-        one.lasts = round(max(0.5, min(script.lasts / 2, one.lasts * rng.uniform(0.5, 2))), 1)
-    elif way == "widen":
-        one.part = round(max(0.05, min(0.8, one.part * rng.uniform(0.6, 1.7))), 2)
-    elif way == "grow" and one.kind != "neighbour":
-        one.size = round(max(1.0, min(6.0, one.size * rng.uniform(0.7, 1.5))), 2)
-    elif way == "press":
+    elif mutation == "drop":
+        troubles.remove(trouble)
+    elif mutation == "move":
+        trouble.at = round(min(script.lasts - 1, max(0.5, trouble.at + rng.gauss(0, 3))), 1)
+    elif mutation == "stretch":
+        trouble.lasts = round(max(0.5, min(script.lasts / 2, trouble.lasts * rng.uniform(0.5, 2))), 1)
+    elif mutation == "widen":
+        trouble.part = round(max(0.05, min(0.8, trouble.part * rng.uniform(0.6, 1.7))), 2)
+    elif mutation == "grow" and trouble.kind != "neighbour":
+        trouble.size = round(max(1.0, min(6.0, trouble.size * rng.uniform(0.7, 1.5))), 2)
+    elif mutation == "press":
         return replace(script, each_second=round(max(2.0, min(25.0, script.each_second * rng.uniform(0.8, 1.3))), 1))
-    elif way == "seed":
+    elif mutation == "seed":
         return replace(script, seed=rng.randrange(1, 10**6))
     return replace(script, troubles=sorted(troubles, key=lambda trouble: trouble.at))
 
 
 def search(
-    script: Script, tries: int, seed: int, rules: type[Rules] = Rules, wrong: str = "", progress=lambda done, of, best: None
-) -> Found:
-    """The worst day met in so many."""
+    script: Script, tries: int, seed: int, rules: type[Rules] = Rules, sabotage: str = "", progress=lambda done, of, best: None
+) -> SearchResult:
+    """The worst of `tries` scripts, by stochastic hill climbing from the script without its troubles."""
     rng = Random(seed)
-    best = look(replace(script, troubles=[]), rules, wrong)
+    best = evaluate(replace(script, troubles=[]), rules, sabotage)
     for number in range(tries):
-        day = look(mutated(best.script, rng), rules, wrong)
-        # now and then a step that makes nothing worse is taken too: a hill may lie behind it
-        if day.badness > best.badness or (day.badness > best.badness - 0.01 and rng.random() < 0.2):
-            best = day
+        result = evaluate(mutate(best.script, rng), rules, sabotage)
+        # a slightly less severe script is sometimes accepted, to escape local maxima
+        if result.severity > best.severity or (result.severity > best.severity - 0.01 and rng.random() < 0.2):
+            best = result
         progress(number + 1, tries, best)
-        if best.broken or best.runaway:
+        if best.broken or best.limit_exceeded:
             break
     return best
 
 
-def shrunk(found: Found, rules: type[Rules] = Rules, wrong: str = "", most_tries: int = 80) -> Found:
-    """The fewest and mildest troubles that still make it a find of the same sort."""
+def shrink(found: SearchResult, rules: type[Rules] = Rules, sabotage: str = "", max_tries: int = 80) -> SearchResult:
+    """The fewest and mildest troubles for which the script stays a finding of the same kind."""
     best, tries, wanted = found, 0, set(found.broken)
 
-    def still(day: Found) -> bool:
-        if wanted or found.runaway:
-            return bool(wanted & set(day.broken)) or bool(found.runaway and day.runaway)
-        return day.gap >= max(GAP * KEEPS, KEEPS * found.gap)
+    def is_same_finding(result: SearchResult) -> bool:
+        if wanted or found.limit_exceeded:
+            return bool(wanted & set(result.broken)) or bool(found.limit_exceeded and result.limit_exceeded)
+        return result.gap >= max(FINDING_GAP * SHRUNK_GAP_SHARE, SHRUNK_GAP_SHARE * found.gap)
 
     changed = True
-    while changed and tries < most_tries:
+    while changed and tries < max_tries:
         changed = False
-        for milder in milder_days(best.script):
+        for candidate in milder_scripts(best.script):
             tries += 1
-            day = look(milder, rules, wrong)
-            if still(day):
-                best, changed = day, True
+            result = evaluate(candidate, rules, sabotage)
+            if is_same_finding(result):
+                best, changed = result, True
                 break
-            if tries >= most_tries:
+            if tries >= max_tries:
                 break
     return best
 
 
-def milder_days(script: Script) -> list[Script]:
-    """Each one step milder: fewer troubles first, then shorter, rarer and smaller ones."""
-    found = [replace(script, troubles=[one for one in script.troubles if one is not trouble]) for trouble in script.troubles]
+def milder_scripts(script: Script) -> list[Script]:
+    """Scripts one step milder: first with a trouble less, then with shorter, rarer or smaller ones."""
+    scripts = [replace(script, troubles=[kept for kept in script.troubles if kept is not trouble]) for trouble in script.troubles]
     for number, trouble in enumerate(script.troubles):
-        for what, value, least in (("lasts", trouble.lasts, 1.0), ("part", trouble.part, 0.1), ("size", trouble.size, 1.0)):
-            less = round(value * 0.6, 2)
-            if less >= least and not (what == "size" and trouble.kind == "neighbour"):
-                troubles = [replace(one) for one in script.troubles]
-                setattr(troubles[number], what, less)
-                found.append(replace(script, troubles=troubles))
+        for field, value, minimum in (("lasts", trouble.lasts, 1.0), ("part", trouble.part, 0.1), ("size", trouble.size, 1.0)):
+            reduced = round(value * 0.6, 2)
+            if reduced >= minimum and not (field == "size" and trouble.kind == "neighbour"):
+                troubles = [replace(kept) for kept in script.troubles]
+                setattr(troubles[number], field, reduced)
+                scripts.append(replace(script, troubles=troubles))
     if script.each_second > 5:
-        found.append(replace(script, each_second=round(script.each_second * 0.8, 1)))
-    return found
+        scripts.append(replace(script, each_second=round(script.each_second * 0.8, 1)))
+    return scripts
--- a/curlewshift/search/writing.py
+++ b/curlewshift/search/writing.py
@@ -1,4 +1,4 @@
-"""A found day as a rehearsal's script, so that it can be played again, here and on sockets."""
+"""Writes a search result as a fault injection script, so that it can be run again in the emulator and on sockets."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from lxml import etree
 
-from curlewshift.search.search import Found
+from curlewshift.search.search import SearchResult
 
 
-def write_found(found: Found, path: Path) -> None:
-    """`path` names the script; its site is named from there."""
+def write_result(found: SearchResult, path: Path) -> None:
+    """Writes the script to `path`; its site is given relative to that folder."""
     script = found.script
     root = etree.Element(
         "rehearsal",
@@ -19,11 +19,11 @@
         lasts=f"{script.lasts:g}s",
         seed=str(script.seed),
     )
-    if found.broken or found.runaway:
-        words = f"breaks {', '.join(found.broken) or 'off: ' + found.runaway}"
+    if found.broken or found.limit_exceeded:
+        description = f"breaks {', '.join(found.broken) or 'off: ' + found.limit_exceeded}"
     else:
-        words = f"service {found.service:.3f}, {found.gap:.3f} under an oracle's"
-    root.append(etree.Comment(f" Found by search and shrunk; simulated: {words} "))
+        description = f"service {found.service:.3f}, {found.gap:.3f} under an oracle's"
+    root.append(etree.Comment(f" Found by search and shrunk; simulated: {description} "))
     viewers = etree.SubElement(
         root,
         "viewers",
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -13,7 +13,7 @@
 from curlewshift.emulator.shared import Shares, usual_terms
 from curlewshift.emulator.sizes import made_up
 from curlewshift.emulator.world import World
-from curlewshift.experiments.one_run import measured
+from curlewshift.experiments.one_run import run_figures
 from curlewshift.membership.terms import default_membership_terms
 from curlewshift.model_checker.budget_checker import FAULTS, walk_budgets
 from curlewshift.peering.shared import KIND, SharedWire
@@ -559,7 +559,7 @@
         shares = Shares(usual_terms(script.site.obligations.fall_within), **more) if shared else None
         world = World(script, seed, traffic, shared=shares)
         world.run()
-        return measured(world, 0)
+        return run_figures(world, 0)
 
     def test_sharing_fronts_have_fewer_short_seconds_and_serve_as_much(self):
         alone, shared = self.figures(False), self.figures(True)
