--- a/curlewshift/__init__.py
+++ b/curlewshift/__init__.py
@@ -1,1 +1,1 @@
-"""curlewshift: a front that places and shapes viewings on media servers with shared links."""
+"""curlewshift: a session front that places viewings on media servers with shared links and adapts their quality layers."""
--- a/curlewshift/commands/__init__.py
+++ b/curlewshift/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: a file a noun, each importing its subsystem when it is called."""
+"""The command line: one module for each command, which imports its subsystem only when it is called."""
--- a/curlewshift/commands/check.py
+++ b/curlewshift/commands/check.py
@@ -1,18 +1,18 @@
-"""`curlewshift check`: the settings of a site, read and judged."""
+"""`curlewshift check`: reads and validates the settings of a site."""
 
 from __future__ import annotations
 
 import click
 
-from curlewshift.commands.common import PATH, site_of
+from curlewshift.commands.common import PATH, load_site
 
 
 @click.command()
 @click.argument("site", type=PATH)
 def check(site):
-    """Read SITE and tell all that is wrong with it."""
-    held = site_of(site)
+    """Read SITE and report all errors in it."""
+    loaded_site = load_site(site)
     click.echo(
-        f"{site}: {len(held.front_addresses)} fronts, {len(held.machines)} servers, {len(held.titles)} titles, "
-        f"{len(held.packages)} packages"
+        f"{site}: {len(loaded_site.front_addresses)} fronts, {len(loaded_site.machines)} servers, "
+        f"{len(loaded_site.titles)} titles, {len(loaded_site.packages)} packages"
     )
--- a/curlewshift/commands/common.py
+++ b/curlewshift/commands/common.py
@@ -1,4 +1,4 @@
-"""What several commands do alike. Exit 0: done and well; 1: a rule broken or a part that failed; 2: bad input."""
+"""Helpers shared by the commands. Exit status 0: success; 1: a rule was broken or a component failed; 2: invalid input."""
 
 from __future__ import annotations
 
@@ -14,54 +14,58 @@
 
 
 def read_or_exit(reader, path):
-    """What the reader makes of the file; or all its mistakes on standard error, and exit 2."""
+    """Returns what `reader` makes of the file; prints all its errors to standard error and exits with 2 if it has any."""
     from curlewshift.site.reading import SiteErrors
 
     try:
         return reader(path)
-    except SiteErrors as mistakes:
-        click.echo(str(mistakes), err=True)
+    except SiteErrors as errors:
+        click.echo(str(errors), err=True)
         sys.exit(2)
 
 
-def site_of(path: Path):
-    """The site in this file; exits with its mistakes, a line each."""
+def load_site(path: Path):
+    """Reads the site from this file; exits with 2 and its errors, one a line, if it has any."""
     from curlewshift.site.site import read_site
 
     return read_or_exit(read_site, path)
 
 
 def check_sabotage(name: str | None) -> None:
-    """Spoilt fronts are loaded for a rehearsal that names one, and for no other."""
+    """Exits with 2 if `name` is no known sabotage. Fronts with planted faults are imported only if a sabotage is named."""
     if name is None:
         return
     from curlewshift.front.planted_faults import NAMES
 
     if name not in NAMES:
-        click.echo(f"there is no sabotage {name!r}, but {', '.join(NAMES)}", err=True)
+        click.echo(f"unknown sabotage {name!r}; known: {', '.join(NAMES)}", err=True)
         sys.exit(2)
 
 
-def shown_by_front(state: Path, what: str, missing: str, as_json: bool, part=lambda told: told) -> dict:
-    """What the front at the state folder shows of `what`; exit 2 where its settings have none of it. `part` leaves out what
-    was not asked for. As JSON it is printed
-    here, and the command has done its work."""
+def view_of_front(state: Path, command: str, missing: str, as_json: bool, select=lambda view: view) -> dict:
+    """What the front at the state folder returns for the `show` command named `command`, reduced by `select`.
+
+    Exits with 2 and the message `missing` if the front's settings do not have that feature. With `as_json` the result is
+    printed as JSON and the process exits with 0.
+    """
     import json
 
-    told = tell_front(state, {"do": what})[what]
-    if told is None:
+    view = send_to_front(state, {"do": command})[command]
+    if view is None:
         click.echo(f"curlewshift: {missing}", err=True)
         sys.exit(2)
-    told = part(told)
+    view = select(view)
     if as_json:
-        click.echo(json.dumps(told, indent=1))
+        click.echo(json.dumps(view, indent=1))
         sys.exit(0)
-    return told
+    return view
+
 
+def send_to_front(state: Path, command: dict, within: float | None = None) -> dict:
+    """Sends a command to the front or control machine at the state folder and returns its answer.
 
-def tell_front(state: Path, command: dict, within: float | None = None) -> dict:
-    """What the front, or control machine, answers; or its no, in words, and exit 2; exit 1 if none listens or answers within so
-    long (s)."""
+    Exits with 2 and the reason if it refuses, and with 1 if none listens or answers within `within` seconds (`WITHIN` if None).
+    """
     from curlewshift.front.control import WITHIN, tell
 
     try:
--- a/curlewshift/commands/configuration.py
+++ b/curlewshift/commands/configuration.py
@@ -1,4 +1,4 @@
-"""`curlewshift configuration`: versions of the site file, put at a control machine and in force at all fronts."""
+"""`curlewshift configuration`: versions of the site file, submitted to a control machine and put in force at all fronts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import click
 
-from curlewshift.commands.common import STATE, shown_by_front, tell_front
+from curlewshift.commands.common import STATE, send_to_front, view_of_front
 
 FOLDER = click.option("--state", type=click.Path(path_type=Path), required=True, help="A control machine's state folder.")
 
@@ -21,18 +21,18 @@
 @STATE
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of tables.")
 def configuration_show(state, as_json):
-    """What the front or control machine at the state folder knows: newest, in force, lowest by zone, who lags or refuses."""
+    """Show the versions known to the front or control machine: newest, in force, lowest by zone, and who lags or refuses."""
     from rich.console import Console
     from rich.table import Table
 
-    told = shown_by_front(state, "configuration", "the settings have no <configuration>", as_json)
+    view = view_of_front(state, "configuration", "the settings have no <configuration>", as_json)
     table = Table(show_header=False)
-    for name, value in told.items():
+    for name, value in view.items():
         if not isinstance(value, (dict, list)):
             table.add_row(name.replace("_", " "), "" if value is None else str(value))
     console = Console(width=150)
     console.print(table)
-    for name, rows in told.items():
+    for name, rows in view.items():
         if isinstance(rows, dict) and rows:
             rows = [{name.rstrip("s"): key, **(value if isinstance(value, dict) else {"": value})} for key, value in rows.items()]
         if rows and isinstance(rows, list):
@@ -54,47 +54,49 @@
 @configuration.command("put")
 @click.argument("file", type=click.Path(path_type=Path))
 @FOLDER
-@click.option("--why", required=True, help="Goes into the log with your name.")
-@click.option("--base", help="The version that FILE was made from; the one that is the newest now if not said.")
-@click.option("--restarts", is_flag=True, help="Take what needs a restart too: each front has it from its next start on.")
+@click.option("--why", required=True, help="Reason, logged with your user name.")
+@click.option("--base", help="The version that FILE was derived from; the newest one by default.")
+@click.option(
+    "--restarts", is_flag=True, help="Also accept changes that need a restart; each front applies them at its next start."
+)
 def configuration_put(file, state, why, base, restarts):
-    """Have FILE in force everywhere. It is checked first; what is wrong with it is told before anybody hears of it."""
+    """Put FILE in force at all fronts. It is validated first; errors are reported before anything is distributed."""
     from curlewshift.control.commands import PUT_WITHIN
 
     try:
         content = file.read_text()
-    except (OSError, UnicodeDecodeError) as wrong:
-        click.echo(f"{file}: {wrong}", err=True)
+    except (OSError, UnicodeDecodeError) as error:
+        click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
     if base is None:
-        base = tell_front(state, {"do": "content"})["content"]["version"]
-    answer = tell_front(
+        base = send_to_front(state, {"do": "content"})["content"]["version"]
+    answer = send_to_front(
         state,
         {"do": "put", "content": content, "base": base, "name": str(file), "why": why, "restarts": restarts},
         PUT_WITHIN + 10,
     )
-    click.echo(f"{answer['version']} is with a majority of the control machines, and is on its way to all")
+    click.echo(f"{answer['version']} is stored by a majority of the control machines, and is being distributed to all")
     if answer["needs_restart"]:
-        click.echo(f"in force at each front from its next start on: {answer['needs_restart']}")
+        click.echo(f"applied by each front at its next start: {answer['needs_restart']}")
 
 
 @configuration.command("diff")
 @click.argument("file", type=click.Path(path_type=Path))
 @FOLDER
 def configuration_diff(file, state):
-    """The lines by which FILE differs from what is the newest at the state folder; exit 1 if any do."""
+    """Compare FILE with the newest version at the state folder, line by line; exit 1 if they differ."""
     from difflib import unified_diff
 
-    held = tell_front(state, {"do": "content"})["content"]
-    if held["text"] is None:
-        click.echo("curlewshift: no version was put yet: each front has the file it was given", err=True)
+    newest = send_to_front(state, {"do": "content"})["content"]
+    if newest["text"] is None:
+        click.echo("curlewshift: no version has been submitted yet: each front uses the file that it was started with", err=True)
         sys.exit(2)
     try:
-        wanted = file.read_text()
-    except (OSError, UnicodeDecodeError) as wrong:
-        click.echo(f"{file}: {wrong}", err=True)
+        file_text = file.read_text()
+    except (OSError, UnicodeDecodeError) as error:
+        click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
-    lines = list(unified_diff(held["text"].splitlines(), wanted.splitlines(), held["version"], str(file), lineterm=""))
+    lines = list(unified_diff(newest["text"].splitlines(), file_text.splitlines(), newest["version"], str(file), lineterm=""))
     for line in lines:
         click.echo(line)
     sys.exit(1 if lines else 0)
--- a/curlewshift/commands/front.py
+++ b/curlewshift/commands/front.py
@@ -1,4 +1,4 @@
-"""`curlewshift front`: one front of a site, until SIGTERM."""
+"""`curlewshift front`: runs one front of a site until SIGTERM."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 import click
 
-from curlewshift.commands.common import PATH, check_sabotage, run, site_of
+from curlewshift.commands.common import PATH, check_sabotage, load_site, run
 
 
 @click.command()
 @click.argument("site", type=PATH)
-@click.option("--name", help="Which front of the site; the first if not said.")
-@click.option("--state", type=PATH, help="A folder for what outlives the process.")
-@click.option("--seed", type=int, help="For its chance; drawn if not said.")
-@click.option("--capture", type=PATH, help="A folder for all it is told and decides, to be replayed.")
+@click.option("--name", help="Name of the front in the site; the first by default.")
+@click.option("--state", type=PATH, help="A folder for state that survives a restart.")
+@click.option("--seed", type=int, help="Seed of its random numbers; random by default.")
+@click.option("--capture", type=PATH, help="A folder for a capture of all its inputs and decisions, to be replayed.")
 @click.option("--life", default="", hidden=True)
 @click.option("--sabotage", default=None, hidden=True)
 @click.option("--reserve", default=None, hidden=True)
@@ -31,50 +31,53 @@
     from curlewshift.logs import make_log
     from curlewshift.state.journal import FolderInUse
 
-    held, how = site_of(site), {}
+    loaded, options = load_site(site), {}
     check_sabotage(sabotage)
     if state is not None:
         state.mkdir(parents=True, exist_ok=True)
-    if held.configuration is not None:
+    if loaded.configuration is not None:
         if sabotage is not None:
             from curlewshift.front.planted_configuration_faults import spoilt_begin
 
-            how["begun"] = spoilt_begin(sabotage, site, held, state)
+            options["begun"] = spoilt_begin(sabotage, site, loaded, state)
         else:
-            how["begun"] = begin(site, held, state)
-        held = how["begun"].site
+            options["begun"] = begin(site, loaded, state)
+        loaded = options["begun"].site
     try:
-        number = held.door(name) if name else 0
+        index = loaded.door(name) if name else 0
     except KeyError:
-        where = f"{site}, as version {how['begun'].version} of it" if how and how["begun"].how == "disk" else site
-        click.echo(f"{where}: there is no front {name!r}, but {', '.join(door.name for door in held.front_addresses)}", err=True)
+        source = f"{site}, stored version {options['begun'].version}" if options and options["begun"].how == "disk" else site
+        click.echo(
+            f"{source}: there is no front {name!r}; known: {', '.join(front.name for front in loaded.front_addresses)}",
+            err=True,
+        )
         sys.exit(2)
     arguments = (
-        held,
-        number,
+        loaded,
+        index,
         secrets.randbits(32) if seed is None else seed,
         state,
-        make_log(front=held.front_addresses[number].name),
+        make_log(front=loaded.front_addresses[index].name),
         life,
     )
     try:
         if sabotage is not None:
             from curlewshift.front.planted_faults import spoilt
 
-            made = spoilt(sabotage, *arguments, led=led, **how)
+            built = spoilt(sabotage, *arguments, led=led, **options)
         else:
-            made = Front(*arguments, capture=capture, led=led, **how)
-    except (InvalidKeySet, InvalidCertificate, FolderInUse, OSError) as wrong:
-        click.echo(f"{site}: {wrong}", err=True)
+            built = Front(*arguments, capture=capture, led=led, **options)
+    except (InvalidKeySet, InvalidCertificate, FolderInUse, OSError) as error:
+        click.echo(f"{site}: {error}", err=True)
         sys.exit(2)
     if reserve is not None:
         from curlewshift.peaks.reserve import FixedReserve
 
         package, _, share = reserve.partition("=")
-        made.session_core.peaks.__class__ = FixedReserve
-        made.session_core.peaks.package, made.session_core.peaks.share = made.session_core.packages[package], float(share)
+        built.session_core.peaks.__class__ = FixedReserve
+        built.session_core.peaks.package, built.session_core.peaks.share = built.session_core.packages[package], float(share)
     if busy:
         from curlewshift.fault_injection.joins import fill_background
 
-        fill_background(made.background, made.now())
-    run(made.run)
+        fill_background(built.background, built.now())
+    run(built.run)
--- a/curlewshift/commands/leases.py
+++ b/curlewshift/commands/leases.py
@@ -1,33 +1,33 @@
-"""`curlewshift leases`: who may do what for the whole fleet."""
+"""`curlewshift leases`: leases for tasks of the whole fleet."""
 
 from __future__ import annotations
 
 import click
 
-from curlewshift.commands.common import STATE, shown_by_front, tell_front
+from curlewshift.commands.common import STATE, send_to_front, view_of_front
 
 
 @click.group()
 def leases():
-    """Leases for work that is done once for all fronts."""
+    """Leases for tasks that one front performs for all fronts."""
 
 
 @leases.command("show")
 @STATE
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
 def leases_show(state, as_json):
-    """What the front at the state folder holds, since and until when, and why it holds nothing where it wants to."""
+    """Show the leases of the front at the state folder: since and until when it holds them, or why it could not get them."""
     from rich.console import Console
     from rich.table import Table
 
-    told = shown_by_front(state, "leases", "the settings name no leases", as_json)
+    view = view_of_front(state, "leases", "the settings name no leases", as_json)
     click.echo(
-        f"{told['me']}" + (", a keeper" if told["keeper"] else "") + (", still silent after its start" if told["silent"] else "")
+        f"{view['me']}" + (", a keeper" if view["keeper"] else "") + (", still silent after its start" if view["silent"] else "")
     )
     table = Table()
     for column in ("lease", "held here", "number", "since", "until", "keepers", "why not", "kept here for"):
         table.add_column(column)
-    for row in told["leases"]:
+    for row in view["leases"]:
         table.add_row(
             row["lease"],
             "yes" if row["held_here"] else "",
@@ -44,7 +44,7 @@
 @leases.command("release")
 @click.argument("lease")
 @STATE
-@click.option("--why", required=True, help="Goes into the log with your name.")
+@click.option("--why", required=True, help="Reason, logged with your user name.")
 def leases_release(lease, state, why):
-    """Have the front at the state folder give LEASE back, and leave it alone for two terms."""
-    tell_front(state, {"do": "release", "name": lease, "why": why})
+    """Make the front at the state folder release LEASE and not request it again for two terms."""
+    send_to_front(state, {"do": "release", "name": lease, "why": why})
--- a/curlewshift/commands/leavers.py
+++ b/curlewshift/commands/leavers.py
@@ -1,4 +1,4 @@
-"""`curlewshift leavers`: the front node in service between viewers that leave in every way, judged from both sockets."""
+"""`curlewshift leavers`: runs a front node under viewers that leave in every way, judged from both sides' sockets."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 @click.command()
-@click.option("--out", type=PATH, required=True, help="A folder for verdict, traffic, configuration and the node's log.")
+@click.option("--out", type=PATH, required=True, help="Output folder for the verdict, traffic, configuration and the node's log.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--seconds", type=float, default=8.0, show_default=True, help="In which the viewers come; 60 at most.")
+@click.option("--seconds", type=float, default=8.0, show_default=True, help="Period over which the viewers arrive; 60 at most.")
 @click.option(
     "--viewers", type=int, default=800, show_default=True, help="Connections, one to three requests each; 5000 at most."
 )
-@click.option("--sabotage", default="", help="A node that is spoilt on purpose, to see it caught.")
+@click.option("--sabotage", default="", help="Run a node with this planted fault, to verify that it is detected.")
 def leavers(out, seed, seconds, viewers, sabotage):
-    """Count the attempts that begin over 0.1 s after their client has left. Exit 1 if there are any, if nothing could be judged,
-    if somebody was not answered, or if the node logged a fault."""
+    """Count the attempts that begin more than 0.1 s after their client has left. Exit 1 if there are any, if nothing could be
+    judged, if a request got no answer, or if the node logged a fault."""
     from curlewshift.fault_injection.node_day import NodeDay
     from curlewshift.fault_injection.node_planted_faults import FAULTS
 
     if sabotage and sabotage not in FAULTS:
-        click.echo(f"there is no sabotage {sabotage!r}, but {', '.join(FAULTS)}", err=True)
+        click.echo(f"unknown sabotage {sabotage!r}; known: {', '.join(FAULTS)}", err=True)
         sys.exit(2)
     verdict = run(NodeDay(out, seed, seconds, viewers, sabotage).run)
     click.echo(json.dumps(verdict, indent=1))
--- a/curlewshift/commands/limits.py
+++ b/curlewshift/commands/limits.py
@@ -1,42 +1,43 @@
-"""`curlewshift limits`: what a front bounds at its door."""
+"""`curlewshift limits`: limits on connections and requests at a front's listener."""
 
 from __future__ import annotations
 
 import click
 
-from curlewshift.commands.common import STATE, tell_front
+from curlewshift.commands.common import STATE, send_to_front
 
 
 @click.group()
 def limits():
-    """What a front bounds at its door."""
+    """Limits on connections and requests at a front's listener."""
 
 
 @limits.command("show")
 @STATE
 def limits_show(state):
-    """Who is held back, by which limit and since when."""
+    """Show which clients are being limited, by which limit and since when."""
     from rich.console import Console
     from rich.table import Table
 
-    told = tell_front(state, {"do": "limits"})
+    view = send_to_front(state, {"do": "limits"})
     click.echo(
-        f"{told['connections']} connections of {told['most_connections']}, {told['dropped']} idle ones dropped, "
-        f"{told['none_left']} times none left"
+        f"{view['connections']} connections of {view['most_connections']}, {view['dropped']} idle ones dropped, "
+        f"out of file descriptors {view['none_left']} times"
     )
-    if told["limits"] is None:
-        click.echo("the settings bound no requests")
+    if view["limits"] is None:
+        click.echo("the settings do not limit requests")
         return
-    held = told["limits"]
+    request_limits = view["limits"]
     click.echo(
-        f"{held['in_work']} requests in work of {held['places']}, {held['waiting']} in line; refused so far: "
-        + (", ".join(f"{count} by {kind}" for kind, count in held["refused"].items()) or "none")
+        f"{request_limits['in_work']} of {request_limits['places']} requests in progress, "
+        f"{request_limits['waiting']} queued; refused so far: "
+        + (", ".join(f"{count} by {kind}" for kind, count in request_limits["refused"].items()) or "none")
     )
-    table = Table(title="held back now")
+    table = Table(title="being limited now")
     for column in ("limit", "who", "for", "refused"):
         table.add_column(column)
-    for row in held["held_back"]:
+    for row in request_limits["held_back"]:
         table.add_row(row["limit"], row["who"], f"{row['for_ns'] / 1e9:.1f} s", str(row["refused"]))
     Console(width=120).print(table)
-    for row in held["heaviest"]:
-        click.echo(f"  {row['who']}: {row['count']:g} of late, {row['error']:g} of them perhaps not")
+    for row in request_limits["heaviest"]:
+        click.echo(f"  {row['who']}: about {row['count']:g} recent requests, overestimated by {row['error']:g} at most")
--- a/curlewshift/commands/main.py
+++ b/curlewshift/commands/main.py
@@ -1,4 +1,4 @@
-"""The command line's root. A noun's file is imported when that noun is called (or helped with), and no other."""
+"""Root of the command line. The module of a command is imported only when that command or its help is requested."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import click
 
-# Each lies in the file of its name, under its name.
-NOUNS = (
+# Each command is defined in the module of the same name, as an object of the same name.
+COMMANDS = (
     "authority",
     "capacity",
     "capture",
@@ -36,14 +36,14 @@
 )
 
 
-class Nouns(click.Group):
+class CommandGroup(click.Group):
     def list_commands(self, context) -> list[str]:
-        return list(NOUNS)
+        return list(COMMANDS)
 
     def get_command(self, context, name: str) -> click.Command | None:
-        return getattr(import_module(f"curlewshift.commands.{name}"), name) if name in NOUNS else None
+        return getattr(import_module(f"curlewshift.commands.{name}"), name) if name in COMMANDS else None
 
 
-@click.group(cls=Nouns, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=CommandGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main():
-    """A session front: places video sessions on streaming servers and shapes them there."""
+    """A session front: places video sessions on streaming servers and adapts their quality layers."""
--- a/curlewshift/commands/node.py
+++ b/curlewshift/commands/node.py
@@ -1,4 +1,4 @@
-"""`curlewshift node`: the front node in service, as `python -m curlewshift.node` starts it."""
+"""`curlewshift node`: runs the front node used in service, as `python -m curlewshift.node` does."""
 
 from __future__ import annotations
 
--- a/curlewshift/commands/peak.py
+++ b/curlewshift/commands/peak.py
@@ -1,22 +1,22 @@
-"""`curlewshift peak`: announced peaks of a front that runs."""
+"""`curlewshift peak`: announced demand peaks of a running front."""
 
 from __future__ import annotations
 
 import click
 
-from curlewshift.commands.common import STATE, tell_front
+from curlewshift.commands.common import STATE, send_to_front
 
 
 @click.group()
 def peak():
-    """Announced peaks of a front that runs, through its state folder."""
+    """Announced demand peaks of a running front, through its state folder."""
 
 
-WHY = click.option("--why", required=True, help="Goes into the log with your name.")
+WHY = click.option("--why", required=True, help="Reason, logged with your user name.")
 
 
-def moment(text: str) -> int:
-    """Unix time in ns, of a date and time with its zone or in this machine's, or of +SPAN from now."""
+def parse_time(text: str) -> int:
+    """Unix time (ns) of an ISO 8601 date and time (local time if it has no zone), or of +SPAN from now."""
     import time
     from datetime import datetime
 
@@ -36,19 +36,19 @@
 @click.option("--package", required=True)
 @click.option("--starts", required=True, help="Date and time, or +SPAN from now.")
 @click.option("--ends", required=True, help="Date and time, or +SPAN from now.")
-@click.option("--rate", type=float, required=True, help="Viewings of the package a second, all fronts together.")
-@click.option("--most", type=float, default=0.5, help="The part of any link that may be held, at most.")
-@click.option("--lasts", default="0s", help="How long its viewings last, if known.")
+@click.option("--rate", type=float, required=True, help="Viewings of the package per second, over all fronts.")
+@click.option("--most", type=float, default=0.5, help="Maximum part of a link that may be reserved.")
+@click.option("--lasts", default="0s", help="Duration of its viewings, if known.")
 @WHY
 def peak_announce(name, state, package, starts, ends, rate, most, lasts, why):
-    """Announce the peak NAME. Tell every front."""
+    """Announce the peak NAME to this front. Every front needs its own announcement."""
     from curlewshift.site.reading import span
 
     try:
         length = span(lasts)
     except (AttributeError, KeyError, ValueError):
-        raise click.BadParameter(f"{lasts!r} is no time with its unit, such as 20s") from None
-    tell_front(
+        raise click.BadParameter(f"{lasts!r} is not a duration with its unit, such as 20s") from None
+    send_to_front(
         state,
         {
             "do": "announce",
@@ -56,8 +56,8 @@
             "peak": {
                 "name": name,
                 "package": package,
-                "starts": moment(starts),
-                "ends": moment(ends),
+                "starts": parse_time(starts),
+                "ends": parse_time(ends),
                 "rate": rate,
                 "most": most,
                 "lasts": length,
@@ -71,23 +71,23 @@
 @STATE
 @WHY
 def peak_cancel(name, state, why):
-    """Take the peak NAME off the calendar; what is held for it is given back at the next second."""
-    tell_front(state, {"do": "cancel", "name": name, "why": why})
+    """Cancel the peak NAME; its reservation is released within a second."""
+    send_to_front(state, {"do": "cancel", "name": name, "why": why})
 
 
 @peak.command("list")
 @STATE
 def peak_list(state):
-    """What is announced, and what is held for it here."""
+    """List the announced peaks and what this front reserves for them."""
     from datetime import datetime
 
     from rich.console import Console
     from rich.table import Table
 
     table = Table()
-    for column in ("peak", "package", "starts", "ends", "a second", "most", "phase", "held here", "who", "why"):
+    for column in ("peak", "package", "starts", "ends", "per second", "max", "phase", "reserved here", "who", "why"):
         table.add_column(column)
-    for row in tell_front(state, {"do": "peaks"})["peaks"]:
+    for row in send_to_front(state, {"do": "peaks"})["peaks"]:
         times = [
             datetime.fromtimestamp(row[name] / 1e9).astimezone().isoformat(timespec="seconds") for name in ("starts", "ends")
         ]
--- a/curlewshift/commands/peers.py
+++ b/curlewshift/commands/peers.py
@@ -1,41 +1,41 @@
-"""`curlewshift peers`: which fronts a front knows."""
+"""`curlewshift peers`: membership as seen by a front."""
 
 from __future__ import annotations
 
 import click
 
-from curlewshift.commands.common import STATE, shown_by_front
+from curlewshift.commands.common import STATE, view_of_front
 
 
 @click.group()
 def peers():
-    """The fronts that know each other."""
+    """Members of the fleet."""
 
 
 @peers.command("show")
 @STATE
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
 def peers_show(state, as_json):
-    """Who is in, suspected or gone, for how long and by whose word, as the front at the state folder holds it."""
+    """Show which members are alive, suspect or gone, since when and by whose report, as the front at the state folder knows."""
     from rich.console import Console
     from rich.table import Table
 
-    told = shown_by_front(state, "peers", "the settings name no peers", as_json)
+    view = view_of_front(state, "peers", "the settings name no peers", as_json)
     click.echo(
-        f"{told['me']} (life {told['life']}, incarnation {told['incarnation']}): {told['size']} in, "
-        f"{told['sent_a_second']} bytes a second out, {told['received_a_second']} in, health {told['health']}, "
-        f"contradicted {told['refuted']} times, stood still {told['stalls']} times"
+        f"{view['me']} (life {view['life']}, incarnation {view['incarnation']}): {view['size']} members, "
+        f"{view['sent_a_second']} bytes/s sent, {view['received_a_second']} received, health {view['health']}, "
+        f"refuted {view['refuted']} suspicions, stalled {view['stalls']} times"
     )
-    if told["outlived"]:
-        click.echo("a later process has this name: this one is silent to its peers until that one is gone")
-    refused = {why: count for why, count in told["refused"].items() if count}
+    if view["outlived"]:
+        click.echo("a newer process uses this name: this one sends nothing to its peers until that one is gone")
+    refused = {why: count for why, count in view["refused"].items() if count}
     if refused:
         click.echo("datagrams refused: " + ", ".join(f"{count} {why}" for why, count in refused.items()))
     table = Table()
-    for column in ("member", "address", "life", "incarnation", "stands", "for", "by the word of", "last heard"):
+    for column in ("member", "address", "life", "incarnation", "state", "for", "reported by", "last received"):
         table.add_column(column)
-    for row in told["members"]:
-        heard = "never" if row["heard_s"] is None else f"{row['heard_s']:.1f} s ago"
+    for row in view["members"]:
+        last_received = "never" if row["heard_s"] is None else f"{row['heard_s']:.1f} s ago"
         table.add_row(
             row["name"],
             row["address"],
@@ -44,6 +44,6 @@
             row["rank"],
             f"{row['for_s']:.1f} s",
             ", ".join(row["accusers"]) or row["by"],
-            heard,
+            last_received,
         )
     Console(width=140).print(table)
--- a/curlewshift/commands/rehearse.py
+++ b/curlewshift/commands/rehearse.py
@@ -1,4 +1,4 @@
-"""`curlewshift rehearse`: a scripted day on loopback, judged from the sockets."""
+"""`curlewshift rehearse`: a scripted fault injection run on loopback, judged from the traffic on its sockets."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @click.command()
 @click.argument("script", type=PATH, required=False)
-@click.option("--out", type=PATH, required=True, help="A folder for verdict, traffic, chart and logs.")
-@click.option("--trouble", help="Kinds with commas between, at drawn times, instead of the script's own.")
-@click.option("--seed", type=int, help="Instead of the script's.")
-@click.option("--sabotage", help="Spoil the fronts on purpose, to see the rule caught.")
+@click.option("--out", type=PATH, required=True, help="Output folder for the verdict, traffic, chart and logs.")
+@click.option("--trouble", help="Comma-separated kinds of trouble, at random times, instead of the script's own.")
+@click.option("--seed", type=int, help="Seed to use instead of the script's.")
+@click.option("--sabotage", help="Run fronts with this planted fault, to verify that the broken rule is detected.")
 @click.option(
     "--hold",
     type=click.Choice(["announced", "none", "reserve"]),
     default="announced",
-    help="Whether fronts hear of what the script announces, or keep a fixed reserve all day instead.",
+    help="Whether fronts receive the announced peaks, receive none, or keep a fixed reserve throughout.",
 )
-@click.option("--capture", is_flag=True, help="Capture every life of every front, and replay each at the end.")
-@click.option("--forget", is_flag=True, help="Killed fronts lose what they knew of sessions, as a baseline.")
+@click.option("--capture", is_flag=True, help="Capture every life (run of a process) of every front; replay each at the end.")
+@click.option("--forget", is_flag=True, help="As a baseline, killed fronts lose their session state.")
 def rehearse(script, out, trouble, seed, sabotage, hold, capture, forget):
-    """Play the day of SCRIPT on loopback and judge the six rules from the sockets."""
+    """Run SCRIPT on loopback and check the six rules against the traffic on the sockets."""
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TextColumn
 
@@ -42,12 +42,12 @@
 
         try:
             script = mixed_script(script or EXAMPLES / "bad-day.xml", trouble.split(","), seed or 1, out)
-        except (ValueError, OSError) as wrong:
-            click.echo(f"curlewshift: {wrong}", err=True)
+        except (ValueError, OSError) as error:
+            click.echo(f"curlewshift: {error}", err=True)
             sys.exit(2)
     if script is None:
         raise click.UsageError("a SCRIPT or --trouble is needed")
-    held = read_or_exit(read_script, script)
+    loaded = read_or_exit(read_script, script)
     check_sabotage(sabotage)
     with Progress(
         TextColumn("{task.description}"),
@@ -55,15 +55,23 @@
         TextColumn("{task.completed:.0f}/{task.total:.0f} s"),
         console=Console(stderr=True),
     ) as bar:
-        task = bar.add_task("rehearsing", total=held.lasts)
+        task = bar.add_task("running", total=loaded.lasts)
 
-        def told(done, of):
+        def progress(done, of):
             bar.update(task, completed=done, total=of)
 
         try:
             verdict = run(
                 FaultInjectionRun(
-                    held, script, out, held.seed if seed is None else seed, sabotage, told, hold, capture, forget
+                    loaded,
+                    script,
+                    out,
+                    loaded.seed if seed is None else seed,
+                    sabotage,
+                    progress,
+                    hold,
+                    capture,
+                    forget,
                 ).run
             )
         except* StartFailed as failed:
@@ -73,32 +81,32 @@
     for table in verdict_tables(verdict):
         Console().print(table)
     broken = any(rule["broken"] for rule in verdict["rules"].values())
-    differ = [life for life, run in verdict.get("replays", {}).items() if run["difference"]]
-    for life in differ:
-        click.echo(f"the replay of {life} is not the same: {verdict['replays'][life]['difference']}", err=True)
-    fleet = _broken_over_fronts(verdict)
-    for promise in fleet:
-        click.echo(f"broken: {promise}", err=True)
-    sys.exit(1 if broken or differ or fleet or verdict["left_standing"] or verdict["orphans_left"] else 0)
+    differing = [life for life, run in verdict.get("replays", {}).items() if run["difference"]]
+    for life in differing:
+        click.echo(f"the replay of {life} differs: {verdict['replays'][life]['difference']}", err=True)
+    broken_checks = _broken_fleet_checks(verdict)
+    for check in broken_checks:
+        click.echo(f"broken: {check}", err=True)
+    sys.exit(1 if broken or differing or broken_checks or verdict["left_standing"] or verdict["orphans_left"] else 0)
 
 
-def _broken_over_fronts(verdict: dict) -> list[str]:
-    """Which promises of all fronts together the day broke."""
+def _broken_fleet_checks(verdict: dict) -> list[str]:
+    """Names of the guarantees over all fronts together that the run broke."""
     bounds, leases = verdict.get("bounds", {}), verdict.get("leases", {})
     attempts = verdict["attempts_after_leaving"]
     return [
         name
         for name, broken in (
-            ("nothing begun for who has left", attempts["late"] or attempts["unjoined"]),
+            ("no attempt for clients that have left", attempts["late"] or attempts["unjoined"]),
             ("members", verdict.get("members", {}).get("broken")),
-            ("pace of cold servers", bounds.get("overdrawn")),
+            ("request rate of cold servers", bounds.get("overdrawn")),
             ("further tune-ins of all fronts", bounds.get("further", {}).get("overdrawn")),
             ("seats over all fronts", bounds.get("seats", {}).get("overdrawn")),
             ("service beside a front with a bad path", bounds.get("beside_bad_path", {}).get("broken")),
-            ("one at a time", leases.get("overlaps")),
-            ("acts of who was followed", leases.get("outlived")),
+            ("at most one holder of a lease", leases.get("overlaps")),
+            ("actions of a superseded lease holder", leases.get("outlived")),
             ("versions of the configuration", verdict.get("configuration", {}).get("broken")),
-            ("shedding as one", verdict.get("shed", {}).get("broken")),
+            ("consistent shedding over the fleet", verdict.get("shed", {}).get("broken")),
         )
         if broken
     ]
--- a/curlewshift/commands/shared.py
+++ b/curlewshift/commands/shared.py
@@ -1,10 +1,10 @@
-"""`curlewshift shared`: what fronts share."""
+"""`curlewshift shared`: state that fronts share."""
 
 from __future__ import annotations
 
 import click
 
-from curlewshift.commands.common import STATE, shown_by_front
+from curlewshift.commands.common import STATE, view_of_front
 
 
 @click.group()
@@ -14,30 +14,30 @@
 
 @shared.command("show")
 @STATE
-@click.option("--server", help="Only this one, with the evidence for and against it.")
+@click.option("--server", help="Show only this server, with the evidence for and against it.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
 def shared_show(state, server, as_json):
-    """Rights in hand, use by others, and why a server is doubted, as the front at the state folder holds it."""
+    """Show rights held, use by other fronts, and doubted servers, as known to the front at the state folder."""
     from rich.console import Console
     from rich.table import Table
 
-    told = shown_by_front(
+    view = view_of_front(
         state,
         "shared",
-        "the settings let fronts share nothing",
+        "the settings do not enable sharing",
         as_json,
-        lambda told: {**told, "servers": [row for row in told["servers"] if server in (None, row["server"])]},
+        lambda view: {**view, "servers": [row for row in view["servers"] if server in (None, row["server"])]},
     )
     click.echo(
-        f"{told['me']}: lent {told['given']}, borrowed {told['got']}, came late {told['late']}, could not lend "
-        f"{told['refused']}; clock {told['clock_off']:+.2%} against the peers'"
-        + (", past the bound: out" if told["out"] else "")
-        + (f", quiet for {told['quiet_for_s']} s more" if told["quiet_for_s"] else "")
+        f"{view['me']}: lent {view['given']}, borrowed {view['got']}, {view['late']} late, {view['refused']} loans "
+        f"refused; clock {view['clock_off']:+.2%} against the peers'"
+        + (", beyond the bound: excluded" if view["out"] else "")
+        + (f", quiet for {view['quiet_for_s']} s more" if view["quiet_for_s"] else "")
     )
     table = Table()
-    for column in ("server", "rights", "own", "lent to", "borrowed of", "used here", "by others", "told", "doubted"):
+    for column in ("server", "rights", "own", "lent to", "borrowed of", "used here", "by others", "reported", "doubted"):
         table.add_column(column)
-    for row in told["servers"]:
+    for row in view["servers"]:
         others = "" if row["used_by_others"] is None else f"{row['used_by_others']} kB/s"
         table.add_row(
             row["server"],
@@ -52,6 +52,6 @@
         )
     Console(width=150).print(table)
     if server is not None:
-        for row in told["servers"]:
+        for row in view["servers"]:
             for front, good, bad, weight in row["evidence"]:
-                click.echo(f"  {front}: {good:g} well, {bad:g} ill, weight {weight:g}")
+                click.echo(f"  {front}: {good:g} good, {bad:g} bad, weight {weight:g}")
--- a/curlewshift/commands/soak.py
+++ b/curlewshift/commands/soak.py
@@ -9,8 +9,8 @@
 from curlewshift.commands.common import PATH
 
 
-def seeds_of(text: str) -> list[int]:
-    """`1-50`, `7` or `1,4,9-12`. Raises `ValueError`."""
+def parse_seeds(text: str) -> list[int]:
+    """Parses `1-50`, `7` or `1,4,9-12` into seeds. Raises `ValueError`."""
     seeds = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -19,15 +19,15 @@
 
 
 @click.command()
-@click.option("--seeds", default="1-10", show_default=True, help="Which seeds to play, as 1-50 or 1,4,9.")
-@click.option("--seed", type=int, default=None, help="One seed alone.")
+@click.option("--seeds", default="1-10", show_default=True, help="Seeds to run, as 1-50 or 1,4,9.")
+@click.option("--seed", type=int, default=None, help="Run this seed only.")
 @click.option("--seconds", type=click.FloatRange(2, 120), default=30.0, show_default=True, help="Length of a trial.")
-@click.option("--only", default="", help="Only these faults, set apart by commas.")
-@click.option("--plant", default="", help="A fault planted in the nodes, to see it caught.")
-@click.option("--at-once", type=int, default=0, help="Trials side by side; as many as the cores bear where nothing is said.")
-@click.option("--out", type=PATH, required=True, help="A folder: a verdict, timelines, records and logs for each seed.")
+@click.option("--only", default="", help="Only these faults, comma-separated.")
+@click.option("--plant", default="", help="Plant this fault in the nodes, to verify that it is detected.")
+@click.option("--at-once", type=int, default=0, help="Number of concurrent trials; by default as many as the cores allow.")
+@click.option("--out", type=PATH, required=True, help="Output folder for the verdict, timelines, records and logs of each seed.")
 def soak(seeds, seed, seconds, only, plant, at_once, out):
-    """Play trials; exit 1 if a rule broke, was never exercised, or too many trials were starved."""
+    """Run trials; exit 1 if a rule broke, was never exercised, or too many trials were starved."""
     import os
 
     from curlewshift.soak.plan import ALL_FAULTS
@@ -38,12 +38,12 @@
     unknown = [fault for fault in faults if fault not in ALL_FAULTS]
     if unknown or (plant and plant not in PLANTS):
         known = ", ".join(ALL_FAULTS if unknown else PLANTS)
-        click.echo(f"there is no {', '.join(unknown) or plant!r}, but {known}", err=True)
+        click.echo(f"unknown: {', '.join(unknown) or plant!r}; known: {known}", err=True)
         sys.exit(2)
     try:
-        chosen = [seed] if seed is not None else seeds_of(seeds)
+        chosen = [seed] if seed is not None else parse_seeds(seeds)
     except ValueError:
-        click.echo(f"{seeds!r} names no seeds; 1-50 or 1,4,9 is wanted", err=True)
+        click.echo(f"{seeds!r} is not a list of seeds such as 1-50 or 1,4,9", err=True)
         sys.exit(2)
     out.mkdir(parents=True, exist_ok=True)
     at_once = at_once or max(1, int((os.cpu_count() or 1) / CORES_EACH))
--- a/curlewshift/commands/walk.py
+++ b/curlewshift/commands/walk.py
@@ -1,4 +1,4 @@
-"""`curlewshift walk`: all orders in which things can happen in small worlds."""
+"""`curlewshift walk`: model checker: explores all courses (sequences of events) of small models."""
 
 from __future__ import annotations
 
@@ -14,56 +14,56 @@
 }
 
 
-def _walk_between_fronts(of: str, depth: int, fault: str | None, rounds: bool) -> None:
-    """Over the fastest, slowest and true clock at each in turn."""
+def _check_between_fronts(of: str, depth: int, fault: str | None, rounds: bool) -> None:
+    """Explores a model of several fronts with each assignment of the slowest, true and fastest rate to its three clocks."""
     from itertools import permutations
 
     if of == "budgets":
         from curlewshift.model_checker import budget_checker as world
 
         faults = {name: {"loans": loans} for name, loans in world.FAULTS.items()}
-        walked = world.walk_budgets
+        explore = world.walk_budgets
     else:
         from curlewshift.emulator import lease_histories
 
         faults = lease_histories.FAULTS
         from curlewshift.model_checker import lease_checker as world
 
-        walked = world.walk_rounds if rounds else world.walk_leases
+        explore = world.walk_rounds if rounds else world.walk_leases
     if fault is not None and fault not in faults:
-        click.echo(f"there is no fault {fault!r}, but {', '.join(faults)}", err=True)
+        click.echo(f"unknown fault {fault!r}; known: {', '.join(faults)}", err=True)
         sys.exit(2)
     units, drift = world.UNITS, world.DRIFT
     states = steps = 0
     for rates in permutations((round(units * (1 - drift)), units, round(units * (1 + drift)))):
-        # two are a majority of three; of five they are the planted fault
-        more = {"acceptors": 5} if rounds and fault == "majority-of-two" else {}
-        done = walked(depth, rates, **(faults[fault] if fault else {}), **more)
+        # the planted fault accepts two as a majority: with three acceptors that is right, so five are used
+        extra = {"acceptors": 5} if rounds and fault == "majority-of-two" else {}
+        done = explore(depth, rates, **(faults[fault] if fault else {}), **extra)
         states, steps = states + done.states, steps + done.steps
         if done.breach:
             click.echo(f"rule broken: {done.breach}; clocks at {rates} of {units}", err=True)
             for step in done.course:
                 click.echo("  " + " ".join(str(part) for part in step), err=True)
             sys.exit(1)
-    click.echo(f"{states} states to a depth of {depth} at each of six sets of clocks, {steps} steps")
+    click.echo(f"{states} states to a depth of {depth} at each of six assignments of clock rates, {steps} steps")
 
 
-def _walk_versions(depth: int, fault: str | None, rounds: bool, courses: int | None, length: int, seed: int) -> None:
+def _check_versions(depth: int, fault: str | None, rounds: bool, courses: int | None, length: int, seed: int) -> None:
     from curlewshift.emulator.version_histories import FAULTS
     from curlewshift.model_checker.version_checker import long_courses, walk_versions
 
     if fault is not None and fault not in FAULTS:
-        click.echo(f"there is no fault {fault!r}, but {', '.join(FAULTS)}", err=True)
+        click.echo(f"unknown fault {fault!r}; known: {', '.join(FAULTS)}", err=True)
         sys.exit(2)
-    # how contents travel is not in this world
-    planted = {part: kind for part, kind in FAULTS.get(fault, {}).items() if part != "fetch"}
+    # the transfer of contents is not part of this model
+    faulty_parts = {part: kind for part, kind in FAULTS.get(fault, {}).items() if part != "fetch"}
     states = steps = 0
     if courses is not None:
-        done = long_courses(courses, length, seed, **planted)
+        done = long_courses(courses, length, seed, **faulty_parts)
         states, steps = done.states, done.steps
     else:
-        for blank in (False, True):
-            done = walk_versions(depth, rounds, blank, **planted)
+        for empty_stores in (False, True):
+            done = walk_versions(depth, rounds, empty_stores, **faulty_parts)
             states, steps = states + done.states, steps + done.steps
             if done.breach:
                 break
@@ -73,9 +73,9 @@
             click.echo("  " + " ".join(str(part) for part in step), err=True)
         sys.exit(1)
     click.echo(
-        f"{states} courses by chance, each of {length} steps, {steps} steps"
+        f"{states} random courses of {length} steps each, {steps} steps"
         if courses is not None
-        else f"{states} states to a depth of {depth}, from stores that vote and from blank ones, {steps} steps"
+        else f"{states} states to a depth of {depth}, from voting and from empty stores, {steps} steps"
     )
 
 
@@ -86,32 +86,32 @@
     "of",
     type=click.Choice(["viewings", "budgets", "leases", "versions"]),
     default="viewings",
-    help="Viewings at a front, rights that fronts lend each other, leases, or versions of the configuration.",
+    help="The model: viewings at a front, rights that fronts lend each other, leases, or configuration versions.",
 )
 @click.option(
-    "--fault", help="With --of budgets, leases or versions: plant this fault, and see a shortest course that breaks the promise."
+    "--fault", help="With --of budgets, leases or versions: plant this fault and print a shortest course that breaks the rule."
 )
 @click.option("--depth", type=click.IntRange(0, 16), default=5, help="Steps of each course.")
 @click.option(
-    "--rounds", is_flag=True, help="With --of leases or versions: each step a whole try, for courses of several tenures."
+    "--rounds", is_flag=True, help="With --of leases or versions: each step is a complete attempt, to reach several tenures."
 )
-@click.option("--courses", type=click.IntRange(1, 1_000_000), help="With --of versions, instead: so many long courses by chance.")
+@click.option("--courses", type=click.IntRange(1, 1_000_000), help="With --of versions, run this many long random courses.")
 @click.option("--length", type=click.IntRange(1, 1000), default=60, help="Steps of each long course.")
-@click.option("--settle-all", is_flag=True, help="Look at what comes of each state, and not of the last ones alone.")
-@click.option("--crashes", type=click.IntRange(1, 100_000), help="Instead: so many long courses, killed at each step.")
-@click.option("--seed", type=int, default=1, help="For the long courses.")
+@click.option("--settle-all", is_flag=True, help="Check the settled outcome of every state, not only of the final ones.")
+@click.option("--crashes", type=click.IntRange(1, 100_000), help="Run this many long courses instead, with a kill at each step.")
+@click.option("--seed", type=int, default=1, help="Seed of the long courses.")
 def walk(kind, of, fault, depth, rounds, courses, length, settle_all, crashes, seed):
-    """Walk all orders in which things can happen to one viewing (or two that want one seat), and check the rules."""
+    """Explore all orders of events for one viewing (or two that compete for one seat), and check the rules."""
     if of == "versions":
-        _walk_versions(depth, fault, rounds, courses, length, seed)
+        _check_versions(depth, fault, rounds, courses, length, seed)
         return
     if of != "viewings":
-        _walk_between_fronts(of, depth, fault, rounds)
+        _check_between_fronts(of, depth, fault, rounds)
         return
     if kind is None:
         raise click.UsageError(f"a kind of viewing is needed: {', '.join(KINDS)}")
     from curlewshift.model_checker.session_checker import crash_points
-    from curlewshift.model_checker.session_checker import walk as walked
+    from curlewshift.model_checker.session_checker import walk as explore
     from curlewshift.model_checker.world import Budgets, World
 
     def make():
@@ -119,9 +119,9 @@
 
     if crashes is not None:
         done = crash_points(make, crashes, 24, seed)
-        click.echo(f"{done.runs} courses, killed at {done.points} points; {done.taken_up} sessions were taken up after")
+        click.echo(f"{done.runs} courses, killed at {done.points} points; {done.taken_up} sessions were recovered afterwards")
     else:
-        done = walked(make, depth, settle_all)
+        done = explore(make, depth, settle_all)
         click.echo(f"{done.states} states to a depth of {done.depth}, {done.ends} of them settled, {done.steps} steps")
     if done.breach:
         click.echo(f"rule broken: {done.breach}", err=True)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,8 +19,8 @@
 from curlewshift.capacity.rows import FRONT, MEMORY, MESSAGES, PROCESSOR, ROLES, STATE, Mechanism, Row
 from curlewshift.capacity.slopes import InvalidMeasurements, slope_of
 from curlewshift.capacity.tables import all_rows, tables
-from curlewshift.commands.capacity import MEASURED, PAGE, ROOT, USUAL, read_size
-from curlewshift.commands.main import NOUNS, main
+from curlewshift.commands.capacity import DEFAULT_SIZE, MEASURED, PAGE, ROOT, read_size
+from curlewshift.commands.main import COMMANDS, main
 from curlewshift.distribution.terms import NS, DistributionTerms
 from curlewshift.emulator.versions import site_file
 from curlewshift.node import discovery
@@ -28,7 +28,7 @@
 from curlewshift.peering.frames import Frame, encode
 from curlewshift.site.reading import SiteErrors
 
-TEXT = USUAL.read_text()
+TEXT = DEFAULT_SIZE.read_text()
 
 
 def run(*words):
@@ -85,7 +85,7 @@
         self.assertEqual((told.exit_code, told.stderr), (0, ""), "bin/curlewshift capacity --write puts it there")
 
     def test_each_table_row_that_is_changed_on_the_page_is_caught_at_its_line(self):
-        page, made = PAGE.read_text(), tables(read_size(USUAL), Measurements(MEASURED), ROOT)
+        page, made = PAGE.read_text(), tables(read_size(DEFAULT_SIZE), Measurements(MEASURED), ROOT)
         lines, tried = page.split("\n"), 0
         for block in BLOCK.finditer(page):
             first = page.count("\n", 0, block.start(3))
@@ -98,7 +98,7 @@
         self.assertGreater(tried, 60)
 
     def test_a_row_taken_out_and_a_table_without_a_place_are_caught(self):
-        page, made = PAGE.read_text(), tables(read_size(USUAL), Measurements(MEASURED), ROOT)
+        page, made = PAGE.read_text(), tables(read_size(DEFAULT_SIZE), Measurements(MEASURED), ROOT)
         row = next(line for line in page.split("\n") if line.startswith("| front nodes"))
         self.assertTrue(differences(page.replace(row + "\n", ""), made))
         last = page.split("\n<!-- /capacity -->")[1].split("\n")[-1]
@@ -125,7 +125,7 @@
         self.assertEqual(run("--check", "--page", page).exit_code, 1)
         self.assertEqual(run("--write", "--page", page).exit_code, 0)
         self.assertEqual(page.read_text(), PAGE.read_text())
-        made = tables(read_size(USUAL), Measurements(MEASURED), ROOT)
+        made = tables(read_size(DEFAULT_SIZE), Measurements(MEASURED), ROOT)
         self.assertEqual(BLOCK.sub("", spoilt), BLOCK.sub("", written(spoilt, made)))
 
     def test_commands_beside_the_rows_are_there(self):
@@ -133,16 +133,16 @@
         self.assertTrue(commands)
         for command in commands:
             noun, *rest = command.split()
-            self.assertIn(noun, NOUNS, command)
+            self.assertIn(noun, COMMANDS, command)
             if rest and hasattr(main.get_command(None, noun), "commands"):
                 self.assertIn(rest[0], main.get_command(None, noun).commands, command)
 
     def test_each_role_has_a_row_for_each_of_the_four_kinds(self):
-        there = {(row.role, row.what) for row in all_rows(read_size(USUAL), Measurements(MEASURED))}
+        there = {(row.role, row.what) for row in all_rows(read_size(DEFAULT_SIZE), Measurements(MEASURED))}
         self.assertEqual({(role, what) for role in ROLES for what in (STATE, MESSAGES, PROCESSOR, MEMORY)} - there, set())
 
     def test_a_mechanism_is_in_the_tree(self):
-        for row in all_rows(read_size(USUAL), Measurements(MEASURED)):
+        for row in all_rows(read_size(DEFAULT_SIZE), Measurements(MEASURED)):
             if row.by is not None:
                 self.assertTrue(row.by.there(ROOT), row.by)
         self.assertFalse(Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnnection").there(ROOT))
@@ -161,12 +161,12 @@
         return next(number for number, line in enumerate(TEXT.splitlines(), 1) if what in line)
 
     def test_both_files_are_read(self):
-        size = read_size(USUAL)
+        size = read_size(DEFAULT_SIZE)
         self.assertEqual(
             (size.nodes, size.zones, size.p99, size.in_force_within, size.control_bytes, size.regions_apart),
             (630, 9, 0.18, 18.0, 4000.0, 600.0),
         )
-        self.assertEqual(read_size(USUAL.with_name("two-hundred.xml")).nodes, 200)
+        self.assertEqual(read_size(DEFAULT_SIZE.with_name("two-hundred.xml")).nodes, 200)
 
     def test_a_spoilt_one_is_refused_in_words_with_file_and_line(self):
         for change, at, words in (
@@ -384,7 +384,7 @@
         self.assertEqual(run("--measured", self.measured).exit_code, 2)
 
     def test_the_words_whose_bytes_are_assumed_have_them(self):
-        size = read_size(USUAL)
+        size = read_size(DEFAULT_SIZE)
 
         def weighs(kind, body):
             return len(
@@ -427,7 +427,7 @@
 
     def test_the_configuration_that_is_assumed_is_as_large_as_a_site_file_of_so_many_fronts(self):
         for name, nodes in (("two-years", 630), ("two-hundred", 200)):
-            guessed = read_size(USUAL.with_name(f"{name}.xml")).guess("configuration-kB")
+            guessed = read_size(DEFAULT_SIZE.with_name(f"{name}.xml")).guess("configuration-kB")
             self.assertAlmostEqual(len(site_file(nodes)) / 1000 / guessed, 1, delta=0.01)
 
     def test_the_time_of_reports_is_that_of_distribution(self):
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line as a whole: each noun is there, and calling one imports no other's subsystem."""
+"""The command line: each command exists, and calling one imports no other command's subsystem."""
 
 import json
 import subprocess
@@ -24,42 +24,42 @@
 """
 
 
-class Nouns(unittest.TestCase):
-    def test_every_noun_has_its_file_and_a_word_of_help(self):
-        from curlewshift.commands.main import NOUNS
+class CommandList(unittest.TestCase):
+    def test_every_command_has_its_module_and_a_help_text(self):
+        from curlewshift.commands.main import COMMANDS
 
-        for noun in NOUNS:
-            self.assertTrue(main.get_command(None, noun).get_short_help_str(), noun)
+        for command in COMMANDS:
+            self.assertTrue(main.get_command(None, command).get_short_help_str(), command)
         self.assertIsNone(main.get_command(None, "cluster"))
 
-    def test_the_node_starts_without_what_belongs_to_other_nouns(self):
+    def test_the_node_imports_nothing_that_belongs_to_other_commands(self):
         run = subprocess.run([sys.executable, "-c", NODE_ALONE], cwd=ROOT, capture_output=True, text=True, timeout=60)
         self.assertEqual((run.returncode, run.stdout.strip()), (0, "[]"), run.stderr)
 
 
-class Shown(unittest.TestCase):
-    """What a front tells of its peers, as people and programs get it."""
+class ShowCommands(unittest.TestCase):
+    """Tables and JSON printed by the `show` commands for a front's answer."""
 
-    def shown(self, told, *words):
-        with mock.patch("curlewshift.commands.common.tell_front", return_value=told):
-            return CliRunner().invoke(main, [*words, "--state", "nowhere"])
+    def run_show(self, view, *arguments):
+        with mock.patch("curlewshift.commands.common.send_to_front", return_value=view):
+            return CliRunner().invoke(main, [*arguments, "--state", "nowhere"])
 
-    def test_peers_as_a_table_as_json_and_where_there_are_none(self):
+    def test_peers_are_shown_as_a_table_and_as_json_and_missing_ones_exit_with_2(self):
         fleet = PeerFleet(3, 1, default_membership_terms(500_000_000))
         fleet.start()
         fleet.until(fleet.agreed, 5)
         fleet.posts[2].kill()
         fleet.run(5)
-        told = {"peers": fleet.posts[0].channel.show()}
-        table = self.shown(told, "peers", "show")
+        view = {"peers": fleet.posts[0].channel.show()}
+        table = self.run_show(view, "peers", "show")
         self.assertEqual(table.exit_code, 0)
-        for words in ("f0 (life", "f1", "alive", "gone"):
-            self.assertIn(words, table.output)
-        self.assertEqual(json.loads(self.shown(told, "peers", "show", "--json").output)["size"], 2)
-        none = self.shown({"peers": None}, "peers", "show")
+        for expected in ("f0 (life", "f1", "alive", "gone"):
+            self.assertIn(expected, table.output)
+        self.assertEqual(json.loads(self.run_show(view, "peers", "show", "--json").output)["size"], 2)
+        none = self.run_show({"peers": None}, "peers", "show")
         self.assertEqual((none.exit_code, "the settings name no peers" in none.output), (2, True))
 
-    def test_leases_tell_why_none_is_held(self):
+    def test_leases_show_why_none_is_held(self):
         rows = [
             {
                 "lease": "probe/0",
@@ -82,12 +82,12 @@
                 "kept_for": "f2",
             },
         ]
-        told = {"leases": {"me": "f1", "keeper": True, "silent": True, "leases": rows}}
-        output = " ".join(self.shown(told, "leases", "show").output.split())
-        for words in ("f1, a keeper, still silent after its start", "17", "in 2.0 s", "2 needed"):
-            self.assertIn(words, output)
+        view = {"leases": {"me": "f1", "keeper": True, "silent": True, "leases": rows}}
+        output = " ".join(self.run_show(view, "leases", "show").output.split())
+        for expected in ("f1, a keeper, still silent after its start", "17", "in 2.0 s", "2 needed"):
+            self.assertIn(expected, output)
 
-    def test_overload_tells_who_is_shed_and_why(self):
+    def test_overload_shows_which_packages_are_shed_and_why(self):
         zone = {
             "zone": "a",
             "level": 70,
@@ -99,10 +99,10 @@
             "told": 70,
             "adds_up": False,
         }
-        told = {"overload": {"me": "f1", "zones": [zone], "shed": {"cheap": 12}, "let_in": 30, "further_left": 1.5}}
-        output = " ".join(self.shown(told, "overload", "show").output.split())
-        for words in ("f1: let in 30, shed 12 of cheap", "95% of cheap", "70 of 192", "90%"):
-            self.assertIn(words, output)
+        view = {"overload": {"me": "f1", "zones": [zone], "shed": {"cheap": 12}, "let_in": 30, "further_left": 1.5}}
+        output = " ".join(self.run_show(view, "overload", "show").output.split())
+        for expected in ("f1: admitted 30, shed 12 of cheap", "95% of cheap", "70 of 192", "90%"):
+            self.assertIn(expected, output)
 
 
 if __name__ == "__main__":
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from curlewshift.commands.soak import seeds_of
+from curlewshift.commands.soak import parse_seeds
 from curlewshift.soak.judge import RULES, Judge
 from curlewshift.soak.plan import plan_of
 from curlewshift.soak.proxy import Proxy, Shape
@@ -44,9 +44,9 @@
         self.assertEqual(kinds, {"hang", "shutdown"})
 
     def test_seeds_are_read_as_ranges_and_lists(self):
-        self.assertEqual(seeds_of("1,4-6"), [1, 4, 5, 6])
+        self.assertEqual(parse_seeds("1,4-6"), [1, 4, 5, 6])
         with self.assertRaises(ValueError):
-            seeds_of("many")
+            parse_seeds("many")
 
 
 class Carried(unittest.TestCase):
