--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""Runs all tests, and passes over those that KNOWN-RED.txt names: each fails for a fault that is known and not mended yet.
+"""Runs all tests, and tolerates failures of those listed in KNOWN-RED.txt, each due to a known bug that is not fixed yet.
 
     test id | cause | issue
 
-A listed test that passes, a line that names no test or lacks a part, and more than three lines fail the run. Called by
-bin/test, with what unittest's own `discover` takes; without, several processes share the files, one file after the other each.
+A listed test that passes, a line that names no test or lacks a field, and more than three lines fail the run. Called by
+bin/test with the arguments of unittest's `discover`; without arguments, the test files are distributed over several processes.
 """
 
 import os
@@ -17,12 +17,12 @@
 from queue import Queue
 
 ROOT = Path(__file__).resolve().parents[1]
-MOST = 3
-# Half of the time of the tests is waiting. Each process looks for free ports in a part of its own.
-AT_ONCE, FIRST_PORT, PORTS_EACH = 4, 12_000, 2_000
-# A file that takes longer has hung (s).
-LONGEST = 900
-# Those that take longest begin first, so that the last to end is not one of them.
+MAX_LISTED = 3
+# The tests wait for half of their time, so several run at once. Each process searches a port range of its own.
+PROCESSES, FIRST_PORT, PORTS_EACH = 4, 12_000, 2_000
+# A file that takes longer counts as hung.
+FILE_TIMEOUT_S = 900
+# The slowest files start first, so that the last to end is a short one.
 LONGEST_FIRST = (
     "test_sharing.py",
     "test_fault_injection.py",
@@ -36,29 +36,29 @@
 )
 
 
-class Unusable(Exception):
-    """What is wrong with the list, a line each."""
+class InvalidList(Exception):
+    """The list has errors, one a line in the message."""
 
 
 def read(text, loader=unittest.TestLoader()):
-    """Cause and issue by test id. Raises `Unusable`."""
-    listed, wrong = {}, []
+    """Parses the list into cause and issue by test id. Raises `InvalidList`."""
+    listed, errors = {}, []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            wrong.append(f"line {number} is not `test | cause | issue`: {line!r}")
+            errors.append(f"line {number} is not `test | cause | issue`: {line!r}")
         elif not names_a_test(parts[0], loader):
-            wrong.append(f"line {number} names no test: {parts[0]}")
+            errors.append(f"line {number} names no test: {parts[0]}")
         elif parts[0] in listed:
-            wrong.append(f"line {number} names a test again: {parts[0]}")
+            errors.append(f"line {number} repeats a test: {parts[0]}")
         else:
             listed[parts[0]] = (parts[1], parts[2])
-    if len(listed) > MOST:
-        wrong.append(f"{len(listed)} tests are listed, {MOST} at the most may be")
-    if wrong:
-        raise Unusable("\n".join(wrong))
+    if len(listed) > MAX_LISTED:
+        errors.append(f"{len(listed)} tests are listed, the maximum is {MAX_LISTED}")
+    if errors:
+        raise InvalidList("\n".join(errors))
     return listed
 
 
@@ -72,17 +72,17 @@
 
 
 class Result(unittest.TextTestResult):
-    """`listed` fail and are passed over; where they pass, that is the failure."""
+    """Failures of `listed` tests are tolerated; a listed test that passes is a failure."""
 
     listed: dict = {}
 
-    def __init__(self, *args, **how):
-        super().__init__(*args, **how)
-        self.red = []
+    def __init__(self, *args, **options):
+        super().__init__(*args, **options)
+        self.known_failures = []
 
     def addSuccess(self, test):
         if test.id() in self.listed:
-            self.failures.append((test, "listed in KNOWN-RED.txt, and it passes: take its line out\n"))
+            self.failures.append((test, "listed in KNOWN-RED.txt, but it passes: remove its line\n"))
         else:
             super().addSuccess(test)
 
@@ -95,41 +95,43 @@
     def addSubTest(self, test, subtest, err):
         if err is None or test.id() not in self.listed:
             super().addSubTest(test, subtest, err)
-        elif test.id() not in self.red:
-            self.red.append(test.id())
+        elif test.id() not in self.known_failures:
+            self.known_failures.append(test.id())
 
-    def _failed(self, test, err, plain):
+    def _failed(self, test, err, record):
         if test.id() not in self.listed:
-            plain(test, err)
-        elif test.id() not in self.red:
-            self.red.append(test.id())
+            record(test, err)
+        elif test.id() not in self.known_failures:
+            self.known_failures.append(test.id())
 
     def printErrors(self):
         super().printErrors()
-        for name in self.red:
+        for name in self.known_failures:
             cause, issue = self.listed[name]
             self.stream.writeln(f"KNOWN RED: {name}: {cause} ({issue})")
 
 
 def main(arguments, path=ROOT / "KNOWN-RED.txt"):
-    if not arguments and AT_ONCE > 1:
-        return shared_out()
-    return alone(arguments, path)
+    if not arguments and PROCESSES > 1:
+        return run_files()
+    return run_in_process(arguments, path)
 
 
-def shared_out(folder=ROOT / "tests", top=ROOT):
-    """Each file of the folder in a process of its own, so many at once; what each says comes whole, when it has ended. `top` is
-    where its modules' names begin."""
+def run_files(folder=ROOT / "tests", top=ROOT):
+    """Runs each file of the folder in a process of its own, several at once; prints its output when it has ended.
+
+    `top` is the top-level directory of the modules. Returns the exit status.
+    """
     files = sorted(
         (path.name for path in folder.glob("test_*.py")),
         key=lambda name: (LONGEST_FIRST.index(name) if name in LONGEST_FIRST else len(LONGEST_FIRST), name),
     )
     slots, ran, failed = Queue(), 0, []
-    for slot in range(AT_ONCE):
+    for slot in range(PROCESSES):
         slots.put(slot)
-    began = time.monotonic()
+    started_at = time.monotonic()
 
-    def play(name):
+    def run_file(name):
         slot = slots.get()
         first = FIRST_PORT + slot * PORTS_EACH
         try:
@@ -139,35 +141,35 @@
                 text=True,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
-                timeout=LONGEST,
+                timeout=FILE_TIMEOUT_S,
                 env={**os.environ, "CURLEWSHIFT_PORTS": f"{first}-{first + PORTS_EACH}"},
             )
             return name, done.returncode, done.stdout
-        except subprocess.TimeoutExpired as late:
-            return name, 1, f"{late.stdout or ''}\n{name} did not end within {LONGEST} s\n"
+        except subprocess.TimeoutExpired as error:
+            return name, 1, f"{error.stdout or ''}\n{name} timed out after {FILE_TIMEOUT_S} s\n"
         finally:
             slots.put(slot)
 
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        for over in as_completed([pool.submit(play, name) for name in files]):
-            name, code, said = over.result()
-            found = re.search(r"^Ran (\d+) tests? in", said, re.MULTILINE)
+    with ThreadPoolExecutor(PROCESSES) as pool:
+        for future in as_completed([pool.submit(run_file, name) for name in files]):
+            name, code, output = future.result()
+            found = re.search(r"^Ran (\d+) tests? in", output, re.MULTILINE)
             ran += int(found[1]) if found else 0
             if code or not found:
                 failed.append(name)
-            print(f"== {name}\n{said.rstrip()}", flush=True)
+            print(f"== {name}\n{output.rstrip()}", flush=True)
     print(
-        f"\n{len(files)} files, {ran} tests in {time.monotonic() - began:.0f} s"
+        f"\n{len(files)} files, {ran} tests in {time.monotonic() - started_at:.0f} s"
         + (f", not passed: {', '.join(sorted(failed))}" if failed else ", all passed")
     )
     return 1 if failed or not ran else 0
 
 
-def alone(arguments, path=ROOT / "KNOWN-RED.txt"):
+def run_in_process(arguments, path=ROOT / "KNOWN-RED.txt"):
     try:
         listed = read(path.read_text()) if path.exists() else {}
-    except Unusable as wrong:
-        print(f"KNOWN-RED.txt: {wrong}", file=sys.stderr)
+    except InvalidList as errors:
+        print(f"KNOWN-RED.txt: {errors}", file=sys.stderr)
         return 1
     runner = unittest.TextTestRunner(resultclass=type("Listed", (Result,), {"listed": listed}))
     ran = unittest.main(
