--- a/curlewshift/capacity/__init__.py
+++ b/curlewshift/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes and a size in, the tables of docs/CAPACITY.md out. No clock, no socket; the command and a test call it."""
+"""Computes the tables of docs/CAPACITY.md from measured slopes and a target size, without clock or network access."""
--- a/curlewshift/capacity/at_control.py
+++ b/curlewshift/capacity/at_control.py
@@ -1,26 +1,27 @@
-"""What control needs at a size: the machines set aside, who adds up for a zone, who follows the list, who holds a lease."""
+"""What the control roles need at a size: control machines, zone aggregators, followers of the server list and lease holders."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 from curlewshift.capacity import in_force
-from curlewshift.capacity.figures import Figure, assumed, supposed, worked_out
+from curlewshift.capacity.figures import Figure, assumed, derived, from_assumptions
 from curlewshift.capacity.given import GIVER, LEASES, OVERLOAD, REPORTS, SHARING, STORE, WRITER
 from curlewshift.capacity.measured import Measurements
 from curlewshift.capacity.rows import AGGREGATOR, CONTROL, FOLLOWER, LED, MEMORY, MESSAGES, PROCESSOR, STATE, Mechanism, Row
-from curlewshift.capacity.size import DAY, Size
+from curlewshift.capacity.size import SECONDS_PER_DAY, Size
 
 LIST_MEMORY, LIST_IDLE, LIST_START = "memory-by-servers", "idle-time-by-servers", "restart-time-by-servers"
-# Servers in one whole list: the bulletin's records of 27 bytes in a frame of 16 KiB; a test holds it to `node/discovery.py`.
-MOST_LISTED = 606
+# Servers in one complete list: the discovery protocol's records of 27 bytes in a frame of 16 KiB. A test compares it with
+# `node/discovery.py`.
+MAX_LISTED_SERVERS = 606
 LISTS = Mechanism("curlewshift/node/follower.py", "class Follower")
 MACHINE = Mechanism("curlewshift/control/machine.py", "class Machine")
 TASKS = Mechanism("curlewshift/tasks/tasks.py", "class Tasks")
 PROBES = Mechanism("curlewshift/tasks/servers.py", "class Probing")
-KEEPERS, LED_SHARDS, LED_TASKS = 5, 8, 4
-# As `distribution/terms.py` has it (s); a test holds the two together.
-REPORT_EACH = 30
+ACCEPTORS, LED_SHARDS, LED_TASKS = 5, 8, 4
+# Equal to the report interval of `distribution/terms.py`, as a test checks.
+REPORT_INTERVAL_S = 30
 
 
 def rows(size: Size, measured: Measurements) -> list[Row]:
@@ -29,19 +30,19 @@
         *control_machine(size, measured),
         *aggregator(size, measured),
         *follower(size, measured),
-        *led(size, measured),
+        *lease_holder(size, measured),
     ]
 
 
 def control_machine(size: Size, measured: Measurements) -> list[Row]:
-    whole = size.guess("configuration-kB")
+    configuration_kb = size.assumption("configuration-kB")
     return [
         Row(
             "configuration",
             CONTROL,
             STATE,
             "the newest version accepted and the newest chosen, whole",
-            supposed(whole * 2, "kB"),
+            from_assumptions(configuration_kb * 2, "kB"),
             None,
             STORE,
         ),
@@ -59,18 +60,20 @@
             CONTROL,
             MESSAGES,
             "contents given, were each node given all by the control machines",
-            supposed(whole * 1000 * size.nodes * size.changes_a_day / DAY / size.control_machines, "bytes/s"),
+            from_assumptions(
+                configuration_kb * 1000 * size.nodes * size.changes_a_day / SECONDS_PER_DAY / size.control_machines, "bytes/s"
+            ),
             None,
             GIVER,
         ),
-        *of_a_run(size, measured),
+        *scale_run_rows(size, measured),
     ]
 
 
-def of_a_run(size: Size, measured: Measurements) -> list[Row]:
-    """What a scale run counted for a control machine, all its parts together: at rest, and over a stretch of changes."""
+def scale_run_rows(size: Size, measured: Measurements) -> list[Row]:
+    """Returns the total cost of a control machine in a scale run: at rest, and over a period of changes."""
     found = []
-    for words, way in (("at rest", ()), ("over a stretch of changes and restarts", ("stretch",))):
+    for words, path in (("at rest", ()), ("over a stretch of changes and restarts", ("stretch",))):
         for what, key, unit, bound in ((MESSAGES, "bytes_a_second", "bytes/s", None), (PROCESSOR, "core", "cores", 1.0)):
             found.append(
                 Row(
@@ -78,16 +81,16 @@
                     CONTROL,
                     what,
                     f"{words}, out" if what == MESSAGES else words,
-                    measured.at_size(size.nodes, *way, "control", "all", key, "mean", unit=unit),
+                    measured.at_size(size.nodes, *path, "control", "all", key, "mean", unit=unit),
                     bound,
                     MACHINE,
                 )
             )
-    for words, way in (
+    for words, path in (
         ("over 100 changes and 20 restarts close together", "stretch"),
         ("while a zone comes back with empty disks", "zone_returns_empty"),
     ):
-        figure = measured.figure("versions.json", way, "stores_sent_worst", unit="bytes/s")
+        figure = measured.figure("versions.json", path, "stores_sent_worst", unit="bytes/s")
         if figure is not None:
             found.append(
                 Row(
@@ -95,7 +98,7 @@
                     CONTROL,
                     MESSAGES,
                     f"{words}, out, simulated",
-                    measured.of_run("versions.json", figure, size.nodes),
+                    measured.with_run_size("versions.json", figure, size.nodes),
                     None,
                     MACHINE,
                 )
@@ -106,8 +109,8 @@
             CONTROL,
             MEMORY,
             "its process, as a scale run counted",
-            measured.at_size(size.nodes, "control", "memory_kB", unit="MB", by=0.001),
-            size.guess("memory-a-node-GB") * 1000,
+            measured.at_size(size.nodes, "control", "memory_kB", unit="MB", multiplier=0.001),
+            size.assumption("memory-a-node-GB") * 1000,
             MACHINE,
         )
     )
@@ -115,15 +118,15 @@
 
 
 def aggregator(size: Size, measured: Measurements) -> list[Row]:
-    keys = size.guess("servers") / size.nodes
-    users = size.nodes * size.guess("servers-played-on") / size.guess("servers")
+    keys = size.assumption("servers") / size.nodes
+    users = size.nodes * size.assumption("servers-played-on") / size.assumption("servers")
     return [
         Row(
             "configuration",
             AGGREGATOR,
             STATE,
             "version in force and refusals of each node of a zone",
-            worked_out(size.nodes_a_zone, "nodes"),
+            derived(size.nodes_a_zone, "nodes"),
             None,
             REPORTS,
         ),
@@ -131,8 +134,8 @@
             "configuration",
             AGGREGATOR,
             MESSAGES,
-            f"reports in, each node on each change and each {REPORT_EACH} s",
-            worked_out(size.nodes_a_zone * (size.changes_a_day / DAY + 1 / REPORT_EACH), "reports/s"),
+            f"reports in, each node on each change and each {REPORT_INTERVAL_S} s",
+            derived(size.nodes_a_zone * (size.changes_a_day / SECONDS_PER_DAY + 1 / REPORT_INTERVAL_S), "reports/s"),
             None,
             REPORTS,
         ),
@@ -140,8 +143,8 @@
             "configuration",
             AGGREGATOR,
             MESSAGES,
-            f"sums out, on change and each {REPORT_EACH // 3} s, to each control machine",
-            worked_out(size.control_machines * (size.changes_a_day / DAY + 3 / REPORT_EACH), "sums/s"),
+            f"sums out, on change and each {REPORT_INTERVAL_S // 3} s, to each control machine",
+            derived(size.control_machines * (size.changes_a_day / SECONDS_PER_DAY + 3 / REPORT_INTERVAL_S), "sums/s"),
             None,
             REPORTS,
         ),
@@ -150,7 +153,7 @@
             AGGREGATOR,
             STATE,
             "links that one node adds up, by link and not by zone",
-            supposed(keys, "links"),
+            from_assumptions(keys, "links"),
             None,
             SHARING,
         ),
@@ -159,7 +162,7 @@
             AGGREGATOR,
             MESSAGES,
             "words of use in, four rounds a second, were each node to tell its links apart",
-            supposed(keys * users * 4, "rows/s"),
+            from_assumptions(keys * users * 4, "rows/s"),
             None,
             SHARING,
         ),
@@ -168,7 +171,7 @@
             AGGREGATOR,
             MESSAGES,
             "rounds in, one a second of each node, at who adds up one zone of servers",
-            supposed((size.nodes - 1) * size.guess("round-word-bytes"), "bytes/s"),
+            from_assumptions((size.nodes - 1) * size.assumption("round-word-bytes"), "bytes/s"),
             None,
             OVERLOAD,
         ),
@@ -177,7 +180,7 @@
             AGGREGATOR,
             MESSAGES,
             "levels out, one a second to each node, of who adds up one zone of servers",
-            supposed((size.nodes - 1) * size.guess("level-word-bytes"), "bytes/s"),
+            from_assumptions((size.nodes - 1) * size.assumption("level-word-bytes"), "bytes/s"),
             size.control_bytes,
             OVERLOAD,
         ),
@@ -187,16 +190,24 @@
 
 
 def follower(size: Size, measured: Measurements) -> list[Row]:
-    servers = size.guess("servers")
-    idle, taken = of_servers(measured, LIST_IDLE, servers, "s"), of_servers(measured, LIST_START, servers, "ms")
+    servers = size.assumption("servers")
+    idle, taken = increase_by_servers(measured, LIST_IDLE, servers, "s"), increase_by_servers(measured, LIST_START, servers, "ms")
     return [
-        Row("list", FOLLOWER, STATE, "servers that a whole list has to hold", assumed(servers, "servers"), MOST_LISTED, LISTS),
+        Row(
+            "list",
+            FOLLOWER,
+            STATE,
+            "servers that a whole list has to hold",
+            assumed(servers, "servers"),
+            MAX_LISTED_SERVERS,
+            LISTS,
+        ),
         Row(
             "list",
             FOLLOWER,
             MESSAGES,
             "connections at whoever tells the list, one a node",
-            worked_out(size.nodes, "connections"),
+            derived(size.nodes, "connections"),
             None,
             LISTS,
         ),
@@ -223,40 +234,38 @@
             FOLLOWER,
             MEMORY,
             f"a list of {servers:,.0f} servers",
-            of_servers(measured, LIST_MEMORY, servers, "MB"),
+            increase_by_servers(measured, LIST_MEMORY, servers, "MB"),
             size.control_memory,
             LISTS,
         ),
     ]
 
 
-def of_servers(measured: Measurements, name: str, servers: float, unit: str) -> Figure | None:
-    """What so many servers add to a node that has none."""
+def increase_by_servers(measured: Measurements, name: str, servers: float, unit: str) -> Figure | None:
+    """Returns the cost that a list of `servers` servers adds to a node."""
     slope = measured.slopes.get(name)
-    return slope and slope.added(servers, unit)
+    return slope and slope.increase_from_smallest(servers, unit)
 
 
 def leases_a_shard(size: Size, measured: Measurements) -> Figure | None:
-    """What each node would send for leases, were each shard of topics to have one and all nodes to be keepers by turns."""
+    """Returns the bytes/s that a node would send if each topic shard had a lease and all nodes took turns as acceptor."""
     words = measured.figure("leases.json", "sizes", 4, "words_a_second_a_lease", unit="words/s")
-    return words and words.times(size.shards / size.nodes * size.guess("lease-word-bytes"), "bytes/s")
+    return words and words.times(size.shards / size.nodes * size.assumption("lease-word-bytes"), "bytes/s")
 
 
-def led(size: Size, measured: Measurements) -> list[Row]:
+def lease_holder(size: Size, measured: Measurements) -> list[Row]:
     leases = LED_SHARDS * LED_TASKS
     words = measured.figure("leases.json", "sizes", 4, "words_a_second_a_lease", unit="words/s")
-    at_keeper = words and words.times(leases / KEEPERS * size.guess("lease-word-bytes"), "bytes/s")
+    at_acceptor = words and words.times(leases / ACCEPTORS * size.assumption("lease-word-bytes"), "bytes/s")
     return [
-        Row(
-            "leases", LED, STATE, f"leases of {LED_TASKS} tasks in {LED_SHARDS} shards", worked_out(leases, "leases"), None, TASKS
-        ),
-        Row("leases", LED, MESSAGES, "words in and out at each of five keepers", at_keeper, size.control_bytes, LEASES),
+        Row("leases", LED, STATE, f"leases of {LED_TASKS} tasks in {LED_SHARDS} shards", derived(leases, "leases"), None, TASKS),
+        Row("leases", LED, MESSAGES, "words in and out at each of five keepers", at_acceptor, size.control_bytes, LEASES),
         Row(
             "probes",
             LED,
             MESSAGES,
             "probes a second by all holders, each server each second",
-            supposed(size.guess("servers"), "probes/s"),
+            from_assumptions(size.assumption("servers"), "probes/s"),
             None,
             PROBES,
         ),
--- a/curlewshift/capacity/at_node.py
+++ b/curlewshift/capacity/at_node.py
@@ -7,35 +7,35 @@
 
 from curlewshift.capacity import given
 from curlewshift.capacity.figures import Figure, wanted
-from curlewshift.capacity.measured import Measurements, a_second, carried
+from curlewshift.capacity.measured import Measurements, cores_at_rate, extrapolated
 from curlewshift.capacity.rows import FRONT, MEMORY, MESSAGES, PROCESSOR, STATE, WORKER, Mechanism, Row
 from curlewshift.capacity.size import Size
 
-# The names of slopes, as docs/measured/slope-*.json have them.
+# Names of slopes in docs/measured/slope-*.json.
 MEMORY_BY, IDLE_BY = "memory-by-connection-with-viewing", "idle-time-by-connection-with-viewing"
 MEMORY_RESTING, IDLE_RESTING = "memory-by-connection", "idle-time-by-connection"
 BY_REQUEST, BY_NOTICE, BY_RUNG = "processor-time-by-request", "processor-time-by-notice", "processor-time-by-change-of-rung"
 P99_BY_REQUEST, P99_BY_NOTICE = "p99-by-request", "p99-by-notice"
 
-WIRE = Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection")
-DESK = Mechanism("curlewshift/session_core/session_core.py", "class SessionCore")
-DOOR = Mechanism("curlewshift/node/client_listener.py", "def sweep")
+CONNECTION = Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection")
+SESSION_CORE = Mechanism("curlewshift/session_core/session_core.py", "class SessionCore")
+LISTENER = Mechanism("curlewshift/node/client_listener.py", "def sweep")
 
 
-def open_and_playing(size: Size, measured: Measurements, both: str, resting: str, unit: str) -> Figure | None:
-    """Connections with a viewing each by the one slope, those without by the other."""
-    whole = carried(measured, both, size.viewings_a_node, unit)
+def for_connections_and_viewings(size: Size, measured: Measurements, both: str, dependents: str, unit: str) -> Figure | None:
+    """Returns the cost of all connections of a node: those with a viewing by the slope `both`, the others by `resting`."""
+    whole = extrapolated(measured, both, size.viewings_a_node, unit)
     rest = size.connections_a_node - size.viewings_a_node
     if whole is None or rest <= 0:
         return whole
-    alone = measured.slopes.get(resting)
-    return alone and whole.plus(alone.each(unit, rest).times(rest, unit))
+    alone = measured.slopes.get(dependents)
+    return alone and whole.plus(alone.marginal_cost(unit, rest).times(rest, unit))
 
 
-def each_delivery(size: Size, measured: Measurements) -> list[tuple[str, Figure | None]]:
-    """Cores for all deliveries of a node, were all of one kind."""
+def cores_by_delivery_kind(size: Size, measured: Measurements) -> list[tuple[str, Figure | None]]:
+    """Returns (kind, cores) for the deliveries of a node if all were of that kind."""
     return [
-        (kind, a_second(measured, name, size.deliveries_a_node))
+        (kind, cores_at_rate(measured, name, size.deliveries_a_node))
         for kind, name in (
             ("set-ups, each with its end counted as one", BY_REQUEST),
             ("notices", BY_NOTICE),
@@ -44,69 +44,77 @@
     ]
 
 
-def told_at_once(size: Size, measured: Measurements) -> Figure | None:
-    """How long one process is busy with telling a node's part of the largest topic (ms)."""
-    slope, listeners = measured.slopes.get(BY_NOTICE), size.largest / size.nodes
-    return slope and slope.each("ms", listeners).times(listeners, "ms")
+def largest_topic_notification_time(size: Size, measured: Measurements) -> Figure | None:
+    """Returns how long one process takes to notify a node's share of the listeners of the largest topic (ms)."""
+    slope, listeners = measured.slopes.get(BY_NOTICE), size.largest_topic_listeners / size.nodes
+    return slope and slope.marginal_cost("ms", listeners).times(listeners, "ms")
 
 
 def processes(size: Size, measured: Measurements) -> Figure | None:
-    """Cores, and so processes, that the dearest kind of delivery takes, of those that could be carried."""
-    found = [one for _, one in each_delivery(size, measured) if one is not None and not one.at_least]
+    """Returns the cores, and so the processes, for the most expensive kind of delivery whose figure is not a lower bound."""
+    found = [one for _, one in cores_by_delivery_kind(size, measured) if one is not None and not one.is_lower_bound]
     return max(found, key=lambda one: one.value, default=None)
 
 
 def rows(size: Size, measured: Measurements) -> list[Row]:
-    idle = open_and_playing(size, measured, IDLE_BY, IDLE_RESTING, "s")
+    idle = for_connections_and_viewings(size, measured, IDLE_BY, IDLE_RESTING, "s")
     found = [
         Row(
             "memory",
             FRONT,
             STATE,
             "connections held, one process",
-            run_to(measured, MEMORY_RESTING, size.connections_a_node, "connections"),
+            with_measured_extent(measured, MEMORY_RESTING, size.connections_a_node, "connections"),
             None,
-            WIRE,
+            CONNECTION,
         ),
         Row(
             "memory",
             FRONT,
             STATE,
             "viewings held, one process",
-            run_to(measured, MEMORY_BY, size.viewings_a_node, "viewings"),
+            with_measured_extent(measured, MEMORY_BY, size.viewings_a_node, "viewings"),
             None,
-            DESK,
+            SESSION_CORE,
         ),
         Row(
             "memory",
             FRONT,
             MEMORY,
             "one process, all connections with their viewings",
-            open_and_playing(size, measured, MEMORY_BY, MEMORY_RESTING, "MB"),
-            size.guess("memory-a-node-GB") * 1000,
-            DESK,
+            for_connections_and_viewings(size, measured, MEMORY_BY, MEMORY_RESTING, "MB"),
+            size.assumption("memory-a-node-GB") * 1000,
+            SESSION_CORE,
         ),
         Row(
             "memory",
             FRONT,
             MEMORY,
             "one process, the connections alone",
-            carried(measured, MEMORY_RESTING, size.connections_a_node, "MB"),
-            size.guess("memory-a-node-GB") * 1000,
-            WIRE,
+            extrapolated(measured, MEMORY_RESTING, size.connections_a_node, "MB"),
+            size.assumption("memory-a-node-GB") * 1000,
+            CONNECTION,
+        ),
+        Row(
+            "idle",
+            FRONT,
+            PROCESSOR,
+            "nothing asked, all viewings playing",
+            idle and replace(idle, unit="cores"),
+            1.0,
+            SESSION_CORE,
         ),
-        Row("idle", FRONT, PROCESSOR, "nothing asked, all viewings playing", idle and replace(idle, unit="cores"), 1.0, DESK),
         Row(
             "idle",
             FRONT,
             PROCESSOR,
             "nothing asked, the connections alone",
-            a_second(measured, IDLE_RESTING, size.connections_a_node),
+            cores_at_rate(measured, IDLE_RESTING, size.connections_a_node),
             1.0,
-            DOOR,
+            LISTENER,
         ),
     ]
-    for kind, figure in each_delivery(size, measured):
+    for kind, figure in cores_by_delivery_kind(size, measured):
         found.append(
             Row(
                 "workers",
@@ -115,7 +123,7 @@
                 f"{size.deliveries_a_node:,.0f} deliveries a second, were all {kind}",
                 figure,
                 1.0,
-                DESK,
+                SESSION_CORE,
             )
         )
     found.append(
@@ -125,12 +133,22 @@
             PROCESSOR,
             "the same on all cores of the machine, were all of the dearest kind",
             processes(size, measured),
-            size.guess("cores-a-node"),
-            DESK,
+            size.assumption("cores-a-node"),
+            SESSION_CORE,
+        )
+    )
+    description = f"{size.largest_topic_listeners / size.nodes:,.0f} listeners of the largest topic told at once"
+    found.append(
+        Row(
+            "largest-topic",
+            FRONT,
+            PROCESSOR,
+            description,
+            largest_topic_notification_time(size, measured),
+            size.p99 * 1000,
+            SESSION_CORE,
         )
     )
-    told = f"{size.largest / size.nodes:,.0f} listeners of the largest topic told at once"
-    found.append(Row("largest-topic", FRONT, PROCESSOR, told, told_at_once(size, measured), size.p99 * 1000, DESK))
     for kind, name in (("an answer", P99_BY_REQUEST), ("a notice", P99_BY_NOTICE)):
         found.append(
             Row(
@@ -138,26 +156,26 @@
                 FRONT,
                 MESSAGES,
                 f"p99 of {kind} at {size.deliveries_a_node:,.0f} a second",
-                carried(measured, name, size.deliveries_a_node, "ms", beyond=False),
+                extrapolated(measured, name, size.deliveries_a_node, "ms", extrapolate=False),
                 size.p99 * 1000,
-                DESK,
+                SESSION_CORE,
             )
         )
     return found + given.rows(size, measured) + worker_rows(size, measured)
 
 
-def run_to(measured: Measurements, name: str, value: float, unit: str) -> Figure:
-    """How many are wanted, and with how many one process was run."""
+def with_measured_extent(measured: Measurements, name: str, value: float, unit: str) -> Figure:
+    """Returns the required number, with the largest number that one process was measured with."""
     slope, figure = measured.slopes.get(name), wanted(value, unit)
     if slope is None:
         return figure
     return replace(
-        figure, files=(slope.file,), command=slope.command, measured_to=slope.measured_to, wanted_at=value, carried=unit
+        figure, files=(slope.file,), command=slope.command, measured_to=slope.measured_to, required_at=value, extent_unit=unit
     )
 
 
 def worker_rows(size: Size, measured: Measurements) -> list[Row]:
-    """No split of a node exists: how many processes it would take, and what each would hold."""
+    """Returns rows for a node split into worker processes, which is not implemented: their number and the load of each."""
     cores = processes(size, measured)
     wanted_ = cores and replace(cores, value=float(ceil(cores.value)), unit="processes")
     each = wanted_ and replace(wanted_, value=size.connections_a_node / wanted_.value, error=0.0, unit="connections")
@@ -168,7 +186,7 @@
             STATE,
             "processes that the dearest kind of delivery takes",
             wanted_,
-            size.guess("cores-a-node"),
+            size.assumption("cores-a-node"),
             None,
         ),
         Row("workers", WORKER, STATE, "connections of one process in so many", each, None, None),
@@ -203,5 +221,5 @@
 
 
 def _again(size: Size, measured: Measurements, what: str, workers: Figure | None) -> Figure | None:
-    whole = given.whole(size, measured, what)
+    whole = given.total_control(size, measured, what)
     return whole and workers and whole.times(workers.value, whole.unit)
--- a/curlewshift/capacity/failures.py
+++ b/curlewshift/capacity/failures.py
@@ -1,21 +1,21 @@
-"""The failures of an ordinary day, month and year at a size: who notices, how soon, what moves, what it costs, what waits."""
+"""The expected failures at a size: their rate, detection, what moves to other nodes, what that costs and what is delayed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from curlewshift.capacity.at_node import BY_REQUEST, told_at_once
-from curlewshift.capacity.figures import NOT_MEASURED, Figure, short, supposed, worked_out
-from curlewshift.capacity.in_force import longest
-from curlewshift.capacity.measured import Measurements, a_second, carried
-from curlewshift.capacity.size import DAY, Size
+from curlewshift.capacity.at_node import BY_REQUEST, largest_topic_notification_time
+from curlewshift.capacity.figures import NOT_MEASURED, Figure, derived, format_number, from_assumptions
+from curlewshift.capacity.in_force import slowest_change
+from curlewshift.capacity.measured import Measurements, cores_at_rate, extrapolated
+from curlewshift.capacity.size import SECONDS_PER_DAY, Size
 
-RESTART, STORM, STORM_LASTS = "restart-by-servers", "storm-time", "storm-until-all-play"
+RESTART, STORM, STORM_DURATION = "restart-by-servers", "storm-time", "storm-until-all-play"
 
 
 @dataclass(frozen=True)
 class Failure:
-    """Each cell in words, with the figures in them; `of` are those figures, for their files and commands."""
+    """The cells of a row as text; `of` are the figures in them, for their commands."""
 
     what: str
     often: str
@@ -26,19 +26,19 @@
     of: tuple[Figure | None, ...]
 
 
-def said(figure: Figure | None) -> str:
+def figure_text(figure: Figure | None) -> str:
     return figure.text() if figure else NOT_MEASURED
 
 
 def _many(count: float) -> str:
-    return f"{short(count / 1e6)} million" if count >= 1e6 else short(count)
+    return f"{format_number(count / 1e6)} million" if count >= 1e6 else format_number(count)
 
 
-def _viewers(told: dict | None) -> str:
-    """What viewers at the real nodes of the run got."""
-    if not told:
+def _viewers(viewers: dict | None) -> str:
+    """Describes how many viewings at the real nodes of the run were played."""
+    if not viewers:
         return ""
-    return f" (of {told['asked']} asked at real nodes of the run, through all its faults, {told['played']} played)"
+    return f" (of {viewers['asked']} asked at real nodes of the run, through all its faults, {viewers['played']} played)"
 
 
 def _limit(figure: Figure | None) -> str:
@@ -56,14 +56,14 @@
             last,
             "detected_p99_periods",
             unit="s",
-            by=(measured.get("peers.json", "emulated", "period_ms") or 0) / 1000,
+            multiplier=(measured.get("peers.json", "emulated", "period_ms") or 0) / 1000,
         )
         self.lease_gap = measured.figure(
             "leases.json",
             "without_holder_after_kill_terms",
             "p99",
             unit="s",
-            by=(measured.get("leases.json", "term_ms") or 0) / 1000,
+            multiplier=(measured.get("leases.json", "term_ms") or 0) / 1000,
         )
 
     def all(self) -> list[Failure]:
@@ -84,11 +84,12 @@
         size = self.size
         return Failure(
             "a machine fails",
-            f"{short(size.machines_a_day)} a day",
-            f"its clients at once, by their connections; peers within {said(self.detected)} p99 at 1,000 nodes; servers by "
+            f"{format_number(size.machines_a_day)} a day",
+            f"its clients at once, by their connections; peers within {figure_text(self.detected)} "
+            f"p99 at 1,000 nodes; servers by "
             "their connections",
             f"{self.connections(1)} come again at others; its rights come back after their term; its leases are held again "
-            f"after {said(self.lease_gap)} p99; list and configuration: nothing moves",
+            f"after {figure_text(self.lease_gap)} p99; list and configuration: nothing moves",
             self.come_again(1),
             "seats and rights that it had lent or borrowed, until their terms are over",
             (self.detected, self.lease_gap, *self._set_up()),
@@ -96,30 +97,31 @@
 
     def restart(self) -> Failure:
         size = self.size
-        ready = carried(self.measured, RESTART, size.guess("servers"), "s")
-        storm = carried(self.measured, STORM, size.connections_a_node, "s")
-        lasts = carried(self.measured, STORM_LASTS, size.connections_a_node, "s", beyond=False)
-        old = self.measured.figure("recovery.json", "rows", 3, "all_adopted_after_ms", unit="s", by=0.001)
-        each = worked_out(DAY / size.restarts_a_day, "s")
+        ready = extrapolated(self.measured, RESTART, size.assumption("servers"), "s")
+        storm = extrapolated(self.measured, STORM, size.connections_a_node, "s")
+        duration = extrapolated(self.measured, STORM_DURATION, size.connections_a_node, "s", extrapolate=False)
+        old = self.measured.figure("recovery.json", "rows", 3, "all_adopted_after_ms", unit="s", multiplier=0.001)
+        each = derived(SECONDS_PER_DAY / size.restarts_a_day, "s")
         return Failure(
             "a restart or replacement",
-            f"{short(size.restarts_a_day)} a day, one each {said(each)}",
+            f"{format_number(size.restarts_a_day)} a day, one each {figure_text(each)}",
             "peers by its word that it leaves, else as above",
             f"as above: {self.connections(1)}; viewings are taken up from its state folder where it has one; configuration "
             "from its disk, else from peers, else from the file it was given",
-            f"{self.come_again(1)}. Ready after {said(ready)} with a list of {short(size.guess('servers'))} servers; if all its "
-            f"own come again at once, {said(storm)} of processor time and {said(lasts)} until all play"
-            f"{_limit(storm)}; 10,000 viewings taken up from its folder after {said(old)}",
+            f"{self.come_again(1)}. Ready after {figure_text(ready)} with a list of {format_number(size.assumption('servers'))} "
+            f"servers; if all its "
+            f"own come again at once, {figure_text(storm)} of processor time and {figure_text(duration)} until all play"
+            f"{_limit(storm)}; 10,000 viewings taken up from its folder after {figure_text(old)}",
             "its own rights, for as long as an earlier life may have lent them; servers of a stale list, for a warm-up",
-            (each, ready, storm, lasts, old, *self._set_up()),
+            (each, ready, storm, duration, old, *self._set_up()),
         )
 
     def rack(self) -> Failure:
-        size, nodes = self.size, self.size.guess("nodes-a-rack")
+        size, nodes = self.size, self.size.assumption("nodes-a-rack")
         return Failure(
             "a rack or switch",
-            f"each {short(size.rack_each_days)} days",
-            f"as a machine; {short(nodes)} at once (assumed)",
+            f"each {format_number(size.rack_each_days)} days",
+            f"as a machine; {format_number(nodes)} at once (assumed)",
             f"{self.connections(nodes)} come again",
             self.come_again(nodes),
             "as a machine",
@@ -130,35 +132,36 @@
         size, nodes = self.size, self.size.nodes_a_zone
         converged, worst = self.fault("zone-lost", "known_s"), self.fault("zone-lost", "while", "all", "bytes_a_second", "mean")
         return Failure(
-            f"a zone lost: {short(nodes)} nodes",
-            f"each {short(size.zone_each_days)} days",
-            f"peers; until all agree: {said(converged)}",
+            f"a zone lost: {format_number(nodes)} nodes",
+            f"each {format_number(size.zone_each_days)} days",
+            f"peers; until all agree: {figure_text(converged)}",
             f"{self.connections(nodes)} come again elsewhere; rights and leases as above, all at once; the zone's aggregator is "
             "another node's work at once; control machines of the zone are missed by the majority",
-            f"{self.come_again(nodes)}; control out meanwhile {said(worst)}, the users grant {short(size.control_bytes)} bytes/s",
+            f"{self.come_again(nodes)}; control out meanwhile {figure_text(worst)}, "
+            f"the users grant {format_number(size.control_bytes)} bytes/s",
             "nothing that serves; changes only if a majority of the control machines was there",
             (converged, worst, *self._set_up()),
         )
 
     def zone_returns(self) -> Failure:
         size, nodes = self.size, self.size.nodes_a_zone
-        whole = size.guess("configuration-kB")
-        all_ = supposed(whole * nodes, "kB")
+        configuration_kb = size.assumption("configuration-kB")
+        all_ = from_assumptions(configuration_kb * nodes, "kB")
         again = self.change_after("zone-lost")
         return Failure(
-            f"a zone returns: {short(nodes)} empty nodes at once",
-            f"each {short(size.zone_each_days)} days",
+            f"a zone returns: {format_number(nodes)} empty nodes at once",
+            f"each {format_number(size.zone_each_days)} days",
             "peers at once",
-            f"the configuration {short(nodes)} times, {said(all_)} together, from each other and from who is near",
+            f"the configuration {format_number(nodes)} times, {figure_text(all_)} together, from each other and from who is near",
             "a giver of the other zones: bounded, apart from its channel; "
-            f"a change is in force everywhere after they are back: {said(again)}",
+            f"a change is in force everywhere after they are back: {figure_text(again)}",
             "their own rights, and cold servers' paces",
             (all_, again),
         )
 
     def apart(self) -> Failure:
         size = self.size
-        changes = worked_out(size.changes_a_day * size.regions_apart / DAY, "changes")
+        changes = derived(size.changes_a_day * size.regions_apart / SECONDS_PER_DAY, "changes")
         converged = self.fault("regions-apart", "converged_s")
         worst = self.fault("regions-apart", "while", "all", "bytes_a_second", "mean")
         after = self.fault("regions-apart", "after", "all", "bytes_a_second", "mean")
@@ -167,14 +170,16 @@
         majority = size.control_machines // 2 + 1
         able = "no side has it where they lie" if held < majority else "two regions together have it where they lie"
         return Failure(
-            f"regions apart for {short(size.regions_apart / 60)} minutes, changes made meanwhile",
+            f"regions apart for {format_number(size.regions_apart / 60)} minutes, changes made meanwhile",
             "several times a year",
-            f"peers, as a machine; until all agree after they meet: {said(converged)}",
-            f"no connection; {said(changes)} are made meanwhile, by whoever has {majority} of {size.control_machines} control "
+            f"peers, as a machine; until all agree after they meet: {figure_text(converged)}",
+            f"no connection; {figure_text(changes)} "
+            f"are made meanwhile, by whoever has {majority} of {size.control_machines} control "
             f"machines; all {size.regions} regions apart: no side has a majority, and no change is made",
-            f"control out {said(worst)} meanwhile, {said(after)} after; "
-            f"a change in force everywhere after they meet: {said(change)}",
-            f"a region without a majority goes on with what it has, up to {short(size.regions_apart)} s old (the largest region "
+            f"control out {figure_text(worst)} meanwhile, {figure_text(after)} after; "
+            f"a change in force everywhere after they meet: {figure_text(change)}",
+            f"a region without a majority goes on with what it has, up to {format_number(size.regions_apart)} "
+            f"s old (the largest region "
             f"holding {size.control_machines - held} of {size.control_machines} cut off: {able}); leases of a minority's "
             "holders end with their term",
             (changes, converged, worst, after, change),
@@ -182,7 +187,7 @@
 
     def control_gone(self) -> Failure:
         size = self.size
-        refused = self.measured.get(self.measured.scale(size.nodes) or "", "verdict", "served")
+        refused = self.measured.get(self.measured.scale_file(size.nodes) or "", "verdict", "served")
         after = self.change_after("kill-control")
         return Failure(
             f"all {size.control_machines} control machines gone",
@@ -190,8 +195,9 @@
             "nobody who serves; who asks for a change is told at once that there is no majority",
             "no connection, viewing or right; leases kept by them end with their terms, and their tasks fall back to what each "
             "node does alone",
-            f"nothing{_viewers(refused)}; a change is in force everywhere after they are back: {said(after)}",
-            f"changes ({short(size.changes_a_day)} a day wait); nodes say how old theirs is; a node that starts takes it from "
+            f"nothing{_viewers(refused)}; a change is in force everywhere after they are back: {figure_text(after)}",
+            f"changes ({format_number(size.changes_a_day)} a day wait); nodes say how old theirs is; "
+            f"a node that starts takes it from "
             "its disk or a peer",
             (after,),
         )
@@ -202,7 +208,7 @@
         majority = size.control_machines // 2 + 1
         return Failure(
             "one control machine lost, another restarts meanwhile",
-            f"{short(size.machines_a_day / size.nodes * 365)} a year each",
+            f"{format_number(size.machines_a_day / size.nodes * 365)} a year each",
             "the writer, at its next change",
             f"nothing; {left} of {size.control_machines} are left and {majority} make a majority, with one more away "
             f"{left - 1} are left: {'still a majority' if left - 1 >= majority else 'no change can be made'}",
@@ -213,21 +219,22 @@
 
     def largest_topic(self) -> Failure:
         size = self.size
-        a_node = worked_out(size.largest / size.nodes, "notices")
-        lasts = told_at_once(size, self.measured)
+        a_node = derived(size.largest_topic_listeners / size.nodes, "notices")
+        duration = largest_topic_notification_time(size, self.measured)
         words = (
-            f"×{lasts.value / size.p99 / 1000:.3g} of the {short(size.p99 * 1000)} ms"
-            if lasts
-            else f"against {short(size.p99 * 1000)} ms"
+            f"×{duration.value / size.p99 / 1000:.3g} of the {format_number(size.p99 * 1000)} ms"
+            if duration
+            else f"against {format_number(size.p99 * 1000)} ms"
         )
         return Failure(
-            f"the largest topic's {_many(size.largest)} listeners are told at once",
+            f"the largest topic's {_many(size.largest_topic_listeners)} listeners are told at once",
             "no number is stated",
             "each node by the media servers that it plays on",
-            f"{said(a_node)} a node, if its listeners are spread evenly; nothing else moves",
-            f"one process tells its listeners one after another and answers nobody else meanwhile: {said(lasts)}, {words}",
+            f"{figure_text(a_node)} a node, if its listeners are spread evenly; nothing else moves",
+            f"one process tells its listeners one after another and "
+            f"answers nobody else meanwhile: {figure_text(duration)}, {words}",
             "other answers of that node, for as long",
-            (a_node, lasts),
+            (a_node, duration),
         )
 
     def list_gone(self) -> Failure:
@@ -241,39 +248,40 @@
             (),
         )
 
-    # ---- figures that several have
+    # ---- figures shared by several failures
 
     def connections(self, nodes: float) -> str:
         return f"{_many(self.size.connections_a_node * nodes)} connections"
 
     def come_again(self, nodes: float) -> str:
-        """What those who come again are for each node that is left, if they come spread over the time assumed."""
-        size, within = self.size, self.size.guess("come-again-within-s")
+        """Describes the load of reconnecting viewers on each remaining node, if they return evenly over the assumed time."""
+        size, within = self.size, self.size.assumption("come-again-within-s")
         if nodes >= size.nodes:
             return "nobody is left"
         each = size.connections_a_node * nodes / (size.nodes - nodes)
         rate = each / within
         return (
-            f"{short(each)} for each of the others, {short(rate)} a second over {short(within)} s (assumed), "
-            f"set-ups alone {said(a_second(self.measured, BY_REQUEST, rate))}"
+            f"{format_number(each)} for each of the others, {format_number(rate)} a second "
+            f"over {format_number(within)} s (assumed), "
+            f"set-ups alone {figure_text(cores_at_rate(self.measured, BY_REQUEST, rate))}"
         )
 
     def _set_up(self) -> tuple[Figure | None, ...]:
-        return (a_second(self.measured, BY_REQUEST, self.size.deliveries_a_node),)
+        return (cores_at_rate(self.measured, BY_REQUEST, self.size.deliveries_a_node),)
 
-    def fault(self, kind: str, *way: str) -> Figure | None:
-        """Of a scale run's faults, by kind."""
-        for file, place, one in self.measured.faults(self.size.nodes):
+    def fault(self, kind: str, *path: str) -> Figure | None:
+        """Returns the figure at a path in the fault of this kind in a scale run; None if no run has it."""
+        for file, index, one in self.measured.faults(self.size.nodes):
             if one.get("kind") == kind:
                 return self.measured.at_size(
-                    self.size.nodes, "faults", place, *way, file=file, unit="bytes/s" if "bytes_a_second" in way else "s"
+                    self.size.nodes, "faults", index, *path, file=file, unit="bytes/s" if "bytes_a_second" in path else "s"
                 )
         return None
 
     def change_after(self, kind: str) -> Figure | None:
-        """Seconds from the end of a fault until a change was in force everywhere."""
+        """Returns the seconds from the end of a fault until a change was in force on all nodes."""
         for file, _, one in self.measured.faults(self.size.nodes):
             if one.get("kind") == kind:
-                found = longest(self.measured, file, one.get("change_after"))
-                return found and self.measured.of_run(file, found, self.size.nodes)
+                found = slowest_change(self.measured, file, one.get("change_after"))
+                return found and self.measured.with_run_size(file, found, self.size.nodes)
         return None
--- a/curlewshift/capacity/figures.py
+++ b/curlewshift/capacity/figures.py
@@ -1,73 +1,87 @@
-"""A figure, and how it came: measured, worked out of what was measured, or assumed. Each table cell is made of these.
+"""Figures of the capacity tables with their origin: measured, simulated, derived from these, assumed or required.
 
-No figure is there that no file gives: what has no file is None, and the tables say «not measured».
+A figure that no measurement file provides is None, and the tables show «not measured».
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
-MEASURED, SIMULATED, WORKED_OUT, ASSUMED, WANTED = "measured", "simulated", "worked out", "assumed", "wanted"
-SUPPOSED, FROM_SIMULATED = "worked out of what is assumed", "worked out of what is simulated"
+MEASURED, SIMULATED, DERIVED, ASSUMED, WANTED = "measured", "simulated", "worked out", "assumed", "wanted"
+FROM_ASSUMPTIONS, FROM_SIMULATED = "worked out of what is assumed", "worked out of what is simulated"
 NOT_MEASURED = "not measured"
 
 
 @dataclass(frozen=True)
 class Figure:
-    """`error` is in the figure's own unit. `measured_to` and `wanted_at` are where a slope was carried beyond its run, as
-    (amount, unit). `at_least`: not carried beyond its run, and as it rises the true figure lies above. `of_less`: of a smaller
-    run, and nothing says which way it goes."""
+    """A value with its origin.
+
+    `error` is in `unit`. `measured_to` and `required_at` are the largest measured and the required extent, both in
+    `extent_unit`. `is_lower_bound`: the value is that at the end of the measured range, was not extrapolated, and rises beyond.
+    `from_smaller_run`: the value is that of a smaller run, and the direction of its change with size is not known.
+    """
 
     value: float
     unit: str
-    how: str
+    origin: str
     error: float = 0.0
     files: tuple[str, ...] = ()
     command: str = ""
     measured_to: float | None = None
-    wanted_at: float | None = None
-    carried: str = ""
-    at_least: bool = False
-    by: str = ""
-    of_less: bool = False
+    required_at: float | None = None
+    extent_unit: str = ""
+    is_lower_bound: bool = False
+    method: str = ""
+    from_smaller_run: bool = False
 
     @property
     def factor(self) -> float:
-        """How far beyond its run the figure was carried; 1 where it lies within."""
-        return 1.0 if not self.measured_to else max(1.0, self.wanted_at / self.measured_to)
+        """The ratio of the required to the measured extent; 1 if the figure lies within the measured range."""
+        return 1.0 if not self.measured_to else max(1.0, self.required_at / self.measured_to)
 
     def text(self) -> str:
-        least = "at least " if self.at_least else ""
-        error = f" ± {short(self.error)}" if self.error else ""
-        return f"{least}{short(self.value)}{error} {self.unit} ({self.how})"
+        prefix = "at least " if self.is_lower_bound else ""
+        error = f" ± {format_number(self.error)}" if self.error else ""
+        return f"{prefix}{format_number(self.value)}{error} {self.unit} ({self.origin})"
 
     def limit(self) -> str:
-        """The limit of the machine that measured, beside a figure carried beyond it."""
+        """Returns the measured and the required extent of a figure that lies beyond the measured range, else an empty string."""
         if self.factor <= 1.0:
             return ""
-        words = "" if self.how == WANTED else ", not carried" if self.at_least or self.of_less else ", carried"
-        return f"measured to {short(self.measured_to)} {self.carried}, wanted {short(self.wanted_at)}: ×{self.factor:.1f}{words}"
+        suffix = "" if self.origin == WANTED else ", not carried" if self.is_lower_bound or self.from_smaller_run else ", carried"
+        return (
+            f"measured to {format_number(self.measured_to)} {self.extent_unit}, wanted {format_number(self.required_at)}: "
+            f"×{self.factor:.1f}{suffix}"
+        )
 
-    def times(self, by: float, unit: str, carried: str = "") -> Figure:
-        """So many times this, worked out."""
-        how = FROM_SIMULATED if self.how in (SIMULATED, FROM_SIMULATED) else WORKED_OUT
-        return replace(self, value=self.value * by, error=self.error * by, unit=unit, how=how, carried=carried or self.carried)
+    def times(self, multiplier: float, unit: str, extent_unit: str = "") -> Figure:
+        """Returns the figure and its error multiplied by `multiplier`, in `unit`."""
+        origin = FROM_SIMULATED if self.origin in (SIMULATED, FROM_SIMULATED) else DERIVED
+        return replace(
+            self,
+            value=self.value * multiplier,
+            error=self.error * multiplier,
+            unit=unit,
+            origin=origin,
+            extent_unit=extent_unit or self.extent_unit,
+        )
 
     def plus(self, other: Figure) -> Figure:
-        """Both together, in one unit; the errors add up, and the one that was carried further keeps its limit."""
+        """Returns the sum of two figures in one unit. The errors add up, and the measured range is that of the figure that is
+        extrapolated further. Raises `ValueError` if the units differ."""
         if other.unit != self.unit:
-            raise ValueError(f"{self.unit} and {other.unit} do not add up")
-        further = max(self, other, key=lambda one: one.factor)
-        how = FROM_SIMULATED if {self.how, other.how} & {SIMULATED, FROM_SIMULATED} else WORKED_OUT
+            raise ValueError(f"cannot add figures in {self.unit} and {other.unit}")
+        further = max(self, other, key=lambda figure: figure.factor)
+        origin = FROM_SIMULATED if {self.origin, other.origin} & {SIMULATED, FROM_SIMULATED} else DERIVED
         return replace(
             further,
             value=self.value + other.value,
             error=self.error + other.error,
-            how=how,
+            origin=origin,
             files=tuple(dict.fromkeys(self.files + other.files)),
-            at_least=self.at_least or other.at_least,
-            of_less=self.of_less or other.of_less,
-            command=" ; ".join(dict.fromkeys(one for one in (self.command, other.command) if one)),
+            is_lower_bound=self.is_lower_bound or other.is_lower_bound,
+            from_smaller_run=self.from_smaller_run or other.from_smaller_run,
+            command=" ; ".join(dict.fromkeys(command for command in (self.command, other.command) if command)),
         )
 
 
@@ -79,18 +93,18 @@
     return Figure(value, unit, WANTED)
 
 
-def worked_out(value: float, unit: str) -> Figure:
-    """From the users' numbers alone."""
-    return Figure(value, unit, WORKED_OUT)
+def derived(value: float, unit: str) -> Figure:
+    """Returns a figure computed from the required numbers alone."""
+    return Figure(value, unit, DERIVED)
 
 
-def supposed(value: float, unit: str) -> Figure:
-    """From what is assumed, and the users' numbers."""
-    return Figure(value, unit, SUPPOSED)
+def from_assumptions(value: float, unit: str) -> Figure:
+    """Returns a figure computed from assumptions and the required numbers."""
+    return Figure(value, unit, FROM_ASSUMPTIONS)
 
 
-def short(value: float) -> str:
-    """Three places that count below a thousand, five above, and thousands apart."""
+def format_number(value: float) -> str:
+    """Formats a number with three significant digits below 1,000, and five with thousands separators above."""
     if value == 0:
         return "0"
     size = abs(value)
@@ -104,11 +118,11 @@
     return f"{value:.3g}"
 
 
-def together(figures: list[Figure | None]) -> Figure | None:
-    """The sum; None where one of them is not measured."""
-    if not figures or any(one is None for one in figures):
+def total(figures: list[Figure | None]) -> Figure | None:
+    """Returns the sum of the figures; None if there are none or one of them is not measured."""
+    if not figures or any(figure is None for figure in figures):
         return None
     sum_ = figures[0]
-    for one in figures[1:]:
-        sum_ = sum_.plus(one)
+    for figure in figures[1:]:
+        sum_ = sum_.plus(figure)
     return sum_
--- a/curlewshift/capacity/given.py
+++ b/curlewshift/capacity/given.py
@@ -1,12 +1,13 @@
-"""What a node gives for control at a size, by subsystem and together: bytes out, processor time, memory, quiet and after faults.
+"""What the control traffic of a node costs at a size, by subsystem and in total: bytes sent, processor time and memory, at rest
+and in faults.
 
-From a scale run of the size's nodes; what that run left out is not measured here.
+The figures come from the scale run nearest to the size, with simulations and slopes for what it does not cover.
 """
 
 from __future__ import annotations
 
-from curlewshift.capacity.figures import Figure, supposed, together
-from curlewshift.capacity.measured import Measurements, a_second, carried
+from curlewshift.capacity.figures import Figure, from_assumptions, total
+from curlewshift.capacity.measured import Measurements, cores_at_rate, extrapolated
 from curlewshift.capacity.rows import FRONT, MEMORY, MESSAGES, PROCESSOR, Mechanism, Row
 from curlewshift.capacity.size import Size
 
@@ -19,31 +20,31 @@
 WRITER = Mechanism("curlewshift/distribution/writer.py", "class Writer")
 GIVER = Mechanism("curlewshift/distribution/giving.py", "class Giver")
 REPORTS = Mechanism("curlewshift/distribution/reports.py", "class Reporter")
-# What carries configuration, all of which came with distribution.
+# The mechanisms of configuration distribution.
 DISTRIBUTED = (DISTRIBUTION, STORE, WRITER, GIVER, REPORTS)
-# Control's parts of a node, as a scale run counts them: (name there, key of its rows, what carries it).
+# The control subsystems of a node, as a scale run counts them: (name in the run, key of its rows, mechanism).
 SUBSYSTEMS = (
     ("membership", "membership", MEMBERSHIP),
     ("sharing", "sharing", SHARING),
     ("leases", "leases", LEASES),
     ("distribution", "configuration", DISTRIBUTION),
 )
-# Where each kind stands in a part of the run, and its unit here; the bound is the size's.
+# By resource: path within a part of the run, unit, factor to that unit, and the attribute of `Size` with the bound.
 KINDS = {
     MESSAGES: (("bytes_a_second", "mean"), "bytes/s", 1.0, "control_bytes"),
     PROCESSOR: (("core", "mean"), "cores", 1.0, "control_core"),
     MEMORY: (("memory_kB",), "MB", 0.001, "control_memory"),
 }
 BYTES_BY_LINKS, CORE_BY_LINKS = "sharing-bytes-by-links", "sharing-time-by-links"
-# Membership by the number of nodes, in virtual time: slope and when.
+# Slopes of membership traffic by number of nodes, simulated in virtual time: (suffix of the slope's name, condition).
 MEMBERSHIP_BY = (
     ("quiet", "at rest"),
     ("zone-lost", "after a zone was lost"),
     ("regions-apart", "while regions are apart"),
     ("agreed-again", "just after they have agreed again"),
 )
-# In virtual time, distribution's own bytes and all that a node sends: key, when, and where it stands in versions.json. Regions
-# that met agree within two seconds: all that is sent in so short a time is not held to what is granted for any 15 s.
+# Bytes sent for distribution alone and by all parts of a node, in virtual time: (key, condition, path in versions.json).
+# Regions that meet agree within 2 s; the total sent in so short a time is left out, as the bound holds for periods of 15 s.
 VERSIONS = (
     ("configuration", "distribution at rest", ("stretch", "quiet_own_sent_mean")),
     ("configuration", "distribution at 910 changes a day", ("stretch", "own_at_910_changes_a_day_bytes_a_second")),
@@ -82,34 +83,34 @@
 
 
 def subsystem(
-    size: Size, measured: Measurements, name: str, what: str, *way: str | int, file: str | None = None
+    size: Size, measured: Measurements, name: str, what: str, *path: str | int, file: str | None = None
 ) -> Figure | None:
-    """Of one part of a node, at the end of a way in the run's file (`a_node` if none is said). Sharing counts only where all
-    nodes of the run shared: a mean over nodes of which some did says nothing of one that does."""
-    kind, unit, by, _ = KINDS[what]
-    way = (*(way or ("a_node",)), name, *kind)
-    file = file or measured.scale(size.nodes, *way)
+    """Returns the cost of one subsystem at a path in the run's file, `a_node` by default. Sharing counts only if all nodes of the
+    run took part: a mean that includes idle nodes does not show the cost of one that shares."""
+    kind, unit, multiplier, _ = KINDS[what]
+    path = (*(path or ("a_node",)), name, *kind)
+    file = file or measured.scale_file(size.nodes, *path)
     if file is None:
         return None
     sharing = measured.get(file, "model", "sharing", "nodes")
     if name == "sharing" and sharing is not None and sharing < (measured.get(file, "nodes") or 0):
         return None
-    return measured.at_size(size.nodes, *way, unit=unit, by=by, file=file)
+    return measured.at_size(size.nodes, *path, unit=unit, multiplier=multiplier, file=file)
 
 
-def whole(size: Size, measured: Measurements, what: str) -> Figure | None:
-    """All four parts together, sharing by its slope where no run has it; None where one of them is not measured."""
+def total_control(size: Size, measured: Measurements, what: str) -> Figure | None:
+    """Returns the sum of the subsystems, with sharing by its slope if no run has it; None if one of them is not measured."""
     parts = {name: subsystem(size, measured, name, what) for name, _, _ in SUBSYSTEMS}
     if parts["sharing"] is None and what != MEMORY:
         parts["sharing"] = by_links(size, measured, what)
-    return together(list(parts.values()))
+    return total(list(parts.values()))
 
 
 def by_links(size: Size, measured: Measurements, what: str) -> Figure | None:
-    links = size.guess("servers-played-on")
+    links = size.assumption("servers-played-on")
     if what == MESSAGES:
-        return carried(measured, BYTES_BY_LINKS, links, "bytes/s")
-    return a_second(measured, CORE_BY_LINKS, links)
+        return extrapolated(measured, BYTES_BY_LINKS, links, "bytes/s")
+    return cores_at_rate(measured, CORE_BY_LINKS, links)
 
 
 def rows(size: Size, measured: Measurements) -> list[Row]:
@@ -134,7 +135,7 @@
                 FRONT,
                 what,
                 f"control: all four together{out}",
-                whole(size, measured, what),
+                total_control(size, measured, what),
                 getattr(size, bound),
                 MEMBERSHIP,
             )
@@ -145,28 +146,29 @@
             FRONT,
             MESSAGES,
             "control: overload out, a round each second for each zone of servers",
-            supposed(size.zones * size.guess("round-word-bytes"), "bytes/s"),
+            from_assumptions(size.zones * size.assumption("round-word-bytes"), "bytes/s"),
             size.control_bytes,
             OVERLOAD,
         )
     )
-    return found + of_runs(size, measured) + simulated(size, measured) + sharing(size, measured)
+    return found + measured_rows(size, measured) + simulated(size, measured) + sharing(size, measured)
 
 
-def of_runs(size: Size, measured: Measurements) -> list[Row]:
-    """What all parts that ran took together: at rest, over a stretch with changes and restarts, and in each fault. Membership is
-    most of it in a fault, and tells of it; distribution is what a stretch of changes is for."""
-    file = measured.scale(size.nodes)
+def measured_rows(size: Size, measured: Measurements) -> list[Row]:
+    """Returns rows for the total of the subsystems that ran: at rest, over a period of changes and restarts, and in each fault.
+
+    The rows of faults have the key of membership, which is most of the cost there, and those of changes that of configuration."""
+    file = measured.scale_file(size.nodes)
     if file is None:
         return []
     ran = ", ".join(name for name, *_ in SUBSYSTEMS if measured.get(file, "a_node", name))
     found = []
 
-    def add(key: str, name: str, words: str, *way: str | int, file: str | None = None) -> None:
+    def add(key: str, name: str, label: str, *path: str | int, file: str | None = None) -> None:
         for what in (MESSAGES, PROCESSOR):
-            figure = subsystem(size, measured, name, what, *way, file=file)
+            figure = subsystem(size, measured, name, what, *path, file=file)
             if figure is not None:
-                found.append(Row(key, FRONT, what, f"control: {words}", figure, getattr(size, KINDS[what][3]), MEMBERSHIP))
+                found.append(Row(key, FRONT, what, f"control: {label}", figure, getattr(size, KINDS[what][3]), MEMBERSHIP))
 
     add("membership", "all", f"all that ran ({ran}), at rest", "a_node")
     alone = measured.at_size(size.nodes, "alone", "alone", unit="cores")
@@ -182,9 +184,9 @@
                 MEMBERSHIP,
             )
         )
-    told = measured.get(measured.scale(size.nodes, "stretch") or "", "stretch")
-    if told:
-        over = f"over {told['changes']} changes and {told['restarts']} restarts"
+    stretch = measured.get(measured.scale_file(size.nodes, "stretch") or "", "stretch")
+    if stretch:
+        over = f"over {stretch['changes']} changes and {stretch['restarts']} restarts"
         add("configuration", "distribution", f"distribution, {over}", "stretch", "a_node")
         add("configuration", "all", f"all that ran, {over}", "stretch", "a_node")
     for file, place, fault in measured.faults(size.nodes):
@@ -222,7 +224,7 @@
             FRONT,
             MESSAGES,
             f"control: membership out, {when}",
-            carried(measured, f"membership-bytes-{name}", size.nodes, "bytes/s"),
+            extrapolated(measured, f"membership-bytes-{name}", size.nodes, "bytes/s"),
             size.control_bytes,
             MEMBERSHIP,
         )
@@ -232,20 +234,20 @@
             key,
             FRONT,
             MESSAGES,
-            f"control: {words}, simulated",
-            measured.of_run("versions.json", figure, size.nodes),
+            f"control: {label}, simulated",
+            measured.with_run_size("versions.json", figure, size.nodes),
             size.control_bytes,
             DISTRIBUTION if key == "configuration" else MEMBERSHIP,
         )
-        for key, words, figure in (
-            (key, words, measured.figure("versions.json", *way, unit="bytes/s")) for key, words, way in VERSIONS
+        for key, label, figure in (
+            (key, label, measured.figure("versions.json", *path, unit="bytes/s")) for key, label, path in VERSIONS
         )
         if figure is not None
     ]
 
 
 def sharing(size: Size, measured: Measurements) -> list[Row]:
-    """By the links that a node plays on, which is what sharing grows with."""
+    """Returns rows for sharing by the number of links that a node plays on, which determines its cost."""
     found, sizes = [], measured.get("shared.json", "sizes") or []
     if sizes:
         plays = sizes[-1]["plays_on"]
@@ -260,8 +262,8 @@
                 SHARING,
             )
         )
-    words = f"control: sharing, {size.guess('servers-played-on'):,.0f} servers played on"
+    label = f"control: sharing, {size.assumption('servers-played-on'):,.0f} servers played on"
     return found + [
-        Row("sharing", FRONT, what, words, by_links(size, measured, what), getattr(size, KINDS[what][3]), SHARING)
+        Row("sharing", FRONT, what, label, by_links(size, measured, what), getattr(size, KINDS[what][3]), SHARING)
         for what in (MESSAGES, PROCESSOR)
     ]
--- a/curlewshift/capacity/in_force.py
+++ b/curlewshift/capacity/in_force.py
@@ -1,4 +1,4 @@
-"""How soon a change of the configuration is in force everywhere, as a scale run saw it, else as it was simulated."""
+"""Time until a change of the configuration is in force on all nodes, from scale runs, rehearsed days and simulations."""
 
 from __future__ import annotations
 
@@ -8,66 +8,69 @@
 from curlewshift.capacity.rows import CONTROL, MESSAGES, Row
 from curlewshift.capacity.size import Size
 
-# What a run waits for the last node to show a version (s); one that did not is at least so late.
-WAITED = 60.0
+# How long a run waits for the last node to report a version (s); the lower bound for a change that is not in force by then.
+MAX_WAIT_S = 60.0
 # Fronts of examples/fleet-configuration-day.xml.
-REHEARSED = 8
+REHEARSED_FRONTS = 8
 
 
-def longest(measured: Measurements, file: str, told: list | dict | None) -> Figure | None:
-    """Seconds of the slowest of some changes. A change that was not made, or not everywhere, counts as what was waited."""
-    changes = [one for one in (told if isinstance(told, list) else [told]) if isinstance(one, dict)]
+def slowest_change(measured: Measurements, file: str, result: list | dict | None) -> Figure | None:
+    """Returns the seconds of the slowest change. One not made, or not in force on all nodes, counts as `MAX_WAIT_S`."""
+    changes = [one for one in (result if isinstance(result, list) else [result]) if isinstance(one, dict)]
     if not changes:
         return None
     waits = [one.get("everywhere_s") if one.get("ok") else None for one in changes]
-    value = max(WAITED if wait is None else wait for wait in waits)
-    return Figure(value, "s", MEASURED, files=(file,), command=measured.command(file), at_least=None in waits)
+    value = max(MAX_WAIT_S if wait is None else wait for wait in waits)
+    return Figure(value, "s", MEASURED, files=(file,), command=measured.command(file), is_lower_bound=None in waits)
 
 
 def rows(size: Size, measured: Measurements) -> list[Row]:
-    """The slowest change of each kind that the run made; with no run, the simulated one alone."""
-    file, found = measured.scale(size.nodes, "versions"), []
+    """Returns a row for the slowest change of each kind in the scale run; without a run, only rehearsed and simulated ones."""
+    file, found = measured.scale_file(size.nodes, "versions"), []
 
-    def add(words: str, figure: Figure | None) -> None:
-        if figure is not None and figure.how == MEASURED and not figure.measured_to:
-            figure = measured.of_run(file, figure, size.nodes)
-        found.append(Row("configuration", CONTROL, MESSAGES, words, figure, size.in_force_within, DISTRIBUTION))
+    def add(label: str, figure: Figure | None) -> None:
+        if figure is not None and figure.origin == MEASURED and not figure.measured_to:
+            figure = measured.with_run_size(file, figure, size.nodes)
+        found.append(Row("configuration", CONTROL, MESSAGES, label, figure, size.in_force_within, DISTRIBUTION))
 
     if file is not None and measured.get(file, "versions"):
         nodes = measured.get(file, "nodes")
-        for key, words in (("no_loss", "nothing lost"), ("loss", "5% of datagrams lost")):
-            told = measured.get(file, "versions", key) or []
-            add(f"in force at all of {nodes} nodes, {words}: slowest of {len(told)} changes", longest(measured, file, told))
+        for key, label in (("no_loss", "nothing lost"), ("loss", "5% of datagrams lost")):
+            result = measured.get(file, "versions", key) or []
+            add(
+                f"in force at all of {nodes} nodes, {label}: slowest of {len(result)} changes",
+                slowest_change(measured, file, result),
+            )
         for file, _, fault in measured.faults(size.nodes):
             for when in ("while", "after"):
-                told = fault.get(f"change_{when}")
-                if told and not told.get("no_majority"):
+                result = fault.get(f"change_{when}")
+                if result and not result.get("no_majority"):
                     add(
                         f"in force at all of {measured.get(file, 'nodes')}, a change {when} {fault['kind']}",
-                        longest(measured, file, told),
+                        slowest_change(measured, file, result),
                     )
-        file = measured.scale(size.nodes, "stretch") or file
-        told = measured.get(file, "stretch")
-        if told:
+        file = measured.scale_file(size.nodes, "stretch") or file
+        result = measured.get(file, "stretch")
+        if result:
             add(
                 f"in force at all of {measured.get(file, 'nodes')}, "
-                f"slowest of {told['changes']} changes with {told['restarts']} restarts",
+                f"slowest of {result['changes']} changes with {result['restarts']} restarts",
                 measured.figure(file, "stretch", "everywhere_worst_s", unit="s")
-                if not told.get("not_everywhere")
-                else Figure(WAITED, "s", MEASURED, files=(file,), command=measured.command(file), at_least=True),
+                if not result.get("not_everywhere")
+                else Figure(MAX_WAIT_S, "s", MEASURED, files=(file,), command=measured.command(file), is_lower_bound=True),
             )
     else:
         add("time until in force everywhere", None)
-    rehearsed = of_days(size, measured)
+    rehearsed = slowest_rehearsed_day(size, measured)
     if rehearsed is not None:
         add("in force at all real fronts of a rehearsed day with cuts, kills and stops: slowest of all sound days", rehearsed)
-    for words, figure in simulated(size, measured):
-        add(f"{words}, simulated", figure)
+    for label, figure in simulated(size, measured):
+        add(f"{label}, simulated", figure)
     return found
 
 
-def of_days(size: Size, measured: Measurements) -> Figure | None:
-    """The slowest of the days that no sabotage spoilt, with that day's command."""
+def slowest_rehearsed_day(size: Size, measured: Measurements) -> Figure | None:
+    """Returns the time of the slowest rehearsed day without a planted fault (sabotage), with the command of that day."""
     file = "configuration-day.json"
     days = [one for one in measured.get(file, "days") or [] if not one.get("sabotage")]
     if not days:
@@ -80,31 +83,31 @@
         MEASURED,
         files=(file,),
         command=worst["command"],
-        at_least=late,
-        measured_to=REHEARSED,
-        wanted_at=size.nodes,
-        carried="fronts",
-        of_less=True,
+        is_lower_bound=late,
+        measured_to=REHEARSED_FRONTS,
+        required_at=size.nodes,
+        extent_unit="fronts",
+        from_smaller_run=True,
     )
 
 
 def simulated(size: Size, measured: Measurements) -> list[tuple[str, Figure | None]]:
-    """In virtual time, of as many nodes as the file says."""
+    """Returns (label, figure) of the simulation in virtual time, with the number of nodes that the file states."""
     file, found = "versions.json", []
-    for key, words in (("no_loss", "nothing lost"), ("loss_of_5_percent", "5% of datagrams lost")):
+    for key, label in (("no_loss", "nothing lost"), ("loss_of_5_percent", "5% of datagrams lost")):
         waits = measured.get(file, key, "last_node_s")
         if waits:
-            value, late = max(WAITED if wait is None else wait for wait in waits), None in waits
+            value, late = max(MAX_WAIT_S if wait is None else wait for wait in waits), None in waits
             found.append(
                 (
-                    f"in force everywhere, {words}: slowest of {len(waits)} changes",
-                    Figure(value, "s", SIMULATED, files=(file,), command=measured.command(file), at_least=late),
+                    f"in force everywhere, {label}: slowest of {len(waits)} changes",
+                    Figure(value, "s", SIMULATED, files=(file,), command=measured.command(file), is_lower_bound=late),
                 )
             )
-    for words, way in (
+    for label, path in (
         ("in force in all of a zone that is back at once with empty disks", ("zone_returns_empty", "in_force_in_all_s")),
         ("in force everywhere after regions met", ("regions_apart", "in_force_everywhere_after_meeting_s")),
     ):
-        if measured.get(file, way[0]):
-            found.append((words, measured.figure(file, *way, unit="s")))
-    return [(words, figure and measured.of_run(file, figure, size.nodes)) for words, figure in found]
+        if measured.get(file, path[0]):
+            found.append((label, measured.figure(file, *path, unit="s")))
+    return [(label, figure and measured.with_run_size(file, figure, size.nodes)) for label, figure in found]
--- a/curlewshift/capacity/measured.py
+++ b/curlewshift/capacity/measured.py
@@ -1,4 +1,4 @@
-"""What is in docs/measured/, as figures with their file and the command that repeats them. Reads files, measures nothing."""
+"""Reads the measurement files of docs/measured/ as figures with their file and the command that reproduces them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from curlewshift.capacity.figures import MEASURED, SIMULATED, Figure
 from curlewshift.capacity.slopes import InvalidMeasurements, Slope, slope_of
 
-# The commands of files that do not say theirs.
+# Commands of the files that do not state one, by file name without its suffix.
 COMMANDS = {
     name: f"bin/curlewshift measure {name} --out F"
     for name in (
@@ -27,14 +27,14 @@
         "versions",
     )
 }
-WHOLE_FILE_SIMULATED = {"leases.json", "shared.json", "goodput.json", "versions.json"}
+SIMULATED_FILES = {"leases.json", "shared.json", "goodput.json", "versions.json"}
 
-NOT_GOOD = "a run whose own verdict is not good"
+FAILED_RUN = "a run whose own verdict is not good"
 
 
 class Measurements:
-    """`folder` is docs/measured. Slopes of all its files `slope-*.json` by name; raises `InvalidMeasurements` for one that is
-    spoilt."""
+    """The JSON files of a folder, and the slopes of its `slope-*.json` by name. Raises `InvalidMeasurements` for a file
+    that cannot be used."""
 
     def __init__(self, folder: Path):
         self.folder = folder
@@ -42,92 +42,101 @@
         for path in sorted(folder.glob("*.json")):
             try:
                 self.files[path.name] = json.loads(path.read_text())
-            except ValueError as wrong:
-                raise InvalidMeasurements(f"{path.name}: this is not JSON: {wrong}") from None
+            except ValueError as error:
+                raise InvalidMeasurements(f"{path.name}: not valid JSON: {error}") from None
         self.slopes: dict[str, Slope] = {}
-        for name, held in self.files.items():
+        for name, content in self.files.items():
             if name.startswith("slope-"):
-                for told in held.get("slopes", [held]):
-                    told = {"command": held.get("command"), **told}
-                    self.slopes[told["name"]] = slope_of(told, name)
-
-    def get(self, file: str, *way: str | int):
-        """What stands in a file at the end of a way of keys, or None."""
-        held = self.files.get(file)
-        for step in way:
+                for entry in content.get("slopes", [content]):
+                    entry = {"command": content.get("command"), **entry}
+                    self.slopes[entry["name"]] = slope_of(entry, name)
+
+    def get(self, file: str, *path: str | int):
+        """Returns the value at a path of keys and indices in a file, or None."""
+        content = self.files.get(file)
+        for key in path:
             try:
-                held = held[step]
+                content = content[key]
             except (KeyError, IndexError, TypeError):
                 return None
-        return held
+        return content
 
-    def figure(self, file: str, *way: str | int, unit: str, by: float = 1.0) -> Figure | None:
-        """The number at the end of a way, times `by` to be in the unit; None where it is not there."""
-        found = self.get(file, *way)
+    def figure(self, file: str, *path: str | int, unit: str, multiplier: float = 1.0) -> Figure | None:
+        """Returns the number at a path, multiplied by `multiplier` to convert it to `unit`; None if there is no number."""
+        found = self.get(file, *path)
         if not isinstance(found, (int, float)) or isinstance(found, bool):
             return None
-        simulated = file in WHOLE_FILE_SIMULATED or "emulated" in way
-        return Figure(found * by, unit, SIMULATED if simulated else MEASURED, files=(file,), command=self.command(file))
-
-    def at_size(self, nodes: int, *way: str | int, unit: str, by: float = 1.0, file: str | None = None) -> Figure | None:
-        """The number at the end of a way in the scale run of so many nodes, or of one that is nearest; of a smaller one it is not
-        carried: leases cost each node less where there are more, other parts cost more."""
-        file = file or self.scale(nodes, *way)
-        found = file and self.figure(file, *way, unit=unit, by=by)
-        return found and self.of_run(file, found, nodes)
-
-    def of_run(self, file: str, figure: Figure, nodes: int) -> Figure:
-        """A run's figure, with how many nodes were run; one of fewer, or whose own verdict is not good, is not carried."""
+        simulated = file in SIMULATED_FILES or "emulated" in path
+        return Figure(found * multiplier, unit, SIMULATED if simulated else MEASURED, files=(file,), command=self.command(file))
+
+    def at_size(self, nodes: int, *path: str | int, unit: str, multiplier: float = 1.0, file: str | None = None) -> Figure | None:
+        """Returns the number at a path in the scale run of `nodes` nodes, or of the nearest size by the order of `scale_files`.
+
+        A smaller run is not extrapolated: with more nodes leases cost each node less, and other parts cost more."""
+        file = file or self.scale_file(nodes, *path)
+        found = file and self.figure(file, *path, unit=unit, multiplier=multiplier)
+        return found and self.with_run_size(file, found, nodes)
+
+    def with_run_size(self, file: str, figure: Figure, nodes: int) -> Figure:
+        """Adds the number of nodes of the run to its figure. A run of fewer nodes, or one whose own verdict failed, is not
+        extrapolated."""
         ran = self.get(file, "nodes") or nodes
         if self.get(file, "verdict", "ok") is False:
-            figure = replace(figure, by=NOT_GOOD)
-        return replace(figure, measured_to=ran, wanted_at=nodes, carried="nodes", of_less=ran < nodes or figure.by == NOT_GOOD)
+            figure = replace(figure, method=FAILED_RUN)
+        return replace(
+            figure,
+            measured_to=ran,
+            required_at=nodes,
+            extent_unit="nodes",
+            from_smaller_run=ran < nodes or figure.method == FAILED_RUN,
+        )
 
     def machine(self, file: str) -> str:
-        """What measured, in words: cores, memory, and what else ran."""
-        told = self.get(file, "machine") or self.get(file, "slopes", 0, "machine") or {}
-        if not isinstance(told, dict):
-            return str(told)
-        words = [f"{told[key]} {unit}" for key, unit in (("cores", "cores"), ("memory_GiB", "GiB")) if key in told]
-        loads = [told[key] for key in ("load_before", "load_after") if key in told]
-        loads = [one[0] if isinstance(one, list) else one for one in loads]
-        if told.get("yardstick_s"):
-            words.append(f"yardstick {' to '.join(map(str, told['yardstick_s']))} s")
-        return ", ".join(words + ([f"load {' to '.join(map(str, loads))}"] if loads else []))
+        """Describes the machine that measured: cores, memory, reference benchmark time and load."""
+        entry = self.get(file, "machine") or self.get(file, "slopes", 0, "machine") or {}
+        if not isinstance(entry, dict):
+            return str(entry)
+        parts = [f"{entry[key]} {unit}" for key, unit in (("cores", "cores"), ("memory_GiB", "GiB")) if key in entry]
+        loads = [entry[key] for key in ("load_before", "load_after") if key in entry]
+        loads = [load[0] if isinstance(load, list) else load for load in loads]
+        if entry.get("yardstick_s"):
+            parts.append(f"yardstick {' to '.join(map(str, entry['yardstick_s']))} s")
+        return ", ".join(parts + ([f"load {' to '.join(map(str, loads))}"] if loads else []))
 
     def command(self, file: str) -> str:
-        said = self.get(file, "command")
-        if not isinstance(said, str):
+        command = self.get(file, "command")
+        if not isinstance(command, str):
             return COMMANDS.get(file.removesuffix(".json"), "")
-        return "bin/curlewshift " + said.removeprefix("bin/").removeprefix("curlewshift ")
+        return "bin/curlewshift " + command.removeprefix("bin/").removeprefix("curlewshift ")
 
-    def scales(self, nodes: int) -> list[str]:
-        """Files of runs: of that many nodes or the nearest above, larger ones, then smaller ones from the largest down."""
+    def scale_files(self, nodes: int) -> list[str]:
+        """Returns the files of scale runs: those of at least `nodes` nodes ascending, then smaller ones descending."""
         runs = sorted(int(name[6:-5]) for name in self.files if name.startswith("scale-") and name[6:-5].isdigit())
-        order = [one for one in runs if one >= nodes] + [one for one in reversed(runs) if one < nodes]
-        return [f"scale-{one}.json" for one in order]
+        order = [size for size in runs if size >= nodes] + [size for size in reversed(runs) if size < nodes]
+        return [f"scale-{size}.json" for size in order]
 
-    def scale(self, nodes: int, *way: str | int) -> str | None:
-        """The first of them that has something at the end of a way."""
-        return next((file for file in self.scales(nodes) if not way or self.get(file, *way) is not None), None)
+    def scale_file(self, nodes: int, *path: str | int) -> str | None:
+        """Returns the first of `scale_files` that has a value at the path."""
+        return next((file for file in self.scale_files(nodes) if not path or self.get(file, *path) is not None), None)
 
     def faults(self, nodes: int) -> list[tuple[str, int, dict]]:
-        """(file, place, fault): each kind of fault in the first run that has it."""
+        """Returns (file, index, fault) for each kind of fault, from the first scale run that has it."""
         found: dict[str, tuple[str, int, dict]] = {}
-        for file in self.scales(nodes):
-            for place, one in enumerate(self.get(file, "faults") or []):
-                if isinstance(one, dict):
-                    found.setdefault(one.get("kind", ""), (file, place, one))
+        for file in self.scale_files(nodes):
+            for index, fault in enumerate(self.get(file, "faults") or []):
+                if isinstance(fault, dict):
+                    found.setdefault(fault.get("kind", ""), (file, index, fault))
         return list(found.values())
 
 
-def carried(measured: Measurements, name: str, x: float, unit: str, beyond: bool = True) -> Figure | None:
-    """A slope's figure at x; None where there is no such slope. `beyond`: whether it may be carried beyond its run."""
+def extrapolated(measured: Measurements, name: str, x: float, unit: str, extrapolate: bool = True) -> Figure | None:
+    """Returns the figure of a slope at x, or None without such a slope. `extrapolate`: whether the line may be used beyond its
+    measured range."""
     slope = measured.slopes.get(name)
-    return slope and slope.at(x, unit, beyond)
+    return slope and slope.at(x, unit, extrapolate)
 
 
-def a_second(measured: Measurements, name: str, x: float) -> Figure | None:
-    """Cores, by a slope of processor time within a second."""
-    found = carried(measured, name, x, "s")
+def cores_at_rate(measured: Measurements, name: str, x: float) -> Figure | None:
+    """Returns the cores used at a rate of x per second, by a slope of processor time per second."""
+    found = extrapolated(measured, name, x, "s")
     return found and replace(found, unit="cores")
--- a/curlewshift/capacity/options.py
+++ b/curlewshift/capacity/options.py
@@ -1,6 +1,7 @@
-"""What does not bear a size, the largest first, with what could be done and what each would cost. The order follows the rows.
+"""The shortfalls of the design at a size, with the remedies for each and their cost.
 
-First what nothing carries and others rest on, then what is over by the largest factor, then what nobody has measured.
+First needs that no mechanism provides, those with the most dependents in front, then needs over their bound, by the largest
+factor. Needs that are not measured are listed apart.
 """
 
 from __future__ import annotations
@@ -8,13 +9,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from curlewshift.capacity.figures import supposed
+from curlewshift.capacity.figures import from_assumptions
 from curlewshift.capacity.rows import NOT_MEASURED, NOTHING, OVER, Row
 from curlewshift.capacity.size import Size
 
-# A link's place and a figure, in the form that sharing has now.
+# Bytes of one row in the messages of budget sharing: the index of a link and a number.
 ROW_BYTES = 20
-# What there is for each key of a row: (option, what it costs). The first is what we would begin with.
+# Remedies for each row key: (remedy, its cost). The first one is preferred.
 OPTIONS: dict[str, tuple[tuple[str, str], ...]] = {
     "configuration": (
         (
@@ -41,7 +42,7 @@
     "sharing": (
         (
             "sums up by zone and region, answers down; a node says only what changed by more than a step",
-            "one more way until a count is known elsewhere, and who adds up a zone has all of it to answer; {told_each}",
+            "one more way until a count is known elsewhere, and who adds up a zone has all of it to answer; {interval_text}",
         ),
         (
             "counts from media servers alone: each tells all who play on it what is asked of its link",
@@ -100,9 +101,9 @@
     "leases": (("a longer term for tasks that may wait", "a task stands still for as long when its holder is lost"),),
 }
 
-# What rests on what: a worker has one copy of the configuration with the others of its machine; who adds up for a zone, and
-# which node holds a shard, are configuration.
-RESTS = {
+# Keys by the keys that they depend on. The workers of a machine share one copy of the configuration; the aggregator of a zone and
+# the owner of a shard are set in the configuration.
+DEPENDENCIES = {
     "workers": ("configuration",),
     "sharing": ("configuration",),
     "shards-of-topics": ("configuration",),
@@ -113,43 +114,46 @@
 
 @dataclass(frozen=True)
 class Shortfall:
-    """One key: what of it nothing carries, what is over by most, and what else rests on it."""
+    """The shortfall of one key: a row without a mechanism, the row furthest over its bound, and the keys that depend on it."""
 
     key: str
-    nothing: Row | None
+    uncovered: Row | None
     over: Row | None
-    resting: tuple[str, ...]
+    dependents: tuple[str, ...]
 
     @property
     def rank(self) -> tuple[bool, int, float]:
-        factor = self.over.over_by if self.over is not None else 0.0
-        return (False, -len(self.resting), -factor) if self.nothing is not None else (True, 0, -factor)
+        """Sort key, the most pressing shortfall first."""
+        factor = self.over.bound_ratio if self.over is not None else 0.0
+        return (False, -len(self.dependents), -factor) if self.uncovered is not None else (True, 0, -factor)
 
     def options(self, size: Size) -> list[tuple[str, str]]:
-        links = size.guess("servers-played-on")
-        each = supposed(links * ROW_BYTES / size.control_bytes, "s")
-        told_each = (
+        links = size.assumption("servers-played-on")
+        interval = from_assumptions(links * ROW_BYTES / size.control_bytes, "s")
+        interval_text = (
             f"with all that is granted and rows of {ROW_BYTES} bytes (assumed) each of {links:,.0f} links can be told "
-            f"each {each.text()}"
+            f"each {interval.text()}"
         )
-        return [(option, cost.format(told_each=told_each)) for option, cost in OPTIONS.get(self.key, ())]
+        return [(option, cost.format(interval_text=interval_text)) for option, cost in OPTIONS.get(self.key, ())]
 
 
 def shortfalls(rows: list[Row], root: Path) -> list[Shortfall]:
-    """What nothing carries and what is over, in the order of what follows."""
-    nothing: dict[str, Row] = {}
+    """Returns the keys with a row that has no mechanism or is over its bound, by `Shortfall.rank`."""
+    uncovered: dict[str, Row] = {}
     over: dict[str, Row] = {}
     for row in rows:
         verdict = row.verdict(root)
         if verdict == NOTHING:
-            nothing.setdefault(row.key, row)
-        elif verdict.startswith(OVER) and (row.key not in over or row.over_by > over[row.key].over_by):
+            uncovered.setdefault(row.key, row)
+        elif verdict.startswith(OVER) and (row.key not in over or row.bound_ratio > over[row.key].bound_ratio):
             over[row.key] = row
     found = [
-        Shortfall(key, nothing.get(key), over.get(key), tuple(sorted(one for one in RESTS if key in RESTS[one])))
-        for key in dict.fromkeys([*nothing, *over])
+        Shortfall(
+            key, uncovered.get(key), over.get(key), tuple(sorted(other for other in DEPENDENCIES if key in DEPENDENCIES[other]))
+        )
+        for key in dict.fromkeys([*uncovered, *over])
     ]
-    return sorted(found, key=lambda one: one.rank)
+    return sorted(found, key=lambda shortfall: shortfall.rank)
 
 
 def not_measured(rows: list[Row], root: Path) -> list[Row]:
--- a/curlewshift/capacity/page.py
+++ b/curlewshift/capacity/page.py
@@ -1,4 +1,4 @@
-"""The page that holds the tables: each stands between two markers, and nothing else there is touched. Text in, text out."""
+"""Reads and replaces the tables of the page, each of which stands between two markers. Text outside the markers is kept."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class PageTableMismatch(Exception):
-    """A table that has no place on the page, or a place that no table has."""
+    """A table without exactly one pair of markers on the page, or markers that name no table."""
 
 
 def written(page: str, tables: dict[str, str]) -> str:
-    """The page with the tables as they are now. Raises `PageTableMismatch`."""
-    _places(page, tables)
-    return BLOCK.sub(lambda found: f"{found[1]}{tables[found[2]]}\n{found[4]}", page)
+    """Returns the page with its tables replaced by `tables`. Raises `PageTableMismatch`."""
+    _check_markers(page, tables)
+    return BLOCK.sub(lambda match: f"{match[1]}{tables[match[2]]}\n{match[4]}", page)
 
 
 def differences(page: str, tables: dict[str, str]) -> list[tuple[int, str, str]]:
-    """(line on the page, what stands there, what should): the first of each row that differs. Raises `PageTableMismatch`."""
-    _places(page, tables)
-    found = []
+    """Returns (line number on the page, actual line, expected line) for each line that differs. Raises `PageTableMismatch`."""
+    _check_markers(page, tables)
+    mismatches = []
     for block in BLOCK.finditer(page):
         first = page.count("\n", 0, block.start(3)) + 1
-        stands, should = block[3].rstrip("\n").split("\n"), tables[block[2]].split("\n")
-        for place in range(max(len(stands), len(should))):
-            here = stands[place] if place < len(stands) else "(nothing)"
-            there = should[place] if place < len(should) else "(nothing)"
-            if here != there:
-                found.append((first + place, here, there))
-    return found
+        actual, expected = block[3].rstrip("\n").split("\n"), tables[block[2]].split("\n")
+        for index in range(max(len(actual), len(expected))):
+            actual_line = actual[index] if index < len(actual) else "(nothing)"
+            expected_line = expected[index] if index < len(expected) else "(nothing)"
+            if actual_line != expected_line:
+                mismatches.append((first + index, actual_line, expected_line))
+    return mismatches
 
 
-def _places(page: str, tables: dict[str, str]) -> None:
-    names = [found[2] for found in BLOCK.finditer(page)]
+def _check_markers(page: str, tables: dict[str, str]) -> None:
+    names = [match[2] for match in BLOCK.finditer(page)]
     for name in tables:
         if names.count(name) != 1:
             raise PageTableMismatch(
-                f"the table {name!r} should have one place, <!-- capacity: {name} -->, but has {names.count(name)}"
+                f"the table {name!r} should have one marker <!-- capacity: {name} -->, but has {names.count(name)}"
             )
     for name in names:
         if name not in tables:
-            raise PageTableMismatch(f"there is a place for {name!r}, but no such table: {', '.join(tables)}")
+            raise PageTableMismatch(f"the page has a marker for {name!r}, but the tables are {', '.join(tables)}")
--- a/curlewshift/capacity/questions.py
+++ b/curlewshift/capacity/questions.py
@@ -1,17 +1,17 @@
-"""The users' words, as they are read here, and what changes if one is meant the other way. For the page."""
+"""The terms of the requirements as interpreted here, and what changes under the other interpretation."""
 
 from __future__ import annotations
 
 from curlewshift.capacity.at_control import leases_a_shard
-from curlewshift.capacity.at_node import each_delivery, processes
+from curlewshift.capacity.at_node import cores_by_delivery_kind, processes
 from curlewshift.capacity.figures import NOT_MEASURED
 from curlewshift.capacity.measured import Measurements
 from curlewshift.capacity.size import Size
 
 
 def questions(size: Size, measured: Measurements) -> list[tuple[str, str, str, str]]:
-    """(word, as read, the other way, what changes then)."""
-    by_kind = dict(each_delivery(size, measured))
+    """Returns (term, interpretation, alternative, consequence of the alternative)."""
+    by_kind = dict(cores_by_delivery_kind(size, measured))
     dear, cheap = processes(size, measured), by_kind["notices"]
     between = (
         f"{dear.text()} if all are set-ups with their ends, half of that if each end counts for itself; "
@@ -50,7 +50,8 @@
         (
             "p99 and the largest topic",
             "over a day's deliveries: "
-            f"{size.largest:,} are {size.largest / size.deliveries / 86_400:.1e} of them, fewer than one in a hundred",
+            f"{size.largest_topic_listeners:,} are {size.largest_topic_listeners / size.deliveries / 86_400:.1e} "
+            f"of them, fewer than one in a hundred",
             "of each telling alone",
             "the row of the largest topic below: notices in slices do not do, workers do",
         ),
--- a/curlewshift/capacity/size.py
+++ b/curlewshift/capacity/size.py
@@ -1,6 +1,6 @@
-"""A size that the design has to bear: the users' numbers, and what is assumed beside them. `commands/capacity.py` reads one.
+"""The target size of a deployment: the users' requirements and the assumptions made in addition.
 
-The file's form is `size.xsd`; what no schema sees is told here, with its line.
+`size.xsd` defines the file format; this module checks what the schema cannot express and reports errors by line.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from lxml import etree
 
 SCHEMA = Path(__file__).parent / "size.xsd"
-SECONDS = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
-BYTES = {"kB/s": 1000.0, "MB/s": 1e6, "kbit/s": 125.0, "Mbit/s": 125_000.0}
-ASSUMED = (
+SECONDS_BY_UNIT = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
+BYTES_PER_SECOND_BY_UNIT = {"kB/s": 1000.0, "MB/s": 1e6, "kbit/s": 125.0, "Mbit/s": 125_000.0}
+REQUIRED_ASSUMPTIONS = (
     "servers",
     "servers-played-on",
     "viewings-a-connection",
@@ -27,12 +27,12 @@
     "round-word-bytes",
     "level-word-bytes",
 )
-DAY = 86_400.0
+SECONDS_PER_DAY = 86_400.0
 
 
 @dataclass(frozen=True)
 class Size:
-    """Times in seconds, memory in MB, rates in bytes a second; `assumed` has (value, why) by name."""
+    """Times are in seconds, memory in MB, rates in bytes per second. `assumed` maps a name to (value, reason)."""
 
     name: str
     nodes: int
@@ -40,7 +40,7 @@
     regions: int
     zones: int
     shards: int
-    largest: int
+    largest_topic_listeners: int
     deliveries: float
     p99: float
     changes_a_day: int
@@ -56,7 +56,7 @@
     regions_apart: float
     assumed: dict[str, tuple[float, str]]
 
-    def guess(self, name: str) -> float:
+    def assumption(self, name: str) -> float:
         return self.assumed[name][0]
 
     @property
@@ -65,7 +65,7 @@
 
     @property
     def viewings_a_node(self) -> float:
-        return self.connections_a_node * self.guess("viewings-a-connection")
+        return self.connections_a_node * self.assumption("viewings-a-connection")
 
     @property
     def deliveries_a_node(self) -> float:
@@ -80,14 +80,14 @@
         return self.nodes / self.regions
 
 
-def size_of(root: etree._Element, wrong: list[tuple[int, str]]) -> Size:
-    """The size in a file that fits the schema. (line, words) of what cannot be goes into `wrong`; then what is returned is
-    not to be used."""
+def size_of(root: etree._Element, errors: list[tuple[int, str]]) -> Size:
+    """Reads the size from a document that is valid by the schema. Appends (line, reason) to `errors` for each inconsistency; the
+    result must not be used if there are any."""
     fleet, topics, deliveries, configuration, control, failures = root[:6]
-    assumed = {one.get("name"): (float(one.get("value")), one.get("why")) for one in root.iterfind("assume")}
-    for name in ASSUMED:
+    assumed = {element.get("name"): (float(element.get("value")), element.get("why")) for element in root.iterfind("assume")}
+    for name in REQUIRED_ASSUMPTIONS:
         if name not in assumed:
-            wrong.append((root.sourceline, f"size: the assumption {name} is missing"))
+            errors.append((root.sourceline, f"size: the assumption {name} is missing"))
     size = Size(
         root.get("name"),
         int(fleet.get("nodes")),
@@ -111,32 +111,37 @@
         _seconds(failures.get("regions-apart")),
         assumed,
     )
-    for element, holds, words in (
+    for element, valid, reason in (
         (fleet, size.zones >= size.regions, f"fleet: {size.zones} zones cannot make {size.regions} regions"),
         (fleet, size.nodes >= size.zones, f"fleet: {size.nodes} nodes cannot fill {size.zones} zones"),
         (
             topics,
-            size.largest <= size.connections * assumed.get("viewings-a-connection", (1, ""))[0],
-            f"topics: {size.largest} listeners are more than all viewings",
+            size.largest_topic_listeners <= size.connections * assumed.get("viewings-a-connection", (1, ""))[0],
+            f"topics: {size.largest_topic_listeners} listeners are more than all viewings",
         ),
         (control, size.control_core > 0, "control: core should be above 0"),
     ):
-        if not holds:
-            wrong.append((element.sourceline, words))
-    for name, most, words in (
+        if not valid:
+            errors.append((element.sourceline, reason))
+    for name, maximum, reason in (
         ("servers-played-on", assumed.get("servers", (0, ""))[0], "a node cannot play on more servers than there are"),
         ("nodes-a-rack", size.nodes_a_zone, "a rack cannot hold more than a zone"),
     ):
-        if assumed.get(name, (0, ""))[0] > most:
-            wrong.append((next(one.sourceline for one in root.iterfind("assume") if one.get("name") == name), f"assume: {words}"))
+        if assumed.get(name, (0, ""))[0] > maximum:
+            errors.append(
+                (
+                    next(element.sourceline for element in root.iterfind("assume") if element.get("name") == name),
+                    f"assume: {reason}",
+                )
+            )
     return size
 
 
 def _seconds(text: str) -> float:
     number, unit = re.fullmatch(r"([0-9.]+)([a-z]+)", text).groups()
-    return float(number) * SECONDS[unit]
+    return float(number) * SECONDS_BY_UNIT[unit]
 
 
 def _bytes(text: str) -> float:
     number, unit = re.fullmatch(r"([0-9.]+)(.+)", text).groups()
-    return float(number) * BYTES[unit]
+    return float(number) * BYTES_PER_SECOND_BY_UNIT[unit]
--- a/curlewshift/capacity/tables.py
+++ b/curlewshift/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md as text, by name. One size and what was measured in; markdown out."""
+"""Renders the tables of docs/CAPACITY.md as Markdown from a size and the measurements."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from curlewshift.capacity import at_control, at_node
 from curlewshift.capacity.failures import Failures
-from curlewshift.capacity.figures import NOT_MEASURED, Figure, short
+from curlewshift.capacity.figures import NOT_MEASURED, Figure, format_number
 from curlewshift.capacity.given import DISTRIBUTED
 from curlewshift.capacity.measured import Measurements
 from curlewshift.capacity.options import not_measured, shortfalls
@@ -21,38 +21,39 @@
 
 
 def tables(size: Size, measured: Measurements, root: Path) -> dict[str, str]:
-    """Name to markdown, in the order of the page. `root` is the tree's: a mechanism that is not there carries nothing."""
+    """Returns Markdown by table name, in the order of the page. A mechanism that is not found under `root` counts as absent."""
     rows = all_rows(size, measured)
-    made = {
+    result = {
         "size": size_table(size),
         "questions": table(("word", "as read here", "the other way", "what changes then"), questions(size, measured)),
     }
     for role in ROLES:
-        made[role] = role_table([row for row in rows if row.role == role], root)
-    made["failures"] = failures_table(size, measured)
-    made["before"] = order_table(before(rows), root, size, options=False)
-    made["order"] = order_table(rows, root, size)
-    made["open"] = table(
-        ("not measured", "role", "carried by"), [(row.says, row.role, by(row, root)) for row in not_measured(rows, root)]
+        result[role] = role_table([row for row in rows if row.role == role], root)
+    result["failures"] = failures_table(size, measured)
+    result["before"] = order_table(without_distribution(rows), root, size, options=False)
+    result["order"] = order_table(rows, root, size)
+    result["open"] = table(
+        ("not measured", "role", "carried by"),
+        [(row.description, row.role, mechanism_cell(row, root)) for row in not_measured(rows, root)],
     )
-    made["slopes"] = slopes_table(measured)
-    return made
+    result["slopes"] = slopes_table(measured)
+    return result
 
 
-def table(heads: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
-    lines = ["| " + " | ".join(heads) + " |", "|" + " --- |" * len(heads)]
+def table(headers: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
+    lines = ["| " + " | ".join(headers) + " |", "|" + " --- |" * len(headers)]
     return "\n".join(lines + ["| " + " | ".join(cell.replace("|", "/") for cell in row) + " |" for row in rows])
 
 
 def size_table(size: Size) -> str:
     rows = [
-        (words, f"{short(value)} {unit}", how)
-        for words, value, unit, how in (
+        (label, f"{format_number(value)} {unit}", origin)
+        for label, value, unit, origin in (
             ("front nodes", size.nodes, "", "wanted"),
             ("connections", size.connections, "", "wanted"),
             ("connections a node", size.connections_a_node, "", "worked out"),
             ("shards of topics", size.shards, "", "wanted"),
-            ("listeners of the largest topic", size.largest, "", "wanted"),
+            ("listeners of the largest topic", size.largest_topic_listeners, "", "wanted"),
             ("deliveries a second", size.deliveries, "", "wanted"),
             ("deliveries a second a node", size.deliveries_a_node, "", "worked out"),
             ("their p99", size.p99 * 1000, "ms", "wanted"),
@@ -66,25 +67,25 @@
             ("machines set aside for control", size.control_machines, "", "wanted"),
         )
     ]
-    rows += [(name.replace("-", " "), short(value), f"assumed: {why}") for name, (value, why) in size.assumed.items()]
+    rows += [(name.replace("-", " "), format_number(value), f"assumed: {why}") for name, (value, why) in size.assumed.items()]
     return table(("what", "at this size", "whence"), [(a, b.replace(" ,", ",").strip(), c) for a, b, c in rows])
 
 
-def by(row: Row, root: Path) -> str:
-    if row.by is None or not row.by.there(root):
+def mechanism_cell(row: Row, root: Path) -> str:
+    if row.mechanism is None or not row.mechanism.exists(root):
         return "nothing"
-    return f"`{row.by.file.removeprefix('curlewshift/')}`, `{row.by.name.split()[-1]}`"
+    return f"`{row.mechanism.file.removeprefix('curlewshift/')}`, `{row.mechanism.name.split()[-1]}`"
 
 
 def slope_cell(figure: Figure | None) -> str:
-    """Where the figure comes from: files, fit, and the limit of the machine where it was carried beyond."""
+    """Returns the source of a figure: files, how it was read from its slope, and the measured range if it was extrapolated."""
     if figure is None or not figure.files:
         return ""
-    return "; ".join(one for one in (", ".join(f"`{file}`" for file in figure.files), figure.by, figure.limit()) if one)
+    return "; ".join(part for part in (", ".join(f"`{file}`" for file in figure.files), figure.method, figure.limit()) if part)
 
 
 def command_cell(figures: tuple[Figure | None, ...]) -> str:
-    commands = dict.fromkeys(command for one in figures if one for command in one.command.split(" ; ") if command)
+    commands = dict.fromkeys(command for figure in figures if figure for command in figure.command.split(" ; ") if command)
     return ", ".join(f"`{command}`" for command in commands)
 
 
@@ -94,9 +95,9 @@
         [
             (
                 row.what,
-                row.says,
+                row.description,
                 row.figure.text() if row.figure else NOT_MEASURED,
-                by(row, root),
+                mechanism_cell(row, root),
                 slope_cell(row.figure),
                 row.verdict(root),
                 command_cell((row.figure,)),
@@ -110,51 +111,55 @@
     return table(
         ("what fails", "how often", "who notices, how soon", "what moves", "what it costs the others", "what waits", "commands"),
         [
-            (one.what, one.often, one.notices, one.moves, one.costs, one.waits, command_cell(one.of))
-            for one in Failures(size, measured).all()
+            (failure.what, failure.often, failure.notices, failure.moves, failure.costs, failure.waits, command_cell(failure.of))
+            for failure in Failures(size, measured).all()
         ],
     )
 
 
 def order_table(rows: list[Row], root: Path, size: Size, options: bool = True) -> str:
-    made = []
-    for place, one in enumerate(shortfalls(rows, root), 1):
-        stands = [f"{NOTHING}: {one.nothing.says} ({one.nothing.role})"] if one.nothing else []
-        stands += [f"{one.over.verdict(root)}: {one.over.says} ({one.over.role})"] if one.over else []
-        said = "; ".join(f"**{option}** ({cost})" for option, cost in one.options(size)) or "none thought of yet"
-        made.append(
+    result = []
+    for position, shortfall in enumerate(shortfalls(rows, root), 1):
+        status = [f"{NOTHING}: {shortfall.uncovered.description} ({shortfall.uncovered.role})"] if shortfall.uncovered else []
+        status += (
+            [f"{shortfall.over.verdict(root)}: {shortfall.over.description} ({shortfall.over.role})"] if shortfall.over else []
+        )
+        options_text = "; ".join(f"**{option}** ({cost})" for option, cost in shortfall.options(size)) or "none thought of yet"
+        result.append(
             (
-                str(place),
-                words_of(one.key),
-                "; ".join(stands),
-                ", ".join(map(words_of, one.resting)) or "nothing",
-                *([said] if options else []),
+                str(position),
+                key_text(shortfall.key),
+                "; ".join(status),
+                ", ".join(map(key_text, shortfall.dependents)) or "nothing",
+                *([options_text] if options else []),
             )
         )
-    return table(("", "what", "how it stands", "what rests on it", *(["options, and what each costs"] if options else [])), made)
+    return table(
+        ("", "what", "how it stands", "what rests on it", *(["options, and what each costs"] if options else [])), result
+    )
 
 
-def words_of(key: str) -> str:
+def key_text(key: str) -> str:
     return key.replace("-", " ")
 
 
-def before(rows: list[Row]) -> list[Row]:
-    """The rows as they were before distribution: nothing carried what it carries."""
-    return [replace(row, by=None) if row.by in DISTRIBUTED else row for row in rows]
+def without_distribution(rows: list[Row]) -> list[Row]:
+    """Returns the rows without the mechanisms of configuration distribution, to show the state before it was added."""
+    return [replace(row, mechanism=None) if row.mechanism in DISTRIBUTED else row for row in rows]
 
 
 def slopes_table(measured: Measurements) -> str:
     rows = [
         (
-            one.name,
-            one.of,
-            one.fit(),
-            f"{short(one.points[0][0])} to {short(one.measured_to)} {one.x_unit}",
-            f"`{one.file}`",
-            measured.machine(one.file),
-            f"`{one.command}`",
+            slope.name,
+            slope.of,
+            slope.fit_text(),
+            f"{format_number(slope.points[0][0])} to {format_number(slope.measured_to)} {slope.x_unit}",
+            f"`{slope.file}`",
+            measured.machine(slope.file),
+            f"`{slope.command}`",
         )
-        for one in measured.slopes.values()
+        for slope in measured.slopes.values()
     ]
-    heads = ("slope", "of", "fit", "measured", "file", "machine, and its load", "command")
-    return table(heads, rows) if rows else "No slope is measured yet."
+    headers = ("slope", "of", "fit", "measured", "file", "machine, and its load", "command")
+    return table(headers, rows) if rows else "No slope is measured yet."
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The page of capacity and the command that works it out: they agree, and what is planted wrong in either is caught."""
+"""Tests that the capacity page agrees with the command that computes it, and that errors in either are detected."""
 
 import json
 import re
@@ -11,10 +11,10 @@
 import msgspec
 from click.testing import CliRunner
 
-from curlewshift.capacity.at_control import MOST_LISTED, REPORT_EACH
-from curlewshift.capacity.figures import Figure, short
+from curlewshift.capacity.at_control import MAX_LISTED_SERVERS, REPORT_INTERVAL_S
+from curlewshift.capacity.figures import Figure, format_number
 from curlewshift.capacity.measured import Measurements
-from curlewshift.capacity.options import RESTS, shortfalls
+from curlewshift.capacity.options import DEPENDENCIES, shortfalls
 from curlewshift.capacity.page import BLOCK, PageTableMismatch, differences, written
 from curlewshift.capacity.rows import FRONT, MEMORY, MESSAGES, PROCESSOR, ROLES, STATE, Mechanism, Row
 from curlewshift.capacity.slopes import InvalidMeasurements, slope_of
@@ -37,7 +37,7 @@
 
 def line_file(name, intercept, slope, xs=(100, 200, 300, 400), unit="bytes", x="connection", bend=0.0):
     points = [[one, intercept + slope * one + bend * one * one] for one in xs]
-    # the library's line, not that of the code under test
+    # fitted by the standard library, independently of the code under test
     line = linear_regression(*zip(*points))
     fit = {"intercept": line.intercept, "slope": line.slope, "slope_error": 0.0, "straight": not bend}
     return {
@@ -56,7 +56,7 @@
     }
 
 
-class InAFolder(unittest.TestCase):
+class TemporaryFolderTest(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -74,61 +74,61 @@
     def files(self, **held):
         shutil.rmtree(self.measured, ignore_errors=True)
         self.measured.mkdir()
-        for name, told in held.items():
-            (self.measured / f"{name.replace('_', '-')}.json").write_text(json.dumps(told))
+        for name, result in held.items():
+            (self.measured / f"{name.replace('_', '-')}.json").write_text(json.dumps(result))
         return Measurements(self.measured)
 
 
-class PageAndCommand(InAFolder):
-    def test_the_page_has_what_the_command_works_out(self):
-        told = run("--check")
-        self.assertEqual((told.exit_code, told.stderr), (0, ""), "bin/curlewshift capacity --write puts it there")
+class PageAndCommand(TemporaryFolderTest):
+    def test_page_matches_the_computed_tables(self):
+        result = run("--check")
+        self.assertEqual((result.exit_code, result.stderr), (0, ""), "bin/curlewshift capacity --write puts it there")
 
-    def test_each_table_row_that_is_changed_on_the_page_is_caught_at_its_line(self):
+    def test_each_changed_table_row_is_reported_with_its_line(self):
         page, made = PAGE.read_text(), tables(read_size(USUAL), Measurements(MEASURED), ROOT)
         lines, tried = page.split("\n"), 0
         for block in BLOCK.finditer(page):
             first = page.count("\n", 0, block.start(3))
             for place, line in enumerate(block[3].rstrip("\n").split("\n"), first):
-                spoilt = re.sub(r"\d", lambda digit: str((int(digit[0]) + 1) % 10), line, count=1)
-                if spoilt != line:
-                    wrong = differences("\n".join([*lines[:place], spoilt, *lines[place + 1 :]]), made)
-                    self.assertEqual([(at, stands) for at, stands, _ in wrong], [(place + 1, spoilt)])
+                corrupt = re.sub(r"\d", lambda digit: str((int(digit[0]) + 1) % 10), line, count=1)
+                if corrupt != line:
+                    errors = differences("\n".join([*lines[:place], corrupt, *lines[place + 1 :]]), made)
+                    self.assertEqual([(at, stands) for at, stands, _ in errors], [(place + 1, corrupt)])
                     tried += 1
         self.assertGreater(tried, 60)
 
-    def test_a_row_taken_out_and_a_table_without_a_place_are_caught(self):
+    def test_a_removed_row_and_a_table_without_markers_are_detected(self):
         page, made = PAGE.read_text(), tables(read_size(USUAL), Measurements(MEASURED), ROOT)
         row = next(line for line in page.split("\n") if line.startswith("| front nodes"))
         self.assertTrue(differences(page.replace(row + "\n", ""), made))
         last = page.split("\n<!-- /capacity -->")[1].split("\n")[-1]
         self.assertEqual(len(differences(page.replace(last + "\n", "", 1), made)), 1)
-        for spoilt in (page.replace("<!-- capacity: order -->", ""), page + "\n<!-- capacity: more -->\n<!-- /capacity -->\n"):
+        for corrupt in (page.replace("<!-- capacity: order -->", ""), page + "\n<!-- capacity: more -->\n<!-- /capacity -->\n"):
             with self.assertRaises(PageTableMismatch):
-                differences(spoilt, made)
+                differences(corrupt, made)
 
-    def test_a_measurement_that_is_changed_is_caught_by_the_check(self):
+    def test_check_detects_a_changed_measurement(self):
         shutil.copytree(MEASURED, self.measured)
         self.assertEqual(run("--check", "--measured", self.measured).exit_code, 0)
         path = self.measured / "shared.json"
-        told = json.loads(path.read_text())
-        told["sizes"][-1]["bytes_a_second"] += 10
-        path.write_text(json.dumps(told))
-        wrong = run("--check", "--measured", self.measured)
-        self.assertEqual(wrong.exit_code, 1)
-        self.assertIn("86,386 bytes/s (simulated)", wrong.stderr)
-
-    def test_write_puts_in_what_check_wants_and_nothing_else(self):
+        result = json.loads(path.read_text())
+        result["sizes"][-1]["bytes_a_second"] += 10
+        path.write_text(json.dumps(result))
+        errors = run("--check", "--measured", self.measured)
+        self.assertEqual(errors.exit_code, 1)
+        self.assertIn("86,386 bytes/s (simulated)", errors.stderr)
+
+    def test_write_changes_only_the_tables_and_satisfies_check(self):
         page = self.folder / "page.md"
-        spoilt = PAGE.read_text().replace("×21.6", "×2.16")
-        page.write_text(spoilt)
+        corrupt = PAGE.read_text().replace("×21.6", "×2.16")
+        page.write_text(corrupt)
         self.assertEqual(run("--check", "--page", page).exit_code, 1)
         self.assertEqual(run("--write", "--page", page).exit_code, 0)
         self.assertEqual(page.read_text(), PAGE.read_text())
         made = tables(read_size(USUAL), Measurements(MEASURED), ROOT)
-        self.assertEqual(BLOCK.sub("", spoilt), BLOCK.sub("", written(spoilt, made)))
+        self.assertEqual(BLOCK.sub("", corrupt), BLOCK.sub("", written(corrupt, made)))
 
-    def test_commands_beside_the_rows_are_there(self):
+    def test_commands_named_on_the_page_exist(self):
         commands = set(re.findall(r"`bin/curlewshift ([^`]+)`", PAGE.read_text()))
         self.assertTrue(commands)
         for command in commands:
@@ -137,25 +137,25 @@
             if rest and hasattr(main.get_command(None, noun), "commands"):
                 self.assertIn(rest[0], main.get_command(None, noun).commands, command)
 
-    def test_each_role_has_a_row_for_each_of_the_four_kinds(self):
+    def test_each_role_has_a_row_for_each_resource(self):
         there = {(row.role, row.what) for row in all_rows(read_size(USUAL), Measurements(MEASURED))}
         self.assertEqual({(role, what) for role in ROLES for what in (STATE, MESSAGES, PROCESSOR, MEMORY)} - there, set())
 
-    def test_a_mechanism_is_in_the_tree(self):
+    def test_mechanisms_exist_in_the_tree(self):
         for row in all_rows(read_size(USUAL), Measurements(MEASURED)):
-            if row.by is not None:
-                self.assertTrue(row.by.there(ROOT), row.by)
-        self.assertFalse(Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnnection").there(ROOT))
+            if row.mechanism is not None:
+                self.assertTrue(row.mechanism.exists(ROOT), row.mechanism)
+        self.assertFalse(Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnnection").exists(ROOT))
 
 
-class SizeFiles(InAFolder):
-    def wrong(self, *changes):
+class SizeFiles(TemporaryFolderTest):
+    def errors(self, *changes):
         path = self.size(*changes)
-        told = run(path)
-        self.assertEqual(told.exit_code, 2)
+        result = run(path)
+        self.assertEqual(result.exit_code, 2)
         with self.assertRaises(SiteErrors):
             read_size(path)
-        return told.stderr.replace(str(path), "F")
+        return result.stderr.replace(str(path), "F")
 
     def line(self, what):
         return next(number for number, line in enumerate(TEXT.splitlines(), 1) if what in line)
@@ -168,7 +168,7 @@
         )
         self.assertEqual(read_size(USUAL.with_name("two-hundred.xml")).nodes, 200)
 
-    def test_a_spoilt_one_is_refused_in_words_with_file_and_line(self):
+    def test_an_invalid_size_file_is_rejected_with_reason_file_and_line(self):
         for change, at, words in (
             (('nodes="630"', 'nodes="many"'), "<fleet", "fleet: nodes should be a whole number above 0, but is 'many'"),
             (('zones="9"', 'zones="2"'), "<fleet", "2 zones cannot make 3 regions"),
@@ -184,19 +184,19 @@
             (('name="lease-word-bytes"', 'name="lease-bytes"'), 'name="lease-word-bytes"', "lease-bytes"),
         ):
             with self.subTest(change=change):
-                told = self.wrong(change)
-                self.assertIn(words, told)
-                self.assertIn(f"F:{self.line(at)}: ", told)
+                result = self.errors(change)
+                self.assertIn(words, result)
+                self.assertIn(f"F:{self.line(at)}: ", result)
 
-    def test_an_assumption_left_out_and_a_file_that_is_none_are_told(self):
+    def test_a_missing_assumption_and_an_unreadable_file_are_reported(self):
         left_out = next(line for line in TEXT.splitlines() if 'name="servers"' in line)
-        self.assertIn(f"F:{self.line('<size')}: size: the assumption servers is missing", self.wrong((left_out, "")))
-        self.assertIn("this is not XML", self.wrong(("</size>", "")))
+        self.assertIn(f"F:{self.line('<size')}: size: the assumption servers is missing", self.errors((left_out, "")))
+        self.assertIn("this is not XML", self.errors(("</size>", "")))
         self.assertEqual(run(self.folder / "none.xml").exit_code, 2)
 
 
-class Figures(InAFolder):
-    """A small size whose figures can be had by head: 10 nodes, 1,000 connections each, in 2 zones and 2 regions."""
+class Figures(TemporaryFolderTest):
+    """A small size with figures that are easy to verify: 10 nodes with 1,000 connections each, in 2 zones and 2 regions."""
 
     def small(self):
         return read_size(
@@ -212,78 +212,82 @@
             )
         )
 
-    def row(self, measured, says, what=None):
-        return next(row for row in all_rows(self.small(), measured) if says in row.says and what in (None, row.what))
+    def row(self, measured, description, what=None):
+        return next(
+            row for row in all_rows(self.small(), measured) if description in row.description and what in (None, row.what)
+        )
 
-    def test_a_straight_slope_is_carried_with_its_factor_error_and_unit(self):
-        told = line_file("memory-by-connection-with-viewing", 1_000_000, 9_000)
-        told["slopes"][0]["points"][0][1] += 30_000
-        told["slopes"][0]["fit"] = {"intercept": 1_030_000, "slope": 8_910, "slope_error": 52, "straight": True}
-        row = self.row(self.files(slope_memory=told), "all connections with their viewings")
+    def test_a_straight_slope_is_extrapolated_with_factor_error_and_unit(self):
+        result = line_file("memory-by-connection-with-viewing", 1_000_000, 9_000)
+        result["slopes"][0]["points"][0][1] += 30_000
+        result["slopes"][0]["fit"] = {"intercept": 1_030_000, "slope": 8_910, "slope_error": 52, "straight": True}
+        row = self.row(self.files(slope_memory=result), "all connections with their viewings")
         figure = row.figure
-        self.assertEqual((figure.unit, figure.how, figure.carried, figure.measured_to), ("MB", "worked out", "connections", 400))
+        self.assertEqual(
+            (figure.unit, figure.origin, figure.extent_unit, figure.measured_to), ("MB", "worked out", "connections", 400)
+        )
         self.assertAlmostEqual(figure.value, 1.03 + 8.91)
-        # the slope's standard error over the distance, and the worst point
+        # the slope's standard error times the extent, plus the largest residual
         self.assertAlmostEqual(figure.error, 0.05196 + 0.012, places=4)
         self.assertEqual(figure.limit(), "measured to 400 connections, wanted 1,000: ×2.5, carried")
         self.assertEqual(row.verdict(ROOT), "over: ×1.99 of 5 MB")
 
-    def test_one_that_is_not_straight_is_read_between_its_points_and_not_carried_beyond(self):
+    def test_a_slope_that_is_not_straight_is_interpolated_and_not_extrapolated(self):
         measured = self.files(slope_idle=line_file("idle-time-by-connection-with-viewing", 0, 0, unit="seconds", bend=1e-6))
         figure = self.row(measured, "all viewings playing").figure
         self.assertAlmostEqual(figure.value, 0.16)
-        self.assertEqual((figure.at_least, figure.unit), (True, "cores"))
+        self.assertEqual((figure.is_lower_bound, figure.unit), (True, "cores"))
         self.assertIn("not carried", figure.limit())
         self.assertIn("not known: at least", self.row(measured, "all viewings playing").verdict(ROOT))
         waits = slope_of(line_file("p99-by-request", 0.01, 0.0001, unit="seconds")["slopes"][0], "F")
-        self.assertAlmostEqual(waits.at(1000, "ms", beyond=False).value, 50)
-        self.assertTrue(waits.at(1000, "ms", beyond=False).at_least)
-        self.assertAlmostEqual(waits.at(250, "ms", beyond=False).value, 35)
+        self.assertAlmostEqual(waits.at(1000, "ms", extrapolate=False).value, 50)
+        self.assertTrue(waits.at(1000, "ms", extrapolate=False).is_lower_bound)
+        self.assertAlmostEqual(waits.at(250, "ms", extrapolate=False).value, 35)
         self.assertAlmostEqual(measured.slopes["idle-time-by-connection-with-viewing"].at(250, "s").value, (0.04 + 0.09) / 2)
 
-    def test_errors_go_with_what_is_added_and_multiplied(self):
+    def test_errors_are_added_and_multiplied_with_figures(self):
         one, other = Figure(10, "MB", "measured", 1), Figure(20, "MB", "measured", 2)
         both = one.plus(other)
-        self.assertEqual((both.value, both.error, both.how), (30, 3, "worked out"))
+        self.assertEqual((both.value, both.error, both.origin), (30, 3, "worked out"))
         self.assertEqual((one.times(5, "MB").value, one.times(5, "MB").error), (50, 5))
         with self.assertRaises(ValueError):
             one.plus(Figure(1, "bytes/s", "measured"))
 
-    def test_a_size_that_was_measured_twice_counts_by_its_mean(self):
-        told = line_file("idle-time-by-connection", 0, 0, unit="seconds", bend=1e-6, xs=(100, 200, 300, 400, 400))["slopes"][0]
-        told["points"][-1][1] = 0.18
-        line = linear_regression(*zip(*told["points"]))
-        told["fit"].update(intercept=line.intercept, slope=line.slope)
-        figure = slope_of(told, "F").at(400, "s")
+    def test_repeats_of_a_size_count_by_their_mean(self):
+        result = line_file("idle-time-by-connection", 0, 0, unit="seconds", bend=1e-6, xs=(100, 200, 300, 400, 400))["slopes"][0]
+        result["points"][-1][1] = 0.18
+        line = linear_regression(*zip(*result["points"]))
+        result["fit"].update(intercept=line.intercept, slope=line.slope)
+        figure = slope_of(result, "F").at(400, "s")
         self.assertAlmostEqual(figure.value, 0.17)
         self.assertAlmostEqual(figure.error, 0.01)
-        self.assertEqual((figure.how, figure.by), ("measured", "run at 400 connections"))
-        # beside a size that was run, the points on both sides
-        self.assertAlmostEqual(slope_of(told, "F").at(350, "s").value, (0.09 + 0.17) / 2)
+        self.assertEqual((figure.origin, figure.method), ("measured", "run at 400 connections"))
+        # interpolated between the means of the neighbouring sizes
+        self.assertAlmostEqual(slope_of(result, "F").at(350, "s").value, (0.09 + 0.17) / 2)
 
-    def test_connections_without_a_viewing_count_by_their_own_slope(self):
+    def test_connections_without_a_viewing_use_their_own_slope(self):
         size = read_size(self.size(('"viewings-a-connection" value="1"', '"viewings-a-connection" value="0.5"')))
         measured = self.files(
             slope_a=line_file("memory-by-connection-with-viewing", 1_000_000, 9_000),
             slope_b=line_file("memory-by-connection", 1_000_000, 2_000),
         )
-        row = next(row for row in all_rows(size, measured) if "all connections with their viewings" in row.says)
+        row = next(row for row in all_rows(size, measured) if "all connections with their viewings" in row.description)
         self.assertAlmostEqual(row.figure.value, 1 + (43e6 / 630 / 2) * 0.011, places=3)
 
-    def test_a_keeper_has_its_part_of_all_leases_words(self):
-        told = {"sizes": [{}, {}, {}, {}, {"words_a_second_a_lease": 10.0}]}
-        row = self.row(self.files(leases=told), "at each of five keepers")
+    def test_an_acceptor_has_its_share_of_all_lease_messages(self):
+        result = {"sizes": [{}, {}, {}, {}, {"words_a_second_a_lease": 10.0}]}
+        row = self.row(self.files(leases=result), "at each of five keepers")
         self.assertAlmostEqual(row.figure.value, 32 * 10.0 / 5 * 100)
         self.assertEqual(self.small().deliveries_a_node, 2000)
 
     def test_time_until_in_force_is_of_the_run_and_of_the_simulation(self):
-        told = {
+        result = {
             "nodes": 630,
             "no_loss": {"last_node_s": [2.0, 3.0]},
             "loss_of_5_percent": {"last_node_s": [2.0, None]},
             "zone_returns_empty": {"in_force_in_all_s": 19.8, "others_sent_worst": 5000},
         }
-        measured = self.files(versions=told)
+        measured = self.files(versions=result)
         for words, verdict in (
             ("nothing lost: slowest of 2 changes, simulated", "within: ×0.17 of 18 s"),
             ("5% of datagrams lost: slowest of 2 changes, sim", "over: at least ×3.33 of 18 s"),
@@ -294,7 +298,7 @@
         self.assertIn("not measured", self.row(measured, "time until in force everywhere").verdict(ROOT))
         self.assertIn(
             "in a smaller run",
-            self.row(self.files(versions={**told, "nodes": 5}), "nothing lost: slowest of 2 changes, s").verdict(ROOT),
+            self.row(self.files(versions={**result, "nodes": 5}), "nothing lost: slowest of 2 changes, s").verdict(ROOT),
         )
         made, late, lost = (
             {"ok": True, "everywhere_s": 4.0},
@@ -320,10 +324,10 @@
             ("slowest of 100 changes with 20 restarts", "over: at least ×3.33 of 18 s"),
         ):
             self.assertEqual(self.row(measured, words).verdict(ROOT), verdict, words)
-        # a minority's refusal is no change that was late
-        self.assertFalse([row for row in all_rows(self.small(), measured) if "while regions-apart" in row.says])
+        # a change refused for want of a majority does not count as late
+        self.assertFalse([row for row in all_rows(self.small(), measured) if "while regions-apart" in row.description])
 
-    def test_rehearsed_days_count_by_the_slowest_that_no_sabotage_spoilt(self):
+    def test_rehearsed_days_count_by_the_slowest_without_sabotage(self):
         def day(most, sabotage=None, late=0):
             return {
                 "sabotage": sabotage,
@@ -335,30 +339,30 @@
         self.assertEqual((row.figure.value, row.figure.command), (10.0, "bin/curlewshift rehearse D"))
         self.assertEqual(row.verdict(ROOT), "not known: ×0.56 of 18 s in a smaller run, and not carried")
 
-    def test_servers_of_a_list_are_what_they_add_and_more_than_a_frame_holds_is_over(self):
-        self.assertEqual((discovery.MAX_FRAME_BYTES - 9) // discovery.RECORD.size, MOST_LISTED)
+    def test_a_list_counts_by_the_increase_and_is_bounded_by_a_frame(self):
+        self.assertEqual((discovery.MAX_FRAME_BYTES - 9) // discovery.RECORD.size, MAX_LISTED_SERVERS)
         measured = self.files(slope_list=line_file("memory-by-servers", 30_000_000, 4_000))
         self.assertAlmostEqual(self.row(measured, "a list of 2,000 servers").figure.value, 8.0)
         bent = self.files(slope_list=line_file("memory-by-servers", 30_000_000, 0, bend=1.0, xs=(1000, 2000, 3000, 4000)))
         self.assertAlmostEqual(self.row(bent, "a list of 2,000 servers").figure.value, 4.0 - 1.0)
         self.assertEqual(self.row(measured, "servers that a whole list has to hold").verdict(ROOT), "over: ×3.3 of 606 servers")
 
-    def test_a_line_that_is_too_scattered_to_show_it_straight_is_not_carried(self):
-        told = line_file("idle-time-by-connection", 0.0, 1e-4, unit="seconds")["slopes"][0]
+    def test_a_line_with_too_much_scatter_is_not_extrapolated(self):
+        result = line_file("idle-time-by-connection", 0.0, 1e-4, unit="seconds")["slopes"][0]
         for off, carried in ((0.0004, True), (0.008, False)):
-            told["points"][1][1] = 0.02 + off
-            line = linear_regression(*zip(*told["points"]))
-            told["fit"].update(intercept=line.intercept, slope=line.slope)
-            figure = slope_of(told, "F").at(4000, "s")
-            self.assertEqual(figure.at_least, not carried)
-        self.assertEqual((figure.value, figure.by), (0.04, "too scattered to carry: by its last point"))
-
-    def test_deliveries_of_the_dearest_kind_make_the_processes_and_listeners_at_once_their_wait(self):
+            result["points"][1][1] = 0.02 + off
+            line = linear_regression(*zip(*result["points"]))
+            result["fit"].update(intercept=line.intercept, slope=line.slope)
+            figure = slope_of(result, "F").at(4000, "s")
+            self.assertEqual(figure.is_lower_bound, not carried)
+        self.assertEqual((figure.value, figure.method), (0.04, "too scattered to carry: by its last point"))
+
+    def test_the_most_expensive_delivery_determines_processes_and_notices_the_wait(self):
         measured = self.files(
             slope_a=line_file("processor-time-by-request", 0.0, 0.004, unit="seconds", x="set-ups a second"),
             slope_b=line_file("processor-time-by-notice", 0.0, 0.001, unit="seconds", x="notices a second"),
         )
-        rows = {row.says: row for row in all_rows(self.small(), measured)}
+        rows = {row.description: row for row in all_rows(self.small(), measured)}
         self.assertAlmostEqual(rows["2,000 deliveries a second, were all notices"].figure.value, 2.0)
         dear = rows["the same on all cores of the machine, were all of the dearest kind"]
         self.assertEqual(dear.verdict(ROOT), "within: ×1 of 8 cores")
@@ -366,8 +370,8 @@
         self.assertAlmostEqual(rows["connections of one process in so many"].figure.value, 125)
         self.assertEqual(rows["500 listeners of the largest topic told at once"].verdict(ROOT), "over: ×2.78 of 180 ms")
 
-    def test_a_slope_whose_fit_is_not_that_of_its_points_is_refused(self):
-        for spoil in (
+    def test_a_slope_whose_fit_differs_from_its_points_is_rejected(self):
+        for corrupt_slope in (
             lambda one: one["points"][2].__setitem__(1, 9e6),
             lambda one: one["fit"].update(slope=9_100),
             lambda one: one["fit"].update(intercept=0),
@@ -375,18 +379,18 @@
             lambda one: one.pop("command"),
             lambda one: one["fit"].pop("straight"),
         ):
-            told = line_file("memory-by-connection", 1_000_000, 9_000)
-            slope_of(told["slopes"][0], "slope-memory.json")
-            spoil(told["slopes"][0])
-            with self.assertRaises(InvalidMeasurements) as wrong:
-                self.files(slope_memory=told)
-            self.assertIn("slope-memory.json: slope memory-by-connection: ", str(wrong.exception))
+            result = line_file("memory-by-connection", 1_000_000, 9_000)
+            slope_of(result["slopes"][0], "slope-memory.json")
+            corrupt_slope(result["slopes"][0])
+            with self.assertRaises(InvalidMeasurements) as errors:
+                self.files(slope_memory=result)
+            self.assertIn("slope-memory.json: slope memory-by-connection: ", str(errors.exception))
         self.assertEqual(run("--measured", self.measured).exit_code, 2)
 
-    def test_the_words_whose_bytes_are_assumed_have_them(self):
+    def test_assumed_message_sizes_match_encoded_messages(self):
         size = read_size(USUAL)
 
-        def weighs(kind, body):
+        def encoded_bytes(kind, body):
             return len(
                 encode(
                     Frame(
@@ -409,78 +413,81 @@
 
         ballot = (1_800_000_000_000_000, 100, 3)
         words = [
-            weighs(leasing.KIND, leasing.Body(1, "probe/3", ballot)),
-            weighs(leasing.KIND, leasing.Body(4, "probe/3", ballot, 1_800_000_000_000, 3, ballot)),
+            encoded_bytes(leasing.KIND, leasing.Body(1, "probe/3", ballot)),
+            encoded_bytes(leasing.KIND, leasing.Body(4, "probe/3", ballot, 1_800_000_000_000, 3, ballot)),
         ]
-        self.assertLessEqual(words[0], size.guess("lease-word-bytes"))
-        self.assertLessEqual(size.guess("lease-word-bytes"), words[1])
+        self.assertLessEqual(words[0], size.assumption("lease-word-bytes"))
+        self.assertLessEqual(size.assumption("lease-word-bytes"), words[1])
         rounds = [
-            weighs(overloaded.KIND, overloaded.Body(100_000, "zone-3", -1, "", [(n * 50, 3.5) for n in range(many)], 30.5, 2.5))
+            encoded_bytes(
+                overloaded.KIND, overloaded.Body(100_000, "zone-3", -1, "", [(n * 50, 3.5) for n in range(many)], 30.5, 2.5)
+            )
             for many in (3, 20)
         ]
-        self.assertLess(rounds[0], size.guess("round-word-bytes"))
-        self.assertLess(size.guess("round-word-bytes"), rounds[1])
+        self.assertLess(rounds[0], size.assumption("round-word-bytes"))
+        self.assertLess(size.assumption("round-word-bytes"), rounds[1])
         self.assertEqual(
-            weighs(overloaded.KIND, overloaded.Body(100_000, "zone-3", 512, "served of what was let in")),
-            size.guess("level-word-bytes"),
+            encoded_bytes(overloaded.KIND, overloaded.Body(100_000, "zone-3", 512, "served of what was let in")),
+            size.assumption("level-word-bytes"),
         )
 
-    def test_the_configuration_that_is_assumed_is_as_large_as_a_site_file_of_so_many_fronts(self):
+    def test_the_assumed_configuration_size_matches_a_site_file(self):
         for name, nodes in (("two-years", 630), ("two-hundred", 200)):
-            guessed = read_size(USUAL.with_name(f"{name}.xml")).guess("configuration-kB")
+            guessed = read_size(USUAL.with_name(f"{name}.xml")).assumption("configuration-kB")
             self.assertAlmostEqual(len(site_file(nodes)) / 1000 / guessed, 1, delta=0.01)
 
-    def test_the_time_of_reports_is_that_of_distribution(self):
-        self.assertEqual(DistributionTerms(("c1",)).report_interval, REPORT_EACH * NS)
+    def test_the_report_interval_is_that_of_distribution(self):
+        self.assertEqual(DistributionTerms(("c1",)).report_interval, REPORT_INTERVAL_S * NS)
 
-    def test_a_unit_that_cannot_become_the_one_wanted_is_refused(self):
+    def test_a_unit_that_cannot_be_converted_is_rejected(self):
         with self.assertRaises(InvalidMeasurements):
             all_rows(self.small(), self.files(slope_memory=line_file("memory-by-connection", 1, 1, unit="seconds")))
 
     def test_without_files_no_row_has_a_measured_figure(self):
         rows = all_rows(self.small(), self.files())
-        self.assertEqual([row.says for row in rows if row.figure and row.figure.how in ("measured", "simulated")], [])
-        self.assertEqual([row.says for row in rows if row.figure and row.figure.files], [])
+        self.assertEqual([row.description for row in rows if row.figure and row.figure.origin in ("measured", "simulated")], [])
+        self.assertEqual([row.description for row in rows if row.figure and row.figure.files], [])
         self.assertIn("not measured", {row.verdict(ROOT) for row in rows})
 
-    def test_a_scale_run_fills_the_rows_of_control_and_all_parts_have_to_be_there_for_the_sum(self):
+    def test_a_scale_run_fills_the_control_rows_and_the_sum_needs_all_parts(self):
         part = {"bytes_a_second": {"mean": 1500.0, "worst": 3000.0}, "core": {"mean": 0.01, "worst": 0.02}, "memory_kB": 2000}
-        told = {
+        result = {
             "command": "bin/curlewshift scale",
             "nodes": 24,
             "a_node": {name: part for name in ("membership", "sharing", "leases")},
         }
-        measured = self.files(scale_630=told, scale_24=told, scale_8=told)
+        measured = self.files(scale_630=result, scale_24=result, scale_8=result)
         self.assertEqual(
-            (measured.scale(10), measured.scale(630), measured.scale(1000)), ("scale-24.json", "scale-630.json", "scale-630.json")
+            (measured.scale_file(10), measured.scale_file(630), measured.scale_file(1000)),
+            ("scale-24.json", "scale-630.json", "scale-630.json"),
         )
         self.assertEqual(self.row(measured, "control: membership", MEMORY).figure.value, 2.0)
         self.assertIsNone(self.row(measured, "control: all four together out").figure)
-        told["a_node"]["distribution"] = part
-        row = self.row(self.files(scale_24=told), "control: all four together out")
+        result["a_node"]["distribution"] = part
+        row = self.row(self.files(scale_24=result), "control: all four together out")
         self.assertEqual((row.figure.value, row.verdict(ROOT)), (6000.0, "over: ×1.5 of 4,000 bytes/s"))
-        # a mean over nodes of which half do not share is no figure of one that does
-        told["model"] = {"sharing": {"nodes": 12}}
-        self.assertIsNone(self.row(self.files(scale_24=told), "control: sharing out").figure)
+        # a mean that includes nodes without sharing does not show the cost of a node that shares
+        result["model"] = {"sharing": {"nodes": 12}}
+        self.assertIsNone(self.row(self.files(scale_24=result), "control: sharing out").figure)
 
-    def test_bytes_in_faults_are_rows_of_their_own_and_a_smaller_run_is_not_carried(self):
+    def test_faults_have_rows_of_their_own_and_a_smaller_run_is_not_extrapolated(self):
         part = {"all": {"bytes_a_second": {"mean": 4900.0, "worst": 6000.0}}}
-        told = {"nodes": 630, "faults": [{"kind": "zone-lost", "known_s": 7.5, "while": {"lasted_s": 15.1, **part}}]}
-        measured, words = self.files(scale_630=told), "all that ran, while zone-lost, over 15 s"
+        result = {"nodes": 630, "faults": [{"kind": "zone-lost", "known_s": 7.5, "while": {"lasted_s": 15.1, **part}}]}
+        measured, words = self.files(scale_630=result), "all that ran, while zone-lost, over 15 s"
         self.assertEqual(self.row(measured, words).verdict(ROOT), "over: ×1.23 of 4,000 bytes/s")
         self.assertIn("until all agree: 7.5 s (measured)", tables(self.small(), measured, ROOT)["failures"])
-        told["nodes"], part["all"]["bytes_a_second"]["mean"] = 5, 400.0
-        row = self.row(self.files(scale_5=told), words)
+        result["nodes"], part["all"]["bytes_a_second"]["mean"] = 5, 400.0
+        row = self.row(self.files(scale_5=result), words)
         self.assertEqual(row.figure.limit(), "measured to 5 nodes, wanted 10: ×2.0, not carried")
         self.assertEqual(row.verdict(ROOT), "not known: ×0.1 of 4,000 bytes/s in a smaller run, and not carried")
         self.assertEqual(row.figure.text(), "400 bytes/s (measured)")
-        told |= {"nodes": 630, "verdict": {"ok": False}}
+        result |= {"nodes": 630, "verdict": {"ok": False}}
         self.assertEqual(
-            self.row(self.files(scale_630=told), words).verdict(ROOT),
+            self.row(self.files(scale_630=result), words).verdict(ROOT),
             "not known: ×0.1 of 4,000 bytes/s in a run whose own verdict is not good, and not carried",
         )
 
-    def test_what_the_nearest_run_left_out_is_of_the_next_that_has_it(self):
+    def test_values_missing_from_the_nearest_run_come_from_the_next(self):
         part = {"bytes_a_second": {"mean": 100.0}}
         fault = {"kind": "zone-lost", "known_s": 1.0, "while": {"lasted_s": 15.0, "all": part}}
         near = {"nodes": 8, "a_node": {"membership": part}, "stretch": None, "faults": [fault]}
@@ -499,15 +506,15 @@
         self.assertEqual(self.row(measured, "of 4, slowest of 5 changes").figure.measured_to, 4)
         self.assertIn("until all agree: 1 s (measured)", tables(self.small(), measured, ROOT)["failures"])
 
-    def test_sharing_counts_by_its_slope_where_a_run_left_it_out(self):
+    def test_sharing_counts_by_its_slope_if_no_run_has_it(self):
         part = {"bytes_a_second": {"mean": 100.0}}
-        told = {"nodes": 24, "a_node": {name: part for name in ("membership", "leases", "distribution")}}
+        result = {"nodes": 24, "a_node": {name: part for name in ("membership", "leases", "distribution")}}
         measured = self.files(
-            scale_24=told, slope_sharing=line_file("sharing-bytes-by-links", 1000, 10, unit="bytes/s", xs=(100, 200, 400, 640))
+            scale_24=result, slope_sharing=line_file("sharing-bytes-by-links", 1000, 10, unit="bytes/s", xs=(100, 200, 400, 640))
         )
         self.assertAlmostEqual(self.row(measured, "all four together out").figure.value, 300 + 7400)
 
-    def test_what_comes_again_is_shared_by_those_that_are_left(self):
+    def test_reconnecting_viewers_are_shared_by_the_remaining_nodes(self):
         made = tables(self.small(), self.files(), ROOT)["failures"]
         zone = next(line for line in made.split("\n") if line.startswith("| a zone lost: 5 nodes"))
         self.assertIn("5,000 connections come again", zone)
@@ -520,13 +527,15 @@
             value,
             error=0.0,
             bound=100.0,
-            by=Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection"),
+            mechanism=Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection"),
             least=False,
         ):
             figure = (
-                None if value is None else Figure(value, "MB", "worked out", error, measured_to=1, wanted_at=2, at_least=least)
+                None
+                if value is None
+                else Figure(value, "MB", "worked out", error, measured_to=1, required_at=2, is_lower_bound=least)
             )
-            return Row("memory", FRONT, MEMORY, "x", figure, bound, by).verdict(ROOT)
+            return Row("memory", FRONT, MEMORY, "x", figure, bound, mechanism).verdict(ROOT)
 
         self.assertEqual(verdict(50), "within: ×0.5 of 100 MB")
         self.assertEqual(verdict(95, 10), "within, but not by its error: ×0.95 of 100 MB")
@@ -534,14 +543,14 @@
         self.assertEqual(verdict(50, least=True), "not known: at least ×0.5 of 100 MB, and not carried beyond its run")
         self.assertEqual(verdict(None), "not measured")
         self.assertEqual(verdict(50, bound=None), "no bound stated")
-        self.assertEqual(verdict(50, by=None), "carried by nothing")
-        self.assertEqual(verdict(50, by=Mechanism("curlewshift/none.py", "x")), "carried by nothing")
+        self.assertEqual(verdict(50, mechanism=None), "carried by nothing")
+        self.assertEqual(verdict(50, mechanism=Mechanism("curlewshift/none.py", "x")), "carried by nothing")
 
-    def test_the_order_has_first_what_nothing_carries_and_most_rests_on_then_the_largest_factor(self):
+    def test_shortfalls_are_ordered_by_missing_mechanism_dependents_and_factor(self):
         wire = Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection")
 
-        def row(key, value, by):
-            return Row(key, FRONT, MEMORY, key, Figure(value, "MB", "measured"), 10.0, by)
+        def row(key, value, mechanism):
+            return Row(key, FRONT, MEMORY, key, Figure(value, "MB", "measured"), 10.0, mechanism)
 
         rows = [
             row("idle", 20, wire),
@@ -555,10 +564,10 @@
         ]
         self.assertEqual([one.key for one in shortfalls(rows, ROOT)], ["configuration", "sharing", "workers", "list", "idle"])
         self.assertEqual(shortfalls(rows, ROOT)[1].over.figure.value, 900)
-        self.assertIn("configuration", RESTS["workers"])
+        self.assertIn("configuration", DEPENDENCIES["workers"])
 
-    def test_figures_are_told_in_as_many_places_as_count(self):
+    def test_numbers_are_formatted_with_significant_digits(self):
         self.assertEqual(
-            [short(one) for one in (0, 0.03412, 1.5, 21.64, 142.2, 68253.97, 43e6, 3.8e-6)],
+            [format_number(one) for one in (0, 0.03412, 1.5, 21.64, 142.2, 68253.97, 43e6, 3.8e-6)],
             ["0", "0.0341", "1.5", "21.6", "142", "68,254", "43,000,000", "3.8e-06"],
         )
