--- a/curlewshift/capacity/at_control.py
+++ b/curlewshift/capacity/at_control.py
@@ -73,20 +73,20 @@
 def scale_run_rows(size: Size, measured: Measurements) -> list[Row]:
     """Returns the total cost of a control machine in a scale run: at rest, and over a period of changes."""
     found = []
-    for words, path in (("at rest", ()), ("over a stretch of changes and restarts", ("stretch",))):
+    for label, path in (("at rest", ()), ("over a stretch of changes and restarts", ("stretch",))):
         for what, key, unit, bound in ((MESSAGES, "bytes_a_second", "bytes/s", None), (PROCESSOR, "core", "cores", 1.0)):
             found.append(
                 Row(
                     "configuration",
                     CONTROL,
                     what,
-                    f"{words}, out" if what == MESSAGES else words,
+                    f"{label}, out" if what == MESSAGES else label,
                     measured.at_size(size.nodes, *path, "control", "all", key, "mean", unit=unit),
                     bound,
                     MACHINE,
                 )
             )
-    for words, path in (
+    for label, path in (
         ("over 100 changes and 20 restarts close together", "stretch"),
         ("while a zone comes back with empty disks", "zone_returns_empty"),
     ):
@@ -97,7 +97,7 @@
                     "configuration",
                     CONTROL,
                     MESSAGES,
-                    f"{words}, out, simulated",
+                    f"{label}, out, simulated",
                     measured.with_run_size("versions.json", figure, size.nodes),
                     None,
                     MACHINE,
@@ -249,14 +249,14 @@
 
 def leases_a_shard(size: Size, measured: Measurements) -> Figure | None:
     """Returns the bytes/s that a node would send if each topic shard had a lease and all nodes took turns as acceptor."""
-    words = measured.figure("leases.json", "sizes", 4, "words_a_second_a_lease", unit="words/s")
-    return words and words.times(size.shards / size.nodes * size.assumption("lease-word-bytes"), "bytes/s")
+    messages = measured.figure("leases.json", "sizes", 4, "words_a_second_a_lease", unit="words/s")
+    return messages and messages.times(size.shards / size.nodes * size.assumption("lease-word-bytes"), "bytes/s")
 
 
 def lease_holder(size: Size, measured: Measurements) -> list[Row]:
     leases = LED_SHARDS * LED_TASKS
-    words = measured.figure("leases.json", "sizes", 4, "words_a_second_a_lease", unit="words/s")
-    at_acceptor = words and words.times(leases / ACCEPTORS * size.assumption("lease-word-bytes"), "bytes/s")
+    messages = measured.figure("leases.json", "sizes", 4, "words_a_second_a_lease", unit="words/s")
+    at_acceptor = messages and messages.times(leases / ACCEPTORS * size.assumption("lease-word-bytes"), "bytes/s")
     return [
         Row("leases", LED, STATE, f"leases of {LED_TASKS} tasks in {LED_SHARDS} shards", derived(leases, "leases"), None, TASKS),
         Row("leases", LED, MESSAGES, "words in and out at each of five keepers", at_acceptor, size.control_bytes, LEASES),
--- a/curlewshift/capacity/at_node.py
+++ b/curlewshift/capacity/at_node.py
@@ -22,14 +22,14 @@
 LISTENER = Mechanism("curlewshift/node/client_listener.py", "def sweep")
 
 
-def for_connections_and_viewings(size: Size, measured: Measurements, both: str, dependents: str, unit: str) -> Figure | None:
-    """Returns the cost of all connections of a node: those with a viewing by the slope `both`, the others by `resting`."""
-    whole = extrapolated(measured, both, size.viewings_a_node, unit)
+def for_connections_and_viewings(size: Size, measured: Measurements, with_viewing: str, resting: str, unit: str) -> Figure | None:
+    """Returns the cost of the connections of a node: those with a viewing by the slope `with_viewing`, others by `resting`."""
+    cost = extrapolated(measured, with_viewing, size.viewings_a_node, unit)
     rest = size.connections_a_node - size.viewings_a_node
-    if whole is None or rest <= 0:
-        return whole
-    alone = measured.slopes.get(dependents)
-    return alone and whole.plus(alone.marginal_cost(unit, rest).times(rest, unit))
+    if cost is None or rest <= 0:
+        return cost
+    alone = measured.slopes.get(resting)
+    return alone and cost.plus(alone.marginal_cost(unit, rest).times(rest, unit))
 
 
 def cores_by_delivery_kind(size: Size, measured: Measurements) -> list[tuple[str, Figure | None]]:
@@ -52,8 +52,8 @@
 
 def processes(size: Size, measured: Measurements) -> Figure | None:
     """Returns the cores, and so the processes, for the most expensive kind of delivery whose figure is not a lower bound."""
-    found = [one for _, one in cores_by_delivery_kind(size, measured) if one is not None and not one.is_lower_bound]
-    return max(found, key=lambda one: one.value, default=None)
+    found = [figure for _, figure in cores_by_delivery_kind(size, measured) if figure is not None and not figure.is_lower_bound]
+    return max(found, key=lambda figure: figure.value, default=None)
 
 
 def rows(size: Size, measured: Measurements) -> list[Row]:
@@ -221,5 +221,5 @@
 
 
 def _again(size: Size, measured: Measurements, what: str, workers: Figure | None) -> Figure | None:
-    whole = given.total_control(size, measured, what)
-    return whole and workers and whole.times(workers.value, whole.unit)
+    control = given.total_control(size, measured, what)
+    return control and workers and control.times(workers.value, control.unit)
--- a/curlewshift/capacity/failures.py
+++ b/curlewshift/capacity/failures.py
@@ -221,7 +221,7 @@
         size = self.size
         a_node = derived(size.largest_topic_listeners / size.nodes, "notices")
         duration = largest_topic_notification_time(size, self.measured)
-        words = (
+        ratio = (
             f"×{duration.value / size.p99 / 1000:.3g} of the {format_number(size.p99 * 1000)} ms"
             if duration
             else f"against {format_number(size.p99 * 1000)} ms"
@@ -232,7 +232,7 @@
             "each node by the media servers that it plays on",
             f"{figure_text(a_node)} a node, if its listeners are spread evenly; nothing else moves",
             f"one process tells its listeners one after another and "
-            f"answers nobody else meanwhile: {figure_text(duration)}, {words}",
+            f"answers nobody else meanwhile: {figure_text(duration)}, {ratio}",
             "other answers of that node, for as long",
             (a_node, duration),
         )
@@ -271,8 +271,8 @@
 
     def fault(self, kind: str, *path: str) -> Figure | None:
         """Returns the figure at a path in the fault of this kind in a scale run; None if no run has it."""
-        for file, index, one in self.measured.faults(self.size.nodes):
-            if one.get("kind") == kind:
+        for file, index, fault in self.measured.faults(self.size.nodes):
+            if fault.get("kind") == kind:
                 return self.measured.at_size(
                     self.size.nodes, "faults", index, *path, file=file, unit="bytes/s" if "bytes_a_second" in path else "s"
                 )
@@ -280,8 +280,8 @@
 
     def change_after(self, kind: str) -> Figure | None:
         """Returns the seconds from the end of a fault until a change was in force on all nodes."""
-        for file, _, one in self.measured.faults(self.size.nodes):
-            if one.get("kind") == kind:
-                found = slowest_change(self.measured, file, one.get("change_after"))
+        for file, _, fault in self.measured.faults(self.size.nodes):
+            if fault.get("kind") == kind:
+                found = slowest_change(self.measured, file, fault.get("change_after"))
                 return found and self.measured.with_run_size(file, found, self.size.nodes)
         return None
--- a/curlewshift/capacity/in_force.py
+++ b/curlewshift/capacity/in_force.py
@@ -16,10 +16,10 @@
 
 def slowest_change(measured: Measurements, file: str, result: list | dict | None) -> Figure | None:
     """Returns the seconds of the slowest change. One not made, or not in force on all nodes, counts as `MAX_WAIT_S`."""
-    changes = [one for one in (result if isinstance(result, list) else [result]) if isinstance(one, dict)]
+    changes = [change for change in (result if isinstance(result, list) else [result]) if isinstance(change, dict)]
     if not changes:
         return None
-    waits = [one.get("everywhere_s") if one.get("ok") else None for one in changes]
+    waits = [change.get("everywhere_s") if change.get("ok") else None for change in changes]
     value = max(MAX_WAIT_S if wait is None else wait for wait in waits)
     return Figure(value, "s", MEASURED, files=(file,), command=measured.command(file), is_lower_bound=None in waits)
 
@@ -72,11 +72,11 @@
 def slowest_rehearsed_day(size: Size, measured: Measurements) -> Figure | None:
     """Returns the time of the slowest rehearsed day without a planted fault (sabotage), with the command of that day."""
     file = "configuration-day.json"
-    days = [one for one in measured.get(file, "days") or [] if not one.get("sabotage")]
+    days = [day for day in measured.get(file, "days") or [] if not day.get("sabotage")]
     if not days:
         return None
-    worst = max(days, key=lambda one: one["configuration"]["in_force_max_s"])
-    late = any(one["configuration"]["late"] or one["configuration"]["missing"] for one in days)
+    worst = max(days, key=lambda day: day["configuration"]["in_force_max_s"])
+    late = any(day["configuration"]["late"] or day["configuration"]["missing"] for day in days)
     return Figure(
         worst["configuration"]["in_force_max_s"],
         "s",
--- a/curlewshift/capacity/slopes.py
+++ b/curlewshift/capacity/slopes.py
@@ -191,8 +191,8 @@
             return "not straight"
         unit, multiplier = ("us", 1e6) if UNITS.get(self.y_unit, ("",))[0] == "s" else (self.y_unit, 1.0)
         value, error = (
-            convert_unit(one, self.y_unit, "s") * multiplier if unit == "us" else one
-            for one in (self.line.slope, self.line.slope_error)
+            convert_unit(part, self.y_unit, "s") * multiplier if unit == "us" else part
+            for part in (self.line.slope, self.line.slope_error)
         )
         scattered = "" if self.can_extrapolate else "; too scattered to carry"
         return f"{format_number(value)} ± {format_number(error)} {unit} each{scattered}"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -31,12 +31,12 @@
 TEXT = USUAL.read_text()
 
 
-def run(*words):
-    return CliRunner().invoke(main, ["capacity", *map(str, words)])
+def run(*arguments):
+    return CliRunner().invoke(main, ["capacity", *map(str, arguments)])
 
 
 def line_file(name, intercept, slope, xs=(100, 200, 300, 400), unit="bytes", x="connection", bend=0.0):
-    points = [[one, intercept + slope * one + bend * one * one] for one in xs]
+    points = [[size, intercept + slope * size + bend * size * size] for size in xs]
     # fitted by the standard library, independently of the code under test
     line = linear_regression(*zip(*points))
     fit = {"intercept": line.intercept, "slope": line.slope, "slope_error": 0.0, "straight": not bend}
@@ -74,8 +74,8 @@
     def files(self, **held):
         shutil.rmtree(self.measured, ignore_errors=True)
         self.measured.mkdir()
-        for name, result in held.items():
-            (self.measured / f"{name.replace('_', '-')}.json").write_text(json.dumps(result))
+        for name, content in held.items():
+            (self.measured / f"{name.replace('_', '-')}.json").write_text(json.dumps(content))
         return Measurements(self.measured)
 
 
@@ -92,8 +92,8 @@
             for place, line in enumerate(block[3].rstrip("\n").split("\n"), first):
                 corrupt = re.sub(r"\d", lambda digit: str((int(digit[0]) + 1) % 10), line, count=1)
                 if corrupt != line:
-                    errors = differences("\n".join([*lines[:place], corrupt, *lines[place + 1 :]]), made)
-                    self.assertEqual([(at, stands) for at, stands, _ in errors], [(place + 1, corrupt)])
+                    mismatches = differences("\n".join([*lines[:place], corrupt, *lines[place + 1 :]]), made)
+                    self.assertEqual([(at, actual) for at, actual, _ in mismatches], [(place + 1, corrupt)])
                     tried += 1
         self.assertGreater(tried, 60)
 
@@ -111,12 +111,12 @@
         shutil.copytree(MEASURED, self.measured)
         self.assertEqual(run("--check", "--measured", self.measured).exit_code, 0)
         path = self.measured / "shared.json"
-        result = json.loads(path.read_text())
-        result["sizes"][-1]["bytes_a_second"] += 10
-        path.write_text(json.dumps(result))
-        errors = run("--check", "--measured", self.measured)
-        self.assertEqual(errors.exit_code, 1)
-        self.assertIn("86,386 bytes/s (simulated)", errors.stderr)
+        content = json.loads(path.read_text())
+        content["sizes"][-1]["bytes_a_second"] += 10
+        path.write_text(json.dumps(content))
+        checked = run("--check", "--measured", self.measured)
+        self.assertEqual(checked.exit_code, 1)
+        self.assertIn("86,386 bytes/s (simulated)", checked.stderr)
 
     def test_write_changes_only_the_tables_and_satisfies_check(self):
         page = self.folder / "page.md"
@@ -169,7 +169,7 @@
         self.assertEqual(read_size(USUAL.with_name("two-hundred.xml")).nodes, 200)
 
     def test_an_invalid_size_file_is_rejected_with_reason_file_and_line(self):
-        for change, at, words in (
+        for change, at, reason in (
             (('nodes="630"', 'nodes="many"'), "<fleet", "fleet: nodes should be a whole number above 0, but is 'many'"),
             (('zones="9"', 'zones="2"'), "<fleet", "2 zones cannot make 3 regions"),
             (('nodes="630"', 'nodes="8"'), "<fleet", "8 nodes cannot fill 9 zones"),
@@ -185,7 +185,7 @@
         ):
             with self.subTest(change=change):
                 result = self.errors(change)
-                self.assertIn(words, result)
+                self.assertIn(reason, result)
                 self.assertIn(f"F:{self.line(at)}: ", result)
 
     def test_a_missing_assumption_and_an_unreadable_file_are_reported(self):
@@ -218,10 +218,10 @@
         )
 
     def test_a_straight_slope_is_extrapolated_with_factor_error_and_unit(self):
-        result = line_file("memory-by-connection-with-viewing", 1_000_000, 9_000)
-        result["slopes"][0]["points"][0][1] += 30_000
-        result["slopes"][0]["fit"] = {"intercept": 1_030_000, "slope": 8_910, "slope_error": 52, "straight": True}
-        row = self.row(self.files(slope_memory=result), "all connections with their viewings")
+        content = line_file("memory-by-connection-with-viewing", 1_000_000, 9_000)
+        content["slopes"][0]["points"][0][1] += 30_000
+        content["slopes"][0]["fit"] = {"intercept": 1_030_000, "slope": 8_910, "slope_error": 52, "straight": True}
+        row = self.row(self.files(slope_memory=content), "all connections with their viewings")
         figure = row.figure
         self.assertEqual(
             (figure.unit, figure.origin, figure.extent_unit, figure.measured_to), ("MB", "worked out", "connections", 400)
@@ -246,24 +246,24 @@
         self.assertAlmostEqual(measured.slopes["idle-time-by-connection-with-viewing"].at(250, "s").value, (0.04 + 0.09) / 2)
 
     def test_errors_are_added_and_multiplied_with_figures(self):
-        one, other = Figure(10, "MB", "measured", 1), Figure(20, "MB", "measured", 2)
-        both = one.plus(other)
+        first, second = Figure(10, "MB", "measured", 1), Figure(20, "MB", "measured", 2)
+        both = first.plus(second)
         self.assertEqual((both.value, both.error, both.origin), (30, 3, "worked out"))
-        self.assertEqual((one.times(5, "MB").value, one.times(5, "MB").error), (50, 5))
+        self.assertEqual((first.times(5, "MB").value, first.times(5, "MB").error), (50, 5))
         with self.assertRaises(ValueError):
-            one.plus(Figure(1, "bytes/s", "measured"))
+            first.plus(Figure(1, "bytes/s", "measured"))
 
     def test_repeats_of_a_size_count_by_their_mean(self):
-        result = line_file("idle-time-by-connection", 0, 0, unit="seconds", bend=1e-6, xs=(100, 200, 300, 400, 400))["slopes"][0]
-        result["points"][-1][1] = 0.18
-        line = linear_regression(*zip(*result["points"]))
-        result["fit"].update(intercept=line.intercept, slope=line.slope)
-        figure = slope_of(result, "F").at(400, "s")
+        content = line_file("idle-time-by-connection", 0, 0, unit="seconds", bend=1e-6, xs=(100, 200, 300, 400, 400))["slopes"][0]
+        content["points"][-1][1] = 0.18
+        line = linear_regression(*zip(*content["points"]))
+        content["fit"].update(intercept=line.intercept, slope=line.slope)
+        figure = slope_of(content, "F").at(400, "s")
         self.assertAlmostEqual(figure.value, 0.17)
         self.assertAlmostEqual(figure.error, 0.01)
         self.assertEqual((figure.origin, figure.method), ("measured", "run at 400 connections"))
         # interpolated between the means of the neighbouring sizes
-        self.assertAlmostEqual(slope_of(result, "F").at(350, "s").value, (0.09 + 0.17) / 2)
+        self.assertAlmostEqual(slope_of(content, "F").at(350, "s").value, (0.09 + 0.17) / 2)
 
     def test_connections_without_a_viewing_use_their_own_slope(self):
         size = read_size(self.size(('"viewings-a-connection" value="1"', '"viewings-a-connection" value="0.5"')))
@@ -275,30 +275,30 @@
         self.assertAlmostEqual(row.figure.value, 1 + (43e6 / 630 / 2) * 0.011, places=3)
 
     def test_an_acceptor_has_its_share_of_all_lease_messages(self):
-        result = {"sizes": [{}, {}, {}, {}, {"words_a_second_a_lease": 10.0}]}
-        row = self.row(self.files(leases=result), "at each of five keepers")
+        content = {"sizes": [{}, {}, {}, {}, {"words_a_second_a_lease": 10.0}]}
+        row = self.row(self.files(leases=content), "at each of five keepers")
         self.assertAlmostEqual(row.figure.value, 32 * 10.0 / 5 * 100)
         self.assertEqual(self.small().deliveries_a_node, 2000)
 
     def test_time_until_in_force_is_of_the_run_and_of_the_simulation(self):
-        result = {
+        content = {
             "nodes": 630,
             "no_loss": {"last_node_s": [2.0, 3.0]},
             "loss_of_5_percent": {"last_node_s": [2.0, None]},
             "zone_returns_empty": {"in_force_in_all_s": 19.8, "others_sent_worst": 5000},
         }
-        measured = self.files(versions=result)
-        for words, verdict in (
+        measured = self.files(versions=content)
+        for label, verdict in (
             ("nothing lost: slowest of 2 changes, simulated", "within: ×0.17 of 18 s"),
             ("5% of datagrams lost: slowest of 2 changes, sim", "over: at least ×3.33 of 18 s"),
             ("all of a zone that is back at once", "over: ×1.1 of 18 s"),
             ("of the others the one that sends most", "over: ×1.25 of 4,000 bytes/s"),
         ):
-            self.assertEqual(self.row(measured, words).verdict(ROOT), verdict, words)
+            self.assertEqual(self.row(measured, label).verdict(ROOT), verdict, label)
         self.assertIn("not measured", self.row(measured, "time until in force everywhere").verdict(ROOT))
         self.assertIn(
             "in a smaller run",
-            self.row(self.files(versions={**result, "nodes": 5}), "nothing lost: slowest of 2 changes, s").verdict(ROOT),
+            self.row(self.files(versions={**content, "nodes": 5}), "nothing lost: slowest of 2 changes, s").verdict(ROOT),
         )
         made, late, lost = (
             {"ok": True, "everywhere_s": 4.0},
@@ -315,7 +315,7 @@
             "stretch": {"changes": 100, "restarts": 20, "everywhere_worst_s": 9.0, "not_everywhere": 1},
         }
         measured = self.files(scale_24=run)
-        for words, verdict in (
+        for label, verdict in (
             ("nothing lost: slowest of 2 changes", "within: ×0.22 of 18 s"),
             ("5% of datagrams lost", "over: at least ×3.33 of 18 s"),
             ("a change while zone-lost", "over: ×1.11 of 18 s"),
@@ -323,7 +323,7 @@
             ("a change after regions-apart", "within: ×0.22 of 18 s"),
             ("slowest of 100 changes with 20 restarts", "over: at least ×3.33 of 18 s"),
         ):
-            self.assertEqual(self.row(measured, words).verdict(ROOT), verdict, words)
+            self.assertEqual(self.row(measured, label).verdict(ROOT), verdict, label)
         # a change refused for want of a majority does not count as late
         self.assertFalse([row for row in all_rows(self.small(), measured) if "while regions-apart" in row.description])
 
@@ -348,12 +348,12 @@
         self.assertEqual(self.row(measured, "servers that a whole list has to hold").verdict(ROOT), "over: ×3.3 of 606 servers")
 
     def test_a_line_with_too_much_scatter_is_not_extrapolated(self):
-        result = line_file("idle-time-by-connection", 0.0, 1e-4, unit="seconds")["slopes"][0]
+        content = line_file("idle-time-by-connection", 0.0, 1e-4, unit="seconds")["slopes"][0]
         for off, carried in ((0.0004, True), (0.008, False)):
-            result["points"][1][1] = 0.02 + off
-            line = linear_regression(*zip(*result["points"]))
-            result["fit"].update(intercept=line.intercept, slope=line.slope)
-            figure = slope_of(result, "F").at(4000, "s")
+            content["points"][1][1] = 0.02 + off
+            line = linear_regression(*zip(*content["points"]))
+            content["fit"].update(intercept=line.intercept, slope=line.slope)
+            figure = slope_of(content, "F").at(4000, "s")
             self.assertEqual(figure.is_lower_bound, not carried)
         self.assertEqual((figure.value, figure.method), (0.04, "too scattered to carry: by its last point"))
 
@@ -372,19 +372,19 @@
 
     def test_a_slope_whose_fit_differs_from_its_points_is_rejected(self):
         for corrupt_slope in (
-            lambda one: one["points"][2].__setitem__(1, 9e6),
-            lambda one: one["fit"].update(slope=9_100),
-            lambda one: one["fit"].update(intercept=0),
-            lambda one: one["points"].pop(),
-            lambda one: one.pop("command"),
-            lambda one: one["fit"].pop("straight"),
+            lambda entry: entry["points"][2].__setitem__(1, 9e6),
+            lambda entry: entry["fit"].update(slope=9_100),
+            lambda entry: entry["fit"].update(intercept=0),
+            lambda entry: entry["points"].pop(),
+            lambda entry: entry.pop("command"),
+            lambda entry: entry["fit"].pop("straight"),
         ):
-            result = line_file("memory-by-connection", 1_000_000, 9_000)
-            slope_of(result["slopes"][0], "slope-memory.json")
-            corrupt_slope(result["slopes"][0])
-            with self.assertRaises(InvalidMeasurements) as errors:
-                self.files(slope_memory=result)
-            self.assertIn("slope-memory.json: slope memory-by-connection: ", str(errors.exception))
+            content = line_file("memory-by-connection", 1_000_000, 9_000)
+            slope_of(content["slopes"][0], "slope-memory.json")
+            corrupt_slope(content["slopes"][0])
+            with self.assertRaises(InvalidMeasurements) as caught:
+                self.files(slope_memory=content)
+            self.assertIn("slope-memory.json: slope memory-by-connection: ", str(caught.exception))
         self.assertEqual(run("--measured", self.measured).exit_code, 2)
 
     def test_assumed_message_sizes_match_encoded_messages(self):
@@ -412,12 +412,12 @@
             )
 
         ballot = (1_800_000_000_000_000, 100, 3)
-        words = [
+        lease_bytes = [
             encoded_bytes(leasing.KIND, leasing.Body(1, "probe/3", ballot)),
             encoded_bytes(leasing.KIND, leasing.Body(4, "probe/3", ballot, 1_800_000_000_000, 3, ballot)),
         ]
-        self.assertLessEqual(words[0], size.assumption("lease-word-bytes"))
-        self.assertLessEqual(size.assumption("lease-word-bytes"), words[1])
+        self.assertLessEqual(lease_bytes[0], size.assumption("lease-word-bytes"))
+        self.assertLessEqual(size.assumption("lease-word-bytes"), lease_bytes[1])
         rounds = [
             encoded_bytes(
                 overloaded.KIND, overloaded.Body(100_000, "zone-3", -1, "", [(n * 50, 3.5) for n in range(many)], 30.5, 2.5)
@@ -433,8 +433,8 @@
 
     def test_the_assumed_configuration_size_matches_a_site_file(self):
         for name, nodes in (("two-years", 630), ("two-hundred", 200)):
-            guessed = read_size(USUAL.with_name(f"{name}.xml")).assumption("configuration-kB")
-            self.assertAlmostEqual(len(site_file(nodes)) / 1000 / guessed, 1, delta=0.01)
+            assumed_kb = read_size(USUAL.with_name(f"{name}.xml")).assumption("configuration-kB")
+            self.assertAlmostEqual(len(site_file(nodes)) / 1000 / assumed_kb, 1, delta=0.01)
 
     def test_the_report_interval_is_that_of_distribution(self):
         self.assertEqual(DistributionTerms(("c1",)).report_interval, REPORT_INTERVAL_S * NS)
@@ -451,39 +451,39 @@
 
     def test_a_scale_run_fills_the_control_rows_and_the_sum_needs_all_parts(self):
         part = {"bytes_a_second": {"mean": 1500.0, "worst": 3000.0}, "core": {"mean": 0.01, "worst": 0.02}, "memory_kB": 2000}
-        result = {
+        content = {
             "command": "bin/curlewshift scale",
             "nodes": 24,
             "a_node": {name: part for name in ("membership", "sharing", "leases")},
         }
-        measured = self.files(scale_630=result, scale_24=result, scale_8=result)
+        measured = self.files(scale_630=content, scale_24=content, scale_8=content)
         self.assertEqual(
             (measured.scale_file(10), measured.scale_file(630), measured.scale_file(1000)),
             ("scale-24.json", "scale-630.json", "scale-630.json"),
         )
         self.assertEqual(self.row(measured, "control: membership", MEMORY).figure.value, 2.0)
         self.assertIsNone(self.row(measured, "control: all four together out").figure)
-        result["a_node"]["distribution"] = part
-        row = self.row(self.files(scale_24=result), "control: all four together out")
+        content["a_node"]["distribution"] = part
+        row = self.row(self.files(scale_24=content), "control: all four together out")
         self.assertEqual((row.figure.value, row.verdict(ROOT)), (6000.0, "over: ×1.5 of 4,000 bytes/s"))
         # a mean that includes nodes without sharing does not show the cost of a node that shares
-        result["model"] = {"sharing": {"nodes": 12}}
-        self.assertIsNone(self.row(self.files(scale_24=result), "control: sharing out").figure)
+        content["model"] = {"sharing": {"nodes": 12}}
+        self.assertIsNone(self.row(self.files(scale_24=content), "control: sharing out").figure)
 
     def test_faults_have_rows_of_their_own_and_a_smaller_run_is_not_extrapolated(self):
         part = {"all": {"bytes_a_second": {"mean": 4900.0, "worst": 6000.0}}}
-        result = {"nodes": 630, "faults": [{"kind": "zone-lost", "known_s": 7.5, "while": {"lasted_s": 15.1, **part}}]}
-        measured, words = self.files(scale_630=result), "all that ran, while zone-lost, over 15 s"
-        self.assertEqual(self.row(measured, words).verdict(ROOT), "over: ×1.23 of 4,000 bytes/s")
+        content = {"nodes": 630, "faults": [{"kind": "zone-lost", "known_s": 7.5, "while": {"lasted_s": 15.1, **part}}]}
+        measured, label = self.files(scale_630=content), "all that ran, while zone-lost, over 15 s"
+        self.assertEqual(self.row(measured, label).verdict(ROOT), "over: ×1.23 of 4,000 bytes/s")
         self.assertIn("until all agree: 7.5 s (measured)", tables(self.small(), measured, ROOT)["failures"])
-        result["nodes"], part["all"]["bytes_a_second"]["mean"] = 5, 400.0
-        row = self.row(self.files(scale_5=result), words)
+        content["nodes"], part["all"]["bytes_a_second"]["mean"] = 5, 400.0
+        row = self.row(self.files(scale_5=content), label)
         self.assertEqual(row.figure.limit(), "measured to 5 nodes, wanted 10: ×2.0, not carried")
         self.assertEqual(row.verdict(ROOT), "not known: ×0.1 of 4,000 bytes/s in a smaller run, and not carried")
         self.assertEqual(row.figure.text(), "400 bytes/s (measured)")
-        result |= {"nodes": 630, "verdict": {"ok": False}}
+        content |= {"nodes": 630, "verdict": {"ok": False}}
         self.assertEqual(
-            self.row(self.files(scale_630=result), words).verdict(ROOT),
+            self.row(self.files(scale_630=content), label).verdict(ROOT),
             "not known: ×0.1 of 4,000 bytes/s in a run whose own verdict is not good, and not carried",
         )
 
@@ -508,9 +508,9 @@
 
     def test_sharing_counts_by_its_slope_if_no_run_has_it(self):
         part = {"bytes_a_second": {"mean": 100.0}}
-        result = {"nodes": 24, "a_node": {name: part for name in ("membership", "leases", "distribution")}}
+        content = {"nodes": 24, "a_node": {name: part for name in ("membership", "leases", "distribution")}}
         measured = self.files(
-            scale_24=result, slope_sharing=line_file("sharing-bytes-by-links", 1000, 10, unit="bytes/s", xs=(100, 200, 400, 640))
+            scale_24=content, slope_sharing=line_file("sharing-bytes-by-links", 1000, 10, unit="bytes/s", xs=(100, 200, 400, 640))
         )
         self.assertAlmostEqual(self.row(measured, "all four together out").figure.value, 300 + 7400)
 
@@ -547,27 +547,29 @@
         self.assertEqual(verdict(50, mechanism=Mechanism("curlewshift/none.py", "x")), "carried by nothing")
 
     def test_shortfalls_are_ordered_by_missing_mechanism_dependents_and_factor(self):
-        wire = Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection")
+        connection = Mechanism("curlewshift/node/buffered_connection.py", "class BufferedConnection")
 
         def row(key, value, mechanism):
             return Row(key, FRONT, MEMORY, key, Figure(value, "MB", "measured"), 10.0, mechanism)
 
         rows = [
-            row("idle", 20, wire),
-            row("list", 500, wire),
-            row("memory", 5, wire),
-            row("sharing", 900, wire),
-            row("sharing", 800, wire),
+            row("idle", 20, connection),
+            row("list", 500, connection),
+            row("memory", 5, connection),
+            row("sharing", 900, connection),
+            row("sharing", 800, connection),
             row("workers", 1, None),
             row("configuration", 1, None),
             row("sharing", 90, None),
         ]
-        self.assertEqual([one.key for one in shortfalls(rows, ROOT)], ["configuration", "sharing", "workers", "list", "idle"])
+        self.assertEqual(
+            [shortfall.key for shortfall in shortfalls(rows, ROOT)], ["configuration", "sharing", "workers", "list", "idle"]
+        )
         self.assertEqual(shortfalls(rows, ROOT)[1].over.figure.value, 900)
         self.assertIn("configuration", DEPENDENCIES["workers"])
 
     def test_numbers_are_formatted_with_significant_digits(self):
         self.assertEqual(
-            [format_number(one) for one in (0, 0.03412, 1.5, 21.64, 142.2, 68253.97, 43e6, 3.8e-6)],
+            [format_number(number) for number in (0, 0.03412, 1.5, 21.64, 142.2, 68253.97, 43e6, 3.8e-6)],
             ["0", "0.0341", "1.5", "21.6", "142", "68,254", "43,000,000", "3.8e-06"],
         )
