--- a/curlewshift/soak/__init__.py
+++ b/curlewshift/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Short seeded trials of a few front node processes under combined faults, judged from the sockets alone."""
+"""Soak runs: short seeded trials of a few node processes under combined faults, judged only from the traffic on their sockets."""
--- a/curlewshift/soak/discovery.py
+++ b/curlewshift/soak/discovery.py
@@ -1,4 +1,4 @@
-"""The server list of a trial: numbered events, and a listening address for each node, with faults of its own."""
+"""The discovery service of a trial: numbered changes of the server list, and for each node an endpoint with faults of its own."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 import anyio
 
-EMPTY_EVERY_S = 1.0
-# A slow one says nothing for so long after it has been asked.
-SLOW_S = 2.0
-NOTHING_NEW, WHOLE, CHANGES = 0, 1, 2
+KEEPALIVE_INTERVAL_S = 1.0
+# How long a slow endpoint waits after a request before it responds.
+SLOW_RESPONSE_DELAY_S = 2.0
+NO_CHANGES, FULL_LIST, CHANGES = 0, 1, 2
 READY, DRAINING, GONE = 0, 1, 2
-OLD_ADDRESS_CLOSES_AFTER_S = 1.5
+# After an endpoint has moved away, its open connections are kept for this long.
+OLD_CONNECTIONS_CLOSE_AFTER_S = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,30 +27,30 @@
 
 
 def frame(number: int, kind: int, payload: bytes = b"") -> bytes:
-    """One frame of the list, by the protocol page."""
+    """Encodes one frame of the server list (protocol specification)."""
     return struct.pack(">IQB", 9 + len(payload), number, kind) + payload
 
 
 class Discovery:
-    """`record(node, change)` makes the bytes that this node is told of a change: addresses are those of its own proxies."""
+    """`encode_record(node, change)` encodes a change for one node: server addresses are those of this node's proxies."""
 
-    def __init__(self, record: Callable[[str, Change], bytes]):
-        self.record = record
+    def __init__(self, encode_record: Callable[[str, Change], bytes]):
+        self.encode_record = encode_record
         self.changes: list[Change] = []
         self.number = 1
-        self.told = anyio.Event()
+        self.published = anyio.Event()
 
     def publish(self, server: str, state: int) -> Change:
         self.number += 1
         change = Change(self.number, server, state)
         self.changes.append(change)
-        self.told.set()
-        self.told = anyio.Event()
+        self.published.set()
+        self.published = anyio.Event()
         return change
 
 
 def reserve(port: int) -> socket.socket:
-    """A socket that keeps a port from others and refuses connections to it: it is bound and does not listen."""
+    """A socket that is bound and does not listen: it reserves the port, and connections to it are refused."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", port))
@@ -57,11 +58,11 @@
     return sock
 
 
-class Address:
-    """Where one node asks. `fault` is the kind of fault in force, without its prefix, or empty."""
+class DiscoveryEndpoint:
+    """The discovery address of one node. `fault` is the active fault without the prefix `discovery-`, or empty."""
 
     def __init__(self, discovery: Discovery, node: str):
-        # holds the port while it is not listened on
+        # reserves the port while nothing listens on it
         self.reserved: socket.socket | None = None
         self.discovery, self.node, self.fault, self.moved = discovery, node, "", False
         self.connections: list[socket.socket] = []
@@ -76,29 +77,29 @@
         self.port = self.listener.getsockname()[1]
         self.closed = False
 
-    def begin(self, fault: str) -> None:
+    def begin_fault(self, fault: str) -> None:
         self.fault = fault
         if fault == "refused":
             self._stop_listening()
         if fault in ("refused", "closes"):
-            self.cut()
+            self.close_connections()
 
-    def end(self) -> None:
+    def end_fault(self) -> None:
         if self.fault == "refused" and not self.moved:
             self.open(self.port)
         self.fault = ""
 
-    def cut(self) -> None:
+    def close_connections(self) -> None:
         for sock in list(self.connections):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
     async def move_away(self) -> None:
-        """It accepts no new connection, tells nothing further, and closes the open ones a little later."""
+        """Stops listening and sending changes, and closes the open connections after `OLD_CONNECTIONS_CLOSE_AFTER_S`."""
         self.moved = True
         self._stop_listening()
-        await anyio.sleep(OLD_ADDRESS_CLOSES_AFTER_S)
-        self.cut()
+        await anyio.sleep(OLD_CONNECTIONS_CLOSE_AFTER_S)
+        self.close_connections()
 
     def _stop_listening(self) -> None:
         if not self.closed:
@@ -125,16 +126,16 @@
     async def _serve(self, sock: socket.socket) -> None:
         self.connections.append(sock)
         try:
-            asked = b""
-            while len(asked) < 8:
+            request = b""
+            while len(request) < 8:
                 if self.fault == "closes":
                     return
                 await anyio.wait_readable(sock)
                 data = sock.recv(64)
                 if not data:
                     return
-                asked += data
-            await self._tell(sock, int.from_bytes(asked[:8], "big"))
+                request += data
+            await self._send_changes(sock, int.from_bytes(request[:8], "big"))
         except (OSError, ValueError, anyio.ClosedResourceError):
             pass
         finally:
@@ -142,30 +143,30 @@
             anyio.notify_closing(sock)
             sock.close()
 
-    async def _tell(self, sock: socket.socket, last: int) -> None:
+    async def _send_changes(self, sock: socket.socket, last_sent: int) -> None:
         first = True
         while not self.moved:
-            changes = [change for change in self.discovery.changes if change.number > last]
-            told = self.discovery.told
+            changes = [change for change in self.discovery.changes if change.number > last_sent]
+            published = self.discovery.published
             while self.fault == "silent" or self.fault == "stalled":
                 await anyio.sleep(0.02)
             if self.fault == "half-frame":
                 with contextlib.suppress(OSError):
-                    sock.send(frame(last + 1, CHANGES, b"x" * 27)[:11])
+                    sock.send(frame(last_sent + 1, CHANGES, b"x" * 27)[:11])
                 while self.fault == "half-frame":
                     await anyio.sleep(0.02)
                 return
             if self.fault == "slow" and first:
-                await anyio.sleep(SLOW_S)
+                await anyio.sleep(SLOW_RESPONSE_DELAY_S)
             first = False
             for change in changes:
-                data = frame(change.number, CHANGES, self.discovery.record(self.node, change))
+                data = frame(change.number, CHANGES, self.discovery.encode_record(self.node, change))
                 if self.fault == "slow":
                     sock.send(data[:7])
                     await anyio.sleep(0.3)
                     data = data[7:]
                 sock.send(data)
-                last = change.number
-            sock.send(frame(last, NOTHING_NEW))
-            with anyio.move_on_after(EMPTY_EVERY_S):
-                await told.wait()
+                last_sent = change.number
+            sock.send(frame(last_sent, NO_CHANGES))
+            with anyio.move_on_after(KEEPALIVE_INTERVAL_S):
+                await published.wait()
--- a/curlewshift/soak/media.py
+++ b/curlewshift/soak/media.py
@@ -1,6 +1,7 @@
-"""Media servers of a trial: one process's worth of behaviour each, on plain sockets. They note each set-up as they see it.
+"""Simulated media servers of a trial, on plain sockets. Each server records every set-up that it receives.
 
-A server keeps its attempts by id, as a real one does: a release ends what stands under its id, on whichever connection it comes.
+A server keeps its attempts by id, as a real one does: a release ends the attempt or session of its id, whichever connection it
+arrives on.
 """
 
 from __future__ import annotations
@@ -19,25 +20,25 @@
 from curlewshift.soak.proxy import LINGER_ZERO
 from curlewshift.soak.records import Ending, Records, ServerAttempt
 
-ANSWER_WITHIN_S = (0.002, 0.06)
-SLOW_S = (0.2, 1.5)
-LIVES_S = (0.5, 20.0)
-NOTES_EVERY_S = 1.0
+ANSWER_DELAY_S = (0.002, 0.06)
+SLOW_ANSWER_DELAY_S = (0.2, 1.5)
+SESSION_DURATION_S = (0.5, 20.0)
+NOTE_INTERVAL_S = 1.0
 
 
 @dataclass(slots=True)
 class Behaviour:
-    """What a server does instead of what it should, while a fault lasts."""
+    """How a server misbehaves while a fault is active."""
 
     hangs: bool = False
     loses_answers: bool = False
     closes_after_accept: bool = False
     closes_after_first_byte: bool = False
-    spoils: bool = False
-    doubles: bool = False
+    corrupts_answers: bool = False
+    duplicates_answers: bool = False
     single_bytes: bool = False
     refuses: bool = False
-    errs: bool = False
+    fails: bool = False
     slow: bool = False
     accepts_late_s: float = 0.0
 
@@ -51,18 +52,18 @@
     reader: codec.BinaryReader = field(default_factory=codec.BinaryReader)
     used_at_s: float = 0.0
     closed: bool = False
-    # held while a message goes out byte by byte
-    dribbles: anyio.Lock = field(default_factory=anyio.Lock)
+    # held while a message is sent byte by byte, so that messages do not interleave
+    send_lock: anyio.Lock = field(default_factory=anyio.Lock)
 
 
 @dataclass(eq=False, slots=True)
-class Held:
-    """An attempt that is out, or the session that it set up."""
+class HeldAttempt:
+    """An open attempt, or the session that it set up (`is_session`)."""
 
-    seen: ServerAttempt
+    record: ServerAttempt
     connection: Connection
-    stands: bool = False
-    over: bool = False
+    is_session: bool = False
+    ended: bool = False
 
 
 class MediaServer:
@@ -74,19 +75,22 @@
         rng: Random,
         origin_of,
         idle_close_s: float,
-        says_heard: float,
+        confirm_probability: float,
         started_at_ms: int = 0,
     ):
-        """`origin_of(port)` tells the node and connection behind a local port of a proxy."""
+        """`origin_of(port)` gives the node and connection behind a local port of a proxy.
+
+        `confirm_probability` is the probability that the server confirms a release.
+        """
         self.name, self.cell, self.records, self.rng, self.origin_of = name, cell, records, rng, origin_of
-        self.idle_close_s, self.says_heard, self.started_at_ms = idle_close_s, says_heard, started_at_ms
+        self.idle_close_s, self.confirm_probability, self.started_at_ms = idle_close_s, confirm_probability, started_at_ms
         self.behaviour = Behaviour()
-        # the newest by id, and releases that are to be said on the next connection of a node
-        self.held: dict[str, Held] = {}
-        self.owed: dict[str, list[bytes]] = defaultdict(list)
+        # the newest attempt by id, and by node the releases to send on its next connection
+        self.held: dict[str, HeldAttempt] = {}
+        self.pending_releases: dict[str, list[bytes]] = defaultdict(list)
         self.connections: list[Connection] = []
         self.alive = True
-        self.wakes = anyio.Event()
+        self.behaviour_changed = anyio.Event()
 
     def open(self) -> int:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -95,7 +99,7 @@
 
     async def run(self, tasks) -> None:
         self.tasks = tasks
-        tasks.start_soon(self._keep_house)
+        tasks.start_soon(self._send_notes_and_close_idle)
         with contextlib.suppress(anyio.ClosedResourceError, OSError):
             while self.alive:
                 await anyio.wait_readable(self.listener)
@@ -106,8 +110,8 @@
                     sock.setblocking(False)
                     tasks.start_soon(self._serve, sock, port)
 
-    def die(self) -> None:
-        """The process ends: its connections are reset and its sessions cut."""
+    def terminate(self) -> None:
+        """Acts as if the server process ended: resets its connections and ends its attempts and sessions."""
         self.alive = False
         anyio.notify_closing(self.listener)
         self.listener.close()
@@ -117,11 +121,11 @@
         for held in list(self.held.values()):
             self._end(held, Ending.CLOSED, now_s)
 
-    def behave(self, **how) -> None:
-        for name, value in how.items():
+    def set_behaviour(self, **changes) -> None:
+        for name, value in changes.items():
             setattr(self.behaviour, name, value)
-        self.wakes.set()
-        self.wakes = anyio.Event()
+        self.behaviour_changed.set()
+        self.behaviour_changed = anyio.Event()
 
     # ---- connections
 
@@ -132,8 +136,8 @@
             return
         self.connections.append(connection)
         try:
-            for data in self.owed.pop(connection.origin[0], []):
-                self._say(connection, data)
+            for data in self.pending_releases.pop(connection.origin[0], []):
+                self._send(connection, data)
             while not connection.closed:
                 await anyio.wait_readable(sock)
                 data = sock.recv(65_536)
@@ -141,8 +145,8 @@
                     return
                 connection.used_at_s = anyio.current_time()
                 for _, message in connection.reader.feed(data, connection.used_at_s):
-                    self._take(connection, message)
-                if connection.reader.broken:
+                    self._handle_message(connection, message)
+                if connection.reader.malformed:
                     return
         except (OSError, anyio.ClosedResourceError):
             pass
@@ -161,23 +165,23 @@
             connection.sock.close()
         now_s = anyio.current_time()
         for held in list(self.held.values()):
-            if held.connection is connection and not held.stands:
+            if held.connection is connection and not held.is_session:
                 self._end(held, Ending.CLOSED, now_s)
 
-    def _say(self, connection: Connection, data: bytes) -> None:
+    def _send(self, connection: Connection, data: bytes) -> None:
         if connection.closed:
             return
         connection.used_at_s = anyio.current_time()
         try:
-            if self.behaviour.single_bytes or connection.dribbles.locked():
-                self.tasks.start_soon(self._dribble, connection, data)
+            if self.behaviour.single_bytes or connection.send_lock.locked():
+                self.tasks.start_soon(self._send_byte_by_byte, connection, data)
             else:
                 connection.sock.send(data)
         except OSError:
             self._close(connection)
 
-    async def _dribble(self, connection: Connection, data: bytes) -> None:
-        async with connection.dribbles:
+    async def _send_byte_by_byte(self, connection: Connection, data: bytes) -> None:
+        async with connection.send_lock:
             for byte in data:
                 if connection.closed:
                     return
@@ -185,100 +189,103 @@
                     connection.sock.send(bytes((byte,)))
                 await anyio.sleep(0)
 
-    def _connection_to(self, held: Held) -> Connection | None:
-        """That of its set-up, else any open one to its node."""
+    def _connection_to(self, held: HeldAttempt) -> Connection | None:
+        """The connection of its set-up if still open, else any open connection to the same node."""
         if not held.connection.closed:
             return held.connection
-        return next((one for one in self.connections if one.origin[0] == held.seen.node and not one.closed), None)
+        return next(
+            (connection for connection in self.connections if connection.origin[0] == held.record.node and not connection.closed),
+            None,
+        )
 
     # ---- messages
 
-    def _take(self, connection: Connection, message: codec.Binary) -> None:
+    def _handle_message(self, connection: Connection, message: codec.Binary) -> None:
         now_s = anyio.current_time()
         if message.kind == codec.SET_UP:
             node, number = connection.origin
-            seen = ServerAttempt(message.id, node, self.name, number, now_s)
-            self.records.server_attempts.append(seen)
-            held = self.held[message.id] = Held(seen, connection)
+            record = ServerAttempt(message.id, node, self.name, number, now_s)
+            self.records.server_attempts.append(record)
+            held = self.held[message.id] = HeldAttempt(record, connection)
             self.tasks.start_soon(self._set_up, held, message)
         elif message.kind == codec.RELEASE:
             held = self.held.get(message.id)
             if held is not None:
                 self._end(held, Ending.GIVEN_UP, now_s)
-            if self.rng.random() < self.says_heard and not self.behaviour.hangs:
-                self._say(connection, codec.binary(codec.RELEASE_HEARD, message.id))
+            if self.rng.random() < self.confirm_probability and not self.behaviour.hangs:
+                self._send(connection, codec.binary(codec.RELEASE_CONFIRMED, message.id))
         elif message.kind == codec.PROBE and not self.behaviour.hangs:
-            self._say(connection, codec.binary(codec.PROBED, message.id, (codec.CAUSE, b"\1"), (codec.REPORT, b"x0:0.4")))
+            self._send(connection, codec.binary(codec.PROBE_ANSWER, message.id, (codec.CAUSE, b"\1"), (codec.REPORT, b"x0:0.4")))
 
-    async def _set_up(self, held: Held, message: codec.Binary) -> None:
-        await anyio.sleep(self.rng.uniform(*(SLOW_S if self.behaviour.slow else ANSWER_WITHIN_S)))
+    async def _set_up(self, held: HeldAttempt, message: codec.Binary) -> None:
+        await anyio.sleep(self.rng.uniform(*(SLOW_ANSWER_DELAY_S if self.behaviour.slow else ANSWER_DELAY_S)))
         while self.behaviour.hangs and self.alive:
-            await self.wakes.wait()
-        if held.over or not self.alive:
+            await self.behaviour_changed.wait()
+        if held.ended or not self.alive:
             return
         behaviour, now_s, id = self.behaviour, anyio.current_time(), message.id
-        if behaviour.refuses or behaviour.errs:
+        if behaviour.refuses or behaviour.fails:
             cause = codec.FULL if behaviour.refuses else codec.ERROR
             self._end(held, Ending.REFUSED if behaviour.refuses else Ending.FAILED, now_s)
-            self._say(held.connection, codec.binary(codec.RELEASE, id, (codec.CAUSE, bytes((cause,)))))
+            self._send(held.connection, codec.binary(codec.RELEASE, id, (codec.CAUSE, bytes((cause,)))))
             return
-        held.stands = True
-        held.seen.ended_at, held.seen.ending = now_s, Ending.SET_UP
+        held.is_session = True
+        held.record.ended_at, held.record.ending = now_s, Ending.SET_UP
         body = b"plays at " + self.name.encode() + b" " + message.fields.get(codec.DESCRIPTION, b"")
-        held.seen.body = body
+        held.record.body = body
         answer = codec.binary(codec.ANSWER, id, (codec.DESCRIPTION, body), (codec.REPORT, b"x0:0.4"))
-        if behaviour.spoils:
+        if behaviour.corrupts_answers:
             answer = os.urandom(24) if self.rng.random() < 0.5 else answer[:-7]
         if not behaviour.loses_answers:
-            self._say(held.connection, answer + (answer if behaviour.doubles else b""))
-        self.tasks.start_soon(self._play, held)
+            self._send(held.connection, answer + (answer if behaviour.duplicates_answers else b""))
+        self.tasks.start_soon(self._run_session, held)
 
-    async def _play(self, held: Held) -> None:
-        await anyio.sleep(self.rng.uniform(*LIVES_S))
+    async def _run_session(self, held: HeldAttempt) -> None:
+        await anyio.sleep(self.rng.uniform(*SESSION_DURATION_S))
         while self.behaviour.hangs and self.alive:
-            await self.wakes.wait()
-        if held.over or not self.alive:
+            await self.behaviour_changed.wait()
+        if held.ended or not self.alive:
             return
         self._end(held, Ending.SET_UP, anyio.current_time())
-        over = codec.binary(codec.RELEASE, held.seen.id, (codec.CAUSE, bytes((codec.OVER,))))
+        release = codec.binary(codec.RELEASE, held.record.id, (codec.CAUSE, bytes((codec.ENDED,))))
         connection = self._connection_to(held)
         if connection is not None:
-            self._say(connection, over)
-        # it is said on the next connection too
-        self.owed[held.seen.node].append(over)
+            self._send(connection, release)
+        # also sent on the node's next connection
+        self.pending_releases[held.record.node].append(release)
 
-    def _end(self, held: Held, ending: Ending, at_s: float) -> None:
-        if held.over:
+    def _end(self, held: HeldAttempt, ending: Ending, at_s: float) -> None:
+        if held.ended:
             return
-        held.over = True
-        if held.stands:
-            held.seen.session_ended_at = at_s
-            held.seen.ended_by_itself = ending is not Ending.GIVEN_UP
+        held.ended = True
+        if held.is_session:
+            held.record.session_ended_at = at_s
+            held.record.ended_by_itself = ending is not Ending.GIVEN_UP
         else:
-            held.seen.ended_at, held.seen.ending = at_s, ending
-        if self.held.get(held.seen.id) is held:
-            del self.held[held.seen.id]
+            held.record.ended_at, held.record.ending = at_s, ending
+        if self.held.get(held.record.id) is held:
+            del self.held[held.record.id]
 
-    async def _keep_house(self) -> None:
-        """Notes to the nodes that have sessions here, and the end of connections that rest."""
+    async def _send_notes_and_close_idle(self) -> None:
+        """Sends load notes to the nodes that have sessions here, and closes idle connections."""
         while self.alive:
-            await anyio.sleep(NOTES_EVERY_S / 4)
+            await anyio.sleep(NOTE_INTERVAL_S / 4)
             now_s = anyio.current_time()
             for connection in list(self.connections):
                 if now_s - connection.used_at_s > self.idle_close_s:
                     self._close(connection)
             if self.behaviour.hangs or self.rng.random() > 0.25:
                 continue
-            told = set()
+            notified_nodes = set()
             for held in list(self.held.values()):
                 connection = self._connection_to(held)
-                if held.stands and connection is not None and held.seen.node not in told:
-                    told.add(held.seen.node)
-                    self._say(
-                        connection, codec.binary(codec.NOTE, held.seen.id, (codec.NOTE_KIND, b"wire"), (codec.FIGURE, b"0.4"))
+                if held.is_session and connection is not None and held.record.node not in notified_nodes:
+                    notified_nodes.add(held.record.node)
+                    self._send(
+                        connection, codec.binary(codec.NOTE, held.record.id, (codec.NOTE_KIND, b"wire"), (codec.VALUE, b"0.4"))
                     )
 
 
-def record_of_list(name: str, port: int, state: int, cell: int, started_at_ms: int) -> bytes:
-    """One record of the list, by the protocol page."""
+def encode_list_record(name: str, port: int, state: int, cell: int, started_at_ms: int) -> bytes:
+    """Encodes one record of the server list (protocol specification)."""
     return struct.pack(">I4sHBBBHIQ", int(name[2:], 16), bytes((127, 0, 0, 1)), port, state, 0, 0, cell, 1000, started_at_ms)
--- a/curlewshift/soak/plan.py
+++ b/curlewshift/soak/plan.py
@@ -1,13 +1,14 @@
-"""One seed makes a whole trial: the deployment, its processes, and the faults with their times. No I/O."""
+"""Generates a complete trial from one seed: the deployment, its processes, and the faults with their times. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from random import Random
 
-# Wire names are free in the settings; the program may know none of them.
+# The settings may name service classes freely: the program must not depend on any of these names.
 CLASS_NAMES = ("lesson-play", "clip-check", "receipt-clip", "x-ray", "a", "briefing")
-LONGEST_COUNTED_MS, AFTER_LONGEST_MS = 3000, 700
+# SIGKILL follows SIGTERM after the longest deadline of the classes, counted up to the first of these, plus the second.
+MAX_COUNTED_DEADLINE_MS, KILL_DELAY_AFTER_DEADLINE_MS = 3000, 700
 MEDIA_FAULTS = (
     "hang",
     "cut",
@@ -36,18 +37,27 @@
 )
 PROCESS_FAULTS = ("shutdown", "shutdown-with-hup", "kill", "reconfigure")
 CLIENT_FAULTS = ("crowd", "garbage", "slow-requests", "double-id", "never-read", "hurried")
-# Those that strike nodes; the others strike addresses of media servers.
+# Faults whose places are nodes; the places of the others are addresses of media servers.
 NODE_FAULTS = DISCOVERY_FAULTS + PROCESS_FAULTS + CLIENT_FAULTS
 ALL_FAULTS = MEDIA_FAULTS + LIST_FAULTS + DISCOVERY_FAULTS + PROCESS_FAULTS + CLIENT_FAULTS
-FAULTS_EACH_S = 1.3
-# How often a fault of each family is drawn, beside the others.
-# Those that leave an attempt out without a word, drawn as often as all other troubles of media servers together.
-SILENCES = ("hang", "hang", "slow", "cut", "lost-answers", "lost-requests")
-FAMILIES = ((MEDIA_FAULTS, 4), (SILENCES, 4), (LIST_FAULTS, 3), (DISCOVERY_FAULTS, 3), (PROCESS_FAULTS, 3), (CLIENT_FAULTS, 2))
+FAULTS_PER_S = 1.3
+# Media server faults that leave an attempt open without any response: drawn as often as all of MEDIA_FAULTS together.
+SILENT_MEDIA_FAULTS = ("hang", "hang", "slow", "cut", "lost-answers", "lost-requests")
+# Kinds of fault by family, with the relative weight at which the family is drawn.
+FAULT_FAMILIES = (
+    (MEDIA_FAULTS, 4),
+    (SILENT_MEDIA_FAULTS, 4),
+    (LIST_FAULTS, 3),
+    (DISCOVERY_FAULTS, 3),
+    (PROCESS_FAULTS, 3),
+    (CLIENT_FAULTS, 2),
+)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
+    """A service class of the settings. `effect` tells whether a set-up may run twice: only if it is "safe"."""
+
     name: str
     effect: str
     aim_ms: int
@@ -58,7 +68,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One trouble from `at_s` on, for `lasts_s`, on so many of the places (servers or nodes) that it strikes."""
+    """One fault that begins `at_s` seconds into the trial, lasts `lasts_s`, and affects `places`: numbers of server addresses or
+    of nodes (NODE_FAULTS)."""
 
     kind: str
     at_s: float
@@ -68,6 +79,8 @@
 
 @dataclass(slots=True)
 class Plan:
+    """All parameters of a trial; stored in plan.json under the names of the fields."""
+
     seed: int
     seconds: float
     nodes: int
@@ -90,20 +103,20 @@
     fall_ms: int
     streams: int
     budget: tuple[int, float, int] | None
-    # largest delay that a connection to a media server may add, seconds; each draws its own
+    # upper bound of the delay in either direction that a connection to a media server adds, seconds; drawn per connection
     skew_s: float
-    # share of releases that servers say they have heard
+    # probability that a server confirms a release
     says_heard: float
     faults: list[Fault] = field(default_factory=list)
 
     @property
     def kill_after_s(self) -> float:
-        """SIGKILL follows SIGTERM no sooner than this."""
-        longest = max(one.deadline_ms for one in self.classes)
-        return (min(longest, LONGEST_COUNTED_MS) + AFTER_LONGEST_MS) / 1000 + 0.05
+        """Minimum time from SIGTERM to SIGKILL."""
+        longest = max(service.deadline_ms for service in self.classes)
+        return (min(longest, MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_AFTER_DEADLINE_MS) / 1000 + 0.05
 
     def settings(self, number: int) -> dict:
-        """What a node is told, in the form of the pages."""
+        """The `settings` of a node's configuration file, in the specified format."""
         obligations = dict(
             drain_grace_ms=self.grace_ms,
             warm_within_ms=self.warm_within_ms,
@@ -121,8 +134,14 @@
             az="room",
             flavors=["box"],
             classes=[
-                dict(name=one.name, effect=one.effect, gain=1.0, goal_time_ms=one.aim_ms, give_up_ms=one.deadline_ms)
-                for one in self.classes
+                dict(
+                    name=service.name,
+                    effect=service.effect,
+                    gain=1.0,
+                    goal_time_ms=service.aim_ms,
+                    give_up_ms=service.deadline_ms,
+                )
+                for service in self.classes
             ],
             bounds=dict(
                 connect_timeout_ms=self.connect_timeout_ms,
@@ -141,9 +160,9 @@
                 kb_per_weight=40_000.0,
                 rack_kb=1e6,
                 rung_kb=self.rates_kb,
-                floor_by_class=[one.floor for one in self.classes],
+                floor_by_class=[service.floor for service in self.classes],
                 top_by_class=[len(self.rates_kb) - 1] * len(self.classes),
-                class_seats=[one.seats for one in self.classes],
+                class_seats=[service.seats for service in self.classes],
                 kind_streams=[self.streams],
                 told_every_ms=1000,
                 told_late_ms=200,
@@ -153,11 +172,11 @@
         )
 
 
-def plan_of(seed: int, seconds: float, only: tuple[str, ...] = ()) -> Plan:
-    """The plan of one seed; `only` keeps these kinds of fault and leaves the others out."""
+def make_plan(seed: int, seconds: float, only: tuple[str, ...] = ()) -> Plan:
+    """The plan of one seed; if `only` is not empty, faults of other kinds are left out."""
     rng = Random(seed)
     names = rng.sample(CLASS_NAMES, rng.choice((2, 2, 3)))
-    classes = [_class(rng, name, number) for number, name in enumerate(names)]
+    classes = [_draw_service_class(rng, name, number) for number, name in enumerate(names)]
     slots = rng.choice((3, 4, 6, 8, 13, 20))
     plan = Plan(
         seed=seed,
@@ -185,33 +204,33 @@
         skew_s=rng.choice((0.0, 0.02, 0.05, 0.15)),
         says_heard=rng.choice((0.0, 0.5, 1.0)),
     )
-    plan.faults = [fault for fault in _faults(rng, plan) if not only or fault.kind in only]
+    plan.faults = [fault for fault in _draw_faults(rng, plan) if not only or fault.kind in only]
     return plan
 
 
-def _class(rng: Random, name: str, number: int) -> ServiceClass:
+def _draw_service_class(rng: Random, name: str, number: int) -> ServiceClass:
     effect = ("safe", "unsafe", rng.choice(("safe", "keyed")))[number]
     deadline = rng.choice((300, 800, 2000, 3000, 5000))
-    aim = min(deadline, rng.choice((200, 800, 800, 1000)))
-    return ServiceClass(name, effect, aim, deadline, floor=0, seats=rng.choice((0, 0, 3)))
+    target = min(deadline, rng.choice((200, 800, 800, 1000)))
+    return ServiceClass(name, effect, target, deadline, floor=0, seats=rng.choice((0, 0, 3)))
 
 
-def _faults(rng: Random, plan: Plan) -> list[Fault]:
-    """They overlap; the last seconds are quiet."""
+def _draw_faults(rng: Random, plan: Plan) -> list[Fault]:
+    """Draws the faults. They may overlap; none begins in the last fifth of the trial."""
     last_s = plan.seconds * 0.8
-    kinds, weights = zip(*FAMILIES)
-    faults, restarted = [], {}
-    for _ in range(int(plan.seconds * FAULTS_EACH_S)):
+    kinds, weights = zip(*FAULT_FAMILIES)
+    faults, restarts_end_at_s = [], {}
+    for _ in range(int(plan.seconds * FAULTS_PER_S)):
         kind = rng.choice(rng.choices(kinds, weights)[0])
         at_s, lasts_s = rng.uniform(1.0, last_s), rng.choice((0.3, 1.0, 2.5, 5.0))
         count = plan.nodes if kind in NODE_FAULTS else plan.slots
-        some = max(1, int(count * rng.choice((0.1, 0.3, 0.6))))
-        places = tuple(sorted(rng.sample(range(count), some)))
+        place_count = max(1, int(count * rng.choice((0.1, 0.3, 0.6))))
+        places = tuple(sorted(rng.sample(range(count), place_count)))
         if kind in PROCESS_FAULTS:
-            # a node is shut down in series, and not again before it has come back
-            places = tuple(place for place in places if at_s >= restarted.get(place, 0.0))
+            # a node is not restarted again before its previous restart has ended
+            places = tuple(place for place in places if at_s >= restarts_end_at_s.get(place, 0.0))
             for place in places:
-                restarted[place] = at_s + plan.kill_after_s + 2.0
+                restarts_end_at_s[place] = at_s + plan.kill_after_s + 2.0
         if places:
             faults.append(Fault(kind, at_s, lasts_s, places))
     return sorted(faults, key=lambda fault: fault.at_s)
--- a/curlewshift/soak/plants.py
+++ b/curlewshift/soak/plants.py
@@ -1,6 +1,6 @@
-"""`python -m curlewshift.soak.plants NAME`: a node process with one planted fault, to see that the judge catches it.
+"""`python -m curlewshift.soak.plants NAME` runs a node with one planted fault, to test that the judge detects it.
 
-Started by trials alone; no node that serves anyone is made from it.
+Started only by trials (`curlewshift soak --plant NAME`), never in service.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 
 
 class WaitsForNoRelease(PendingReleases):
-    """Lets a further attempt follow at once on another connection, behind a release that is still on its way."""
+    """Lets a further attempt follow at once on another connection, before the release of the previous one has been sent."""
 
     def before(self, server, id):
         return None
 
 
-class ReleaseElsewhere(teardowns.Teardowns):
-    """Gives an attempt up on another connection than its own, and waits for nothing."""
+class ReleasesOnAnotherConnection(teardowns.Teardowns):
+    """Releases an abandoned attempt on another connection than its own, and does not wait for it to be sent."""
 
     def attempt_given_up(self, connection, attempt):
-        other = next((one for one in connection.endpoint.connections if one is not connection and one.up), None)
+        other = next((other for other in connection.endpoint.connections if other is not connection and other.up), None)
         (other or self.server_pool.open_connection(connection.endpoint)).send(isup.release(attempt.id, isup.OVER))
 
 
-class SaysOnce(teardowns.Teardowns):
-    """Takes each release as heard once it is written."""
+class SendsReleasesOnce(teardowns.Teardowns):
+    """Treats a release as confirmed once it is written, and never repeats it."""
 
     def connection_up(self, connection):
         for record in self.pending.of(connection.endpoint.server):
@@ -44,8 +44,8 @@
         pass
 
 
-class OneEndAtATime(teardowns.Teardowns):
-    """Lets the oldest release that is not confirmed hold up all others to its server."""
+class OneReleaseAtATime(teardowns.Teardowns):
+    """Sends only the oldest unconfirmed release to a server; all others wait for its confirmation."""
 
     def _write(self, connection, record):
         if record is self.pending.of(record.server)[0]:
@@ -58,6 +58,8 @@
 
 
 class AnswersTwice(ClientListener):
+    """Follows the answer to one id in 50 with an error response."""
+
     def answer(self, asked, answer, description=b""):
         connection = asked.connection
         known = self.asked.get(asked.name) is asked
@@ -67,46 +69,50 @@
 
 
 class HalfAnswers(ClientListener):
-    """Cuts some answers off in their bodies, and keeps the connection."""
+    """Truncates the body of the answer to one id in 50 and keeps the connection open."""
 
     def answer(self, asked, answer, description=b""):
-        whole = rtsp.answer
+        original_answer = rtsp.answer
         if int(asked.name, 16) % 50 == 0 and description:
-            client_listener.rtsp.answer = lambda *told, **more: whole(*told, **more)[:-7]
+            client_listener.rtsp.answer = lambda *arguments, **options: original_answer(*arguments, **options)[:-7]
         try:
             super().answer(asked, answer, description)
         finally:
-            client_listener.rtsp.answer = whole
+            client_listener.rtsp.answer = original_answer
 
 
-class AnswersOfAnother(ClientListener):
-    """Passes some descriptions on to whoever asked next."""
+class AnswersWithPreviousDescription(ClientListener):
+    """Answers one id in 50 with the session description of the previous answer."""
 
-    before = b""
+    previous_description = b""
 
     def answer(self, asked, answer, description=b""):
-        given = self.before if int(asked.name, 16) % 50 == 0 and self.before and description else description
-        AnswersOfAnother.before = description or self.before
-        super().answer(asked, answer, given)
+        sent_description = (
+            self.previous_description
+            if int(asked.name, 16) % 50 == 0 and self.previous_description and description
+            else description
+        )
+        AnswersWithPreviousDescription.previous_description = description or self.previous_description
+        super().answer(asked, answer, sent_description)
 
 
 class DropsOnDrain(node.Node):
-    """Ends at once on SIGTERM, with what it has taken."""
+    """Exits at once on SIGTERM and drops the requests in progress."""
 
     async def _end(self):
         self.draining, self.ready = True, False
         self.tasks.cancel_scope.cancel()
 
 
-class StaleList(Follower):
-    """Never asks again once its first connection has ended."""
+class NeverReconnectsToDiscovery(Follower):
+    """Does not reconnect to discovery once its first connection has ended."""
 
     async def run(self):
         await self._follow([])
 
 
-class StaysAfterLeaving(node.Node):
-    """Does not tell the desk that a client has left."""
+class ServesAfterLeaving(node.Node):
+    """Does not notify the session core that a client has left."""
 
     def gave_up(self, request):
         pass
@@ -116,7 +122,7 @@
 
 
 class ColdBurst(Rules):
-    """Sends a cold server whatever it has room for."""
+    """Sends a cold server (recently started) as many set-ups as it has room for, without the limit of its warm-up."""
 
     def _own_part_left(self, server, now):
         return True
@@ -126,7 +132,7 @@
 
 
 class ResendsPaid(Rules):
-    """Sends a paid set-up again though it may have run."""
+    """Sends a paid set-up (one that must not run twice) again though it may have run."""
 
     def ended(self, viewing, outcome, closed):
         if not viewing.package.paid_at_setup or closed or viewing.playing or viewing.over:
@@ -139,34 +145,34 @@
             viewing.package.paid_at_setup = True
 
 
-class IgnoresList(node.Node):
-    """Takes no word that a server drains or is gone."""
+class IgnoresDrains(node.Node):
+    """Ignores the states `draining` and `gone` in the server list."""
 
     def _listed(self, rows, full, version, stale=False):
-        def ready(told):
-            rows(lambda name, address, state, *rest: told(name, address, 0, *rest))
+        def ready(apply_row):
+            rows(lambda name, address, state, *rest: apply_row(name, address, 0, *rest))
 
         super()._listed(ready, False, version, stale)
 
 
-def _with_rules(rules: type[Rules]) -> None:
+def _use_rules(rules: type[Rules]) -> None:
     session_core.SessionCore.__init__.__defaults__ = (rules, *session_core.SessionCore.__init__.__defaults__[1:])
 
 
 PLANTS: dict[str, Callable[[], None]] = {
     "retry-before-release": lambda: setattr(teardowns, "PendingReleases", WaitsForNoRelease),
-    "release-on-another-connection": lambda: setattr(server_pool, "Teardowns", ReleaseElsewhere),
-    "end-once": lambda: setattr(server_pool, "Teardowns", SaysOnce),
-    "end-queue-head": lambda: setattr(server_pool, "Teardowns", OneEndAtATime),
+    "release-on-another-connection": lambda: setattr(server_pool, "Teardowns", ReleasesOnAnotherConnection),
+    "end-once": lambda: setattr(server_pool, "Teardowns", SendsReleasesOnce),
+    "end-queue-head": lambda: setattr(server_pool, "Teardowns", OneReleaseAtATime),
     "answer-twice": lambda: setattr(node, "ClientListener", AnswersTwice),
     "half-answer": lambda: setattr(node, "ClientListener", HalfAnswers),
-    "answer-of-another": lambda: setattr(node, "ClientListener", AnswersOfAnother),
+    "answer-of-another": lambda: setattr(node, "ClientListener", AnswersWithPreviousDescription),
     "drop-on-drain": lambda: setattr(node, "Node", DropsOnDrain),
-    "stale-list-after-outage": lambda: setattr(node, "Follower", StaleList),
-    "serve-after-leaving": lambda: setattr(node, "Node", StaysAfterLeaving),
-    "cold-burst": lambda: _with_rules(ColdBurst),
-    "resend-unsafe": lambda: _with_rules(ResendsPaid),
-    "ignore-drains": lambda: setattr(node, "Node", IgnoresList),
+    "stale-list-after-outage": lambda: setattr(node, "Follower", NeverReconnectsToDiscovery),
+    "serve-after-leaving": lambda: setattr(node, "Node", ServesAfterLeaving),
+    "cold-burst": lambda: _use_rules(ColdBurst),
+    "resend-unsafe": lambda: _use_rules(ResendsPaid),
+    "ignore-drains": lambda: setattr(node, "Node", IgnoresDrains),
 }
 
 
--- a/curlewshift/soak/processes.py
+++ b/curlewshift/soak/processes.py
@@ -1,4 +1,7 @@
-"""Node processes of a trial: started as in service, signalled, and looked at from outside (proc(5))."""
+"""Node processes of a trial: started as in service, signalled, and monitored from outside through proc(5).
+
+A life is one run of a process; a restart begins a new life.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,15 @@
 from curlewshift.fault_injection.processes import ROOT, listens
 from curlewshift.soak.records import Life, Records, Signal
 
-READY_WITHIN_S = 30.0
-LOOK_EVERY_S = 0.25
-# In a line of the node's log: an exception that it caught and went on from.
-FAULT = '"event":"fault"'
+READY_TIMEOUT_S = 30.0
+SAMPLE_INTERVAL_S = 0.25
+# Marks a line of the node's log about an unexpected exception that it caught and survived.
+FAULT_EVENT = '"event":"fault"'
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class NodeProcess:
-    """One node over all its lives. `plant` names a planted fault, see plants.py."""
+    """One node over all its lives. `plant` names a planted fault (see plants.py) or is empty."""
 
     def __init__(self, name: str, port: int, configuration: Path, log: Path, records: Records, plant: str = ""):
         self.name, self.port, self.configuration, self.log = name, port, configuration, log
@@ -30,14 +33,14 @@
         self.life: Life | None = None
 
     @property
-    def runs(self) -> bool:
+    def running(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
-    def note_faults(self) -> None:
-        """What the node has logged of faults in itself, over all its lives, goes to the last."""
+    def record_faults(self) -> None:
+        """Stores the fault lines of the node's log, which covers all its lives, in the record of the last life."""
         if self.log.exists() and self.life is not None:
             lines = self.log.read_text(errors="replace").splitlines()
-            self.life.faults = [line for line in lines if FAULT in line]
+            self.life.faults = [line for line in lines if FAULT_EVENT in line]
 
     async def start(self) -> None:
         module = ["curlewshift.soak.plants", self.plant] if self.plant else ["curlewshift.node"]
@@ -53,31 +56,31 @@
                 start_new_session=True,
                 env={**os.environ, "NODE_CONFIG": str(self.configuration)},
             )
-        if await listens(self.port, READY_WITHIN_S):
+        if await listens(self.port, READY_TIMEOUT_S):
             self.life.ready_at = anyio.current_time()
 
-    def signal(self, which: signal.Signals) -> None:
-        if self.runs:
-            self.records.signals.append(Signal(self.name, anyio.current_time(), which.name))
-            if which is signal.SIGKILL:
+    def signal(self, signal_number: signal.Signals) -> None:
+        if self.running:
+            self.records.signals.append(Signal(self.name, anyio.current_time(), signal_number.name))
+            if signal_number is signal.SIGKILL:
                 self.life.killed = True
-            self.process.send_signal(which)
+            self.process.send_signal(signal_number)
 
-    async def ended(self) -> None:
-        while self.runs:
+    async def wait_ended(self) -> None:
+        while self.running:
             await anyio.sleep(0.005)
-        self.note_end()
+        self.record_end()
 
-    def note_end(self) -> None:
-        if self.process is not None and not self.runs and self.life.ended_at is None:
+    def record_end(self) -> None:
+        if self.process is not None and not self.running and self.life.ended_at is None:
             self.life.ended_at, self.life.exit_status = anyio.current_time(), self.process.returncode
 
     async def watch(self) -> None:
-        """Memory and descriptors, and an end that nobody asked for."""
+        """Records peak memory and descriptor counts, and the end of a process that exits unexpectedly."""
         while True:
-            await anyio.sleep(LOOK_EVERY_S)
-            if not self.runs:
-                self.note_end()
+            await anyio.sleep(SAMPLE_INTERVAL_S)
+            if not self.running:
+                self.record_end()
                 continue
             try:
                 pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
@@ -88,8 +91,8 @@
             self.life.descriptors = max(self.life.descriptors, descriptors)
 
     def kill(self) -> None:
-        if self.runs:
+        if self.running:
             self.life.killed = True
             self.process.kill()
             self.process.wait()
-        self.note_end()
+        self.record_end()
--- a/curlewshift/soak/proxy.py
+++ b/curlewshift/soak/proxy.py
@@ -1,7 +1,7 @@
-"""A byte-level TCP proxy on loopback for one leg of a trial. It knows nothing of the protocols that pass through it.
+"""A protocol-agnostic TCP proxy on loopback, placed between clients and a node or between a node and a media server.
 
-Each accepted connection is a `Link` with its own delay, so that what was sent later on one connection may arrive before what
-was sent earlier on another; within a connection the order of the bytes is kept. Called by trials and by tests.
+Each accepted connection is a `Link` with a delay of its own, so that bytes sent later on one connection may arrive before bytes
+sent earlier on another; within a connection the order is kept. Used by trials and by tests.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 import anyio
 
 READ_SIZE = 65_536
-# How many chunks one direction of a link buffers before it stops reading from its source.
-MOST_CHUNKS = 4_096
-CONNECT_WITHIN_S = 2.0
-# SO_LINGER with a time of zero: closing sends a reset and discards what the kernel still has to send (socket(7)).
+# One direction of a link buffers at most this many chunks before it stops reading.
+MAX_BUFFERED_CHUNKS = 4_096
+CONNECT_TIMEOUT_S = 2.0
+# SO_LINGER with a time of zero: close() sends a reset and discards unsent data (socket(7)).
 LINGER_ZERO = struct.pack("ii", 1, 0)
-ENDED = (OSError, anyio.ClosedResourceError, anyio.BrokenResourceError)
+CONNECTION_ERRORS = (OSError, anyio.ClosedResourceError, anyio.BrokenResourceError)
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """How one connection carries bytes. Times are seconds."""
+    """Delays and fragmentation of one connection. Outbound is from the accepted connection to the target; times are seconds."""
 
     delay_out_s: float = 0.0
     delay_back_s: float = 0.0
-    # before the connection onward is made
+    # delay before connecting to the target
     accept_late_s: float = 0.0
-    # bytes are passed on in pieces of this size; 0 for as they come
+    # bytes are forwarded in pieces of this size; 0 forwards chunks as they are read
     piece_size: int = 0
     # pause between two pieces
     piece_pause_s: float = 0.0
 
 
-PLAIN = Shape()
+UNSHAPED = Shape()
 
 
 def reset(sock: socket.socket) -> None:
-    """Closes a socket at once, with a reset; what was not delivered is lost."""
+    """Makes a socket close with a reset and ends its reader; undelivered data is lost."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         sock.shutdown(socket.SHUT_RD)
@@ -55,11 +55,11 @@
     shape: Shape
     source: socket.socket
     target: socket.socket | None = None
-    # bytes in this direction are read and thrown away while set
-    lost_out: bool = False
-    lost_back: bool = False
+    # bytes in this direction are read and discarded once set
+    outbound_lost: bool = False
+    inbound_lost: bool = False
 
-    def break_off(self) -> None:
+    def reset_both(self) -> None:
         """Resets both sides."""
         for sock in (self.source, self.target):
             if sock is not None:
@@ -67,16 +67,18 @@
 
 
 class Proxy:
-    """Accepts at `port` and connects to `target()`. `shape(number)` is asked for each new connection.
+    """Accepts connections at `port` and relays each to `target()`; `shape(number)` gives the delays of a new connection.
 
-    `observe(link, from_watched, data, at_s)` is called with all bytes at the side that is watched, the source's or the target's:
-    with those that come from there when they are read, and with the others when they are passed on. Empty data is an end.
+    One side of the proxy is watched: the source (`watches_source`), which connects to it, or the target.
+    `observe(link, from_watched, data, at_s)` is called with all bytes that pass the watched side: bytes from it when they are
+    read, and bytes to it when they are forwarded. Empty data means the end of the stream. `connected(link)` is called once the
+    connection to the target is established.
     """
 
     def __init__(
         self,
         target: Callable[[], tuple[str, int]],
-        shape: Callable[[int], Shape] = lambda number: PLAIN,
+        shape: Callable[[int], Shape] = lambda number: UNSHAPED,
         observe: Callable[[Link, bool, bytes, float], None] | None = None,
         watches_source: bool = True,
         connected: Callable[[Link], None] | None = None,
@@ -85,8 +87,8 @@
         self.connected = connected
         self.links: list[Link] = []
         self.count = 0
-        # every new and open connection loses its bytes, outward or back
-        self.lose_out = self.lose_back = False
+        # while set, all connections lose the bytes that they carry outbound or inbound
+        self.lose_outbound = self.lose_inbound = False
 
     def open(self, port: int = 0) -> int:
         """Listens on loopback, and returns the port."""
@@ -108,11 +110,11 @@
             sock.setblocking(False)
             tasks.start_soon(self._serve, sock)
 
-    def break_all(self) -> None:
+    def reset_all(self) -> None:
         """Resets all open connections."""
         for link in list(self.links):
             self._observe(link, False, b"", anyio.current_time())
-            link.break_off()
+            link.reset_both()
 
     def _observe(self, link: Link, from_watched: bool, data: bytes, at_s: float) -> None:
         if self.observe is not None:
@@ -125,10 +127,10 @@
         try:
             if link.shape.accept_late_s:
                 await anyio.sleep(link.shape.accept_late_s)
-            if self.lose_out and self.lose_back:
-                # a machine that is cut off is not reached by new connections, not even by their first packet
-                link.lost_out = link.lost_back = True
-                await self._hold(link)
+            if self.lose_outbound and self.lose_inbound:
+                # a machine that is cut off cannot be reached by new connections either: does not connect to the target
+                link.outbound_lost = link.inbound_lost = True
+                await self._discard_input(link)
                 return
             target = await _connect(self.target())
             if target is None:
@@ -137,9 +139,9 @@
             link.target = target
             if self.connected is not None:
                 self.connected(link)
-            async with anyio.create_task_group() as both:
-                both.start_soon(self._carry, link, True)
-                both.start_soon(self._carry, link, False)
+            async with anyio.create_task_group() as directions:
+                directions.start_soon(self._relay, link, True)
+                directions.start_soon(self._relay, link, False)
         finally:
             self.links.remove(link)
             for sock in (link.source, link.target):
@@ -147,8 +149,8 @@
                     anyio.notify_closing(sock)
                     sock.close()
 
-    async def _hold(self, link: Link) -> None:
-        """Keeps a connection open and silent until its source ends it."""
+    async def _discard_input(self, link: Link) -> None:
+        """Keeps a connection open without a target and discards its input, until the source closes it."""
         ended = False
         while not ended:
             try:
@@ -156,22 +158,22 @@
                 data = link.source.recv(READ_SIZE)
             except BlockingIOError:
                 continue
-            except ENDED:
+            except CONNECTION_ERRORS:
                 data = b""
             ended = not data
             if self.watches_source:
                 self._observe(link, True, data, anyio.current_time())
 
-    async def _carry(self, link: Link, outward: bool) -> None:
-        """One direction of a link: a reader that stamps each chunk, and a writer that sends it when it is due."""
-        send, receive = anyio.create_memory_object_stream[tuple[float, bytes]](MOST_CHUNKS)
+    async def _relay(self, link: Link, outbound: bool) -> None:
+        """Relays one direction of a link: a reader stamps each chunk with its due time, and a writer sends it then."""
+        send, receive = anyio.create_memory_object_stream[tuple[float, bytes]](MAX_BUFFERED_CHUNKS)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._write, link, outward, receive)
-            await self._read(link, outward, send)
+            tasks.start_soon(self._write, link, outbound, receive)
+            await self._read(link, outbound, send)
 
-    async def _read(self, link: Link, outward: bool, send) -> None:
-        sock = link.source if outward else link.target
-        delay_s = link.shape.delay_out_s if outward else link.shape.delay_back_s
+    async def _read(self, link: Link, outbound: bool, send) -> None:
+        sock = link.source if outbound else link.target
+        delay_s = link.shape.delay_out_s if outbound else link.shape.delay_back_s
         async with send:
             while True:
                 try:
@@ -179,39 +181,39 @@
                     data = sock.recv(READ_SIZE)
                 except BlockingIOError:
                     continue
-                except ENDED:
+                except CONNECTION_ERRORS:
                     data = b""
                 now_s = anyio.current_time()
-                if outward is self.watches_source:
+                if outbound is self.watches_source:
                     self._observe(link, True, data, now_s)
                 try:
                     await send.send((now_s + delay_s, data))
-                except ENDED:
-                    # the other side has gone
+                except CONNECTION_ERRORS:
+                    # the writer has ended
                     return
                 if not data:
                     return
 
-    async def _write(self, link: Link, outward: bool, receive) -> None:
-        sock = link.target if outward else link.source
+    async def _write(self, link: Link, outbound: bool, receive) -> None:
+        sock = link.target if outbound else link.source
         async with receive:
-            await self._pass_on(link, outward, sock, receive)
+            await self._forward(link, outbound, sock, receive)
 
-    def _loses(self, link: Link, outward: bool) -> bool:
-        """A direction that has lost bytes stays silent for good: no stream goes on behind a gap."""
-        if outward:
-            link.lost_out = link.lost_out or self.lose_out
-            return link.lost_out
-        link.lost_back = link.lost_back or self.lose_back
-        return link.lost_back
+    def _drops_bytes(self, link: Link, outbound: bool) -> bool:
+        """Whether this direction discards its bytes. Once any are lost, all later ones are: TCP delivers none past a gap."""
+        if outbound:
+            link.outbound_lost = link.outbound_lost or self.lose_outbound
+            return link.outbound_lost
+        link.inbound_lost = link.inbound_lost or self.lose_inbound
+        return link.inbound_lost
 
-    async def _pass_on(self, link: Link, outward: bool, sock: socket.socket, receive) -> None:
+    async def _forward(self, link: Link, outbound: bool, sock: socket.socket, receive) -> None:
         async for due_s, data in receive:
             await anyio.sleep_until(due_s)
-            if self._loses(link, outward):
-                # neither its bytes nor its end come through
+            if self._drops_bytes(link, outbound):
+                # neither data nor the end of the stream is forwarded
                 continue
-            watched = outward is not self.watches_source
+            watched = outbound is not self.watches_source
             if not data:
                 if watched:
                     self._observe(link, False, data, anyio.current_time())
@@ -223,7 +225,7 @@
                 if watched:
                     self._observe(link, False, data[start : start + size], anyio.current_time())
                 if not await _send_all(sock, data[start : start + size]):
-                    reset(link.source if outward else link.target)
+                    reset(link.source if outbound else link.target)
                     return
                 if link.shape.piece_pause_s:
                     await anyio.sleep(link.shape.piece_pause_s)
@@ -232,29 +234,29 @@
 async def _connect(address: tuple[str, int]) -> socket.socket | None:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
-    with anyio.move_on_after(CONNECT_WITHIN_S):
+    with anyio.move_on_after(CONNECT_TIMEOUT_S):
         try:
             sock.connect_ex(address)
             await anyio.wait_writable(sock)
             if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 return sock
-        except ENDED:
+        except CONNECTION_ERRORS:
             pass
     sock.close()
     return None
 
 
 async def _send_all(sock: socket.socket, data: bytes) -> bool:
-    """False if the connection has ended."""
+    """Sends all of `data`; false if the connection has ended."""
     while data:
         try:
             data = data[sock.send(data) :]
         except BlockingIOError:
             try:
                 await anyio.wait_writable(sock)
-            except ENDED:
+            except CONNECTION_ERRORS:
                 return False
-        except ENDED:
+        except CONNECTION_ERRORS:
             return False
     return True
--- a/curlewshift/soak/records.py
+++ b/curlewshift/soak/records.py
@@ -1,7 +1,7 @@
-"""What is seen on the sockets of a trial, as typed records. Times are seconds of the machine's monotonic clock.
+"""Typed records of what was observed on the sockets of a trial. Times are seconds of the machine's monotonic clock.
 
-Everything that concerns a node is stamped on the node's side of its proxies, so that a delay that a proxy adds is never counted
-against the node.
+Whatever concerns a node is time-stamped on the node's side of its proxies, so that a delay added by a proxy is never counted
+against the node. The records are stored as JSON under the names of their fields.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Request(msgspec.Struct, omit_defaults=True):
-    """One set-up of a client, by the connection it came on."""
+    """One set-up request of a client. `top` is the highest rung that the client accepts, `wait_s` its deadline."""
 
     id: str
     node: str
@@ -37,12 +37,12 @@
     taken_at: float
     # when its connection was accepted
     connected_at: float = 0.0
-    # the client gave up, closed or was cut: nothing is owed from then on
+    # when the client cancelled or its connection closed; the node need not answer from then on
     left_at: float | None = None
     left_how: str = ""
-    # it came on a connection that the node had closed so long before (s)
+    # it arrived on a connection that the node had closed this many seconds before
     after_close_s: float | None = None
-    # its id was open already: which of its messages an answer belongs to cannot be told
+    # its id was in use by another request: an answer cannot be attributed to either of them
     ambiguous: bool = False
     answers: list[Answer] = []
 
@@ -55,7 +55,7 @@
 
 
 class Attempt(msgspec.Struct, omit_defaults=True):
-    """One set-up as a node sent it."""
+    """One set-up that a node sent to a media server."""
 
     id: str
     node: str
@@ -64,14 +64,16 @@
     rung: int
     body: bytes
     first_byte_at: float
-    # what the node heard of it or said, with times: ("answer" | "refused" | "failed" | "release" | "closed by server" | …)
+    # messages about it that the node received or sent after the set-up, with times: "answer", "release", "refused, cause N",
+    # "release heard", "closed by the node" or "closed by the server"
     heard: list[tuple[float, str]] = []
     answer_body: bytes | None = None
+    # the server refused it with a cause that proves that it was not run
     never_ran: bool = False
 
 
 class ServerAttempt(msgspec.Struct, omit_defaults=True):
-    """One set-up as a media server saw it."""
+    """One set-up as a media server received it."""
 
     id: str
     node: str
@@ -82,13 +84,13 @@
     ending: Ending = Ending.OPEN
     # the description of its answer
     body: bytes | None = None
-    # the session that it set up, until it ended there; `ended_by_itself` if no release of the node's ended it
+    # when the session that it set up ended at the server; `ended_by_itself` if not by a release of the node
     session_ended_at: float | None = None
     ended_by_itself: bool = False
 
 
 class Release(msgspec.Struct, omit_defaults=True):
-    """A session's end as it was told to a client (`to_client`) or by a media server to a node."""
+    """A message that a session has ended: from a node to a client (`to_client`), or from a media server to a node."""
 
     id: str
     node: str
@@ -96,12 +98,12 @@
     to_client: bool
     cause: int = 0
     server: str = ""
-    # the node had closed this connection before, and the server had not seen it
+    # the node had closed this connection before the release arrived
     after_close: bool = False
 
 
 class ClientRelease(msgspec.Struct, omit_defaults=True):
-    """A client's TEARDOWN, as it reached the node."""
+    """A client's TEARDOWN as received by the node."""
 
     id: str
     node: str
@@ -109,16 +111,16 @@
 
 
 class NodeRelease(msgspec.Struct, omit_defaults=True):
-    """A release as a node wrote it to a media server."""
+    """A release that a node sent to a media server."""
 
     id: str
     node: str
     server: str
     connection: int
     at: float
-    # when the node knew that this connection had ended
+    # when this connection ended on the node's side
     closed_at: float | None = None
-    # the network lost what was written on this connection, at some time
+    # the network lost bytes that the node sent on this connection, at any time of the trial
     lost: bool = False
 
 
@@ -139,7 +141,7 @@
 
 
 class Life(msgspec.Struct, omit_defaults=True):
-    """One life of a node process."""
+    """One run of a node process, from start to exit; a restart is a new life."""
 
     node: str
     started_at: float
@@ -149,19 +151,21 @@
     killed: bool = False
     memory_mb: float = 0.0
     descriptors: int = 0
-    # the log's lines on faults in the program
+    # log lines about unexpected exceptions in the node
     faults: list[str] = []
 
 
 class Outage(msgspec.Struct, omit_defaults=True):
-    """Discovery that could not be reached, or said nothing, from a node's side."""
+    """A period in which a node could not reach discovery or received nothing from it. `kind` begins with the node's name."""
 
     since: float
     until: float
     kind: str
 
 
-class FaultPlayed(msgspec.Struct, omit_defaults=True):
+class AppliedFault(msgspec.Struct, omit_defaults=True):
+    """A fault of the plan as it was applied to one target."""
+
     at: float
     until: float
     kind: str
@@ -180,8 +184,8 @@
     signals: list[Signal] = []
     lives: list[Life] = []
     outages: list[Outage] = []
-    faults: list[FaultPlayed] = []
-    # time, id and rung of each new rung of a session
+    faults: list[AppliedFault] = []
+    # time, id and new rung of each change of a session's rung
     rungs: list[tuple[float, str, int]] = []
-    # the largest lateness of the judge's own loop, seconds
+    # largest lag of the event loop that made these records, seconds
     loop_late_s: float = 0.0
--- a/curlewshift/soak/run.py
+++ b/curlewshift/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays trials side by side, each in a process of its own, and sums up what they show."""
+"""Runs trials concurrently, each in a process of its own, and summarizes their verdicts."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 from curlewshift.fault_injection.processes import PORTS, ROOT
 from curlewshift.soak.judge import RULES, Judge, Verdict
-from curlewshift.soak.plan import plan_of
+from curlewshift.soak.plan import make_plan
 from curlewshift.soak.timeline import timeline
 from curlewshift.soak.trial import Trial
 
-# A trial wants about this many cores: its own loop, and its nodes.
+# A trial uses about this many cores, for its event loop and its nodes.
 CORES_EACH = 1.25
-# A trial that takes this much longer than its seconds has hung.
-HANGS_AFTER_S = 90.0
-MOST_TIMELINES = 20
-STARVED_SHARE = 0.1
+# A trial that takes this much longer than its planned duration is considered hung and is stopped.
+TIMEOUT_MARGIN_S = 90.0
+MAX_TIMELINES = 20
+MAX_STARVED_SHARE = 0.1
 
 
 class Summary(msgspec.Struct):
-    """What a run of several trials shows."""
+    """Results of a run of several trials, by seed or by rule."""
 
     command: str
     seeds: list[int]
@@ -46,57 +46,57 @@
 
     @property
     def good(self) -> bool:
-        return not (self.breaks or self.failed or self.not_looked_at) and len(self.starved) <= STARVED_SHARE * len(self.seeds)
+        return not (self.breaks or self.failed or self.not_looked_at) and len(self.starved) <= MAX_STARVED_SHARE * len(self.seeds)
 
 
-def play_one(seed: int, seconds: float, only: tuple[str, ...], plant: str, out: Path) -> Verdict:
-    """Plays one trial in this process and leaves verdict, records and timelines in its folder."""
+def run_trial(seed: int, seconds: float, only: tuple[str, ...], plant: str, out: Path) -> Verdict:
+    """Runs one trial in this process and writes its plan, records, verdict and timelines to the folder `seed-N` of `out`."""
     folder = out / f"seed-{seed}"
     folder.mkdir(parents=True, exist_ok=True)
     for old in folder.iterdir():
         old.unlink()
-    plan = plan_of(seed, seconds, only)
+    plan = make_plan(seed, seconds, only)
     records = anyio.run(Trial(plan, folder, plant).run)
     verdict = Judge(plan, records).judge()
     (folder / "plan.json").write_bytes(msgspec.json.format(msgspec.json.encode(plan)))
     (folder / "records.json").write_bytes(msgspec.json.encode(records))
     (folder / "verdict.json").write_bytes(msgspec.json.format(msgspec.json.encode(verdict)))
-    told = [timeline(broken, records, folder) for broken in verdict.breaks[:MOST_TIMELINES]]
-    (folder / "timeline.txt").write_text("\n".join(told) or "no rule was broken\n")
+    timelines = [timeline(violation, records, folder) for violation in verdict.breaks[:MAX_TIMELINES]]
+    (folder / "timeline.txt").write_text("\n".join(timelines) or "no rule was broken\n")
     return verdict
 
 
 def play_all(
     seeds: list[int], seconds: float, only: tuple[str, ...], plant: str, out: Path, at_once: int, progress: Callable[[str], None]
 ) -> Summary:
-    """Plays these seeds, so many at once, and tells of each as it ends; the summary is written to `out` too."""
+    """Runs a trial per seed, `at_once` concurrently, calls `progress` as each ends, and writes the summary to `out`."""
     summary = Summary(" ".join(sys.argv[1:]), seeds, plant, seconds, looked_at=dict.fromkeys(RULES, 0))
     began, slots = time.monotonic(), Queue()
     for slot in range(at_once):
         slots.put(slot)
     first, last = PORTS
-    part = (last - first) // at_once
+    ports_per_slot = (last - first) // at_once
 
-    def play(seed: int) -> Verdict | None:
+    def run_seed(seed: int) -> Verdict | None:
         slot = slots.get()
         try:
-            ports = f"{first + slot * part}-{first + (slot + 1) * part}"
-            return _play_apart(seed, seconds, only, plant, out, ports)
+            ports = f"{first + slot * ports_per_slot}-{first + (slot + 1) * ports_per_slot}"
+            return _run_in_subprocess(seed, seconds, only, plant, out, ports)
         finally:
             slots.put(slot)
 
     with ThreadPoolExecutor(at_once) as pool:
-        played = {pool.submit(play, seed): seed for seed in seeds}
-        for done in as_completed(played):
-            progress(_count(summary, played[done], done.result()))
+        futures = {pool.submit(run_seed, seed): seed for seed in seeds}
+        for future in as_completed(futures):
+            progress(_add_verdict(summary, futures[future], future.result()))
     summary.not_looked_at = [] if only else [rule for rule, count in summary.looked_at.items() if not count]
     summary.wall_s = round(time.monotonic() - began, 1)
     (out / "summary.json").write_bytes(msgspec.json.format(msgspec.json.encode(summary)))
     return summary
 
 
-def _play_apart(seed: int, seconds: float, only: tuple[str, ...], plant: str, out: Path, ports: str) -> Verdict | None:
-    """None if the trial itself failed; its error is in the folder."""
+def _run_in_subprocess(seed: int, seconds: float, only: tuple[str, ...], plant: str, out: Path, ports: str) -> Verdict | None:
+    """The verdict of a trial run in a process of its own; None if the trial itself failed, with its error in `seed-N.err`."""
     arguments = [sys.executable, "-m", "curlewshift.soak", str(seed), str(seconds), str(out), plant, *only]
     with open(out / f"seed-{seed}.err", "wb") as errors:
         try:
@@ -107,7 +107,7 @@
                 stdout=errors,
                 stderr=errors,
                 check=True,
-                timeout=seconds + HANGS_AFTER_S,
+                timeout=seconds + TIMEOUT_MARGIN_S,
                 env={**os.environ, "CURLEWSHIFT_PORTS": ports},
             )
         except subprocess.SubprocessError:
@@ -115,21 +115,21 @@
     return msgspec.json.decode((out / f"seed-{seed}" / "verdict.json").read_bytes(), type=Verdict)
 
 
-def _count(summary: Summary, seed: int, verdict: Verdict | None) -> str:
-    """Adds a verdict to the summary; what is said of it while the run goes on."""
+def _add_verdict(summary: Summary, seed: int, verdict: Verdict | None) -> str:
+    """Adds a verdict to the summary and returns the progress line for it."""
     if verdict is None:
         summary.failed.append(seed)
         return f"seed {seed}: the trial failed, see seed-{seed}.err"
     if verdict.starved:
         summary.starved.append(seed)
-        return f"seed {seed}: starved, not counted (the judge's loop was {verdict.loop_late_s:.2f} s late)"
+        return f"seed {seed}: starved, not counted (the judge's event loop lagged by {verdict.loop_late_s:.2f} s)"
     for rule, count in verdict.looked_at.items():
         summary.looked_at[rule] += count
     for why, count in verdict.excused.items():
         summary.excused[why] = summary.excused.get(why, 0) + count
     if not verdict.breaks:
         return f"seed {seed}: no rule broken"
-    rules = Counter(broken.rule for broken in verdict.breaks)
+    rules = Counter(violation.rule for violation in verdict.breaks)
     summary.breaks[seed] = [f"{rule}: {count}" for rule, count in rules.items()]
     first = verdict.breaks[0]
     return f"seed {seed}: {', '.join(summary.breaks[seed])}; first at {first.at_s:.3f}: {first.says}"
--- a/curlewshift/soak/legs.py
+++ b/curlewshift/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Makes records of the bytes that pass the proxies, on the node's side of them."""
+"""Turns the bytes that pass the proxies, on the node's side of them, into records."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from curlewshift.soak.proxy import Link
 from curlewshift.soak.records import Answer, Attempt, ClientRelease, NodeRelease, Records, Release, Request
 
-LEG = re.compile(r"(\w+):(\d+)")
-FINAL = 200
-# An id that comes again within this may cross the answer to the one before (s).
-SAME_ID_WITHIN_S = 5.0
+LEG_PARAMETER = re.compile(r"(\w+):(\d+)")
+MIN_FINAL_STATUS = 200
+# A request that reuses an id within this time may cross the answer to the earlier request.
+ID_REUSE_WITHIN_S = 5.0
 
 
-class ClientLeg:
-    """Connections between clients and one node."""
+class ClientTrafficRecorder:
+    """Records the connections between clients and one node."""
 
     def __init__(self, node: str, records: Records, cells: int):
         self.node, self.records, self.cells = node, records, cells
-        self.from_clients: dict[int, codec.RtspReader] = {}
+        self.client_readers: dict[int, codec.RtspReader] = {}
         self.from_node: dict[int, codec.RtspReader] = {}
-        # requests by connection, and all of this node by id, the newest last
+        # requests by open connection, and the newest request of this node by id
         self.on_connection: dict[int, list[Request]] = {}
         self.by_id: dict[str, Request] = {}
-        self.ended: set[int] = set()
+        self.ended_connections: set[int] = set()
         self.closed_by_node_at: dict[int, float] = {}
         self.connected_at: dict[int, float] = {}
 
@@ -34,9 +34,9 @@
 
     def observe(self, link: Link, from_node: bool, data: bytes, at_s: float) -> None:
         if not data:
-            self._end(link.number, from_node, at_s)
+            self._connection_ended(link.number, from_node, at_s)
             return
-        readers = self.from_node if from_node else self.from_clients
+        readers = self.from_node if from_node else self.client_readers
         reader = readers.setdefault(link.number, codec.RtspReader())
         for message in reader.feed(data):
             if from_node:
@@ -46,16 +46,16 @@
 
     def _from_client(self, number: int, message: codec.Rtsp, at_s: float) -> None:
         if message.method == "SETUP":
-            self._asked(number, message, at_s)
+            self._record_set_up(number, message, at_s)
         elif message.method == "TEARDOWN":
             request = self.by_id.get(message.id)
             if request is not None and not request.answers and request.left_at is None:
                 request.left_at, request.left_how = at_s, "cancelled"
             self.records.client_releases.append(ClientRelease(message.id, self.node, at_s))
 
-    def _asked(self, number: int, message: codec.Rtsp, at_s: float) -> None:
-        legs = dict(LEG.findall(message.fields.get("x-legs", "")))
-        home, copies = int(legs.get("home", 0)), int(legs.get("copies", 1))
+    def _record_set_up(self, number: int, message: codec.Rtsp, at_s: float) -> None:
+        leg_parameters = dict(LEG_PARAMETER.findall(message.fields.get("x-legs", "")))
+        home, copies = int(leg_parameters.get("home", 0)), int(leg_parameters.get("copies", 1))
         wait_ms = message.fields.get("x-timer-ms", "")
         request = Request(
             message.id,
@@ -64,7 +64,7 @@
             message.fields.get("x-cos", ""),
             message.address.rpartition("/")[2],
             [cell % self.cells for cell in range(home, home + copies)],
-            int(legs.get("top", 0)),
+            int(leg_parameters.get("top", 0)),
             int(wait_ms) / 1000 if wait_ms.isdigit() else 0.0,
             message.body,
             at_s,
@@ -73,7 +73,7 @@
         if number in self.closed_by_node_at:
             request.after_close_s = at_s - self.closed_by_node_at[number]
         earlier = self.by_id.get(message.id)
-        if earlier is not None and earlier.taken_at > at_s - SAME_ID_WITHIN_S:
+        if earlier is not None and earlier.taken_at > at_s - ID_REUSE_WITHIN_S:
             request.ambiguous = earlier.ambiguous = True
         self.records.requests.append(request)
         self.on_connection.setdefault(number, []).append(request)
@@ -82,29 +82,29 @@
     def _from_node(self, message: codec.Rtsp, at_s: float) -> None:
         if message.method == "TEARDOWN":
             self.records.releases.append(Release(message.id, self.node, at_s, to_client=True))
-        elif message.status >= FINAL and message.fields.get("cseq") == "1" and message.id in self.by_id:
+        elif message.status >= MIN_FINAL_STATUS and message.fields.get("cseq") == "1" and message.id in self.by_id:
             pause = message.fields.get("x-pause", "0")
             self.by_id[message.id].answers.append(Answer(at_s, message.status, int(pause), message.body))
 
-    def _end(self, number: int, by_node: bool, at_s: float) -> None:
+    def _connection_ended(self, number: int, by_node: bool, at_s: float) -> None:
         if by_node:
             self.closed_by_node_at.setdefault(number, at_s)
-        if number in self.ended:
+        if number in self.ended_connections:
             return
-        self.ended.add(number)
+        self.ended_connections.add(number)
         for request in self.on_connection.pop(number, []):
             if not request.answers and request.left_at is None:
                 request.left_at, request.left_how = at_s, "closed by the node" if by_node else "closed by the client"
 
 
-class ServerLeg:
-    """Connections between one node and the media server that stands at one address."""
+class ServerTrafficRecorder:
+    """Records the connections between one node and the media server at one address; `server()` gives its current name."""
 
     def __init__(self, node: str, server: Callable[[], str], records: Records):
         self.node, self.server, self.records = node, server, records
         self.from_node: dict[int, codec.BinaryReader] = {}
         self.from_server: dict[int, codec.BinaryReader] = {}
-        self.name_of: dict[int, str] = {}
+        self.server_names: dict[int, str] = {}
         self.attempts: dict[int, dict[str, Attempt]] = {}
         self.rungs: list[tuple[float, str, int]] = []
         self.closed_by_node: set[int] = set()
@@ -113,7 +113,7 @@
 
     def observe(self, link: Link, from_node: bool, data: bytes, at_s: float) -> None:
         number = link.number
-        name = self.name_of.setdefault(number, self.server())
+        name = self.server_names.setdefault(number, self.server())
         if not data:
             if from_node:
                 self.closed_by_node.add(number)
@@ -132,10 +132,10 @@
                 self._from_server(number, name, message, at_s)
 
     def finish(self) -> None:
-        """Once the trial is over."""
+        """Completes the records once the trial has ended."""
         for number, releases in self.releases.items():
             for release in releases:
-                release.lost = self.links[number].lost_out
+                release.lost = self.links[number].outbound_lost
 
     def _from_node(self, number: int, name: str, message: codec.Binary, first_at_s: float, at_s: float) -> None:
         if message.kind == codec.SET_UP:
@@ -150,7 +150,7 @@
             attempt = self.attempts.get(number, {}).get(message.id)
             if attempt is not None:
                 attempt.heard.append((at_s, "release"))
-        elif message.kind == codec.RUNG:
+        elif message.kind == codec.RUNG_CHANGE:
             self.rungs.append((at_s, message.id, int(message.fields.get(codec.LEVEL, b"0"))))
 
     def _from_server(self, number: int, name: str, message: codec.Binary, at_s: float) -> None:
@@ -162,7 +162,7 @@
         elif message.kind == codec.RELEASE:
             answered = attempt is not None and attempt.answer_body is not None
             if attempt is not None and not answered:
-                attempt.never_ran = message.cause in codec.NEVER_RAN
+                attempt.never_ran = message.cause in codec.NOT_RUN_CAUSES
                 attempt.heard.append((at_s, f"refused, cause {message.cause}"))
             else:
                 self.records.releases.append(
@@ -176,5 +176,5 @@
                         after_close=number in self.closed_by_node,
                     )
                 )
-        elif message.kind == codec.RELEASE_HEARD and attempt is not None:
+        elif message.kind == codec.RELEASE_CONFIRMED and attempt is not None:
             attempt.heard.append((at_s, "release heard"))
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -20,7 +20,7 @@
 
 def swallow(link):
     """From now on this connection loses what it is given, both ways, and looks open."""
-    link.lost_out = link.lost_back = True
+    link.outbound_lost = link.inbound_lost = True
 
 
 class Owing:
@@ -87,7 +87,7 @@
             viewer.ask(FIRST)
             await viewer.hear()
             first = bytes.fromhex(FIRST)
-            place.link_of(server.stream_of[first]).lost_out = True
+            place.link_of(server.stream_of[first]).outbound_lost = True
             await server.stream_of[first].send(b"\xff" * 32)
             await until(lambda: len(place.medias[0].connections) == 2)
             await anyio.sleep(0.5)
@@ -108,7 +108,7 @@
             media.state = 2
             await place.bulletin.tell(2, media)
             await media.close()
-            place.proxies[0].break_all()
+            place.proxies[0].reset_all()
             told = await viewer.hear(within=OVER_WITHIN_S)
             self.assertEqual((told.method, told.fields["session"]), ("TEARDOWN", FIRST))
             viewer.close()
