--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -20,7 +20,7 @@
 
 def drop_silently(link):
     """Makes the connection lose all data in both directions while it looks open."""
-    link.lost_out = link.lost_back = True
+    link.outbound_lost = link.inbound_lost = True
 
 
 class RepeatingServer:
@@ -87,7 +87,7 @@
             viewer.send_set_up(FIRST)
             await viewer.receive()
             first = bytes.fromhex(FIRST)
-            testbed.link_of(server.stream_of[first]).lost_out = True
+            testbed.link_of(server.stream_of[first]).outbound_lost = True
             await server.stream_of[first].send(b"\xff" * 32)
             await until(lambda: len(testbed.media_servers[0].connections) == 2)
             await anyio.sleep(0.5)
@@ -108,7 +108,7 @@
             media.state = 2
             await testbed.discovery.send_event(2, media)
             await media.close()
-            testbed.proxies[0].break_all()
+            testbed.proxies[0].reset_all()
             message = await viewer.receive(within=END_DEADLINE_S)
             self.assertEqual((message.method, message.fields["session"]), ("TEARDOWN", FIRST))
             viewer.close()
