--- a/curlewshift/adapter/loop.py
+++ b/curlewshift/adapter/loop.py
@@ -6,7 +6,7 @@
 
 from curlewshift.adapter.codec import Fields, Malformed, boot_of, fields_of, load_of, outcome_of, time_text
 from curlewshift.deployment import Fleet, terms_of, use_of
-from curlewshift.model import Listed, Server, Viewing
+from curlewshift.model import ListedServer, Server, Viewing
 from curlewshift.rules import Rules
 
 
@@ -73,9 +73,9 @@
         for row in lists[slot]:
             server = self._listed(row)
             named.add(server.name)
-            lines.append(Listed(server, row.text("readiness") == "on", row.time("up_since_ms", 0)))
+            lines.append(ListedServer(server, row.text("readiness") == "on", row.time("up_since_ms", 0)))
         if kind != "Partial":
-            lines += [Listed(server, False, server.started) for server in self.servers.values() if server.name not in named]
+            lines += [ListedServer(server, False, server.started) for server in self.servers.values() if server.name not in named]
         self.rules.listed(lines, stale=kind == "Persisted")
 
     def on_query(self, fields):
@@ -102,11 +102,11 @@
         if topic == 1:
             self.rules.delivered(server, level)
         elif topic == 2 and viewing is not None:
-            self.rules.rung_told(viewing, int(level))
+            self.rules.rung_reported(viewing, int(level))
         elif topic == 3:
-            self.rules.link_told(server, level)
+            self.rules.link_report_received(server, level)
         elif topic == 4:
-            self.rules.uplink_told(server, level)
+            self.rules.uplink_report_received(server, level)
 
     def on_done(self, fields):
         viewing = self.viewings.get(fields.whole("call"))
@@ -117,7 +117,7 @@
             self._report(server, report)
         if viewing is None or fields.whole("hop", 0) != max(viewing.tune_ins - 1, 0):
             return
-        closed = fields.flag("closed") or viewing.over
+        closed = fields.flag("closed") or viewing.ended
         if closed:
             del self.viewings[viewing.name]
         self.rules.ended(viewing, outcome, closed)
@@ -145,9 +145,9 @@
     def _report(self, server, report):
         link, uplink = use_of(report)
         if link is not None:
-            self.rules.link_told(server, link)
+            self.rules.link_report_received(server, link)
         if uplink is not None:
-            self.rules.uplink_told(server, uplink)
+            self.rules.uplink_report_received(server, uplink)
 
     # ---- ids to objects
 
@@ -158,10 +158,10 @@
         return Viewing(
             name=fields.whole("call"),
             title=fields.text("title", ""),
-            mark=fields.key("path_key"),
+            placement_hash=fields.key("path_key"),
             package=package,
             ceiling=int(fields.number("ceiling_rung", package.top)),
-            asked_at=self.clock,
+            requested_at=self.clock,
             expires=fields.time("expires_ms", 0) or self.clock + package.patience,
             holders=self.fleet.holders(int(fields.number("base", 0)), int(fields.number("span", 1 << 30))),
             expected=fields.time("predicted_ms", 0),
@@ -170,7 +170,7 @@
         )
 
     def _listed(self, row: Fields) -> Server:
-        return self.fleet.listed(
+        return self.fleet.place_listed(
             row.text("server"), row.whole("position", 0), row.text("rack_zone", ""), row.text("type", ""), row.number("heft", 1.0)
         )
 
--- a/curlewshift/baselines/baselines.py
+++ b/curlewshift/baselines/baselines.py
@@ -72,7 +72,7 @@
             viewing.ceiling = ceiling
 
     def _relieve(self, link):
-        link.owed = 0.0
+        link.reduction_due = 0.0
 
     def _climb(self, server):
         pass
--- a/curlewshift/capture/against.py
+++ b/curlewshift/capture/against.py
@@ -70,14 +70,14 @@
         def _place(self, viewing):
             chance, self.chance = self.chance, Random(len(compared.kinds) + compared.placings)
             state = {name: getattr(self, name) for name in ("unproven_left", "unproven_at")}
-            held, sent = (viewing.rung, viewing.over), [(server, list(server.sent)) for server in viewing.holders]
+            held, sent = (viewing.rung, viewing.ended), [(server, list(server.sent)) for server in viewing.holders]
             self.__class__, self.said = Shadow, None
             try:
                 other._place(self, viewing)
                 would = self.said
             finally:
                 self.__class__, self.chance = Asked, chance
-                viewing.rung, viewing.over = held
+                viewing.rung, viewing.ended = held
                 for name, value in state.items():
                     setattr(self, name, value)
                 for server, times in sent:
@@ -89,7 +89,7 @@
             compared.kinds[kind] += 1
             if kind != "the same" and len(compared.examples) < KEPT_EXAMPLES:
                 compared.examples.append(
-                    f"at {(self.host.now() - self.born) / 1e9:.3f} s viewing {viewing.name} of "
+                    f"at {(self.host.now() - self.started_at) / 1e9:.3f} s viewing {viewing.name} of "
                     f"{viewing.title!r}: {in_words(self.done)} here, {in_words(would)} there"
                 )
 
--- a/curlewshift/capture/replay.py
+++ b/curlewshift/capture/replay.py
@@ -228,11 +228,11 @@
                 if rules._room(server, viewing.package.rates[rung], viewing=viewing) >= 0
             ]
             said.append(f"rungs up to {max(fits)} pass the test" if fits else "no rung passes the test")
-        if rules._sick(server):
+        if rules._is_failing(server):
             said.append("in doubt after failures")
         if server in viewing.tried:
             said.append("tried already")
-        if rules._short(link) or rules._short(server.rack.link):
+        if rules._is_short(link) or rules._is_short(server.rack.link):
             said.append("short delivery noted")
         return "; ".join(said)
 
--- a/curlewshift/control/machine.py
+++ b/curlewshift/control/machine.py
@@ -25,7 +25,7 @@
 from curlewshift.site.places import distribution_of, places_of
 from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import Site, read_site
-from curlewshift.state.configured import Record
+from curlewshift.state.configured import RecordFile
 from curlewshift.state.journal import Lock
 
 NS = 1_000_000_000
@@ -101,7 +101,7 @@
         local_index, rng = names.index(name), Random(seed)
         self.lock = Lock(state)
         self.clock = Clock()
-        self.copy, self.vote = Record(state / "configuration"), Record(state / "vote")
+        self.copy, self.vote = RecordFile(state / "configuration"), RecordFile(state / "vote")
         copy, vote = self.copy.read(), self.vote.read()
         for record in (self.copy, self.vote):
             if record.damage:
--- a/curlewshift/deployment.py
+++ b/curlewshift/deployment.py
@@ -134,13 +134,13 @@
             self.servers[name] = server
         return server
 
-    def listed(self, name: str, position: int, zone: str, kind: str, weight: float) -> Server:
+    def place_listed(self, name: str, position: int, zone: str, kind: str, weight: float) -> Server:
         server = self.server(name)
         rack = self._rack(position % self.rack_count)
         server.zone = zone
         cell = self.cells[position % len(self.cells)]
         if server not in cell:
-            self.unlisted(server)
+            self.remove_from_cell(server)
             cell[server] = True
         server.streams = self.kinds.get(kind, 0)
         server.link.size = weight * self.size_per_weight
@@ -150,7 +150,7 @@
             rack.servers.append(server)
         return server
 
-    def unlisted(self, server: Server) -> None:
+    def remove_from_cell(self, server: Server) -> None:
         """Takes the server out of its cell; it stays known."""
         for cell in self.cells:
             cell.pop(server, None)
@@ -160,7 +160,7 @@
 
     def forget(self, server: Server) -> None:
         """Drops a server that is gone, with no attempt outstanding and no viewing there."""
-        self.unlisted(server)
+        self.remove_from_cell(server)
         del self.servers[server.name]
         if server in server.rack.servers:
             server.rack.servers.remove(server)
--- a/curlewshift/emulator/front.py
+++ b/curlewshift/emulator/front.py
@@ -14,14 +14,14 @@
 from curlewshift.peaks.calendar import Calendar
 from curlewshift.recovery.recovery import InterruptedSetup, ListedSession, recovery_of
 from curlewshift.rules import Rules
-from curlewshift.session_core.front_session import Answer, Kind, Request, TuneIn
+from curlewshift.session_core.front_session import Answer, AnswerKind, Request, TuneIn
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.server_commands import Result
 from curlewshift.session_core.server_list import ServerList
 from curlewshift.session_core.session_core import SessionCore
 from curlewshift.standins.server import front_of
 from curlewshift.state.intents import Intent, Intents, intent_of
-from curlewshift.state.session_registry import SessionRegistry, StoredSession, remembered
+from curlewshift.state.session_registry import SessionRegistry, StoredSession, to_stored_session
 from curlewshift.state.setting_up import SEND, setting_up
 
 NS = 1_000_000_000
@@ -102,12 +102,12 @@
             self.recovery.begin()
             self._go_on_recovering()
         else:
-            self.recovery.over = True
+            self.recovery.finished = True
         # written from now on: what is open, and what comes
-        self.disk.book, self.disk.intents = self.book.snapshot(), self.intents.anew()
+        self.disk.book, self.disk.intents = self.book.snapshot(), self.intents.snapshot()
 
     def _go_on_recovering(self) -> None:
-        if self.alive and not self.recovery.over:
+        if self.alive and not self.recovery.finished:
             self.recovery.time()
             self.world.queue.at(self.now() + NS // 10, self._go_on_recovering)
 
@@ -135,13 +135,13 @@
     def asked(self, name: str, package: str, title: str, top: int, patience: int, key: str, who: str) -> Request | None:
         """A request at the door; None where it was shed there."""
         if self.sheds is not None and not self.session_core.knows(key):
-            wait = self.sheds.asked(package, title, who)
+            wait = self.sheds.admission_wait(package, title, who)
             if wait:
-                self.world.viewers.answered(name, Answer(Kind.REFUSED, "more is asked for than there is room", wait), self)
+                self.world.viewers.answered(name, Answer(AnswerKind.REFUSED, "more is asked for than there is room", wait), self)
                 return None
         request = self.session_core.asked(name, package, title, top, patience, key, Offer(key))
         if self.sheds is not None:
-            self.sheds.taken(request, who)
+            self.sheds.request_accepted(request, who)
         return request
 
     def tune_in(self, tune_in: TuneIn) -> None:
@@ -309,7 +309,7 @@
         )
 
     def answer(self, request: Request, answer: Answer) -> None:
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             self._kept(answer.front_session)
         if self.sheds is not None:
             self.sheds.answered(request, answer)
@@ -332,7 +332,7 @@
         if front_session in self.tokens:
             return
         token = self.tokens[front_session] = f"{self.name} {front_session.viewing.name}"
-        self._note(self.book.began(remembered(front_session, token, None, front_session.session)))
+        self._note(self.book.began(to_stored_session(front_session, token, None, front_session.session)))
 
     def _note(self, record: list | None) -> None:
         if record is not None:
@@ -375,7 +375,7 @@
             lambda taken: self.recovery.unanswered(server) if taken is None else self.recovery.adopted(server, taken),
         )
 
-    def taken_up(self, one: StoredSession, server: Server):
+    def resume(self, one: StoredSession, server: Server):
         front_session = self.session_core.handed_over(
             one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer)
         )
@@ -386,5 +386,5 @@
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> str:
         return found.path
 
-    def forgotten(self, one: StoredSession) -> None:
+    def ended_before_resume(self, one: StoredSession) -> None:
         self._note(self.book.ended(one.token))
--- a/curlewshift/emulator/oracle.py
+++ b/curlewshift/emulator/oracle.py
@@ -22,7 +22,7 @@
         if late or not seats_left or not self._budget_left(viewing) or not able:
             self._block(viewing)
             return
-        best = max(able, key=lambda server: (self._true_room(server), server.mark))
+        best = max(able, key=lambda server: (self._true_room(server), server.placement_hash))
         room = self._true_room(best)
         fits = [
             rung
--- a/curlewshift/emulator/sharing_bytes.py
+++ b/curlewshift/emulator/sharing_bytes.py
@@ -45,7 +45,7 @@
             for server in self.fleet:
                 if server.link.own:
                     # it is heard of, and what is used there moves
-                    server.heard_at = self.clock
+                    server.last_seen_at = self.clock
                     server.link.own = 700.0 * self.rng.uniform(0.9, 1.1)
             self.sharing.time()
         return self
--- a/curlewshift/emulator/viewers.py
+++ b/curlewshift/emulator/viewers.py
@@ -11,12 +11,12 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from curlewshift.session_core.front_session import Answer, Kind
+from curlewshift.session_core.front_session import Answer, AnswerKind
 from curlewshift.standins.script import Part, drawn_part, pressure
 from curlewshift.standins.viewers import ASKS_ON, FOR_LINES, HANGS_UP_AFTER, LEAVES_AFTER, MEDIA_WITHIN, MOST_VISITS, PAUSE
 
 NS = 1_000_000_000
-STATUS = {Kind.PLAYS: 201, Kind.REFUSED: 503, Kind.FAILED: 502}
+STATUS = {AnswerKind.PLAYS: 201, AnswerKind.REFUSED: 503, AnswerKind.FAILED: 502}
 
 
 class Viewer:
@@ -257,7 +257,7 @@
         if visit.tail == "h":
             return
         second = self.tally.second((visit.asked_at - self.world.begins) // NS)
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             self.tally.plays += 1
             second[1] += 1
             self.tally.join_us.record_value(max(1, (now - visit.asked_at) // 1000))
@@ -266,7 +266,7 @@
                 self.tally.served += package.value
                 self.tally.second((visit.viewer.began - self.world.begins) // NS)[4] += package.value
             self._watch(visit, answer.front_session, front)
-        elif answer.kind is Kind.REFUSED:
+        elif answer.kind is AnswerKind.REFUSED:
             self.tally.refused += 1
             second[2] += 1
             self._ended(visit, "refused", answer.wait)
--- a/curlewshift/emulator/world.py
+++ b/curlewshift/emulator/world.py
@@ -92,7 +92,7 @@
         if generation > front.generation:
             since, front.generation = front.generation, generation
             front.session_core.list_change("e", since, generation, rows)
-            front.recovery.list_told()
+            front.recovery.list_changed()
 
     def whole(self, front) -> None:
         """All of it, as a front that starts asks for."""
@@ -106,7 +106,7 @@
             self.world.seen("told-all", front=front.name, servers=[row.server for row in rows])
             front.generation, front.disk.rows = self.generation, rows
             front.session_core.list_full("e", self.generation, rows)
-            front.recovery.list_told()
+            front.recovery.list_changed()
 
 
 class World:
--- a/curlewshift/exchange/server.py
+++ b/curlewshift/exchange/server.py
@@ -125,9 +125,9 @@
         self.ahead, self.more, self.room = bytearray(), anyio.Event(), anyio.Event()
         self.gone = False
         self.gone_calls: list[Callable[[], None]] = []
-        self.headless = self.at_work = False
+        self.headless = self.is_busy = False
         # since when nothing is asked on it
-        self.rested_at = time.monotonic()
+        self.idle_since_s = time.monotonic()
         self.peer = stream.extra(SocketAttribute.remote_address)[0]
 
     async def run(self) -> None:
@@ -215,12 +215,12 @@
             return False
         if exchange is None:
             return False
-        self.at_work = True
+        self.is_busy = True
         try:
             await self.handler(exchange)
         finally:
-            self.at_work = False
-            self.rested_at = time.monotonic()
+            self.is_busy = False
+            self.idle_since_s = time.monotonic()
         self.off_gone()
         if not exchange.answered:
             raise AssertionError(f"{exchange.method} {exchange.target} was not answered")
--- a/curlewshift/fault_injection/key_cost.py
+++ b/curlewshift/fault_injection/key_cost.py
@@ -45,7 +45,7 @@
         key = f"key {number} {rng.random()}"
         began = time.perf_counter_ns()
         if table.find(key, now) is None:
-            table.ended(table.hold(key, "mark", None), now + KEPT_FOR)
+            table.ended(table.add(key, "mark", None), now + KEPT_FOR)
         took.append(time.perf_counter_ns() - began)
     took.sort()
     return {
--- a/curlewshift/fault_injection/node_planted_faults.py
+++ b/curlewshift/fault_injection/node_planted_faults.py
@@ -13,30 +13,30 @@
 class DeafToEnds(ClientListener):
     """Takes the end of a connection for nothing that its requests have to do with."""
 
-    def _left(self, connection):
+    def _connection_ended(self, connection):
         connection.waiting.clear()
-        super()._left(connection)
+        super()._connection_ended(connection)
 
     def read_first(self, name, then):
-        asked = self.asked.get(name)
-        return asked is not None and not asked.connection.wire.gone and super().read_first(name, then)
+        client_session = self.sessions.get(name)
+        return client_session is not None and not client_session.connection.transport.gone and super().read_first(name, then)
 
 
 class DeafToCancels(ClientListener):
     """Takes a cancel, and forgets it."""
 
-    def _torn_down(self, connection, name, number, message):
-        asked = self.asked.get(name)
-        if asked is None or asked.front_session is not None:
-            super()._torn_down(connection, name, number, message)
+    def _handle_teardown(self, connection, name, number, message):
+        client_session = self.sessions.get(name)
+        if client_session is None or client_session.front_session is not None:
+            super()._handle_teardown(connection, name, number, message)
         else:
-            connection.wire.send(rtsp.answer(200, number, name))
+            connection.transport.send(rtsp.answer(200, number, name))
 
 
 class DeafNode(node.Node):
     """Does not tell the desk that a viewer has left."""
 
-    def gave_up(self, request):
+    def cancel_request(self, request):
         pass
 
 
--- a/curlewshift/fault_injection/recovery_cost.py
+++ b/curlewshift/fault_injection/recovery_cost.py
@@ -107,7 +107,7 @@
         open_after = time.perf_counter() - began
         async with anyio.create_task_group() as joining:
             joining.start_soon(_joins, site.front_addresses[0].port, waits)
-            while not (front.recovery.over and front.recovery.kept == sessions):
+            while not (front.recovery.finished and front.recovery.kept == sessions):
                 await anyio.sleep(0.002)
             known_after = time.perf_counter() - began
         kept = front.recovery.kept
--- a/curlewshift/front/begun.py
+++ b/curlewshift/front/begun.py
@@ -13,7 +13,7 @@
 from curlewshift.site.changes import RestartRequired, refusals, unalike
 from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.site.site import SCHEMA, Site, read_site, site_of
-from curlewshift.state.configured import Record
+from curlewshift.state.configured import RecordFile
 
 # A refusal is told over the channel and in tables: of more mistakes the first, and how many there are.
 MOST_TOLD = 5
@@ -67,7 +67,7 @@
 
 
 def begin(
-    path: Path, site: Site, state: Path | None, record_class: type[Record] = Record, copy_class: type[Copy] = Copy
+    path: Path, site: Site, state: Path | None, record_class: type[RecordFile] = RecordFile, copy_class: type[Copy] = Copy
 ) -> Begun:
     """From the disk where what is there is whole, and from the file (`site`, as read) otherwise."""
     if state is None or site.configuration is None:
@@ -79,7 +79,7 @@
     return held
 
 
-def _from_record(path: Path, site: Site, record: Record, copy_class: type[Copy]) -> Begun:
+def _from_record(path: Path, site: Site, record: RecordFile, copy_class: type[Copy]) -> Begun:
     raw = record.read()
     if raw is None:
         return Begun(path, site, cause=record.damage or "nothing is on the disk")
--- a/curlewshift/front/configured.py
+++ b/curlewshift/front/configured.py
@@ -18,7 +18,7 @@
 from curlewshift.site.changes import OF_PACKAGES, RestartRequired
 from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import Site
-from curlewshift.state.configured import Record
+from curlewshift.state.configured import RecordFile
 
 NS = 1_000_000_000
 
@@ -27,7 +27,7 @@
     """The wire's host at a front."""
 
     swap_class = Swap
-    record_class = Record
+    record_class = RecordFile
     checked = staticmethod(checked)
 
     def __init__(self, front, begun: Begun, state: Path | None):
--- a/curlewshift/front/control.py
+++ b/curlewshift/front/control.py
@@ -152,7 +152,7 @@
     def _lead(self, command: Command) -> dict:
         if not isinstance(self.front.clock, SkewedClock):
             raise InvalidPeak("this front's clock is not to be led")
-        self.front.clock.lead(command.rate, command.step)
+        self.front.clock.skew(command.rate, command.step)
         self.front.log.info("clock-led", rate=command.rate, step_s=command.step / 1e9)
         return {"ok": True}
 
@@ -182,19 +182,19 @@
         front, admission = self.front, self.front.door.admission
         gate = {
             "connections": len(front.gate.connections),
-            "most_connections": front.gate.most,
+            "most_connections": front.gate.max_connections,
             "dropped": front.gate.dropped,
             "none_left": front.gate.none_left,
         }
         return {**gate, "limits": admission.show(front.now()) if admission is not None else None}
 
     def _peaks(self) -> list[dict]:
-        holding = self.front.session_core.peaks.holding
+        holding = self.front.session_core.peaks.hold_states
         rows = []
         for peak in self.front.calendar.peaks.values():
             held = holding.get(peak.name)
             package = self.front.calendar.packages[peak.package]
-            kept = sum(link.holds.get(package, 0.0) for link in self.front.session_core.peaks.held)
+            kept = sum(link.holds.get(package, 0.0) for link in self.front.session_core.peaks.held_links)
             rows.append(
                 {
                     **msgspec.to_builtins(peak),
--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -37,7 +37,7 @@
 from curlewshift.schedule.background import Background, Job
 from curlewshift.schedule.clock import Clock, SkewedClock
 from curlewshift.schedule.waking import WakeupTimer
-from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
+from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request, TuneIn
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.server_commands import ServerCommand
 from curlewshift.session_core.server_list import ServerList
@@ -230,13 +230,13 @@
             self.log.info("interrupted", package=intent.package, server=intent.server, cause="it may have run")
         self.recovery = recovery_of(self, self.session_core, self.name, self.keeper.book, intents, doubt_mark)
         self.recovery.begin()
-        if not self.recovery.over:
+        if not self.recovery.finished:
             self.recovering = self.background.add("recover", self._go_on_recovering, self.now(), every=int(RECOVER_EVERY * NS))
 
     def _go_on_recovering(self) -> None:
         done = self.recovery
         done.time()
-        if done.over:
+        if done.finished:
             self.background.cancel(self.recovering)
             self.log.info(
                 "recovered",
@@ -257,7 +257,7 @@
     def adopt(self, server: Server, paths: list[str]) -> None:
         self.server_pool.adopt(server, paths, self.recovery)
 
-    def taken_up(self, one: StoredSession, server: Server) -> FrontSession:
+    def resume(self, one: StoredSession, server: Server) -> FrontSession:
         session = Session(one.path, one.answer, one.etag, one.ufrag)
         front_session = self.session_core.handed_over(
             one.package,
@@ -267,7 +267,7 @@
             session,
             one.rung,
             one.key,
-            Offer(one.offer, way=one.way, ufrag=one.ufrag),
+            Offer(one.offer, protocol=one.protocol, ufrag=one.ufrag),
         )
         self.door.sessions.take_up(front_session, one.token, one.holder)
         return front_session
@@ -275,7 +275,7 @@
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> Session:
         return Session(found.path, found.answer, found.etag)
 
-    def forgotten(self, one: StoredSession) -> None:
+    def ended_before_resume(self, one: StoredSession) -> None:
         self.keeper.ended(one.token)
 
     def _take_calendar(self, store: PeakStore) -> None:
@@ -454,7 +454,7 @@
 
     def _follow_servers(self) -> None:
         if self.recovery is not None:
-            self.recovery.list_told()
+            self.recovery.list_changed()
         held = self.session_core.server_list.shelf_of
         for server in held:
             if server not in self.followed:
@@ -547,7 +547,7 @@
         viewing = request.front_session.viewing.name if request.front_session is not None else 0
         more = (
             {"server": answer.front_session.viewing.server.name}
-            if answer.kind is Kind.PLAYS and answer.front_session.viewing.server
+            if answer.kind is AnswerKind.PLAYS and answer.front_session.viewing.server
             else {}
         )
         self.log.info(
--- a/curlewshift/front/http_listener.py
+++ b/curlewshift/front/http_listener.py
@@ -15,7 +15,7 @@
 from curlewshift.limits.admission import Admission
 from curlewshift.limits.permits import Permit, PermitDenied, Permits, allow
 from curlewshift.limits.queue import Ticket
-from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request
+from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.session_core import InvalidRequest, SessionCore, UnknownResource
 from curlewshift.signalling.sdp import PLAYS, PUBLISHES, InvalidDescription, checked_offer, identity
@@ -121,7 +121,7 @@
 
     async def _admit(self, exchange: Exchange, permit: Permit | None, package: str) -> Ticket:
         """A place for this request, perhaps after a wait. Raises `RequestError` with advice if there is none."""
-        ticket = self.admission.asked(
+        ticket = self.admission.request(
             exchange.connection.peer,
             permit.holder if permit else None,
             exchange.headers.get("user-agent", "").partition(" ")[0][:64],
@@ -136,7 +136,7 @@
             finally:
                 self.admitted.pop(ticket, None)
                 if ticket.state == "waiting" or exchange.connection.gone:
-                    self.admission.gave_up(ticket, self.now())
+                    self.admission.disconnected(ticket, self.now())
             if exchange.connection.gone:
                 raise PeerDisconnected
         if ticket.state == "no":
@@ -172,9 +172,9 @@
             name or f"r{self.names}", package, title, self._ceiling(exchange), self._patience(exchange, package), mine, offer
         )
         if who:
-            self.sheds.taken(request, who)
+            self.sheds.request_accepted(request, who)
         await self._answered(exchange, request, permit)
-        return request.answer.kind is Kind.PLAYS
+        return request.answer.kind is AnswerKind.PLAYS
 
     def _shed(self, exchange: Exchange, package: str, title: str, permit: Permit | None, key: str) -> str:
         """By what name the viewing is known at every front, where fronts shed: what its client calls it, or who holds the permit.
@@ -184,7 +184,7 @@
         called = exchange.headers.get("x-viewing", "")[:MOST_NAME]
         who = f"{permit.holder if permit else ''} {called or ('' if permit else key)}"
         if not self.session_core.draining and not self.session_core.knows(key):
-            wait = self.sheds.asked(package, title, who)
+            wait = self.sheds.admission_wait(package, title, who)
             if wait:
                 raise RequestError(
                     503, "more is asked for than there is room", [("retry-after", str(-(-wait // NS)))], wait // MS
@@ -238,9 +238,9 @@
         await self.write(exchange, request.answer, permit)
 
     async def write(self, exchange: Exchange, answer: Answer, permit: Permit | None = None) -> None:
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             await self._write_plays(exchange, answer.front_session, permit)
-        elif answer.kind is Kind.REFUSED:
+        elif answer.kind is AnswerKind.REFUSED:
             # whole seconds, rounded up: never sooner than advised
             wait = [("retry-after", str(-(-answer.wait // NS)))] if answer.wait else []
             await exchange.problem(503, answer.cause, headers=wait, retry_after_ms=answer.wait // MS or None)
--- a/curlewshift/front/in_service.py
+++ b/curlewshift/front/in_service.py
@@ -9,7 +9,7 @@
 from math import inf
 
 from curlewshift.limits.buckets import Buckets
-from curlewshift.rules import COME_BACK
+from curlewshift.rules import MAX_RETRY_WAIT
 from curlewshift.session_core.server_list import ServerList, Title
 from curlewshift.site.changes import OF_PACKAGES
 from curlewshift.site.site import Site
@@ -61,7 +61,7 @@
     swap.set(session_core, "longest_wait", obligations.longest_wait)
     swap.set(session_core, "most_waiting", new.most_waiting)
     for name, value in (
-        ("wait", min(COME_BACK, obligations.longest_wait)),
+        ("retry_wait", min(MAX_RETRY_WAIT, obligations.longest_wait)),
         ("max_tune_ins", obligations.most_tune_ins),
         ("free_further", inf if obligations.free_further is None else obligations.free_further),
         ("further_share", obligations.further_share),
@@ -99,11 +99,11 @@
             swap.set(buckets[name], "burst", max(1.0, rate * bounds.burst))
     swap.set(admission, "buckets", buckets)
     swap.set(admission, "bounds", bounds)
-    swap.set(admission.prefixes, "usual", bounds.source or 10.0)
-    swap.set(admission.lines, "longest", bounds.in_line)
-    most = float(bounds.most)
-    swap.set(admission.concurrency, "least", min(8.0, most))
-    swap.set(admission.concurrency, "most", most)
+    swap.set(admission.prefixes, "default_rate", bounds.source or 10.0)
+    swap.set(admission.queues, "timeout", bounds.queue_timeout)
+    most = float(bounds.max_concurrency)
+    swap.set(admission.concurrency, "min_limit", min(8.0, most))
+    swap.set(admission.concurrency, "max_limit", most)
     swap.set(admission.concurrency, "limit", min(admission.concurrency.limit, most))
 
 
--- a/curlewshift/front/planted_configuration_faults.py
+++ b/curlewshift/front/planted_configuration_faults.py
@@ -8,7 +8,7 @@
 from curlewshift.front.configured import Configured
 from curlewshift.front.front import Front
 from curlewshift.front.in_service import Swap
-from curlewshift.state.configured import Record
+from curlewshift.state.configured import RecordFile
 
 
 class HalfSwap(Swap):
@@ -27,8 +27,8 @@
     configured_class = HalfConfigured
 
 
-class BelievingRecord(Record):
-    def holds(self, head, data):
+class BelievingRecord(RecordFile):
+    def digest_matches(self, head, data):
         return True
 
 
--- a/curlewshift/front/planted_faults.py
+++ b/curlewshift/front/planted_faults.py
@@ -68,7 +68,7 @@
     """Takes every failed set-up for one that never ran."""
 
     def ended(self, viewing, outcome, closed):
-        if not closed and not viewing.playing and not viewing.over and outcome not in NEVER_RAN:
+        if not closed and not viewing.playing and not viewing.ended and outcome not in NEVER_RAN:
             outcome = Outcome.UNREACHED
         super().ended(viewing, outcome, closed)
 
@@ -172,7 +172,7 @@
                 self._call,
                 others[0],
                 "POST",
-                f"/{offer.way}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
+                f"/{offer.protocol}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
                 [("content-type", "application/sdp"), ("x-request-id", request), ("x-tune-in", str(tune_in.number + 1))],
                 offer.text.encode(),
             )
--- a/curlewshift/front/server_pool.py
+++ b/curlewshift/front/server_pool.py
@@ -209,7 +209,7 @@
         mark = [("x-viewing", doubt_mark(held.key))] if held is not None and viewing.package.paid_at_setup else []
         return await call.ask(
             "POST",
-            f"/{offer.way}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
+            f"/{offer.protocol}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
             [("content-type", SDP), ("x-request-id", request), ("x-front", self.name), ("x-tune-in", str(tune_in.number)), *mark],
             offer.text.encode() if offer else b"",
         )
@@ -268,7 +268,7 @@
                 async with self.disk:
                     # what is open is asked for with the disk in hand: an intent that waits for it is in there
                     self.intents.forget(self.wall())
-                    await anyio.to_thread.run_sync(self.journal.begin_anew, self.intents.anew())
+                    await anyio.to_thread.run_sync(self.journal.rewrite, self.intents.snapshot())
         except WriteFailed as wrong:
             self.log.warning("end-not-kept", cause=str(wrong))
 
--- a/curlewshift/front/session_writer.py
+++ b/curlewshift/front/session_writer.py
@@ -9,7 +9,7 @@
 from curlewshift.session_core.front_session import FrontSession
 from curlewshift.state.background_writer import BackgroundWriter
 from curlewshift.state.journal import Journal, WriteFailed
-from curlewshift.state.session_registry import SessionRegistry, remembered
+from curlewshift.state.session_registry import SessionRegistry, to_stored_session
 
 # Records that may wait for a disk that stalls.
 MOST_WAITING = 100_000
@@ -28,7 +28,9 @@
     def began(self, token: str, holder: str | None, front_session: FrontSession) -> None:
         session = front_session.session
         self._note(
-            self.book.began(remembered(front_session, token, holder, session.path, session.etag, session.ufrag, session.answer))
+            self.book.began(
+                to_stored_session(front_session, token, holder, session.path, session.etag, session.ufrag, session.answer)
+            )
         )
 
     def changed(self, token: str, **values: object) -> None:
@@ -66,7 +68,7 @@
         try:
             for whole, records in work:
                 if whole:
-                    self.journal.begin_anew(records)
+                    self.journal.rewrite(records)
                 elif not self.over:
                     self.journal.add(records, False)
         except WriteFailed as wrong:
--- a/curlewshift/front/sessions.py
+++ b/curlewshift/front/sessions.py
@@ -154,9 +154,9 @@
     async def _patched(self, exchange: Exchange, command: ServerCommand | None) -> None:
         if command is not None and command.reply is not None:
             await exchange.answer(command.reply.status, command.reply.headers, command.reply.body)
-        elif command is not None and command.result is Result.OVER:
+        elif command is not None and command.result is Result.ENDED:
             raise RequestError(404, "the session has ended")
-        elif command is not None and command.result is Result.CROWDED:
+        elif command is not None and command.result is Result.QUEUE_FULL:
             raise RequestError(503, "too many changes of this session wait", [("retry-after", "1")])
         else:
             raise RequestError(504, "the server of this session did not answer; the change may have been taken all the same")
--- a/curlewshift/limits/admission.py
+++ b/curlewshift/limits/admission.py
@@ -37,13 +37,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class AdmissionLimits:
     """Limits from the settings.
 
     `source`, `holder`, `build` and `package` are requests per second for one key of that kind; 0 means no limit. `burst`
-    is the bucket size, in seconds of that rate. `longest_wait` (ns) is the longest retry time that is sent. `in_line` (ns)
+    is the bucket size, in seconds of that rate. `longest_wait` (ns) is the longest retry time that is sent. `queue_timeout` (ns)
     is how long a request may wait for a place; it leaves time for two tune-ins (set-up attempts) within the join
-    target. `most` is the maximum number of requests in progress.
+    target. `max_concurrency` is the maximum number of requests in progress.
     """
 
     source: float
@@ -52,14 +52,14 @@
     package: float
     burst: float
     longest_wait: int
-    in_line: int
-    most: int
+    queue_timeout: int
+    max_concurrency: int
 
 
 class Admission:
     """Decides on tickets; `notify(ticket)` is called once for a ticket that waited, when it is admitted or refused."""
 
-    def __init__(self, bounds: Bounds, seed: int, now: int, notify: Callable[[Ticket], None]):
+    def __init__(self, bounds: AdmissionLimits, seed: int, now: int, notify: Callable[[Ticket], None]):
         self.bounds, self.rng, self.notify = bounds, Random(seed), notify
         self.buckets = {
             name: Buckets(rate, rate * bounds.burst, now)
@@ -73,8 +73,10 @@
         }
         self.prefixes = Prefixes(bounds.source or 10.0, now)
         self.heavy = HeavyHitters(now)
-        self.concurrency = Concurrency(now, min(64.0, float(bounds.most)), min(8.0, float(bounds.most)), float(bounds.most))
-        self.lines = SourceQueues(bounds.in_line)
+        self.concurrency = Concurrency(
+            now, min(64.0, float(bounds.max_concurrency)), min(8.0, float(bounds.max_concurrency)), float(bounds.max_concurrency)
+        )
+        self.queues = SourceQueues(bounds.queue_timeout)
         self.in_progress = self.known_in_progress = 0
         self.known_last_seen_at = now - KNOWN_IDLE_AFTER
         # decaying counts of recent refusals and admissions, and when they were last updated
@@ -86,7 +88,7 @@
 
     # ---- events
 
-    def asked(self, address: str, holder: str | None, build: str, package: str, now: int) -> Ticket:
+    def request(self, address: str, holder: str | None, build: str, package: str, now: int) -> Ticket:
         """Decides on a new request. The state of the ticket returned is "in", "waiting" or "no"."""
         known = holder is not None
         source = f"holder {holder}" if known else f"prefix {self.prefixes.source(address, now)}"
@@ -105,14 +107,14 @@
                 return ticket
         if self._has_place(known, now):
             self._admit(ticket, now)
-        elif not self.lines.join(ticket):
+        elif not self.queues.join(ticket):
             self._refuse(ticket, "too many requests wait here", now)
         return ticket
 
-    def gave_up(self, ticket: Ticket, now: int) -> None:
+    def disconnected(self, ticket: Ticket, now: int) -> None:
         """The client has disconnected. Frees its place; the time it took is no sample for the concurrency limit."""
         if ticket.state == "waiting":
-            self.lines.leave(ticket)
+            self.queues.leave(ticket)
             ticket.state = "over"
         elif ticket.state == "in":
             self._release(ticket)
@@ -130,7 +132,7 @@
 
     def tick(self, now: int) -> None:
         """Refuses requests that have waited for too long. Call several times a second."""
-        for ticket in self.lines.take_expired(now):
+        for ticket in self.queues.take_expired(now):
             self._refuse(ticket, "no place came free in time", now)
             self.notify(ticket)
         self._admit_waiting(now)
@@ -145,7 +147,7 @@
         return {
             "in_work": self.in_progress,
             "places": int(self.concurrency.limit),
-            "waiting": len(self.lines),
+            "waiting": len(self.queues),
             "held_back": sorted(limited, key=lambda row: -row["refused"])[:100],
             "heaviest": [
                 {"who": key, "count": round(count, 1), "error": round(error, 1)} for key, count, error in self.heavy.top(10)
@@ -177,12 +179,12 @@
         self.known_in_progress -= ticket.known
 
     def _admit_waiting(self, now: int) -> None:
-        while len(self.lines):
+        while len(self.queues):
             # reserved places go to known clients only
             if self._has_place(False, now):
-                ticket = self.lines.next(now)
+                ticket = self.queues.next(now)
             elif self._has_place(True, now):
-                ticket = self.lines.next(now, only_known=True)
+                ticket = self.queues.next(now, only_known=True)
             else:
                 return
             if ticket is None:
--- a/curlewshift/limits/concurrency.py
+++ b/curlewshift/limits/concurrency.py
@@ -22,10 +22,10 @@
 
 
 class Concurrency:
-    """`limit` is the number of requests that may be in progress, between `least` and `most`."""
+    """`limit` is the number of requests that may be in progress, between `min_limit` and `max_limit`."""
 
-    def __init__(self, now: int, initial: float = INITIAL_LIMIT, least: float = MIN_LIMIT, most: float = MAX_LIMIT):
-        self.limit, self.least, self.most = initial, least, most
+    def __init__(self, now: int, initial: float = INITIAL_LIMIT, min_limit: float = MIN_LIMIT, max_limit: float = MAX_LIMIT):
+        self.limit, self.min_limit, self.max_limit = initial, min_limit, max_limit
         self.best = self.current = 0.0
         self.best_at = now
 
@@ -42,4 +42,4 @@
         if wanted > self.limit and in_progress < self.limit / 2:
             # the limit is not in use: if it grew during low load it would not limit anything when load returns
             return
-        self.limit = max(self.least, min(self.most, self.limit + SMOOTHING * (wanted - self.limit)))
+        self.limit = max(self.min_limit, min(self.max_limit, self.limit + SMOOTHING * (wanted - self.limit)))
--- a/curlewshift/limits/descriptors.py
+++ b/curlewshift/limits/descriptors.py
@@ -22,8 +22,8 @@
 
 
 class DescriptorGate:
-    """`limit` is the process's soft limit of descriptors; `clock()` is in seconds. Connections have `at_work` (a request is
-    in progress), `rested_at` (idle since, s) and `drop()`."""
+    """`limit` is the process's soft limit of descriptors; `clock()` is in seconds. Connections have `is_busy` (a request is
+    in progress), `idle_since_s` (idle since, s) and `drop()`."""
 
     def __init__(
         self,
@@ -32,28 +32,28 @@
         kept: int | None = None,
         idle_for: float = MIN_IDLE_S,
         at_once: int = MAX_DROPPED_AT_ONCE,
-        spared=lambda connection: False,
+        is_spared=lambda connection: False,
     ):
         """`kept` is the number of reserved descriptors, where it is known what else needs them. `idle_for` (s) and `at_once`
-        are set where many clients connect, ask once and stay connected. Connections for which `spared` is true are dropped
+        are set where many clients connect, ask once and stay connected. Connections for which `is_spared` is true are dropped
         only if there is no room and no other connection has been idle long enough for some time."""
-        self.idle_for, self.at_once, self.spared = idle_for, at_once, spared
+        self.idle_for, self.at_once, self.is_spared = idle_for, at_once, is_spared
         # since when a connection has been waiting for room that only spared connections could make
         self.blocked_since: float | None = None
         if kept is None:
             kept = int(min(MAX_RESERVED, max(MIN_RESERVED, limit * RESERVED_SHARE)))
-        self.most = self.initial_most = max(4, limit - kept)
+        self.max_connections = self.initial_max_connections = max(4, limit - kept)
         self.clock = clock
         self.connections: dict[object, bool] = {}
         self.dropped = self.none_left = 0
 
     def may_accept(self) -> bool:
-        return len(self.connections) < self.most
+        return len(self.connections) < self.max_connections
 
     @property
     def crowded(self) -> bool:
         """Little room is left: idle connections may be dropped before a new one has to wait."""
-        return len(self.connections) > self.most * CROWDED_SHARE
+        return len(self.connections) > self.max_connections * CROWDED_SHARE
 
     def opened(self, connection: object) -> None:
         self.connections[connection] = True
@@ -65,7 +65,9 @@
     def ran_out(self) -> None:
         """An accept found no descriptor: the rest of the process uses more than was reserved for it."""
         self.none_left += 1
-        self.most = max(self.initial_most // 2, min(self.most, len(self.connections)) - SHRINK_STEP, 4)
+        self.max_connections = max(
+            self.initial_max_connections // 2, min(self.max_connections, len(self.connections)) - SHRINK_STEP, 4
+        )
 
     def make_room(self, needed: bool = True) -> None:
         """Drops idle connections. `needed` means that a connection is waiting for room: then spared ones are dropped too,
@@ -78,7 +80,7 @@
             self.blocked_since = now
         elif needed and now - self.blocked_since >= SPARED_IDLE_FACTOR * self.idle_for:
             idle = self._idle_connections(now, True)
-        idle.sort(key=lambda connection: connection.rested_at)
+        idle.sort(key=lambda connection: connection.idle_since_s)
         for connection in idle[: self.at_once]:
             self.dropped += 1
             connection.drop()
@@ -87,5 +89,5 @@
         return [
             connection
             for connection in self.connections
-            if now - connection.rested_at >= self.idle_for and self.spared(connection) is spared and not connection.at_work
+            if now - connection.idle_since_s >= self.idle_for and self.is_spared(connection) is spared and not connection.is_busy
         ]
--- a/curlewshift/limits/prefixes.py
+++ b/curlewshift/limits/prefixes.py
@@ -33,10 +33,10 @@
 
 
 class Prefixes:
-    """`usual` is the rate (requests per second) up to which a source is named by its default prefix."""
+    """`default_rate` is the rate (requests per second) up to which a source is named by its default prefix."""
 
-    def __init__(self, usual: float, now: int, max_nodes: int = MAX_NODES):
-        self.usual, self.max_nodes = usual, max_nodes
+    def __init__(self, default_rate: float, now: int, max_nodes: int = MAX_NODES):
+        self.default_rate, self.max_nodes = default_rate, max_nodes
         self.roots = {4: Node(now), 6: Node(now)}
         self.nodes = 0
 
@@ -67,7 +67,7 @@
             node = child
             decay = exp(-max(0, now - node.updated_at) / COUNT_DECAY)
             node.count, node.heaviest_child, node.updated_at = node.count * decay + 1, node.heaviest_child * decay, now
-            path.append((depth, node, self.usual * WIDER_FACTOR ** (len(depths) - 1 - step) * COUNT_DECAY / SECOND))
+            path.append((depth, node, self.default_rate * WIDER_FACTOR ** (len(depths) - 1 - step) * COUNT_DECAY / SECOND))
         for (_, wider, _), (_, narrower, _) in itertools.pairwise(path):
             wider.heaviest_child = max(wider.heaviest_child, narrower.count)
         # the heaviest child does not count: if it floods alone it is named itself, and its neighbours are not affected
--- a/curlewshift/limits/queue.py
+++ b/curlewshift/limits/queue.py
@@ -34,10 +34,10 @@
 
 
 class SourceQueues:
-    """One queue per source; `longest` (ns) is the time-out of a waiting request."""
+    """One queue per source; `timeout` (ns) is the time-out of a waiting request."""
 
-    def __init__(self, longest: int, max_per_source: int = MAX_PER_SOURCE, max_waiting: int = MAX_WAITING):
-        self.longest, self.max_per_source, self.max_waiting = longest, max_per_source, max_waiting
+    def __init__(self, timeout: int, max_per_source: int = MAX_PER_SOURCE, max_waiting: int = MAX_WAITING):
+        self.timeout, self.max_per_source, self.max_waiting = timeout, max_per_source, max_waiting
         self.queues: OrderedDict[str, deque[Ticket]] = OrderedDict()
         self.count = 0
 
@@ -72,7 +72,7 @@
                 continue
             # round-robin: this queue goes to the back
             self.queues.move_to_end(source)
-            overloaded = now - queue[0].arrived_at > self.longest // 2
+            overloaded = now - queue[0].arrived_at > self.timeout // 2
             ticket = queue.pop() if overloaded else queue.popleft()
             self.count -= 1
             if not queue:
@@ -84,7 +84,7 @@
         """Takes out and returns all requests that have waited for the time-out."""
         expired = []
         for source, queue in list(self.queues.items()):
-            while queue and now - queue[0].arrived_at >= self.longest:
+            while queue and now - queue[0].arrived_at >= self.timeout:
                 expired.append(queue.popleft())
                 self.count -= 1
             if not queue:
--- a/curlewshift/model.py
+++ b/curlewshift/model.py
@@ -58,7 +58,7 @@
     others_reaction: float = 0.0
     decayed_at: int = 0
     # rate that this front still has to take off after short delivery, and when it last did
-    owed: float = 0.0
+    reduction_due: float = 0.0
     relieved_at: int = 0
     # the share of the rates that is not delivered, when that was noted, and when viewings may climb again
     missing_share: float = 0.0
@@ -89,7 +89,7 @@
     """A media server. `streams` is the number of viewings that it can play at once."""
 
     name: str
-    mark: int
+    placement_hash: int
     zone: str
     streams: int
     rack: Rack
@@ -102,23 +102,23 @@
     unproven_until: int = 0
     failed: bool = False
     sent: list = field(default_factory=list)
-    out: int = 0
-    out_cap: int = 0
+    outstanding: int = 0
+    max_outstanding: int = 0
     # its latest report or answer, and the gaps between them: number, mean and mean deviation
-    heard_at: int = 0
+    last_seen_at: int = 0
     gap_count: int = 0
     mean_gap: float = 0.0
     gap_deviation: float = 0.0
     # decaying fault score, and when it was last raised
-    trouble: float = 0.0
-    trouble_at: int = 0
+    fault_score: float = 0.0
+    fault_at: int = 0
     full_until: int = 0
     # viewings that wait for the answer to a probe of it
     awaiting_probe: list = field(default_factory=list)
     # where fronts share budgets: this front's rights to set-ups within the server's pace while cold, as (from, until,
     # count), None if not shared; when more were last needed; and whether evidence of other fronts is against the server
     rights: list | None = None
-    wanted_at: int = 0
+    rights_wanted_at: int = 0
     doubted: bool = False
 
 
@@ -128,10 +128,10 @@
 
     name: int
     title: str
-    mark: int
+    placement_hash: int
     package: Package
     ceiling: int
-    asked_at: int
+    requested_at: int
     expires: int
     # the servers that hold the title, kept up to date by the host while the viewing waits
     holders: Iterable
@@ -142,7 +142,7 @@
     server: Server | None = None
     rung: int = 0
     playing: bool = False
-    over: bool = False
+    ended: bool = False
     tune_ins: int = 0
     # probes whose answers it waits for
     probes_out: int = 0
@@ -160,7 +160,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class ListedServer:
     """One line of the server list as discovery publishes it."""
 
     server: Server
--- a/curlewshift/model_checker/world.py
+++ b/curlewshift/model_checker/world.py
@@ -11,13 +11,13 @@
 
 from curlewshift.model import Outcome, Package, Terms
 from curlewshift.recovery.recovery import InterruptedSetup, ListedSession, recovery_of
-from curlewshift.session_core.front_session import Answer, Kind, Request, TuneIn
+from curlewshift.session_core.front_session import Answer, AnswerKind, Request, TuneIn
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.server_commands import Result
 from curlewshift.session_core.server_list import ServerEntry, ServerList
 from curlewshift.session_core.session_core import SessionCore
 from curlewshift.state.intents import Intents, intent_of
-from curlewshift.state.session_registry import SessionRegistry, StoredSession, remembered
+from curlewshift.state.session_registry import SessionRegistry, StoredSession, to_stored_session
 from curlewshift.state.setting_up import SEND, setting_up
 
 SECOND = 1_000_000_000
@@ -187,7 +187,7 @@
     def adopt(self, server, paths: list[str]) -> None:
         self.world.questions.append((self.name, "adopt", server, tuple(paths)))
 
-    def taken_up(self, one: StoredSession, server):
+    def resume(self, one: StoredSession, server):
         front_session = self.session_core.handed_over(
             one.package, one.title, one.ceiling, server, one.path, one.rung, one.key, Offer(one.offer)
         )
@@ -197,7 +197,7 @@
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> str:
         return found.path
 
-    def forgotten(self, one: StoredSession) -> None:
+    def ended_before_resume(self, one: StoredSession) -> None:
         self.world.note("book", self.book.ended(one.token))
 
 
@@ -302,14 +302,14 @@
         self.answers[request] = answer
         client = next(client for client in self.clients if request.name.startswith(client.name))
         if (
-            answer.kind is Kind.REFUSED
+            answer.kind is AnswerKind.REFUSED
             and self.package.paid_at_setup
             and any(one.client == client.name and one.stage != "write" and not one.never_ran for one in self.attempts)
         ):
             raise Breach(f"2: {request.name} is refused though it may have run")
-        if answer.kind is Kind.FAILED:
+        if answer.kind is AnswerKind.FAILED:
             self.failed_told.add((client.name, front.name))
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             front_session = answer.front_session
             # another life may know better: that it failed says that it may have run all the same
             if self.package.paid_at_setup and (client.name, front.name) in self.failed_told:
@@ -317,7 +317,8 @@
             if front_session not in front.tokens:
                 front.tokens[front_session] = f"t {front_session.session}"
                 self.note(
-                    "book", front.book.began(remembered(front_session, front.tokens[front_session], None, front_session.session))
+                    "book",
+                    front.book.began(to_stored_session(front_session, front.tokens[front_session], None, front_session.session)),
                 )
 
     def _tell_end(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -425,7 +426,7 @@
         if waits and here and self.budgets.hang_ups:
             found.append(("a client hangs up", number))
         cut_off = (waits and not here) or last.gone
-        if self.budgets.again and (cut_off or (last.answer is not None and last.answer.kind is not Kind.PLAYS)):
+        if self.budgets.again and (cut_off or (last.answer is not None and last.answer.kind is not AnswerKind.PLAYS)):
             found.append(("a client comes again", number))
         if self._front_session(client) is not None:
             found.append(("a client leaves", number))
@@ -708,7 +709,7 @@
                         (
                             front_session.viewing.title,
                             front_session.viewing.playing,
-                            front_session.viewing.over,
+                            front_session.viewing.ended,
                             front_session.viewing.tune_ins,
                             front_session.viewing.server and front_session.viewing.server.name,
                             front_session.viewing.rung,
@@ -720,19 +721,22 @@
                     ],
                     [
                         (key, held.until, held.front_session.answer and held.front_session.answer.kind.value)
-                        for key, held in front.session_core.keys.held.items()
+                        for key, held in front.session_core.keys.entries.items()
                     ],
                     sorted(front.session_core.doubts),
-                    front.recovery.over,
-                    [(at.server.name, at.out, at.done, at.tries, at.adopting is not None) for at in front.recovery.at.values()],
+                    front.recovery.finished,
+                    [
+                        (at.server.name, at.in_flight, at.done, at.tries, at.adopting is not None)
+                        for at in front.recovery.by_server.values()
+                    ],
                     [
                         (
                             server.name,
                             server.open,
-                            server.out,
+                            server.outstanding,
                             server.failed,
-                            round(server.trouble, 3),
-                            server.trouble_at,
+                            round(server.fault_score, 3),
+                            server.fault_at,
                             server.full_until,
                             server.cold_until,
                             len(server.sent),
--- a/curlewshift/node/buffered_connection.py
+++ b/curlewshift/node/buffered_connection.py
@@ -135,15 +135,15 @@
 
 
 class PendingWrite:
-    """The owner of queued output, notified of its progress. `handed` is set once the kernel has taken its first byte."""
+    """The owner of queued output, notified of its progress. `sending_started` is set once the kernel has taken its first byte."""
 
     __slots__ = ()
 
-    def leaves(self) -> bool:
+    def may_send(self) -> bool:
         """Called just before the first byte is written; False removes the output from the queue."""
         return True
 
-    def out(self) -> None:
+    def on_written(self) -> None:
         """Called once the kernel has taken the last byte."""
 
 
@@ -224,7 +224,7 @@
         candidates, self.queue = self.queue, deque()
         for entry in candidates:
             pending_write = entry[1]
-            if entry[2] or pending_write is None or pending_write.leaves():
+            if entry[2] or pending_write is None or pending_write.may_send():
                 self.queue.append(entry)
         self.queued_bytes = sum(len(data) for data, _, _ in self.queue)
 
@@ -239,14 +239,14 @@
             entry = self.queue[0]
             data, pending_write, _ = entry
             if pending_write is not None:
-                pending_write.handed = True
+                pending_write.sending_started = True
             if len(data) > sent:
                 entry[0], entry[2] = data[sent:], True
                 break
             sent -= len(data)
             self.queue.popleft()
             if pending_write is not None:
-                pending_write.out()
+                pending_write.on_written()
         return True
 
     # ---- input
--- a/curlewshift/node/client_listener.py
+++ b/curlewshift/node/client_listener.py
@@ -17,7 +17,7 @@
 from curlewshift.node import rtsp
 from curlewshift.node.buffered_connection import BufferedConnection, Listener, MessageInput, PendingWrite
 from curlewshift.node.trace import make_tracer
-from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request
+from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request
 from curlewshift.session_core.session_core import InvalidRequest
 
 MS = 1_000_000
@@ -75,17 +75,17 @@
 
 @dataclass(eq=False, slots=True)
 class PendingClientRelease(PendingWrite):
-    """A release that has yet to be sent to its viewer; `handed` once its first byte has been sent."""
+    """A release that has yet to be sent to its viewer; `sending_started` once its first byte has been sent."""
 
     name: str
     cause: int
     connection: ClientConnection | None = None
-    handed: bool = False
+    sending_started: bool = False
 
-    def leaves(self) -> bool:
+    def may_send(self) -> bool:
         """Keeps the release off a connection that the viewer has closed, even if that has not been read yet; it is then sent on
         another."""
-        if self.connection is not None and self.connection.wire.peer_closed():
+        if self.connection is not None and self.connection.transport.peer_closed():
             self.connection = None
             return False
         return True
@@ -94,10 +94,10 @@
 class ClientConnection:
     """One connection from a viewer."""
 
-    def __init__(self, wire: BufferedConnection, now: int, number: int):
+    def __init__(self, transport: BufferedConnection, now: int, number: int):
         """`number` identifies the connection in the log."""
         self.number = number
-        self.wire, self.input = wire, MessageInput(rtsp.Reader(), rtsp.Malformed, now)
+        self.transport, self.input = transport, MessageInput(rtsp.Reader(), rtsp.Malformed, now)
         self.waiting: dict[str, ClientSession] = {}
         # number of established sessions requested here: their releases are sent here, and the viewers' next requests come here
         self.session_count = 0
@@ -113,14 +113,14 @@
         self.received_message = False
         # a session was answered or handed over here: the client follows the protocol
         self.is_proven = False
-        self.rested_at = now / NS
+        self.idle_since_s = now / NS
 
     # interface of the descriptor gate, see curlewshift/limits/descriptors.py
 
     @property
-    def at_work(self) -> bool:
+    def is_busy(self) -> bool:
         """A request is open, output is queued, or input is unread."""
-        return bool(self.waiting) or bool(self.wire.queue) or self.wire.has_unread_input()
+        return bool(self.waiting) or bool(self.transport.queue) or self.transport.has_unread_input()
 
     @property
     def is_receiving_request(self) -> bool:
@@ -128,14 +128,14 @@
         return self.input.partial and not self.corrupt
 
     @property
-    def spared(self) -> bool:
+    def is_spared(self) -> bool:
         """The gate closes this connection last, as releases of established sessions are sent on it. Clients that each send one
         request and stay connected might otherwise displace every connection on which a release can be sent."""
         return self.session_count > 0
 
     def drop(self) -> None:
         """Closes the connection at once."""
-        self.wire.drop()
+        self.transport.drop()
 
     def mark_corrupt(self) -> None:
         """Stops reading the connection after malformed input. Requests received before are still answered."""
@@ -145,7 +145,7 @@
     def end_if_done(self) -> None:
         """Closes a corrupt connection gracefully once all requests on it have been answered."""
         if self.corrupt and not self.waiting:
-            self.wire.close_gracefully()
+            self.transport.close_gracefully()
 
 
 class ClientListener:
@@ -159,7 +159,7 @@
         self.tracer = make_tracer(node.now, log)
         self.cells, self.tops = cells, tops
         self.opened = 0
-        self.asked: dict[str, ClientSession] = {}
+        self.sessions: dict[str, ClientSession] = {}
         self.connections: dict[ClientConnection, bool] = {}
         # releases of which no byte has been sent yet
         self.pending_releases: dict[str, PendingClientRelease] = {}
@@ -177,26 +177,26 @@
             listener.close()
 
     async def _run(self, sock) -> None:
-        wire = BufferedConnection(sock, self.tasks)
+        transport = BufferedConnection(sock, self.tasks)
         self.opened += 1
-        connection = ClientConnection(wire, self.node.now(), self.opened)
+        connection = ClientConnection(transport, self.node.now(), self.opened)
         self.connections[connection] = True
         self.gate.opened(connection)
         try:
             # each receive waits for readability first, so that a client that sends without pause is read in turn with the others
-            while data := await wire.receive():
+            while data := await transport.receive():
                 self._read(connection, data)
             # the client has left: none of its requests may be started while this connection is being closed
-            self._left(connection)
+            self._connection_ended(connection)
             await self._end_unread_sessions(connection)
         except Exception as fault:
             self.log.error("fault", what="viewer connection", cause=repr(fault), exc_info=fault)
         finally:
-            self._left(connection)
-            await wire.close()
+            self._connection_ended(connection)
+            await transport.close()
             self.gate.closed(connection)
 
-    def _left(self, connection: ClientConnection) -> None:
+    def _connection_ended(self, connection: ClientConnection) -> None:
         """Cancels the open requests of a connection that has ended; its pending releases are sent on others."""
         self.connections.pop(connection, None)
         if self.last_proven is connection:
@@ -205,7 +205,7 @@
             self.log.info(
                 "client-closed",
                 connection=connection.number,
-                by_client=connection.wire.ended_by_peer,
+                by_client=connection.transport.ended_by_peer,
                 waiting=list(connection.waiting)[:8],
             )
         for client_session in list(connection.waiting.values()):
@@ -228,15 +228,15 @@
         since = self.node.now() - UNREAD_RESET_WINDOW_NS
         answered = [client_session for answered_at, client_session in connection.recent_answers if answered_at >= since]
         unread_releases = [pending_release for sent_at, pending_release in connection.recent_releases if sent_at >= since]
-        if not (answered or unread_releases) or not connection.wire.ended_by_peer or connection.wire.closed_locally:
+        if not (answered or unread_releases) or not connection.transport.ended_by_peer or connection.transport.closed_locally:
             return
-        if not await connection.wire.was_reset(RESET_WAIT_S):
+        if not await connection.transport.was_reset(RESET_WAIT_S):
             return
         for pending_release in unread_releases:
             self.log.info("release-unread", session=pending_release.name, connection=connection.number)
             self._queue_release(pending_release.name, pending_release.cause, None)
         for client_session in answered:
-            if self.asked.get(client_session.name) is client_session:
+            if self.sessions.get(client_session.name) is client_session:
                 self.log.info("answer-unread", session=client_session.name, connection=connection.number)
                 self._forget(client_session)
                 self.node.released(client_session.front_session, 0)
@@ -249,14 +249,14 @@
             connection.received_message = connection.received_message or bool(messages)
             if connection.input.partial:
                 # not idle while parts of a message arrive
-                connection.rested_at = now / NS
+                connection.idle_since_s = now / NS
             for message in messages:
                 # the viewer repeats a set-up that crosses the close on another connection, but not the TEARDOWN of a session
-                if connection.wire.open or message.method == "TEARDOWN":
+                if connection.transport.open or message.method == "TEARDOWN":
                     self._handle_message(connection, message, now)
             if error is not None:
                 self.log.info("malformed", what="viewer", cause=str(error))
-                connection.wire.send(rtsp.answer(error.status, "1", ""))
+                connection.transport.send(rtsp.answer(error.status, "1", ""))
                 connection.mark_corrupt()
         then, connection.after_reading = connection.after_reading, []
         for call in then:
@@ -267,8 +267,12 @@
 
         If so, `then` is called once the input has been read, unless the connection has ended.
         """
-        client_session = self.asked.get(name)
-        if client_session is None or client_session.connection is None or not client_session.connection.wire.has_unread_input():
+        client_session = self.sessions.get(name)
+        if (
+            client_session is None
+            or client_session.connection is None
+            or not client_session.connection.transport.has_unread_input()
+        ):
             return False
         client_session.connection.after_reading.append(then)
         return True
@@ -285,14 +289,14 @@
             pass
         self.listener.close()
         await anyio.sleep(0)
-        while any(connection.wire.open for connection in self.connections) and anyio.current_time() < answered_by:
+        while any(connection.transport.open for connection in self.connections) and anyio.current_time() < answered_by:
             for connection in self.connections:
-                if not (connection.at_work or connection.is_receiving_request or self.pending_releases):
-                    connection.wire.close_gracefully()
+                if not (connection.is_busy or connection.is_receiving_request or self.pending_releases):
+                    connection.transport.close_gracefully()
             await anyio.sleep(0.005)
         self.node.end_waiting()
         for connection in list(self.connections):
-            connection.wire.close_gracefully()
+            connection.transport.close_gracefully()
         while self.connections and anyio.current_time() < closed_by:
             await anyio.sleep(0.005)
 
@@ -305,7 +309,7 @@
                 MESSAGE_TIMEOUT_NS if connection.input.partial else FIRST_MESSAGE_TIMEOUT_NS
             )
             stalled = connection.input.is_stalled(now, MESSAGE_TIMEOUT_NS, PAUSE_TIMEOUT_NS)
-            if (silent or stalled) and not connection.corrupt and not connection.wire.has_unread_input():
+            if (silent or stalled) and not connection.corrupt and not connection.transport.has_unread_input():
                 connection.mark_corrupt()
             connection.end_if_done()
             for client_session in list(connection.waiting.values()):
@@ -314,7 +318,7 @@
                     self.log.error(
                         "unanswered", session=client_session.name, cause="the session core has not answered by the deadline"
                     )
-                    connection.wire.send(rtsp.answer(STATUS_FAILED, "1", client_session.name))
+                    connection.transport.send(rtsp.answer(STATUS_FAILED, "1", client_session.name))
                     self._cancel(client_session)
         if self.gate.crowded:
             self.gate.make_room(needed=False)
@@ -335,7 +339,7 @@
                 number = "1"
                 raise RequestError("invalid CSeq")
             if message.method == "OPTIONS":
-                connection.wire.send(
+                connection.transport.send(
                     rtsp.answer(200 if self.node.ready else 503, number, name if SESSION.fullmatch(name) else "")
                 )
                 return
@@ -344,19 +348,19 @@
             if message.method == "SETUP":
                 self._set_up(connection, name, message, now)
             elif message.method == "TEARDOWN":
-                self._torn_down(connection, name, number, message)
+                self._handle_teardown(connection, name, number, message)
             elif message.method not in ("ANNOUNCE", "REDIRECT", "SET_PARAMETER"):
                 raise RequestError(f"unsupported method {message.method}", 501)
         except (RequestError, InvalidRequest) as error:
             self.log.info("wrong", what=message.method, session=name[:16], cause=str(error))
             # with the id of an open session, or an ambiguous one, the error could be taken for the answer to another request
             named = SESSION.fullmatch(name) and not message.has_duplicate_fields and getattr(error, "named", True)
-            connection.wire.send(rtsp.answer(getattr(error, "status", STATUS_BAD_REQUEST), number, name if named else ""))
+            connection.transport.send(rtsp.answer(getattr(error, "status", STATUS_BAD_REQUEST), number, name if named else ""))
         except Exception as fault:
             # costs this session only, not the others on its connection
             self.log.error("fault", what=message.method, session=name[:16], cause=repr(fault), exc_info=fault)
             if message.method == "SETUP" and SESSION.fullmatch(name):
-                connection.wire.send(rtsp.answer(STATUS_FAILED, number, name))
+                connection.transport.send(rtsp.answer(STATUS_FAILED, number, name))
 
     def _set_up(self, connection: ClientConnection, name: str, message: rtsp.Message, now: int) -> None:
         fields = message.fields
@@ -381,7 +385,7 @@
         package, viewer = fields.get("x-cos", ""), int(viewer, 16)
         if "at" in legs:
             connection.is_proven = True
-            if name in self.asked or not SERVER_NAME.fullmatch(legs["at"]):
+            if name in self.sessions or not SERVER_NAME.fullmatch(legs["at"]):
                 return
             end_cause = self.node.early_end(name, legs["at"], self.torn_down.pop(name, None))
             if end_cause is None:
@@ -390,11 +394,11 @@
             elif end_cause:
                 self._queue_release(name, end_cause, connection)
             return
-        if name in self.asked:
+        if name in self.sessions:
             raise RequestError("a session with this id is already open", 455, named=False)
         if self.torn_down.pop(name, None) is not None:
             raise RequestError("the session's TEARDOWN was received first, on another connection", 454)
-        client_session = self.asked[name] = ClientSession(name, connection)
+        client_session = self.sessions[name] = ClientSession(name, connection)
         connection.waiting[name] = client_session
         self.tracer.start(name, connection)
         try:
@@ -416,20 +420,20 @@
             self._forget(client_session)
             raise
 
-    def _torn_down(self, connection: ClientConnection, name: str, number: str, message: rtsp.Message) -> None:
-        client_session = self.asked.get(name)
+    def _handle_teardown(self, connection: ClientConnection, name: str, number: str, message: rtsp.Message) -> None:
+        client_session = self.sessions.get(name)
         found = CAUSE.fullmatch(message.fields.get("reason", ""))
         cause = min(int(found[1]), 127) if found else 0
         if client_session is None:
             pending_release = self.pending_releases.pop(name, None)
             if pending_release is not None and pending_release.connection is not None:
-                pending_release.connection.wire.withdraw(pending_release)
+                pending_release.connection.transport.withdraw(pending_release)
             elif pending_release is None:
                 self.torn_down[name] = cause
                 if len(self.torn_down) > MAX_TORN_DOWN:
                     self.torn_down.popitem(last=False)
             raise RequestError("no session with this id is open", 454)
-        connection.wire.send(rtsp.answer(200, number, name))
+        connection.transport.send(rtsp.answer(200, number, name))
         if client_session.front_session is None:
             self._cancel(client_session)
             return
@@ -440,18 +444,18 @@
         self.tracer.note(client_session.name, "given up")
         self._forget(client_session)
         if client_session.request is not None:
-            self.node.gave_up(client_session.request)
+            self.node.cancel_request(client_session.request)
 
     def _forget(self, client_session: ClientSession) -> None:
-        self.asked.pop(client_session.name, None)
+        self.sessions.pop(client_session.name, None)
         if client_session.connection is not None:
             if client_session.connection.waiting.pop(client_session.name, None) is not None:
-                client_session.connection.rested_at = self.node.now() / NS
+                client_session.connection.idle_since_s = self.node.now() / NS
             elif client_session.front_session is not None:
                 client_session.connection.session_count -= 1
 
     def _add_session(self, client_session: ClientSession) -> None:
-        self.asked[client_session.name] = client_session
+        self.sessions[client_session.name] = client_session
         client_session.connection.session_count += 1
 
     # ---- answers and releases
@@ -459,30 +463,30 @@
     def answer(self, client_session: ClientSession, answer: Answer, description: bytes = b"") -> None:
         """Sends the answer to a set-up; `description` is the media server's session description if it plays."""
         connection = client_session.connection
-        if self.asked.get(client_session.name) is not client_session:
+        if self.sessions.get(client_session.name) is not client_session:
             return
         self._forget(client_session)
         queued = self.tracer.answer_queued(
             client_session.name,
             client_session.request is not None and self.node.now() > client_session.request.expires + OVERDUE_AFTER_NS,
         )
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             client_session.front_session = answer.front_session
             self._add_session(client_session)
-            if connection.wire.peer_closed():
+            if connection.transport.peer_closed():
                 self.node.defer(lambda: self._end_unanswered(client_session))
                 return
-            connection.wire.send(rtsp.answer(200, "1", client_session.name, description), queued)
+            connection.transport.send(rtsp.answer(200, "1", client_session.name, description), queued)
             connection.is_proven, self.last_proven = True, connection
             self._remember(connection.recent_answers, client_session)
-        elif answer.kind is Kind.REFUSED:
+        elif answer.kind is AnswerKind.REFUSED:
             pause = f"X-Pause: {answer.wait // MS}\r\n" if answer.wait else ""
-            connection.wire.send(
+            connection.transport.send(
                 rtsp.answer(STATUS_DRAINING if self.node.draining else STATUS_NO_ROOM, "1", client_session.name, fields=pause),
                 queued,
             )
         else:
-            connection.wire.send(rtsp.answer(STATUS_FAILED, "1", client_session.name), queued)
+            connection.transport.send(rtsp.answer(STATUS_FAILED, "1", client_session.name), queued)
 
     def _remember(self, recent: deque[tuple[int, object]], what: object) -> None:
         """Records what a reset within `UNREAD_RESET_WINDOW_NS` would show to be unread."""
@@ -493,13 +497,13 @@
 
     def _end_unanswered(self, client_session: ClientSession) -> None:
         """Ends a session whose client had closed its connection, still unread, before the answer was sent."""
-        if self.asked.get(client_session.name) is client_session:
+        if self.sessions.get(client_session.name) is client_session:
             self._forget(client_session)
             self.node.released(client_session.front_session, 0)
 
     def release(self, client_session: ClientSession, cause: int | None) -> None:
         """Ends the session; without a cause its viewer is not notified."""
-        if self.asked.get(client_session.name) is client_session:
+        if self.sessions.get(client_session.name) is client_session:
             self._forget(client_session)
             if cause is not None:
                 self._queue_release(client_session.name, cause, client_session.connection)
@@ -513,21 +517,24 @@
     def _send_releases(self, own_connection: ClientConnection | None = None) -> None:
         """Sends the pending releases: on the session's own connection, or else on any on which a viewer was answered. A release
         stays pending until its first byte has been sent: one queued on a connection that ends is sent on another."""
-        for pending_release in [pending_release for pending_release in self.pending_releases.values() if pending_release.handed]:
+        for pending_release in [
+            pending_release for pending_release in self.pending_releases.values() if pending_release.sending_started
+        ]:
             del self.pending_releases[pending_release.name]
-        connection = own_connection if own_connection is not None and own_connection.wire.open else self._proven_connection()
+        connection = own_connection if own_connection is not None and own_connection.transport.open else self._proven_connection()
         if connection is None:
             return
         for pending_release in self.pending_releases.values():
-            if pending_release.connection is None or not pending_release.connection.wire.open:
+            if pending_release.connection is None or not pending_release.connection.transport.open:
                 pending_release.connection = connection
                 self._remember(connection.recent_releases, pending_release)
-                connection.wire.send(rtsp.release(pending_release.name, pending_release.cause), pending_release)
+                connection.transport.send(rtsp.release(pending_release.name, pending_release.cause), pending_release)
 
     def _proven_connection(self) -> ClientConnection | None:
-        if self.last_proven is None or not self.last_proven.wire.open:
+        if self.last_proven is None or not self.last_proven.transport.open:
             self.last_proven = next(
-                (connection for connection in reversed(self.connections) if connection.is_proven and connection.wire.open), None
+                (connection for connection in reversed(self.connections) if connection.is_proven and connection.transport.open),
+                None,
             )
         return self.last_proven
 
--- a/curlewshift/node/connections.py
+++ b/curlewshift/node/connections.py
@@ -25,7 +25,7 @@
     id: bytes
     server: Server
     description: bytes = b""
-    cause: int = isup.OVER
+    cause: int = isup.ENDED
     set_up_at: int = 0
     # rung changes are sent on one connection while it is healthy, as order is not kept across two connections
     connection: ServerConnection | None = None
@@ -39,7 +39,7 @@
 class Attempt(PendingWrite):
     """One set-up request to a media server (a tune-in).
 
-    `queued` while it waits in a connection's output queue, `handed` once the kernel has taken its first byte.
+    `queued` while it waits in a connection's output queue, `sending_started` once the kernel has taken its first byte.
     """
 
     tune_in: TuneIn
@@ -47,15 +47,15 @@
     server_pool: ServerPool
     connection: ServerConnection | None = None
     queued: bool = False
-    handed: bool = False
+    sending_started: bool = False
     moves: int = 0
     sent_at: int = 0
     # sequence number among the messages written on its connection
     number: int = 0
 
-    def leaves(self) -> bool:
+    def may_send(self) -> bool:
         """Called just before the first byte is written; False keeps it from being written."""
-        self.queued = self.server_pool.leaves(self)
+        self.queued = self.server_pool.may_send(self)
         return self.queued
 
 
@@ -65,7 +65,7 @@
     def __init__(self, endpoint: Endpoint, number: int):
         """`number` identifies the connection in the log."""
         self.endpoint, self.number = endpoint, number
-        self.wire: BufferedConnection | None = None
+        self.transport: BufferedConnection | None = None
         self.attempts: dict[bytes, Attempt] = {}
         self.unsent: list[tuple[bytes, PendingWrite | None]] = []
         # messages written so far, and the sequence number of each probe that has not been answered
@@ -84,21 +84,21 @@
     @property
     def up(self) -> bool:
         """The connection is established."""
-        return self.wire is not None and not self.wire.gone
+        return self.transport is not None and not self.transport.gone
 
     @property
     def usable(self) -> bool:
         """The connection is established or still being established."""
-        return self.wire is None or not self.wire.gone
+        return self.transport is None or not self.transport.gone
 
     def send(self, data: bytes, pending_write: PendingWrite | None = None) -> int:
         """Sends or queues a message, and returns its sequence number on this connection."""
         self.last_used_at = self.endpoint.server_pool.now()
         self.sent += 1
-        if self.wire is None:
+        if self.transport is None:
             self.unsent.append((data, pending_write))
         else:
-            self.wire.send(data, pending_write)
+            self.transport.send(data, pending_write)
         return self.sent
 
     def probe(self) -> None:
@@ -109,8 +109,8 @@
     def withdraw(self, attempt: Attempt) -> None:
         """Removes a set-up that has not been sent from the queue."""
         self.unsent = [entry for entry in self.unsent if entry[1] is not attempt]
-        if self.wire is not None:
-            self.wire.withdraw(attempt)
+        if self.transport is not None:
+            self.transport.withdraw(attempt)
 
 
 class Endpoint:
--- a/curlewshift/node/follower.py
+++ b/curlewshift/node/follower.py
@@ -74,11 +74,11 @@
             sock = await dial(self.address, CONNECT_TIMEOUT_S, spare if spare is not None else _new_socket())
             if sock is None:
                 raise TimeoutError("connect timed out")
-            wire, reader = BufferedConnection(sock, self.tasks), discovery.Reader()
+            transport, reader = BufferedConnection(sock, self.tasks), discovery.Reader()
             try:
-                wire.send(discovery.request(self.last))
+                transport.send(discovery.request(self.last))
                 while True:
-                    data = await self._receive(wire, received)
+                    data = await self._receive(transport, received)
                     if not data:
                         raise anyio.EndOfStream
                     error = None
@@ -92,7 +92,7 @@
                     if error is not None:
                         raise error
             finally:
-                await wire.close()
+                await transport.close()
         finally:
             # the descriptor has just been released, and is reserved again before any other task runs
             if self.spare is None:
@@ -101,13 +101,13 @@
                 except OSError as error:
                     self.log.warning("no-spare-descriptor", cause=repr(error))
 
-    async def _receive(self, wire: BufferedConnection, received: list) -> bytes:
+    async def _receive(self, transport: BufferedConnection, received: list) -> bytes:
         first_frame_timeout = (
             FIRST_FRAME_TIMEOUT_S if self.silent_connections < SILENT_BEFORE_LONG_TIMEOUT else LONG_FIRST_FRAME_TIMEOUT_S
         )
         try:
             with anyio.fail_after(FRAME_TIMEOUT_S if received else first_frame_timeout):
-                return await wire.receive()
+                return await transport.receive()
         except TimeoutError:
             self.silent_connections = 0 if received else self.silent_connections + 1
             raise
--- a/curlewshift/node/node.py
+++ b/curlewshift/node/node.py
@@ -15,7 +15,7 @@
 
 from curlewshift.deployment import Fleet, terms_of
 from curlewshift.limits.descriptors import DescriptorGate
-from curlewshift.model import Listed, Outcome, Server
+from curlewshift.model import ListedServer, Outcome, Server
 from curlewshift.node import configuration, discovery, isup
 from curlewshift.node.buffered_connection import Listener
 from curlewshift.node.client_listener import SWEEP_INTERVAL_S, ClientListener
@@ -25,7 +25,7 @@
 from curlewshift.retries.session_ends import SessionEnd
 from curlewshift.schedule.clock import Clock
 from curlewshift.schedule.waking import WakeupTimer
-from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
+from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request, TuneIn
 from curlewshift.session_core.server_commands import Result, ServerCommand
 from curlewshift.session_core.session_core import SessionCore
 
@@ -81,7 +81,7 @@
             server_descriptors + RESERVED_DESCRIPTORS,
             IDLE_AFTER_S,
             MAX_CLOSED_AT_ONCE,
-            lambda connection: connection.spared,
+            lambda connection: connection.is_spared,
         )
         self.listener = ClientListener(self, gate, log, len(self.fleet.cells), len(extra.get("rung_kb") or [0]) - 1)
         self.server_descriptors = server_descriptors
@@ -110,7 +110,7 @@
                     ns(bounds, "idle_close_ms", 30_000),
                 )
                 for number, (version, full, rows) in enumerate(configuration.events(self.config)):
-                    self._listed(rows, full, version, stale=not number)
+                    self._apply_server_list(rows, full, version, stale=not number)
                 self.follower = Follower(
                     self.config.discovery_address, self.config.last_event, self._on_list_event, self.log, self.tasks
                 )
@@ -136,7 +136,7 @@
                 except Exception as fault:
                     self.log.error("fault", what="configuration reload", cause=repr(fault), exc_info=fault)
             elif not self.draining:
-                self.tasks.start_soon(self._end)
+                self.tasks.start_soon(self._shut_down)
 
     def _reload(self) -> None:
         """Reloads the configuration: only the discovery address and the known events of the server list are applied."""
@@ -148,11 +148,11 @@
         self.log.info("configuration", bulletin=":".join(map(str, config.discovery_address)))
         for number, full, rows in configuration.events(config):
             if number > self.follower.last:
-                self._listed(rows, full, number)
+                self._apply_server_list(rows, full, number)
                 self.follower.last = number
         self.follower.move(config.discovery_address)
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         """Drains and shuts down: new requests are refused, accepted ones are answered, and established sessions are served while
         time is left."""
         self.draining, self.ready = True, False
@@ -210,31 +210,33 @@
     # ---- the server list
 
     def _on_list_event(self, full: bool, payload: bytes) -> None:
-        self._listed(lambda on_record: discovery.each_record(payload, on_record), full, self.follower.last)
+        self._apply_server_list(lambda on_record: discovery.each_record(payload, on_record), full, self.follower.last)
 
-    def _listed(self, rows, full: bool, version: int, stale: bool = False) -> None:
+    def _apply_server_list(self, rows, full: bool, version: int, stale: bool = False) -> None:
         entries, listed_servers = [], set()
 
         def on_record(name, address, state, zone, kind, cell, weight, started_ms):
-            server = self.fleet.listed(name, cell, _item_or_empty(self.zones, zone), _item_or_empty(self.kinds, kind), weight)
+            server = self.fleet.place_listed(
+                name, cell, _item_or_empty(self.zones, zone), _item_or_empty(self.kinds, kind), weight
+            )
             listed_servers.add(server)
             started = started_ms * MS
             if state == discovery.GONE:
-                self.fleet.unlisted(server)
+                self.fleet.remove_from_cell(server)
             else:
                 self.server_pool.listed(server, address)
             if started > server.started and self.server_pool.session_count(server):
                 self.server_pool.restarted(server, started)
-            entries.append(Listed(server, state == discovery.READY, started))
+            entries.append(ListedServer(server, state == discovery.READY, started))
 
         rows(on_record)
         if full:
             for server in list(self.fleet.servers.values()):
                 if server not in listed_servers:
-                    self.fleet.unlisted(server)
-                    entries.append(Listed(server, False, server.started))
+                    self.fleet.remove_from_cell(server)
+                    entries.append(ListedServer(server, False, server.started))
         self.log.info("list", version=version, servers=len(listed_servers), whole=full, open=sum(entry.open for entry in entries))
-        self.session_core.lines_told(entries, stale)
+        self.session_core.list_lines_received(entries, stale)
 
     # ---- called by the client listener
 
@@ -295,7 +297,7 @@
             # the server is no longer listed: its sessions have ended, and only this node can notify the viewer
             return isup.RESET if torn_down is None else 0
         if torn_down is not None:
-            self.session_core.orphaned(server, Session(id, server, cause=torn_down or isup.OVER))
+            self.session_core.orphaned(server, Session(id, server, cause=torn_down or isup.ENDED))
             return 0
         cause = self.server_pool.early_release(server, id)
         return 0 if cause == isup.CANCELLED else cause
@@ -304,7 +306,7 @@
         """Runs `call` in the next timer run, and not from within a call of the session core's."""
         self.session_core.timers.at(self.now(), call)
 
-    def gave_up(self, request: Request) -> None:
+    def cancel_request(self, request: Request) -> None:
         """The viewer has cancelled the request, or its connection has ended."""
         self.session_core.gave_up(request)
 
@@ -324,7 +326,7 @@
     def ended(self, front_session: FrontSession, outcome: Outcome, cause: int | None) -> None:
         """The session has ended at its media server."""
         self.session_core.lost(front_session, outcome)
-        client_session = self.listener.asked.get(front_session.session.id.hex())
+        client_session = self.listener.sessions.get(front_session.session.id.hex())
         if client_session is not None and client_session.front_session is front_session:
             self.listener.release(client_session, cause)
 
@@ -379,11 +381,11 @@
             cause=answer.cause,
             server=front_session.viewing.server.name if front_session and front_session.viewing.server else "",
         )
-        client_session = self.listener.asked.get(request.name)
+        client_session = self.listener.sessions.get(request.name)
         if client_session is None:
             return
         description = b""
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             description, front_session.session.description = front_session.session.description, b""
         self.listener.answer(client_session, answer, description)
 
--- a/curlewshift/node/server_pool.py
+++ b/curlewshift/node/server_pool.py
@@ -51,7 +51,7 @@
 # Limit on remembered releases of unknown sessions: one that is handed over after its release must not be accepted.
 MAX_EARLY_RELEASES = 2000
 OUTCOME_BEFORE_ANSWER = {isup.FULL: Outcome.FULL, isup.MOOT: Outcome.UNSENT, isup.ERROR: Outcome.ERROR}
-OUTCOME_AFTER_ANSWER = {isup.OVER: Outcome.PLAYED, isup.CANCELLED: Outcome.CANCELLED}
+OUTCOME_AFTER_ANSWER = {isup.ENDED: Outcome.PLAYED, isup.CANCELLED: Outcome.CANCELLED}
 
 
 class ServerPool:
@@ -160,7 +160,7 @@
 
     def _write(self, connection: ServerConnection, attempt: Attempt) -> None:
         attempt.queued = True
-        if connection.wire is None:
+        if connection.transport is None:
             # encoded only when it is sent, as it carries how long the viewer still waits
             connection.unsent.append((b"", attempt))
             return
@@ -179,7 +179,7 @@
             attempt,
         )
 
-    def leaves(self, attempt: Attempt) -> bool:
+    def may_send(self, attempt: Attempt) -> bool:
         """Whether this set-up may be sent now, on its connection. Not if unread input may say that its viewer has left; nor if
         since it was queued its server became unavailable, its deadline passed or its connection was closed."""
         connection = attempt.connection
@@ -188,9 +188,9 @@
         if not self.session_core.stands(attempt.tune_in):
             self._defer(lambda: self._end_if_pending(attempt))
             return False
-        if connection.wire.peer_closed():
+        if connection.transport.peer_closed():
             # the server has closed it: whether a set-up sent now has run would be unknown
-            connection.wire.ended_by_peer = True
+            connection.transport.ended_by_peer = True
             self._defer(lambda: self._break(connection, "closed by the server"))
             return False
         if self._wait_for_release(attempt):
@@ -204,10 +204,10 @@
     def _wait_for_release(self, attempt: Attempt) -> bool:
         """Whether a session that an earlier attempt with the same id may have left has to be released first."""
         server = attempt.tune_in.server
-        before = self.pending.before(server, attempt.id)
+        before = self.pending.blocker(server, attempt.id)
         if before is None:
             return False
-        before.followers.append(lambda: self._resume(attempt))
+        before.waiters.append(lambda: self._resume(attempt))
         if isinstance(before, Copy):
             cause = "release not confirmed" if before.written else "release not written"
             if not before.written:
@@ -222,8 +222,8 @@
         """Resets the connection of a release that the kernel has not taken, so that a server that does not read cannot delay an
         attempt at another server; after the reset nothing that is queued on it can arrive."""
         if not release.written:
-            if release.connection.wire is not None:
-                release.connection.wire.reset()
+            if release.connection.transport is not None:
+                release.connection.transport.reset()
             self._break(release.connection, "a release could not be written")
 
     def _end_if_pending(self, attempt: Attempt) -> None:
@@ -243,10 +243,10 @@
         if connection.attempts.get(attempt.id) is attempt:
             del connection.attempts[attempt.id]
         self._log_end(attempt, "timed out" if self.now() >= tune_in.until else "client left")
-        if not attempt.handed:
+        if not attempt.sending_started:
             connection.withdraw(attempt)
             return False
-        self.teardowns.attempt_given_up(connection, attempt)
+        self.teardowns.attempt_abandoned(connection, attempt)
         if connection.last_seen_at < attempt.sent_at and self.now() >= tune_in.until:
             connection.unresponsive = True
         self.given_up[tune_in.server, attempt.id] = tune_in
@@ -308,7 +308,7 @@
             self.connection_count < self.max_connections and len(endpoint.connections) < self._connections_per_server()
         ):
             return self.open_connection(endpoint)
-        return min(candidates, key=lambda connection: (len(connection.attempts), connection.wire is None))
+        return min(candidates, key=lambda connection: (len(connection.attempts), connection.transport is None))
 
     def _connections_per_server(self) -> int:
         return max(2, self.max_connections // max(1, len(self.endpoints)))
@@ -350,10 +350,10 @@
                 sock.close()
                 return
             endpoint.failed_connects, endpoint.was_reset = 0, False
-            connection.wire = BufferedConnection(sock, self.tasks)
+            connection.transport = BufferedConnection(sock, self.tasks)
             self.teardowns.connection_up(connection)
             self._send_queued(connection)
-            while data := await connection.wire.receive():
+            while data := await connection.transport.receive():
                 self._read(connection, data)
         except Exception as fault:
             self.log.error(
@@ -361,8 +361,8 @@
             )
         finally:
             self._break(connection, "ended")
-            if connection.wire is not None:
-                await connection.wire.close()
+            if connection.transport is not None:
+                await connection.transport.close()
 
     def _send_queued(self, connection: ServerConnection) -> None:
         """Sends what was queued while the connection was being established."""
@@ -420,25 +420,25 @@
         """Closes the connection gracefully: nothing more is sent on it, and what the server has sent meanwhile is still read."""
         connection.endpoint.connections.remove(connection)
         connection.retired = True
-        connection.wire.close_gracefully()
+        connection.transport.close_gracefully()
 
     def _break(self, connection: ServerConnection, reason: str) -> None:
         """Drops the connection: set-ups sent on it may have run, those not sent yet are moved to another connection."""
         if connection.closed:
             return
         self._remove(connection)
-        if connection.wire is not None:
-            connection.wire.drop()
+        if connection.transport is not None:
+            connection.transport.drop()
         endpoint = connection.endpoint
-        by_peer = connection.wire is not None and connection.wire.ended_by_peer
-        reset = connection.wire is not None and connection.wire.reset_by_peer
+        by_peer = connection.transport is not None and connection.transport.ended_by_peer
+        reset = connection.transport is not None and connection.transport.reset_by_peer
         self._log_close(connection, "closed by the server" if by_peer else reason)
         if reset:
             endpoint.was_reset = True
         if not by_peer:
             self._mark_lost_releases(connection)
         for attempt in list(connection.attempts.values()):
-            if attempt.handed:
+            if attempt.sending_started:
                 self.teardowns.attempt_broken(connection, attempt, by_peer)
                 self._end_attempt(attempt, Outcome.BROKEN)
             elif attempt.moves >= MAX_MOVES or not self.session_core.stands(attempt.tune_in):
@@ -478,7 +478,7 @@
             server=attempt.tune_in.server.name,
             connection=attempt.connection.number if attempt.connection is not None else 0,
             outcome=outcome,
-            left=attempt.handed,
+            left=attempt.sending_started,
             after_ms=(self.now() - attempt.sent_at) // MS if attempt.sent_at else 0,
         )
 
@@ -518,9 +518,9 @@
         elif kind == isup.RELEASE:
             self._handle_release(connection, id, isup.cause_of(parameters), self._report(parameters))
         elif kind == isup.RELEASED:
-            self.pending.heard(endpoint.server, id, connection)
+            self.pending.confirmed(endpoint.server, id, connection)
         elif kind == isup.NOTE:
-            self._handle_note(endpoint, id, isup.text_of(parameters, isup.KIND), isup.text_of(parameters, isup.FIGURE))
+            self._handle_note(endpoint, id, isup.text_of(parameters, isup.KIND), isup.text_of(parameters, isup.VALUE))
         elif kind == isup.PROBED:
             number = connection.probes.pop(id, None)
             if number is not None:
@@ -550,7 +550,7 @@
                 # the answer crossed the release of the abandoned set-up
                 self.session_core.played(late, session)
             return
-        if not attempt.handed:
+        if not attempt.sending_started:
             # received before its set-up was sent: it does not belong to this attempt
             return
         del connection.attempts[id]
@@ -570,7 +570,7 @@
             self._end_attempt(attempt, OUTCOME_BEFORE_ANSWER.get(cause, Outcome.BROKEN), report)
             return
         given_up = self.given_up.pop((endpoint.server, id), None)
-        self.pending.over(endpoint.server, id)
+        self.pending.released_by_server(endpoint.server, id)
         if report:
             self.session_core.told(endpoint.server, report)
         front_session = endpoint.sessions.pop(id, None)
@@ -629,7 +629,9 @@
 
     def _has_unsent_output(self) -> bool:
         return any(
-            connection.up and connection.wire.queue for endpoint in self.endpoints.values() for connection in endpoint.connections
+            connection.up and connection.transport.queue
+            for endpoint in self.endpoints.values()
+            for connection in endpoint.connections
         )
 
     def sweep(self) -> None:
@@ -642,7 +644,7 @@
             for connection in list(endpoint.connections):
                 self._maintain(connection, now)
             if endpoint.server in self.pending.at:
-                self.teardowns.look_after(endpoint)
+                self.teardowns.run_due_steps(endpoint)
             if endpoint.sessions:
                 self._keep_open(endpoint)
                 self._check_alive(endpoint, now)
--- a/curlewshift/node/teardowns.py
+++ b/curlewshift/node/teardowns.py
@@ -33,19 +33,19 @@
 
     # ---- ended sessions and attempts
 
-    def attempt_given_up(self, connection: ServerConnection, attempt: Attempt) -> None:
+    def attempt_abandoned(self, connection: ServerConnection, attempt: Attempt) -> None:
         """The attempt timed out, or its client has left: its release follows the set-up on the same connection."""
-        record = self.pending.open(attempt.tune_in.server, attempt.id, isup.OVER)
+        record = self.pending.open(attempt.tune_in.server, attempt.id, isup.ENDED)
         self._write(connection, record)
         attempt.tune_in.front_session.viewing.unconfirmed = self.pending.servers_of(attempt.id)
 
     def attempt_broken(self, connection: ServerConnection, attempt: Attempt, by_peer: bool) -> None:
         """The attempt's connection ended before an answer: the server may have set up the session, even if no answer arrived."""
-        record = self.pending.open(attempt.tune_in.server, attempt.id, isup.OVER, closed_by_server=by_peer)
+        record = self.pending.open(attempt.tune_in.server, attempt.id, isup.ENDED, closed_by_server=by_peer)
         if not by_peer:
             # the server may not have seen the close when the next attempt reaches it
-            self.pending.said(record, connection, connection.sent)
-            self.pending.crossed(record)
+            self.pending.sent(record, connection, connection.sent)
+            self.pending.closed_locally(record)
         attempt.tune_in.front_session.viewing.unconfirmed = self.pending.servers_of(attempt.id)
 
     def session_over(self, endpoint: Endpoint, session: Session) -> None:
@@ -53,7 +53,7 @@
         if endpoint.address is None:
             return
         record = self.pending.open(endpoint.server, session.id, session.cause)
-        if record.times_said:
+        if record.times_sent:
             return
         connection = self._healthy_connection(endpoint)
         if connection is not None:
@@ -76,32 +76,32 @@
         follow is left out; it is sent just before that set-up."""
         records = [
             record
-            for record in self.pending.unsaid_on(connection.endpoint.server, connection)
+            for record in self.pending.unsent_on(connection.endpoint.server, connection)
             if not self._sent_with_attempt(record, connection)
         ]
         if records:
             self._send_with_probe(connection, records)
 
-    def look_after(self, endpoint: Endpoint) -> None:
+    def run_due_steps(self, endpoint: Endpoint) -> None:
         """Takes the next step of each record that is due. Called at every sweep."""
         to_resend = []
         for record in self.pending.due(endpoint.server):
             connection = record.copies[-1].connection if record.copies else None
-            if record.state is State.SAID and connection.up and not connection.retired:
+            if record.state is State.SENT and connection.up and not connection.retired:
                 # the first probe covers all records on the same connection
                 connection.probe()
                 self.pending.tested(connection)
             elif record.next_at <= self.now():
                 to_resend.append(record)
         if to_resend:
-            self._say_again(endpoint, to_resend)
+            self._send_again(endpoint, to_resend)
 
     def expedite(self, record: PendingRelease) -> None:
         """Sends a release now for which an attempt waits and which has not been sent anywhere yet."""
         endpoint = self.server_pool.endpoints.get(record.server)
         if endpoint is not None and record.state is State.DUE:
             record.next_at = self.now()
-            self.look_after(endpoint)
+            self.run_due_steps(endpoint)
 
     def probe_all(self) -> None:
         """Called at shutdown: probes or resends every pending release now instead of when it is due."""
@@ -109,7 +109,7 @@
             for record in self.pending.of(server):
                 record.next_at = self.now()
             if server in self.server_pool.endpoints:
-                self.look_after(self.server_pool.endpoints[server])
+                self.run_due_steps(self.server_pool.endpoints[server])
 
     def unconfirmed_on(self, connection: ServerConnection) -> bool:
         """Whether a release sent on this connection has not been confirmed."""
@@ -123,7 +123,7 @@
 
     def _write(self, connection: ServerConnection, record: PendingRelease) -> None:
         self.counts["release-sent"] += 1
-        if record.times_said:
+        if record.times_sent:
             self.counts["release-sent-again"] += 1
             self.log.info(
                 "release-again",
@@ -131,31 +131,31 @@
                 server=record.server.name,
                 connection=connection.number,
                 cause=record.cause,
-                times=record.times_said,
+                times=record.times_sent,
                 after_ms=(self.now() - record.opened_at) // MS,
             )
-        copy = self.pending.said(record, connection, connection.sent + 1)
+        copy = self.pending.sent(record, connection, connection.sent + 1)
         connection.send(isup.release(record.id, record.cause), copy)
 
     def _send_with_probe(self, connection: ServerConnection, records: list[PendingRelease]) -> None:
         """Sends these releases, followed by a probe."""
-        to_resend = [record for record in records if record.times_said]
+        to_resend = [record for record in records if record.times_sent]
         for record in records:
             self._write(connection, record)
         connection.probe()
         self.pending.tested(connection)
-        self.pending.put_off(to_resend)
+        self.pending.delay(to_resend)
 
-    def _say_again(self, endpoint: Endpoint, to_resend: list[PendingRelease]) -> None:
+    def _send_again(self, endpoint: Endpoint, to_resend: list[PendingRelease]) -> None:
         for record in to_resend:
             if record.state is State.TESTED and record.copies:
                 # the connection accepted bytes, and the server has answered none of them
                 record.copies[-1].connection.unresponsive = True
-        self.pending.put_off(to_resend)
+        self.pending.delay(to_resend)
         used = {copy.connection for record in to_resend for copy in record.copies}
         connection = self._healthy_connection(endpoint, used)
         if connection is not None:
-            self._send_with_probe(connection, self.pending.unsaid_on(endpoint.server, connection))
+            self._send_with_probe(connection, self.pending.unsent_on(endpoint.server, connection))
         else:
             self._ensure_connecting(endpoint)
 
@@ -173,5 +173,5 @@
 
     def _ensure_connecting(self, endpoint: Endpoint) -> None:
         """Opens a connection, on which pending releases are sent once it is established, unless one is being established."""
-        if all(connection.wire is not None for connection in endpoint.connections):
+        if all(connection.transport is not None for connection in endpoint.connections):
             self.server_pool.open_connection(endpoint)
--- a/curlewshift/node/trace.py
+++ b/curlewshift/node/trace.py
@@ -35,12 +35,12 @@
 class TracedAnswer(PendingWrite):
     """An answer in a connection's output queue; its trace is discarded once the kernel has the last byte."""
 
-    __slots__ = ("handed", "name", "tracer")
+    __slots__ = ("name", "sending_started", "tracer")
 
     def __init__(self, tracer: Tracer, name: str):
-        self.tracer, self.name, self.handed = tracer, name, False
+        self.tracer, self.name, self.sending_started = tracer, name, False
 
-    def out(self) -> None:
+    def on_written(self) -> None:
         self.tracer.traces.pop(self.name, None)
 
 
--- a/curlewshift/overload/overload.py
+++ b/curlewshift/overload/overload.py
@@ -36,7 +36,7 @@
     def now(self) -> int: ...
     def wall(self) -> int: ...
     def servers(self) -> Iterable[Server]: ...
-    def takes(self, server: Server) -> bool:
+    def can_admit(self, server: Server) -> bool:
         """Whether one more viewing, however small, would fit there as far as this front knows."""
 
     def members(self) -> list[str]: ...
@@ -77,7 +77,7 @@
 
     # ---- admission
 
-    def asked(self, package: Package, holders: Iterable[Server], who: str) -> int:
+    def admission_wait(self, package: Package, holders: Iterable[Server], who: str) -> int:
         """How long the viewer has to stay away (ns); 0 if it is admitted."""
         now, zones = self.driver.now(), self._zones(holders)
         came_back = now - self.recently_played.get(who, -RETURN_WINDOW_NS) < RETURN_WINDOW_NS
@@ -174,7 +174,7 @@
                 totals = sizes.setdefault(server.zone, [0.0, 0.0])
                 size = min(server.link.size, 1e12)
                 totals[0] += size
-                totals[1] += 0.0 if self.driver.takes(server) else size
+                totals[1] += 0.0 if self.driver.can_admit(server) else size
         self.full_share = {zone: without_room / size for zone, (size, without_room) in sizes.items() if size > 0}
         for zone in [zone for zone in self.levels if zone not in self.full_share and zone not in self.rounds]:
             # no server is left there
--- a/curlewshift/peaks/peaks.py
+++ b/curlewshift/peaks/peaks.py
@@ -53,8 +53,8 @@
         self.calendar, self.fronts = calendar, max(1, fronts)
         self.statistics = {package: ArrivalStatistics(now) for package in calendar.packages.values()}
         self.playing_since: dict[Viewing, int] = {}
-        self.holding: dict[str, HoldState] = {}
-        self.held: set[Link] = set()
+        self.hold_states: dict[str, HoldState] = {}
+        self.held_links: set[Link] = set()
         self.full_size = 0.0
         # arrivals of each package by the servers that could have played them, and how many arrivals these are
         self.arrivals_by_server: dict[Package, dict[Server, float]] = {package: {} for package in self.statistics}
@@ -90,7 +90,7 @@
         """This front's share of the hold, planned by where viewings of the peak are requested; valid until then (ns)."""
         self.planned_parts[package] = min(1.0, max(part, 1e-3)), until
 
-    def asked_for(self, now: int) -> dict[str, float]:
+    def request_rates(self, now: int) -> dict[str, float]:
         """Recent requests a second at this front, by package, for the packages with announced peaks."""
         announced = {peak.package for peak in self.calendar.peaks.values()}
         return {name: self.statistics[self.calendar.packages[name]].rate(now) for name in sorted(announced)}
@@ -104,18 +104,18 @@
 
     def tick(self, now: int, wall: int, servers: Collection[Server]) -> None:
         """Updates all holds; called once a second. Does nothing while the calendar is empty."""
-        if not self.calendar.peaks and not self.held:
+        if not self.calendar.peaks and not self.held_links:
             return
         self.calendar.remove_ended(wall, RELEASE_DURATION)
-        for name in [name for name in self.holding if name not in self.calendar.peaks]:
-            del self.holding[name]
+        for name in [name for name in self.hold_states if name not in self.calendar.peaks]:
+            del self.hold_states[name]
         links = self._links(servers)
-        for link in self.held:
+        for link in self.held_links:
             link.holds.clear()
-        self.held.clear()
+        self.held_links.clear()
         total = sum(server.link.size for server in links)
         # the largest size since the first current hold: holds shrink with the capacity lost since
-        self.full_size = max(self.full_size, total) if self.holding else total
+        self.full_size = max(self.full_size, total) if self.hold_states else total
         demand: dict[Package, tuple[float, float]] = {}
         for peak in self.calendar.peaks.values():
             need = self._need(peak, now, wall, servers)
@@ -141,9 +141,9 @@
     def _need(self, peak: Peak, now: int, wall: int, servers: list[Server]) -> float:
         """What the peak needs now (kB/s), at all fronts together."""
         package = self.calendar.packages[peak.package]
-        holding = self.holding.get(peak.name)
+        holding = self.hold_states.get(peak.name)
         if holding is None or holding.peak is not peak:
-            holding = self.holding[peak.name] = HoldState(peak)
+            holding = self.hold_states[peak.name] = HoldState(peak)
         divisor = self.share_divisor(package, now)
         statistics, own_rate = self.statistics[package], peak.rate / divisor
         starts_in = peak.starts - wall
@@ -191,7 +191,7 @@
             used = sum(viewing.held_rate for viewing in link.playing if viewing.package is package)
             if room / divisor > used:
                 link.holds[package] = room / divisor - used
-                self.held.add(link)
+                self.held_links.add(link)
 
     # ---- estimates
 
--- a/curlewshift/peaks/reserve.py
+++ b/curlewshift/peaks/reserve.py
@@ -15,9 +15,9 @@
     share: float
 
     def tick(self, now: int, wall: int, servers: list[Server]) -> None:
-        for link in self.held:
+        for link in self.held_links:
             link.holds.clear()
-        self.held.clear()
+        self.held_links.clear()
         servers = self._links(servers)
         for links in ([server.link for server in servers], {server.rack.link for server in servers}):
             size = sum(link.size for link in links if link.size < inf)
--- a/curlewshift/peering/leased.py
+++ b/curlewshift/peering/leased.py
@@ -181,8 +181,8 @@
     def front_names(self) -> list[str]:
         return self.order
 
-    def asked_for(self) -> dict[str, float]:
-        return self.front.session_core.peaks.asked_for(self.now())
+    def request_rates(self) -> dict[str, float]:
+        return self.front.session_core.peaks.request_rates(self.now())
 
     def tell_asked(self, to: str, asked: dict[str, float]) -> None:
         member = self.channel.membership.members.get(to)
--- a/curlewshift/peering/wire.py
+++ b/curlewshift/peering/wire.py
@@ -79,7 +79,7 @@
     # ---- the channel's host
 
     def now(self) -> int:
-        return self.clock.hard()
+        return self.clock.steppable_now()
 
     def wake(self, at: int) -> None:
         """Converts the time to a delay at once: if the clock is set later, the wait does not get longer."""
--- a/curlewshift/recovery/recovery.py
+++ b/curlewshift/recovery/recovery.py
@@ -26,7 +26,7 @@
 from curlewshift.session_core.front_session import FrontSession
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.session_core import InvalidRequest, SessionCore
-from curlewshift.state.intents import KEPT_ON, Intent
+from curlewshift.state.intents import RETENTION, Intent
 from curlewshift.state.session_registry import SessionRegistry, StoredSession
 
 SECOND = 1_000_000_000
@@ -42,13 +42,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedSession:
-    """One session as its server lists it. `life` is the life of this front that set it up; `doubt` is the identifier of the
+    """One session as its server lists it. `life` is the life of this front that set it up; `setup_mark` is the identifier of the
     paid request that it was set up for, empty for others."""
 
     path: str
     life: str
     rung: int
-    doubt: str
+    setup_mark: str
     etag: str = ""
     answer: str = ""
 
@@ -63,13 +63,13 @@
         """Asks the server to assign these sessions to this life; the answer, which of them it did, goes to
         `Recovery.adopted` or `unanswered`."""
 
-    def taken_up(self, remembered: StoredSession, server: Server) -> FrontSession:
+    def resume(self, remembered: StoredSession, server: Server) -> FrontSession:
         """Hands a stored session over to the session core, and its address to the listener. Raises `InvalidRequest`."""
 
     def session_of(self, found: ListedSession, doubt: InterruptedSetup) -> object:
         """The driver's session object for a session found at a server."""
 
-    def forgotten(self, remembered: StoredSession) -> None:
+    def ended_before_resume(self, remembered: StoredSession) -> None:
         """A stored session has ended before it was resumed."""
 
 
@@ -95,7 +95,8 @@
     identifier of a paid request at servers. From now on a client that retries one waits until the doubt is resolved."""
     clock = session_core.driver
     doubts = [
-        InterruptedSetup(intent.key, mark(intent.key), intent.server, Offer(intent.offer, way=intent.way)) for intent in intents
+        InterruptedSetup(intent.key, mark(intent.key), intent.server, Offer(intent.offer, protocol=intent.protocol))
+        for intent in intents
     ]
     recovery = Recovery(driver, session_core, life, list(registry.open.values()), dict(registry.boots), doubts)
     for intent, doubt in zip(intents, doubts):
@@ -104,7 +105,7 @@
             doubt.offer,
             intent.package,
             intent.title,
-            clock.now() + intent.until + KEPT_ON - clock.wall(),
+            clock.now() + intent.until + RETENTION - clock.wall(),
             doubt=True,
         )
     return recovery
@@ -117,7 +118,7 @@
     server: Server
     front_sessions: dict[str, FrontSession] = field(default_factory=dict)
     adopting: dict[str, ListedSession] | None = None
-    out: bool = False
+    in_flight: bool = False
     done: bool = False
     tries: int = 0
     retry_at: int = 0
@@ -141,10 +142,10 @@
         for stored in remembered:
             self.pending.setdefault(stored.server, []).append(stored)
         self.doubts = {doubt.mark: doubt for doubt in doubts}
-        self.at: dict[Server, ServerRecovery] = {}
+        self.by_server: dict[Server, ServerRecovery] = {}
         self.waiting: deque[ServerRecovery] = deque()
-        self.out = 0
-        self.over = False
+        self.in_flight = 0
+        self.finished = False
         # servers that never answered
         self.silent: list[Server] = []
         self.kept = self.ended = self.orphans = self.found = self.given_up = 0
@@ -153,18 +154,18 @@
 
     def begin(self) -> None:
         """Starts recovery. Call before the listener opens and after the stored server list, if any, has been read."""
-        self.list_told()
+        self.list_changed()
 
-    def list_told(self) -> None:
+    def list_changed(self) -> None:
         """The server list has changed: asks the servers that are new in it, those with stored sessions first."""
-        if self.over:
+        if self.finished:
             return
         listed_servers = self.session_core.server_list.servers
-        new_servers = [server for server in listed_servers.values() if server not in self.at]
+        new_servers = [server for server in listed_servers.values() if server not in self.by_server]
         in_doubt = {doubt.server for doubt in self.doubts.values()}
         new_servers.sort(key=lambda server: (server.name not in self.pending, server.name not in in_doubt))
         for server in new_servers:
-            state = self.at[server] = ServerRecovery(server)
+            state = self.by_server[server] = ServerRecovery(server)
             for stored in self.pending.pop(server.name, ()):
                 self._restore(stored, state)
             self.waiting.append(state)
@@ -187,7 +188,7 @@
         adopting = {}
         for path, row in earlier_rows.items():
             if (path in state.front_sessions and state.front_sessions[path].viewing.playing) or (
-                row.doubt in self.doubts and (self.doubts[row.doubt].server == server.name)
+                row.setup_mark in self.doubts and (self.doubts[row.setup_mark].server == server.name)
             ):
                 adopting[path] = row
             elif path not in state.front_sessions:
@@ -229,8 +230,8 @@
         self.time()
 
     def time(self) -> None:
-        """Asks servers whose pause has ended, and gives up after `GIVE_UP_AFTER`. Call repeatedly until `over`."""
-        if self.over:
+        """Asks servers whose pause has ended, and gives up after `GIVE_UP_AFTER`. Call repeatedly until `finished`."""
+        if self.finished:
             return
         if self.session_core.driver.now() >= self.started_at + GIVE_UP_AFTER:
             self._give_up()
@@ -241,10 +242,10 @@
 
     def _restore(self, stored: StoredSession, state: ServerRecovery) -> None:
         try:
-            state.front_sessions[stored.path] = self.driver.taken_up(stored, state.server)
+            state.front_sessions[stored.path] = self.driver.resume(stored, state.server)
         except InvalidRequest:
             # its title or package is no longer in the settings, or its seat is taken: it is torn down as an orphan
-            self.driver.forgotten(stored)
+            self.driver.ended_before_resume(stored)
 
     def _ask_waiting(self) -> None:
         now = self.session_core.driver.now()
@@ -255,26 +256,26 @@
             if state.server not in self.session_core.server_list.shelf_of:
                 # the server has left the list meanwhile, and the session core has ended what played there
                 self._finish(state, ask_waiting=False)
-            elif self.out < MAX_IN_FLIGHT and now >= state.retry_at:
+            elif self.in_flight < MAX_IN_FLIGHT and now >= state.retry_at:
                 self._ask(state)
             else:
                 self.waiting.append(state)
         self._check_finished()
 
     def _ask(self, state: ServerRecovery) -> None:
-        state.out = True
-        self.out += 1
+        state.in_flight = True
+        self.in_flight += 1
         if state.adopting is None:
             self.driver.ask_sessions(state.server)
         else:
             self.driver.adopt(state.server, list(state.adopting))
 
     def _take_back(self, server: Server) -> ServerRecovery | None:
-        state = self.at.get(server)
-        if state is None or not state.out:
+        state = self.by_server.get(server)
+        if state is None or not state.in_flight:
             return None
-        state.out = False
-        self.out -= 1
+        state.in_flight = False
+        self.in_flight -= 1
         return None if state.done else state
 
     def _session_ended(self, state: ServerRecovery, path: str, front_session: FrontSession) -> None:
@@ -287,7 +288,7 @@
         self.session_core.orphaned(server, self.driver.session_of(row, None))
 
     def _resolve_found(self, server: Server, row: ListedSession) -> None:
-        doubt = self.doubts.pop(row.doubt, None)
+        doubt = self.doubts.pop(row.setup_mark, None)
         session = self.driver.session_of(row, doubt)
         if doubt is not None and self.session_core.found(doubt.key, server, session, row.rung) is not None:
             self.found += 1
@@ -307,7 +308,7 @@
             self._ask_waiting()
 
     def _give_up(self) -> None:
-        for state in self.at.values():
+        for state in self.by_server.values():
             if not state.done:
                 state.done = True
                 self.silent.append(state.server)
@@ -320,13 +321,15 @@
         for waiting in self.pending.values():
             for stored in waiting:
                 self.given_up += 1
-                self.driver.forgotten(stored)
+                self.driver.ended_before_resume(stored)
         self.pending.clear()
         for doubt in self.doubts.values():
             self.session_core.not_found(doubt.key)
         self.doubts.clear()
-        self.over = True
+        self.finished = True
 
     def _check_finished(self) -> None:
         # not finished before any server is known: a front with an empty folder may have left sessions all the same
-        self.over = bool(self.at) and not self.pending and not self.doubts and all(state.done for state in self.at.values())
+        self.finished = (
+            bool(self.by_server) and not self.pending and not self.doubts and all(state.done for state in self.by_server.values())
+        )
--- a/curlewshift/retries/keys.py
+++ b/curlewshift/retries/keys.py
@@ -16,55 +16,55 @@
 from typing import Any
 
 # Maximum number of ended entries; beyond it those that expire first are dropped.
-MOST_ENDED = 20_000
+MAX_ENDED = 20_000
 # Ended keys expire together in spans of this length (ns). A timing wheel with one entry per key costs twice as much for
 # each key, and the order of expiry within a span does not matter here.
 EXPIRY_SPAN = 250_000_000
 
 
-class Held:
-    """One key. `mark` identifies the request made under it and `front_session` its session; `until` is the expiry time,
-    0 while the request is in progress."""
+class KeyEntry:
+    """One key. `request_identity` identifies the request made under it and `front_session` its session; `until` is the
+    expiry time, 0 while the request is in progress."""
 
-    __slots__ = ("front_session", "key", "mark", "until")
+    __slots__ = ("front_session", "key", "request_identity", "until")
 
-    def __init__(self, key: str, mark: Any, front_session: Any):
-        self.key, self.mark, self.front_session, self.until = key, mark, front_session, 0
+    def __init__(self, key: str, request_identity: Any, front_session: Any):
+        self.key, self.request_identity, self.front_session, self.until = key, request_identity, front_session, 0
 
 
 class KeyTable:
     """Entries by key; times are ns of the caller's clock. The cost of an operation does not depend on the number of
     entries: an ended key goes into the bucket of its time span, and each bucket is emptied once, when its span has passed."""
 
-    def __init__(self, now: int, most_ended: int = MOST_ENDED):
-        self.held: dict[str, Held] = {}
+    def __init__(self, now: int, most_ended: int = MAX_ENDED):
+        self.entries: dict[str, KeyEntry] = {}
         self.buckets: dict[int, list[str]] = {}
         self.next_span = now // EXPIRY_SPAN
         self.ended_count, self.most_ended = 0, most_ended
 
     def __len__(self) -> int:
-        return len(self.held)
+        return len(self.entries)
 
-    def find(self, key: str, now: int) -> Held | None:
+    def find(self, key: str, now: int) -> KeyEntry | None:
         """The entry of this key, if there is one. Also drops expired entries."""
         if now // EXPIRY_SPAN > self.next_span:
             self._expire_until(now // EXPIRY_SPAN)
-        entry = self.held.get(key)
+        entry = self.entries.get(key)
         # buckets are emptied up to one span late, so the entry's own time decides
         if entry is not None and 0 < entry.until <= now:
             self._remove(entry)
             return None
         return entry
 
-    def hold(self, key: str, mark: Any, front_session: Any) -> Held:
+    def add(self, key: str, request_identity: Any, front_session: Any) -> KeyEntry:
         """Adds an entry in progress, which is kept until `ended` or `forget`. The key must be free."""
-        assert key not in self.held, "the key is already in use"
-        entry = self.held[key] = Held(key, mark, front_session)
+        assert key not in self.entries, "the key is already in use"
+        entry = self.entries[key] = KeyEntry(key, request_identity, front_session)
         return entry
 
-    def ended(self, entry: Held, until: int) -> None:
+    def ended(self, entry: KeyEntry, until: int) -> None:
         """The request has its final answer, which is repeated to requests with this key until the time `until`."""
-        if self.held.get(entry.key) is not entry or entry.until:
+        if self.entries.get(entry.key) is not entry or entry.until:
             return
         entry.until = max(1, until)
         self.buckets.setdefault(max(until // EXPIRY_SPAN, self.next_span), []).append(entry.key)
@@ -72,9 +72,9 @@
         while self.ended_count > self.most_ended:
             self._empty_bucket(min(self.buckets))
 
-    def forget(self, entry: Held) -> None:
+    def forget(self, entry: KeyEntry) -> None:
         """Frees the key: the request failed and nothing can have run at a media server."""
-        if self.held.get(entry.key) is entry:
+        if self.entries.get(entry.key) is entry:
             self._remove(entry)
 
     def _expire_until(self, span: int) -> None:
@@ -91,10 +91,10 @@
     def _empty_bucket(self, bucket: int) -> None:
         """Drops the ended keys of a bucket. A key that has been reused since belongs to another bucket, or to none."""
         for key in self.buckets.pop(bucket):
-            entry = self.held.get(key)
+            entry = self.entries.get(key)
             if entry is not None and entry.until and entry.until // EXPIRY_SPAN <= bucket:
                 self._remove(entry)
 
-    def _remove(self, entry: Held) -> None:
-        del self.held[entry.key]
+    def _remove(self, entry: KeyEntry) -> None:
+        del self.entries[entry.key]
         self.ended_count -= entry.until > 0
--- a/curlewshift/rules.py
+++ b/curlewshift/rules.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from curlewshift.host import Host
-from curlewshift.model import Link, Listed, Outcome, Package, Server, Terms, Viewing
+from curlewshift.model import Link, ListedServer, Outcome, Package, Server, Terms, Viewing
 
 SECOND = 1_000_000_000
 
@@ -56,7 +56,7 @@
 # A tune-in may use this share of the time left to the join target, so that another one still fits in.
 TUNE_IN_SHARE = 0.4
 MIN_TUNE_IN = SECOND // 5
-COME_BACK = SECOND
+MAX_RETRY_WAIT = SECOND
 # Fronts take turns at a cold server. A turn lasts so many of the windows in which its set-ups are counted. The rest after
 # it is longer than one window, as clocks differ and set-ups wait for connections. With more turns most fronts have none.
 TURN_WINDOWS, REST_WINDOWS, MAX_TURNS = 10, 1.25, 8
@@ -99,7 +99,7 @@
 def rendezvous_weight(viewing: Viewing, server: Server) -> int:
     """Orders servers for one viewer, alike at all fronts (rendezvous hashing)."""
     # the product mixes all bits, as hashes may share their leading bits
-    return (viewing.mark ^ server.mark) * HASH_MULTIPLIER % 2**64
+    return (viewing.placement_hash ^ server.placement_hash) * HASH_MULTIPLIER % 2**64
 
 
 class Rules:
@@ -109,12 +109,12 @@
         self.host, self.chance = host, Random(terms.seed)
         # a dict, for its order and fast look-up: with a list, long server lists took quadratic time
         self.servers: dict[Server, bool] = {}
-        self.born, self.local_index, self.fronts = terms.now, terms.me, max(1, terms.fronts)
+        self.started_at, self.local_index, self.fronts = terms.now, terms.me, max(1, terms.fronts)
         self.racks_told = terms.racks_told
         # own changes younger than this are not in the reports yet
         self.report_lag = max(terms.told_late, SECOND // 4)
         self.max_tune_ins, self.probes = terms.max_tune_ins, terms.probes
-        self.wait = min(COME_BACK, terms.longest_wait)
+        self.retry_wait = min(MAX_RETRY_WAIT, terms.longest_wait)
         self.warm_within, self.fall_within = terms.warm_within, terms.fall_within
         self.turn_length = int(terms.fall_within * (TURN_WINDOWS + REST_WINDOWS)) or 1
         # 0 for one front, towards 1 for many: each of many fronts sees little of what plays on a link and can step little of it
@@ -135,7 +135,7 @@
         self.further_rights, self.further_wanted_at = None, 0
         self.seat_rights: dict[Package, dict[str, list]] = {}
         self.seat_wanted_at: dict[tuple[str, Package], int] = {}
-        self.again_stopped = False  # the retries of all fronts exceed what their successes pay for
+        self.retries_stopped = False  # the retries of all fronts exceed what their successes pay for
         self.seats: Counter = Counter()
         self.titles: dict[str, bool] = {}
         self.own = self.rate_squares = 0.0
@@ -144,7 +144,7 @@
 
     # ---- the server list
 
-    def listed(self, lines: list[Listed], stale: bool) -> None:
+    def listed(self, lines: list[ListedServer], stale: bool) -> None:
         """Lines of the server list are new or have changed; `stale` if they are from before this front started."""
         for line in lines:
             server = line.server
@@ -153,19 +153,19 @@
                     server.open = False
                     continue
                 self.servers[server] = True
-                server.out_cap = INITIAL_OUT_CAP
+                server.max_outstanding = INITIAL_OUT_CAP
                 if stale or not line.started:
                     # a stale list proves no server warm: any of them may have started just now
-                    server.unproven_until = self.born + self.warm_within
+                    server.unproven_until = self.started_at + self.warm_within
                     self.unproven_pace += server.streams * self.pace / self.fronts
             if line.started > server.started:
                 server.started = line.started
                 server.cold_until = max(line.started + self.warm_within, server.cold_until)
-                server.out_cap = INITIAL_OUT_CAP
+                server.max_outstanding = INITIAL_OUT_CAP
                 server.link.others = 0.0
-                if server.trouble_at < line.started:
+                if server.fault_at < line.started:
                     # this start clears only earlier failures: a later loss may mean another restart
-                    server.failed, server.trouble = False, 0.0
+                    server.failed, server.fault_score = False, 0.0
             server.open = line.open
         self._learn_usual()
 
@@ -180,7 +180,7 @@
         self._attach(viewing, server)
         self._start_playing(viewing)
 
-    def rung_told(self, viewing: Viewing, rung: int) -> None:
+    def rung_reported(self, viewing: Viewing, rung: int) -> None:
         """The viewing is on this rung, by no decision of the rules."""
         if viewing.server is not None:
             self._set_rate(viewing, rung)
@@ -189,7 +189,7 @@
         """A viewer requests this viewing."""
         self.request_times.append(self.host.now())
         # a probe may stay unanswered until the tick after next; viewers whose patience ends sooner are placed at once
-        if not self.probes or viewing.expires - viewing.asked_at <= 2 * TICK or not self._probe_holders(viewing):
+        if not self.probes or viewing.expires - viewing.requested_at <= 2 * TICK or not self._probe_holders(viewing):
             self._place(viewing)
 
     def begun(self, viewing: Viewing) -> None:
@@ -197,7 +197,7 @@
         server = viewing.server
         if server is None or viewing.playing:
             return
-        server.out -= 1
+        server.outstanding -= 1
         self._record_answer(server)
         viewing.changed_at = self.host.now()
         self._start_playing(viewing)
@@ -208,26 +208,26 @@
         if server is not None:
             self._detach(viewing)
             if not played:
-                server.out -= 1
+                server.outstanding -= 1
             # An error on a title that never played here is put down to the title: requests for a missing title
             # would mark every server as failing.
             if outcome is not Outcome.ERROR or viewing.title in self.titles:
                 self._record_outcome(server, outcome)
         viewing.may_have_run |= outcome not in NEVER_RAN
-        if closed or viewing.over or played:
-            viewing.over = True
+        if closed or viewing.ended or played:
+            viewing.ended = True
         elif viewing.package.paid_at_setup and viewing.may_have_run:
             # a paid set-up is never sent again, and a refusal would invite the client to repeat it
-            viewing.over = True
+            viewing.ended = True
             self.host.abort(viewing)
-        elif self.host.now() >= viewing.asked_at + viewing.package.join_target:
+        elif self.host.now() >= viewing.requested_at + viewing.package.join_target:
             self._block(viewing)
         else:
             self._place(viewing)
 
     def left(self, viewing: Viewing) -> None:
         """The viewer has left before an answer."""
-        viewing.over = True
+        viewing.ended = True
 
     # ---- placing
 
@@ -239,7 +239,7 @@
         stale_holders = [
             server
             for server in self._open_to(viewing)
-            if self.host.now() - server.link.reported_at > PROBE_REPORT_AGE and not self._sick(server)
+            if self.host.now() - server.link.reported_at > PROBE_REPORT_AGE and not self._is_failing(server)
         ]
         stale_holders.sort(key=lambda server: (self._room(server), rendezvous_weight(viewing, server)), reverse=True)
         for server in stale_holders[:MAX_PROBES]:
@@ -256,7 +256,7 @@
         awaiting_probe, server.awaiting_probe = server.awaiting_probe, []
         for viewing in awaiting_probe:
             viewing.probes_out -= 1
-            if not viewing.probes_out and not viewing.over:
+            if not viewing.probes_out and not viewing.ended:
                 self._place(viewing)
 
     def _budget_left(self, viewing: Viewing) -> bool:
@@ -264,9 +264,9 @@
         for times in (self.request_times, self.further_times):
             while times and times[0] <= since:
                 times.popleft()
-        free = self.free_further if self.further_rights is None else self._in_hand(self.further_rights)
+        free = self.free_further if self.further_rights is None else self._valid_rights(self.further_rights)
         left = not viewing.tune_ins or (
-            not self.again_stopped and len(self.further_times) + 1 <= free + self.further_share * len(self.request_times)
+            not self.retries_stopped and len(self.further_times) + 1 <= free + self.further_share * len(self.request_times)
         )
         if not left:
             self.further_wanted_at = self.host.now()
@@ -285,22 +285,22 @@
     def seat_left(self, title: str, package: Package) -> bool:
         """Whether a seat (concurrency slot) of the title is free; if not, notes that this front needs more."""
         dealt = self.seat_rights.get(package)
-        seats = package.seats if dealt is None else self._in_hand(dealt.get(title, ()))
+        seats = package.seats if dealt is None else self._valid_rights(dealt.get(title, ()))
         if not package.seats or self.seats[title, package] < seats:
             return True
         if dealt is not None:
             self.seat_wanted_at[title, package] = self.host.now()
         return False
 
-    def _in_hand(self, rights) -> int:
+    def _valid_rights(self, rights) -> int:
         """How many rights are valid now, of those that were dealt to this front or lent to it."""
         now = self.host.now()
         return sum(count for since, until, count in rights if since <= now < until)
 
     def _block(self, viewing: Viewing) -> None:
-        viewing.over = True
+        viewing.ended = True
         # random, so that viewers refused together do not come back together
-        self.host.block(viewing, int(self.wait * self.chance.uniform(0.6, 1.0)))
+        self.host.block(viewing, int(self.retry_wait * self.chance.uniform(0.6, 1.0)))
 
     def _place(self, viewing: Viewing) -> None:
         late = viewing.tune_ins >= self.max_tune_ins or self.host.now() >= viewing.expires
@@ -317,9 +317,9 @@
             rates = viewing.package.rates
             fits = ((rung, at) for rung, at in options if self._room(server, rates[rung], at, viewing) >= 0)
             rung, bound = next(fits, (None, 0.0))
-            failing = self._sick(server)
+            failing = self._is_failing(server)
             # a paid set-up that fails cannot be retried elsewhere: it never goes to a server that is failing
-            if rung is None or (failing and (viewing.package.paid_at_setup or server.out)):
+            if rung is None or (failing and (viewing.package.paid_at_setup or server.outstanding)):
                 continue
             # a set-up waits until the end of an earlier one at the same server is confirmed, which a hung server never does
             rank = (
@@ -353,10 +353,10 @@
         server.sent = [at for at in server.sent if at > now - self.warm_within] + [now]
         if now < server.unproven_until:
             self.unproven_left -= 1
-        server.out += 1
+        server.outstanding += 1
         until = viewing.expires
         if not viewing.package.paid_at_setup and viewing.tune_ins < self.max_tune_ins:
-            left = viewing.asked_at + viewing.package.join_target - now
+            left = viewing.requested_at + viewing.package.join_target - now
             until = min(until, now + max(MIN_TUNE_IN, int(left * TUNE_IN_SHARE)))
         self._attach(viewing, server)
         if rung <= viewing.ceiling:
@@ -372,9 +372,9 @@
         if now >= max(server.cold_until, server.unproven_until) and not server.failed:
             return True
         server.sent = [at for at in server.sent if at > now - self.warm_within]
-        if server.out >= server.out_cap or self._own_part_left(server, now):
-            return server.out < server.out_cap
-        server.wanted_at = now
+        if server.outstanding >= server.max_outstanding or self._own_share_left(server, now):
+            return server.outstanding < server.max_outstanding
+        server.rights_wanted_at = now
         # With too many turns, most fronts that have just started could send nowhere until their servers are warm. So each
         # may send one set-up to a server, with all servers together limited to this front's share of the starting
         # paces. That holds on average; a crowd on one title could bring one set-up from each front. Where rights are
@@ -390,13 +390,13 @@
         """Set-ups in a window that a cold server can take from all fronts together, to be dealt out as rights."""
         return int(min(self.cold_setups_per_stream * server.streams, 10**6))
 
-    def takes(self, server: Server, rate: float) -> bool:
+    def can_admit(self, server: Server, rate: float) -> bool:
         """Whether one more viewing of this rate (kB/s) would be admitted at a warm server; nothing is reserved."""
         now = self.host.now()
         guarded = server.failed or now < max(server.cold_until, server.unproven_until)
         return server.open and now >= server.full_until and not guarded and self._room(server, rate) >= 0
 
-    def _own_part_left(self, server: Server, now: int) -> bool:
+    def _own_share_left(self, server: Server, now: int) -> bool:
         """Whether this front may send a cold server one more set-up within its share of the server's pace.
 
         A cold server fails if all fronts together exceed its pace in any window. Where a front's share is under one
@@ -407,16 +407,16 @@
             return True  # no pace is stated
         window, budget, length = self.fall_within, self.cold_setups_per_stream * server.streams, self.turn_length
         if self.rights_dealt:
-            return sum(at > now - window for at in server.sent) + 1 <= self._in_hand(server.rights or ())
+            return sum(at > now - window for at in server.sent) + 1 <= self._valid_rights(server.rights or ())
         spare = sqrt(budget) + 1  # half of the excess over the budget that random variation explains
         if budget * MAX_TURNS >= self.fronts and not server.failed and now >= server.cold_until:
             budget += spare
         turns = -(-self.fronts // max(1, int(min(self.fronts, budget))))
         if turns > 1:
-            turn, spent = divmod(now + server.mark % (turns * length), length)
+            turn, spent = divmod(now + server.placement_hash % (turns * length), length)
             if turn % turns != self.local_index % turns or spent >= window * TURN_WINDOWS:
                 return False
-        if now < self.born + window:
+        if now < self.started_at + window:
             # An earlier life (run of this process) may have sent its share in this window: this one may use only the other
             # half of the excess that random variation explains.
             budget = min(budget, spare)
@@ -424,12 +424,12 @@
 
     # ---- health
 
-    def _sick(self, server: Server) -> bool:
+    def _is_failing(self, server: Server) -> bool:
         """Whether the server is failing, by its fault score here or by evidence from other fronts."""
         now = self.host.now()
-        if server.doubted and now - server.heard_at > COUNTED_TIMEOUT:
+        if server.doubted and now - server.last_seen_at > COUNTED_TIMEOUT:
             return True
-        return decayed(server.trouble, now - server.trouble_at, FAULT_DECAY) > FAULT_THRESHOLD
+        return decayed(server.fault_score, now - server.fault_at, FAULT_DECAY) > FAULT_THRESHOLD
 
     def _unusually_silent(self, server: Server) -> bool:
         """Whether a server that should report has been silent for unusually long, given the gaps between its reports.
@@ -439,20 +439,20 @@
         """
         if server.gap_count < MIN_GAPS or not server.link.playing:
             return False
-        return self.host.now() - server.heard_at > server.mean_gap + SILENCE_DEVIATIONS * max(
+        return self.host.now() - server.last_seen_at > server.mean_gap + SILENCE_DEVIATIONS * max(
             server.gap_deviation, server.mean_gap / 4
         )
 
     def _record_contact(self, server: Server) -> None:
         now = self.host.now()
-        gap = now - server.heard_at
+        gap = now - server.last_seen_at
         # gaps count only while reports are due: the time before the first viewing there says nothing
-        if gap > 0 and server.heard_at and server.link.playing:
+        if gap > 0 and server.last_seen_at and server.link.playing:
             server.gap_count += 1
             weight = max(MIN_GAP_WEIGHT, 1 / server.gap_count)
             server.gap_deviation += weight * (abs(gap - (server.mean_gap or gap)) - server.gap_deviation)
             server.mean_gap += weight * (gap - server.mean_gap)
-        server.heard_at = now
+        server.last_seen_at = now
 
     def _record_outcome(self, server: Server, outcome: Outcome) -> None:
         now = self.host.now()
@@ -463,18 +463,18 @@
             server.link.others = max(server.link.others, server.link.size - server.link.own)
             server.link.reported, server.link.reported_at = True, now
         elif outcome in FAILURES:
-            trouble = decayed(server.trouble, now - server.trouble_at, FAULT_DECAY)
+            fault_score = decayed(server.fault_score, now - server.fault_at, FAULT_DECAY)
             # one loss ends many viewings at once; their number says nothing about its duration, hence the maximum
-            server.trouble, server.trouble_at = min(trouble + FAULT_PER_FAILURE, MAX_FAULT), now
+            server.fault_score, server.fault_at = min(fault_score + FAULT_PER_FAILURE, MAX_FAULT), now
             if outcome is not Outcome.ERROR:
                 # whatever the fault was, the server may come back cold, and the list need not show it
-                server.failed, server.out_cap = True, INITIAL_OUT_CAP
+                server.failed, server.max_outstanding = True, INITIAL_OUT_CAP
 
     def _record_answer(self, server: Server) -> None:
         now = self.host.now()
         self._record_contact(server)
-        server.trouble *= FAULT_AFTER_ANSWER
-        server.out_cap += 1
+        server.fault_score *= FAULT_AFTER_ANSWER
+        server.max_outstanding += 1
         if server.failed:
             server.failed = False
             server.cold_until = max(server.cold_until, now + self.warm_within)
@@ -545,7 +545,7 @@
     def _link_room(
         self, link: Link, rate: float = 0.0, bound: float = MARGIN_DEVIATIONS, viewing: Viewing | None = None
     ) -> float:
-        if self._short(link):
+        if self._is_short(link):
             return -inf
         # Viewings of other fronts are taken to vary as this front's do: with no deviation for them, links that carry
         # none of its own looked the emptiest.
@@ -557,7 +557,7 @@
     def _room(self, server: Server, rate: float = 0.0, bound: float = MARGIN_DEVIATIONS, viewing: Viewing | None = None) -> float:
         return min(self._link_room(server.link, rate, bound, viewing), self._link_room(server.rack.link, rate, bound, viewing))
 
-    def _short(self, link: Link) -> bool:
+    def _is_short(self, link: Link) -> bool:
         return link.missing_share > 0 and self.host.now() - link.missing_at < NOTE_TIMEOUT
 
     # ---- reports of delivery and load
@@ -571,9 +571,9 @@
             link.climbs_from = now + CLIMB_HOLD
         if link.missing_share and now - self.report_lag >= link.relieved_at:
             # the share was measured before the latest own changes: the rate that they took off counts already
-            link.owed = max(0.0, link.own - (link.own - link.unreported) * share)
+            link.reduction_due = max(0.0, link.own - (link.own - link.unreported) * share)
 
-    def link_told(self, server: Server, use: float) -> None:
+    def link_report_received(self, server: Server, use: float) -> None:
         """The server has reported the load of its link, as a share of its size."""
         self._record_contact(server)
         self.link_reported(server, use)
@@ -596,7 +596,7 @@
         """Other fronts have used the server, since this front started, for longer than it takes to get warm."""
         server.unproven_until = 0
 
-    def uplink_told(self, server: Server, use: float) -> None:
+    def uplink_report_received(self, server: Server, use: float) -> None:
         """The server has reported the load of its rack's uplink, as a share of its size."""
         self._update_from_report(server.rack.link, use)
 
@@ -620,12 +620,12 @@
         self.host.wake(self.host.now() + TICK)
         for server in self.servers:
             # a probe that is never answered must not hold back the answer due to a viewer
-            if server.awaiting_probe and self.host.now() - server.awaiting_probe[0].asked_at > TICK:
+            if server.awaiting_probe and self.host.now() - server.awaiting_probe[0].requested_at > TICK:
                 self.probed(server, Outcome.SILENT)
         self._learn_usual()
         # links without viewings of this front have nothing to step or climb; in a large fleet most links are such
         for link in sum(self._links(), []):
-            if link.playing or link.owed:
+            if link.playing or link.reduction_due:
                 self._relieve(link)
         for server in self.servers:
             if server.link.playing:
@@ -670,32 +670,32 @@
         All fronts receive the same late report at once, and each reduces its own share of the excess. Where that is
         less than one step a random draw decides: a step by every front would be many times too much.
         """
-        part, owed = self._own_share(link), link.owed
-        if owed > 0:
-            link.owed, link.relieved_at = 0.0, self.host.now()
-        elif link.reported and not self._short(link):
-            owed = (self._use(link) - OVERLOAD_RATIO * link.size) * part
-        if owed <= 0 and link.holds and not self._short(link):
+        part, reduction_due = self._own_share(link), link.reduction_due
+        if reduction_due > 0:
+            link.reduction_due, link.relieved_at = 0.0, self.host.now()
+        elif link.reported and not self._is_short(link):
+            reduction_due = (self._use(link) - OVERLOAD_RATIO * link.size) * part
+        if reduction_due <= 0 and link.holds and not self._is_short(link):
             self._make_room(link)
-        if owed <= 0 or not link.playing:
+        if reduction_due <= 0 or not link.playing:
             return
         # the highest rungs step first across fronts too: a front whose viewings here have higher rates than usual reduces more
-        owed *= link.own_rate_squares / link.own / (self.rate_squares / self.own)
-        link.others_reaction -= owed * (1 - part) / part
+        reduction_due *= link.own_rate_squares / link.own / (self.rate_squares / self.own)
+        link.others_reaction -= reduction_due * (1 - part) / part
         for viewing in self._step_order(link):
-            if owed > 0 and viewing.rung > viewing.package.floor:
+            if reduction_due > 0 and viewing.rung > viewing.package.floor:
                 less = viewing.held_rate - viewing.package.rates[viewing.rung - 1]
-                if self.chance.random() >= max(owed / less, part):
+                if self.chance.random() >= max(reduction_due / less, part):
                     return
                 self._step(viewing, viewing.rung - 1)
-                owed -= less
+                reduction_due -= less
 
     def _make_room(self, link: Link) -> None:
         """Steps viewings down to free room that is held here and still in use; packages with a hold here are not stepped."""
-        owed = min(self._reserved(link, None), self._use(link) + self._reserved(link, None) - link.size)
+        reduction_due = min(self._reserved(link, None), self._use(link) + self._reserved(link, None) - link.size)
         for viewing in self._step_order(link):
-            if owed > 0 and viewing.rung > viewing.package.floor and viewing.package not in link.holds:
-                owed -= viewing.held_rate - viewing.package.rates[viewing.rung - 1]
+            if reduction_due > 0 and viewing.rung > viewing.package.floor and viewing.package not in link.holds:
+                reduction_due -= viewing.held_rate - viewing.package.rates[viewing.rung - 1]
                 self._step(viewing, viewing.rung - 1)
 
     def _climb(self, server: Server) -> None:
--- a/curlewshift/scale/node.py
+++ b/curlewshift/scale/node.py
@@ -97,7 +97,7 @@
             server.rack.link.own -= server.link.own
             server.link.own = self.usual * self.rng.uniform(1 - WANDERS, 1 + WANDERS)
             server.rack.link.own += server.link.own
-            server.heard_at = self.now()
+            server.last_seen_at = self.now()
 
     def share_rights(self) -> None:
         pass
--- a/curlewshift/scale/slopes_stands.py
+++ b/curlewshift/scale/slopes_stands.py
@@ -100,10 +100,10 @@
             self.note(b"wire", b"0.5")
 
     def note(self, kind: bytes, figure: bytes) -> None:
-        self.say(self.lines[-1], isup.encode(isup.NOTE, bytes(8), (isup.KIND, kind), (isup.FIGURE, figure)))
+        self.say(self.lines[-1], isup.encode(isup.NOTE, bytes(8), (isup.KIND, kind), (isup.VALUE, figure)))
 
     def release(self, id: bytes) -> None:
-        self.say(self.sessions.pop(id), isup.release(id, isup.OVER))
+        self.say(self.sessions.pop(id), isup.release(id, isup.ENDED))
 
 
 class Bulletin(Listening):
--- a/curlewshift/schedule/clock.py
+++ b/curlewshift/schedule/clock.py
@@ -20,13 +20,13 @@
         """The machine's present Unix time (ns), which may be set at any time."""
         return time.time_ns()
 
-    def hard(self) -> int:
+    def steppable_now(self) -> int:
         """`now` (ns), for callers that tolerate steps; only `SkewedClock` has any."""
         return self.now()
 
 
 class SkewedClock(Clock):
-    """A clock with a planted fault, for fault injection runs: it runs at a wrong rate, and `wall` and `hard` step."""
+    """A clock with a planted fault, for fault injection runs: it runs at a wrong rate, and `wall` and `steppable_now` step."""
 
     def __init__(self):
         super().__init__()
@@ -39,10 +39,10 @@
     def wall(self) -> int:
         return super().wall() + self.now() - super().now() + self.step
 
-    def hard(self) -> int:
+    def steppable_now(self) -> int:
         return self.now() + self.step
 
-    def lead(self, rate: float, step: int) -> None:
+    def skew(self, rate: float, step: int) -> None:
         """Runs at `rate` from now on; `step` (ns) is added to the previous steps."""
         self.base, self.base_reading = self.now(), super().now()
         self.rate, self.step = rate, self.step + step
--- a/curlewshift/session_core/front_session.py
+++ b/curlewshift/session_core/front_session.py
@@ -6,11 +6,11 @@
 from enum import Enum
 
 from curlewshift.model import Outcome, Server, Viewing
-from curlewshift.retries.keys import Held
+from curlewshift.retries.keys import KeyEntry
 from curlewshift.session_core.server_commands import CommandQueue
 
 
-class Kind(Enum):
+class AnswerKind(Enum):
     """How a request was answered."""
 
     PLAYS = "plays"
@@ -22,7 +22,7 @@
 class Answer:
     """The answer to a request. `wait` is retry advice (ns), 0 for none; `cause` is a text for people."""
 
-    kind: Kind
+    kind: AnswerKind
     cause: str
     wait: int = 0
     front_session: FrontSession | None = None
@@ -60,7 +60,7 @@
     viewing: Viewing
     offer: object
     # its entry in the key table, while it has one
-    held: Held | None = None
+    held: KeyEntry | None = None
     commands: CommandQueue | None = None
     requests: list[Request] = field(default_factory=list)
     tune_in: TuneIn | None = None
--- a/curlewshift/session_core/offer.py
+++ b/curlewshift/session_core/offer.py
@@ -14,11 +14,11 @@
     identity: str
     text: str = ""
     # the protocol, whep or whip; also the first segment of the path at the server
-    way: str = WHEP
+    protocol: str = WHEP
     ufrag: str = ""
 
     def __eq__(self, other):
-        return isinstance(other, Offer) and (self.identity, self.way) == (other.identity, other.way)
+        return isinstance(other, Offer) and (self.identity, self.protocol) == (other.identity, other.protocol)
 
     def __hash__(self):
         return hash(self.identity)
--- a/curlewshift/session_core/server_commands.py
+++ b/curlewshift/session_core/server_commands.py
@@ -2,7 +2,7 @@
 
 Called by the session core. A session has one ETag, and each ICE restart creates a new one, so a command sent out of order
 would be refused or, worse, accepted. A newer rung replaces one that still waits; there is no other reordering. When the
-viewing ends, waiting commands end with `Result.OVER` and nothing more is sent: `SessionEnds` ends the session itself.
+viewing ends, waiting commands end with `Result.ENDED` and nothing more is sent: `SessionEnds` ends the session itself.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
     # not answered: it may have taken effect all the same
     UNANSWERED = "unanswered"
     # the viewing ended before it was sent
-    OVER = "over"
+    ENDED = "over"
     # too many commands wait
-    CROWDED = "crowded"
+    QUEUE_FULL = "crowded"
 
 
 @dataclass(eq=False, slots=True)
@@ -71,9 +71,9 @@
     def patch(self, front_session: object, patch: object, on_finished: Callable[[ServerCommand], None]) -> ServerCommand:
         command = ServerCommand(front_session, patch=patch, on_finished=on_finished)
         if self.ended:
-            command.end(Result.OVER)
+            command.end(Result.ENDED)
         elif len(self.waiting) >= MAX_WAITING:
-            command.end(Result.CROWDED)
+            command.end(Result.QUEUE_FULL)
         else:
             self.waiting.append(command)
             self._next()
@@ -92,11 +92,11 @@
         self._next()
 
     def finish(self) -> None:
-        """The viewing has ended: waiting commands end with `Result.OVER`; the one in flight finishes by itself."""
+        """The viewing has ended: waiting commands end with `Result.ENDED`; the one in flight finishes by itself."""
         self.ended = True
         waiting, self.waiting = self.waiting, deque()
         for command in waiting:
-            command.end(Result.OVER)
+            command.end(Result.ENDED)
 
     def _next(self) -> None:
         if self.out is None and self.waiting:
--- a/curlewshift/session_core/server_list.py
+++ b/curlewshift/session_core/server_list.py
@@ -10,7 +10,7 @@
 from math import inf
 
 from curlewshift.deployment import move_to_rack, placement_hash_of
-from curlewshift.model import Link, Listed, Rack, Server
+from curlewshift.model import Link, ListedServer, Rack, Server
 
 OPEN = "on"
 DRAINING = "fading"
@@ -56,7 +56,7 @@
 
     # ---- updates; each returns the lines for the rules, or None if the update is outdated
 
-    def full(self, epoch: str, generation: int, rows: list[ServerEntry]) -> list[Listed] | None:
+    def full(self, epoch: str, generation: int, rows: list[ServerEntry]) -> list[ListedServer] | None:
         """The full list: servers missing from it are gone. An older list of the same epoch is ignored."""
         if epoch == self.epoch and generation < self.generation:
             return None
@@ -66,10 +66,10 @@
         for server in list(self.servers.values()):
             if server.name not in listed_names:
                 self._set_shelf(server, None)
-                lines.append(Listed(server, False, server.started))
+                lines.append(ListedServer(server, False, server.started))
         return lines
 
-    def change(self, epoch: str, since: int, generation: int, rows: list[ServerEntry]) -> list[Listed] | None:
+    def change(self, epoch: str, since: int, generation: int, rows: list[ServerEntry]) -> list[ListedServer] | None:
         """Changes since the list held. Raises `ListGap` if they do not follow on that list."""
         if epoch == self.epoch and generation <= self.generation:
             return None
@@ -89,7 +89,7 @@
 
     # ---- names to objects
 
-    def _entry(self, row: ServerEntry) -> Listed:
+    def _entry(self, row: ServerEntry) -> ListedServer:
         server = self.servers.get(row.server)
         rack = self._rack(row.rack)
         if server is None:
@@ -101,7 +101,7 @@
             if server.rack is not rack:
                 move_to_rack(server, rack)
         self._set_shelf(server, None if row.state == GONE else row.shelf)
-        return Listed(server, row.state == OPEN, row.started)
+        return ListedServer(server, row.state == OPEN, row.started)
 
     def _rack(self, name: str) -> Rack:
         if name not in self.racks:
--- a/curlewshift/session_core/session_core.py
+++ b/curlewshift/session_core/session_core.py
@@ -15,18 +15,18 @@
 from collections.abc import Iterable
 
 from curlewshift.deployment import Fleet, placement_hash_of
-from curlewshift.model import Listed, Outcome, Package, Server, Terms, Viewing
+from curlewshift.model import ListedServer, Outcome, Package, Server, Terms, Viewing
 from curlewshift.peaks.calendar import Calendar, Peak
 from curlewshift.peaks.peaks import Peaks
-from curlewshift.retries.keys import MOST_ENDED, KeyTable
+from curlewshift.retries.keys import MAX_ENDED, KeyTable
 from curlewshift.retries.session_ends import SessionEnd, SessionEnds
 from curlewshift.rules import Rules
 from curlewshift.session_core.driver import Driver
-from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
+from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request, TuneIn
 from curlewshift.session_core.server_commands import CommandQueue, Result, ServerCommand
 from curlewshift.session_core.server_list import ListGap, ServerEntry, ServerList
 from curlewshift.session_core.timers import Timers
-from curlewshift.state.intents import KEPT_ON
+from curlewshift.state.intents import RETENTION
 
 SECOND = 1_000_000_000
 
@@ -58,7 +58,7 @@
         server_list: ServerList | Fleet,
         rules: type[Rules] = Rules,
         most_waiting: int = MAX_WAITING,
-        most_keys: int = MOST_ENDED,
+        most_keys: int = MAX_ENDED,
         calendar: Calendar | None = None,
     ):
         self.driver, self.server_list = driver, server_list
@@ -109,13 +109,13 @@
         request = Request(name, now, now + time_limit)
         known = self.keys.find(key, now) if key is not None else None
         if known is not None:
-            if known.mark != (offer, pack, title):
+            if known.request_identity != (offer, pack, title):
                 raise KeyReused("this key was used before for another offer, title or package")
             self._join(known.front_session, request)
             return request
         if self.draining or self.waiting >= self.most_waiting:
             cause = "this front is going out of service" if self.draining else "too many requests are in work here"
-            self._answer(request, Answer(Kind.REFUSED, cause, min(SECOND, self.longest_wait)))
+            self._answer(request, Answer(AnswerKind.REFUSED, cause, min(SECOND, self.longest_wait)))
             return request
         top = pack.top if ceiling is None else ceiling
         if top < pack.floor:
@@ -136,7 +136,7 @@
         self.peaks.request_arrived(pack, now, holders)
         front_session = FrontSession(viewing, offer, requests=[request], commands=CommandQueue(self.driver.tell))
         if key is not None:
-            front_session.held = self.keys.hold(key, (offer, pack, title), front_session)
+            front_session.held = self.keys.add(key, (offer, pack, title), front_session)
         self._open(front_session, request)
         return request
 
@@ -182,7 +182,7 @@
             raise InvalidRequest(f"package {viewing.package.name!r} is not played under rung {viewing.package.floor}")
         viewing.ceiling = min(rung, viewing.package.top)
         if viewing.playing and viewing.rung > viewing.ceiling:
-            self.rules.rung_told(viewing, viewing.ceiling)
+            self.rules.rung_reported(viewing, viewing.ceiling)
             front_session.commands.rung(front_session, viewing.ceiling)
 
     def patched(self, front_session: FrontSession, patch: object, told) -> None:
@@ -236,9 +236,9 @@
             self._close(front_session)
             self.session_ends.end(tune_in.server, session)
             return
-        viewing.over = False
+        viewing.ended = False
         self.peaks.started(viewing, self.driver.now())
-        self._answer_all(front_session, Answer(Kind.PLAYS, "plays", front_session=front_session))
+        self._answer_all(front_session, Answer(AnswerKind.PLAYS, "plays", front_session=front_session))
 
     def failed(self, tune_in: TuneIn, outcome: Outcome, report: dict[str, float] | None = None) -> None:
         """The tune-in has ended without a session; the outcome says whether the server may have run it."""
@@ -248,7 +248,7 @@
         tune_in.outcome = outcome
         front_session, viewing = tune_in.front_session, tune_in.front_session.viewing
         front_session.tune_in = None
-        left = viewing.over
+        left = viewing.ended
         self.rules.ended(viewing, outcome, left)
         if left:
             self._after_leaving(front_session)
@@ -275,7 +275,7 @@
 
     def came_back(self, server: Server) -> None:
         """The server is another process than when it last answered: it may be as cold as one that starts now."""
-        self.rules.listed([Listed(server, server.open, max(self.driver.now(), server.started))], False)
+        self.rules.listed([ListedServer(server, server.open, max(self.driver.now(), server.started))], False)
 
     def plays_at(
         self,
@@ -328,7 +328,7 @@
         )
         if key is not None and self.keys.find(key, self.driver.now()) is None:
             # its client may retry because it never received the answer
-            front_session.offer, front_session.held = offer, self.keys.hold(key, (offer, pack, title), front_session)
+            front_session.offer, front_session.held = offer, self.keys.add(key, (offer, pack, title), front_session)
         self._plays_already(front_session, server, rung)
         return front_session
 
@@ -338,14 +338,14 @@
         now = self.driver.now()
         viewing = Viewing(self.viewing_count, title, mark, pack, ceiling, now, now + pack.patience, holders, expected=expected)
         front_session = FrontSession(viewing, None, session=session, commands=CommandQueue(self.driver.tell))
-        front_session.answer = Answer(Kind.PLAYS, "handed over", front_session=front_session)
+        front_session.answer = Answer(AnswerKind.PLAYS, "handed over", front_session=front_session)
         return front_session
 
     def rung_found(self, front_session: FrontSession, rung: int) -> None:
         """The server reports the rung that a viewing plays on, which may differ from the one commanded."""
         viewing = front_session.viewing
         if viewing.playing and viewing.package.floor <= rung <= viewing.package.top:
-            self.rules.rung_told(viewing, rung)
+            self.rules.rung_reported(viewing, rung)
 
     def orphaned(self, server: Server, session: object) -> None:
         """A session that an earlier life of this front left at the server has no known client: it is ended."""
@@ -357,7 +357,7 @@
     def _plays_already(self, front_session: FrontSession, server: Server, rung: int) -> None:
         self.front_sessions[front_session.viewing] = front_session
         self.rules.handed_over(front_session.viewing, server)
-        self.rules.rung_told(front_session.viewing, rung)
+        self.rules.rung_reported(front_session.viewing, rung)
 
     def told_server(self, command: ServerCommand, result: Result, reply: object = None) -> None:
         command.front_session.commands.answered(command, result, reply)
@@ -385,9 +385,9 @@
     def _report(self, server: Server, report: dict[str, float] | None) -> None:
         link, uplink = (report or {}).get("link"), (report or {}).get("uplink")
         if link is not None and 0 <= link < 1e6:
-            self.rules.link_told(server, link)
+            self.rules.link_report_received(server, link)
         if uplink is not None and 0 <= uplink < 1e6:
-            self.rules.uplink_told(server, uplink)
+            self.rules.uplink_report_received(server, uplink)
 
     # ---- what other fronts share, passed on to the rules
 
@@ -406,7 +406,7 @@
 
     def again_stopped(self, stopped: bool) -> None:
         """Whether further tune-ins have used up the retry budget that successes earn."""
-        self.rules.again_stopped = stopped
+        self.rules.retries_stopped = stopped
 
     def further_held(self, rights: list) -> None:
         """This front's rights to free further tune-ins, in the form of `rights_held`."""
@@ -460,7 +460,7 @@
             return
         self._listed(lines, False)
 
-    def lines_told(self, lines: list[Listed], stale: bool) -> None:
+    def list_lines_received(self, lines: list[ListedServer], stale: bool) -> None:
         """Changes of a list whose servers the driver keeps. Viewings on a server that is gone end when their end is seen."""
         self.rules.listed(lines, stale)
         for line in lines:
@@ -470,7 +470,7 @@
     def _forget_later(self, server: Server) -> None:
         self.timers.at(self.driver.now() + FORGET_AFTER, lambda: self._forget(server))
 
-    def _listed(self, lines: list[Listed] | None, stale: bool) -> None:
+    def _listed(self, lines: list[ListedServer] | None, stale: bool) -> None:
         if not lines:
             return
         self.rules.listed(lines, stale)
@@ -487,7 +487,7 @@
     def _forget(self, server: Server) -> None:
         if self.server_list.lists(server) or self.server_list.servers.get(server.name) is not server:
             return
-        if server.out or server.link.playing:
+        if server.outstanding or server.link.playing:
             self._forget_later(server)
             return
         self.server_list.forget(server)
@@ -518,11 +518,11 @@
             self.driver.now(),
             until,
             (),
-            over=True,
+            ended=True,
             may_have_run=True,
         )
         front_session = FrontSession(viewing, offer, commands=CommandQueue(self.driver.tell))
-        front_session.held = self.keys.hold(key, (offer, pack, title), front_session)
+        front_session.held = self.keys.add(key, (offer, pack, title), front_session)
         self.doubts[key] = front_session
         if not doubt:
             self.not_found(key)
@@ -539,11 +539,11 @@
             return None
         del self.doubts[key]
         # its viewer's ceiling was lost with the front: it climbs no higher than where it plays
-        viewing.over, viewing.ceiling, front_session.session = False, rung, session
+        viewing.ended, viewing.ceiling, front_session.session = False, rung, session
         viewing.holders = self.server_list.titles[viewing.title].holders
         self._plays_already(front_session, server, rung)
         self._answer_all(
-            front_session, Answer(Kind.PLAYS, "it plays since before the front was restarted", front_session=front_session)
+            front_session, Answer(AnswerKind.PLAYS, "it plays since before the front was restarted", front_session=front_session)
         )
         return front_session
 
@@ -551,7 +551,9 @@
         """An interrupted paid set-up plays at no known server; it may have run all the same."""
         front_session = self.doubts.pop(key, None)
         if front_session is not None:
-            self._answer_all(front_session, Answer(Kind.FAILED, "the front was restarted while it was set up; it may have run"))
+            self._answer_all(
+                front_session, Answer(AnswerKind.FAILED, "the front was restarted while it was set up; it may have run")
+            )
             self.keys.ended(front_session.held, front_session.viewing.expires)
 
     def _doubt_timed_out(self, front_session: FrontSession) -> None:
@@ -601,10 +603,10 @@
             front_session.commands.rung(front_session, rung)
 
     def block(self, viewing: Viewing, wait: int) -> None:
-        self._refuse_or_fail(viewing, Answer(Kind.REFUSED, "no server has room for it now", wait))
+        self._refuse_or_fail(viewing, Answer(AnswerKind.REFUSED, "no server has room for it now", wait))
 
     def abort(self, viewing: Viewing) -> None:
-        self._refuse_or_fail(viewing, Answer(Kind.FAILED, "its set-up failed and may have run all the same"))
+        self._refuse_or_fail(viewing, Answer(AnswerKind.FAILED, "its set-up failed and may have run all the same"))
 
     def probe(self, server: Server) -> None:
         self.driver.probe(server)
@@ -641,7 +643,7 @@
             self._time_out(front_session.tune_in)
         if front_session.waiting and front_session.viewing is viewing and front_session.answer is None:
             self.rules.left(viewing)
-            self._answer_all(front_session, Answer(Kind.FAILED, "nothing came of it in the viewer's time"))
+            self._answer_all(front_session, Answer(AnswerKind.FAILED, "nothing came of it in the viewer's time"))
             self._close(front_session)
 
     def _after_leaving(self, front_session: FrontSession) -> None:
@@ -658,7 +660,7 @@
             front_session.viewing = Viewing(
                 self.viewing_count,
                 old.title,
-                old.mark,
+                old.placement_hash,
                 old.package,
                 old.ceiling,
                 self.driver.now(),
@@ -690,7 +692,7 @@
     def _finish(self, front_session: FrontSession, outcome: Outcome) -> None:
         self.rules.ended(front_session.viewing, outcome, True)
         self.peaks.ended(front_session.viewing, self.driver.now())
-        front_session.answer = Answer(Kind.FAILED, "this viewing has ended")
+        front_session.answer = Answer(AnswerKind.FAILED, "this viewing has ended")
         self._close(front_session)
 
     def _close(self, front_session: FrontSession) -> None:
@@ -700,11 +702,11 @@
             return
         if front_session.answer is None and front_session.viewing.package.paid_at_setup and front_session.viewing.may_have_run:
             # its client closed the request; if the key were forgotten, a retry would be set up and paid for twice
-            front_session.answer = Answer(Kind.FAILED, "its set-up may have run for a request that was given up")
+            front_session.answer = Answer(AnswerKind.FAILED, "its set-up may have run for a request that was given up")
         if front_session.answer is None:
             self.keys.forget(front_session.held)
         else:
             # a client that missed its answer may retry within its patience, and one that may have paid must not pay
             # twice for retrying a little later
-            extra = KEPT_ON if front_session.viewing.package.paid_at_setup and front_session.viewing.may_have_run else 0
+            extra = RETENTION if front_session.viewing.package.paid_at_setup and front_session.viewing.may_have_run else 0
             self.keys.ended(front_session.held, max(front_session.viewing.expires, self.driver.now() + SECOND) + extra)
--- a/curlewshift/session_core/shedding.py
+++ b/curlewshift/session_core/shedding.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from curlewshift.model import Package, Server
-from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
+from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request, TuneIn
 
 
 class Shedding:
@@ -23,18 +23,18 @@
 
     # ---- events passed to the overload control
 
-    def asked(self, package: str, title: str, who: str) -> int:
+    def admission_wait(self, package: str, title: str, who: str) -> int:
         """How long the viewer has to stay away (ns), 0 if admitted. Unknown packages and titles are left to the session
         core to refuse."""
         session_core = self.session_core()
         known_package, listed_title = session_core.packages.get(package), session_core.server_list.titles.get(title)
         return (
-            self.overload.asked(known_package, listed_title.holders, who)
+            self.overload.admission_wait(known_package, listed_title.holders, who)
             if known_package is not None and listed_title is not None
             else 0
         )
 
-    def taken(self, request: Request, who: str) -> None:
+    def request_accepted(self, request: Request, who: str) -> None:
         """The session core has accepted the request of this viewer."""
         if request.front_session is not None and request.front_session.answer is None:
             self.viewer_names[request.front_session] = who
@@ -51,10 +51,10 @@
         if front_session is None:
             return
         viewing, who = front_session.viewing, self.viewer_names.pop(front_session, "")
-        if answer.kind is Kind.PLAYS:
-            self.overload.began(viewing.holders, who, self.now() > viewing.asked_at + viewing.package.join_target)
+        if answer.kind is AnswerKind.PLAYS:
+            self.overload.began(viewing.holders, who, self.now() > viewing.requested_at + viewing.package.join_target)
             self.budget()
-        elif answer.kind is Kind.REFUSED and self._refused_for_room(viewing):
+        elif answer.kind is AnswerKind.REFUSED and self._refused_for_room(viewing):
             self.overload.refused(viewing.holders)
 
     def _refused_for_room(self, viewing) -> bool:
@@ -79,7 +79,7 @@
     def budget(self) -> None:
         """Stops or allows further tune-ins, as the retry budget has it."""
         stopped = self.bounds_further and not self.overload.again.may(self.now())
-        if stopped is not self.session_core().rules.again_stopped:
+        if stopped is not self.session_core().rules.retries_stopped:
             self.session_core().again_stopped(stopped)
 
     # ---- state of the front
@@ -87,5 +87,5 @@
     def servers(self) -> list[Server]:
         return list(self.session_core().rules.servers)
 
-    def takes(self, server: Server) -> bool:
-        return self.session_core().rules.takes(server, self.floor_rate)
+    def can_admit(self, server: Server) -> bool:
+        return self.session_core().rules.can_admit(server, self.floor_rate)
--- a/curlewshift/sharing/sharing.py
+++ b/curlewshift/sharing/sharing.py
@@ -67,12 +67,12 @@
     """This front's own recent observations of one server: faded counts of good and bad signs, and `since` when (steady ns) it has
     answered without a failure; -1 while it has not."""
 
-    __slots__ = ("at", "bad", "good", "heard_at", "since", "trouble_at")
+    __slots__ = ("at", "bad", "fault_at", "good", "last_seen_at", "since")
 
     def __init__(self, now: int):
         self.good = self.bad = 0.0
         self.at, self.since = now, -1
-        self.heard_at = self.trouble_at = 0
+        self.last_seen_at = self.fault_at = 0
 
 
 class Sharing:
@@ -147,8 +147,8 @@
 
     def _lend_and_borrow(self, servers: dict[str, Server], peers: list[str]) -> None:
         for server in servers.values():
-            if server.wanted_at != self.wanted_at.get(server, 0):
-                self.wanted_at[server] = server.wanted_at
+            if server.rights_wanted_at != self.wanted_at.get(server, 0):
+                self.wanted_at[server] = server.rights_wanted_at
                 self.loans.wants(server.name)
         self.servers = servers
         self.rotation += self.terms.most_asks
@@ -168,13 +168,13 @@
         if server is None:
             return []
         rights = self.driver.rights_of(server)
-        owners = [number for number in present if dealt(rights, number, fronts, server.mark)]
-        start = (self.rotation + server.mark) % len(owners) if owners else 0
+        owners = [number for number in present if dealt(rights, number, fronts, server.placement_hash)]
+        start = (self.rotation + server.placement_hash) % len(owners) if owners else 0
         return owners[start:] + owners[:start]
 
     def part(self, key: str) -> int:
         server = self.servers.get(key)
-        return dealt(self.driver.rights_of(server), self.me, len(self.order), server.mark) if server is not None else 0
+        return dealt(self.driver.rights_of(server), self.me, len(self.order), server.placement_hash) if server is not None else 0
 
     def _update_rights(self, servers: Iterable[Server]) -> None:
         """Passes on to the rules how many rights this front has, from when and until when."""
@@ -300,17 +300,17 @@
         for server in servers.values():
             own = self.own_observations.get(server)
             if own is None:
-                if not server.heard_at and not server.trouble_at:
+                if not server.last_seen_at and not server.fault_at:
                     continue
                 own = self.own_observations[server] = OwnObservations(now)
             remaining = max(0.0, 1 - (now - own.at) / FADE_NS)
             own.good, own.bad, own.at = own.good * remaining, own.bad * remaining, now
-            if server.trouble_at != own.trouble_at:
-                own.trouble_at, own.bad, own.since = server.trouble_at, own.bad + 1, -1
-            if server.heard_at != own.heard_at:
+            if server.fault_at != own.fault_at:
+                own.fault_at, own.bad, own.since = server.fault_at, own.bad + 1, -1
+            if server.last_seen_at != own.last_seen_at:
                 # the server could have restarted during a long silence
-                after_silence = server.heard_at - own.heard_at > self.warm_within // 2
-                own.heard_at, own.good = server.heard_at, own.good + 1
+                after_silence = server.last_seen_at - own.last_seen_at > self.warm_within // 2
+                own.last_seen_at, own.good = server.last_seen_at, own.good + 1
                 if not server.failed and (own.since < 0 or after_silence):
                     own.since = now
 
--- a/curlewshift/site/site.py
+++ b/curlewshift/site/site.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from curlewshift.leases.terms import LeaseTerms
-from curlewshift.limits.admission import Bounds
+from curlewshift.limits.admission import AdmissionLimits
 from curlewshift.membership.terms import MembershipTerms, default_membership_terms
 from curlewshift.model import Package, Terms
 from curlewshift.overload.terms import OverloadTerms
@@ -125,7 +125,7 @@
     # values of Link for ICE servers (RFC 9725, 4.6)
     ice_servers: tuple[str, ...] = ()
     # what is bound at the door; None: nothing but how many may wait
-    limits: Bounds | None = None
+    limits: AdmissionLimits | None = None
     # None: each front is for itself
     peers: Peers | None = None
     # None: fronts that know each other share nothing
@@ -495,7 +495,7 @@
     }
 
 
-def _limits(fronts, packages: list[Package], obligations: Obligations, wrong: list[tuple[int, str]]) -> Bounds | None:
+def _limits(fronts, packages: list[Package], obligations: Obligations, wrong: list[tuple[int, str]]) -> AdmissionLimits | None:
     element = fronts.find("limits")
     if element is None:
         return None
@@ -503,7 +503,7 @@
     def pace(name: str) -> float:
         return float(element.get(name, "0/s").removesuffix("/s"))
 
-    return Bounds(
+    return AdmissionLimits(
         pace("from-source"),
         pace("from-holder"),
         pace("from-build"),
--- a/curlewshift/soak/plants.py
+++ b/curlewshift/soak/plants.py
@@ -20,16 +20,16 @@
 class WaitsForNoRelease(PendingReleases):
     """Lets a further attempt follow at once on another connection, behind a release that is still on its way."""
 
-    def before(self, server, id):
+    def blocker(self, server, id):
         return None
 
 
 class ReleaseElsewhere(teardowns.Teardowns):
     """Gives an attempt up on another connection than its own, and waits for nothing."""
 
-    def attempt_given_up(self, connection, attempt):
+    def attempt_abandoned(self, connection, attempt):
         other = next((one for one in connection.endpoint.connections if one is not connection and one.up), None)
-        (other or self.server_pool.open_connection(connection.endpoint)).send(isup.release(attempt.id, isup.OVER))
+        (other or self.server_pool.open_connection(connection.endpoint)).send(isup.release(attempt.id, isup.ENDED))
 
 
 class SaysOnce(teardowns.Teardowns):
@@ -37,10 +37,10 @@
 
     def connection_up(self, connection):
         for record in self.pending.of(connection.endpoint.server):
-            if not record.times_said:
+            if not record.times_sent:
                 self._write(connection, record)
 
-    def look_after(self, endpoint):
+    def run_due_steps(self, endpoint):
         pass
 
 
@@ -51,30 +51,30 @@
         if record is self.pending.of(record.server)[0]:
             super()._write(connection, record)
 
-    def look_after(self, endpoint):
+    def run_due_steps(self, endpoint):
         head = self.pending.of(endpoint.server)[0]
         if head.next_at <= self.now():
-            self._say_again(endpoint, [head])
+            self._send_again(endpoint, [head])
 
 
 class AnswersTwice(ClientListener):
-    def answer(self, asked, answer, description=b""):
-        connection = asked.connection
-        known = self.asked.get(asked.name) is asked
-        super().answer(asked, answer, description)
-        if known and int(asked.name, 16) % 50 == 0:
-            connection.wire.send(rtsp.answer(500, "1", asked.name))
+    def answer(self, client_session, answer, description=b""):
+        connection = client_session.connection
+        known = self.sessions.get(client_session.name) is client_session
+        super().answer(client_session, answer, description)
+        if known and int(client_session.name, 16) % 50 == 0:
+            connection.transport.send(rtsp.answer(500, "1", client_session.name))
 
 
 class HalfAnswers(ClientListener):
     """Cuts some answers off in their bodies, and keeps the connection."""
 
-    def answer(self, asked, answer, description=b""):
+    def answer(self, client_session, answer, description=b""):
         whole = rtsp.answer
-        if int(asked.name, 16) % 50 == 0 and description:
+        if int(client_session.name, 16) % 50 == 0 and description:
             client_listener.rtsp.answer = lambda *told, **more: whole(*told, **more)[:-7]
         try:
-            super().answer(asked, answer, description)
+            super().answer(client_session, answer, description)
         finally:
             client_listener.rtsp.answer = whole
 
@@ -84,16 +84,16 @@
 
     before = b""
 
-    def answer(self, asked, answer, description=b""):
-        given = self.before if int(asked.name, 16) % 50 == 0 and self.before and description else description
+    def answer(self, client_session, answer, description=b""):
+        given = self.before if int(client_session.name, 16) % 50 == 0 and self.before and description else description
         AnswersOfAnother.before = description or self.before
-        super().answer(asked, answer, given)
+        super().answer(client_session, answer, given)
 
 
 class DropsOnDrain(node.Node):
     """Ends at once on SIGTERM, with what it has taken."""
 
-    async def _end(self):
+    async def _shut_down(self):
         self.draining, self.ready = True, False
         self.tasks.cancel_scope.cancel()
 
@@ -108,7 +108,7 @@
 class StaysAfterLeaving(node.Node):
     """Does not tell the desk that a client has left."""
 
-    def gave_up(self, request):
+    def cancel_request(self, request):
         pass
 
     def read_first(self, tune_in, then):
@@ -118,7 +118,7 @@
 class ColdBurst(Rules):
     """Sends a cold server whatever it has room for."""
 
-    def _own_part_left(self, server, now):
+    def _own_share_left(self, server, now):
         return True
 
     def _may_send(self, server):
@@ -129,7 +129,7 @@
     """Sends a paid set-up again though it may have run."""
 
     def ended(self, viewing, outcome, closed):
-        if not viewing.package.paid_at_setup or closed or viewing.playing or viewing.over:
+        if not viewing.package.paid_at_setup or closed or viewing.playing or viewing.ended:
             super().ended(viewing, outcome, closed)
             return
         viewing.package.paid_at_setup = False
@@ -142,11 +142,11 @@
 class IgnoresList(node.Node):
     """Takes no word that a server drains or is gone."""
 
-    def _listed(self, rows, full, version, stale=False):
+    def _apply_server_list(self, rows, full, version, stale=False):
         def ready(told):
             rows(lambda name, address, state, *rest: told(name, address, 0, *rest))
 
-        super()._listed(ready, False, version, stale)
+        super()._apply_server_list(ready, False, version, stale)
 
 
 def _with_rules(rules: type[Rules]) -> None:
--- a/curlewshift/state/configured.py
+++ b/curlewshift/state/configured.py
@@ -14,7 +14,7 @@
 HEADER = b"curlewshift record 1 "
 
 
-class Record:
+class RecordFile:
     """`damage` says why the record cannot be read; it is empty after a successful read and where there is no file."""
 
     def __init__(self, path: Path):
@@ -30,14 +30,14 @@
             self.damage = f"{self.path.name} cannot be read: {error.strerror}"
             return None
         head, _, data = raw.partition(b"\n")
-        if not self.holds(head, data):
-            self.damage = f"{self.path.name} is spoilt: its digest does not match its content"
+        if not self.digest_matches(head, data):
+            self.damage = f"{self.path.name} is corrupt: its digest does not match its content"
             with contextlib.suppress(OSError):
                 os.replace(self.path, self.path.with_name(self.path.name + ".damaged"))
             return None
         return data
 
-    def holds(self, head: bytes, data: bytes) -> bool:
+    def digest_matches(self, head: bytes, data: bytes) -> bool:
         return head == HEADER + sha256(data).hexdigest().encode()
 
     def write(self, data: bytes) -> None:
