--- a/curlewshift/state/intents.py
+++ b/curlewshift/state/intents.py
@@ -21,7 +21,7 @@
 
 SECOND = 1_000_000_000
 # How long (ns) an intent is kept after the client's patience has passed: a client may retry late, and clocks may differ slightly.
-KEPT_ON = 30 * SECOND
+RETENTION = 30 * SECOND
 BEGAN, ENDED = "began", "ended"
 # The log is rewritten when it has more than this many records that no longer describe an open intent.
 MAX_STALE_RECORDS = 2000
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """The paid request of one key. `way` is its protocol; `until` is when the client's patience ends (Unix time, ns)."""
+    """The paid request of one key. `protocol` is its protocol; `until` is when the client's patience ends (Unix time, ns)."""
 
     key: str
     offer: str
-    way: str
+    protocol: str
     package: str
     title: str
     server: str
@@ -49,7 +49,7 @@
     return Intent(
         front_session.held.key,
         front_session.offer.identity,
-        front_session.offer.way,
+        front_session.offer.protocol,
         viewing.package.name,
         viewing.title,
         tune_in.server.name,
@@ -69,7 +69,7 @@
         """Returns the record that has to be flushed to disk before the tune-in is sent."""
         self.open[intent.key] = intent
         self.records += 1
-        return [BEGAN, intent.key, intent.offer, intent.way, intent.package, intent.title, intent.server, intent.until]
+        return [BEGAN, intent.key, intent.offer, intent.protocol, intent.package, intent.title, intent.server, intent.until]
 
     def ended(self, key: str, outcome: Outcome) -> list[Any] | None:
         """Returns the record that the tune-in provably never ran. None for all other outcomes, which stay open until they
@@ -96,13 +96,13 @@
 
     def forget(self, wall: int) -> None:
         """Drops expired intents."""
-        for intent in [intent for intent in self.open.values() if intent.until + KEPT_ON <= wall]:
+        for intent in [intent for intent in self.open.values() if intent.until + RETENTION <= wall]:
             del self.open[intent.key]
 
     def stale(self) -> bool:
         return self.records - len(self.open) > MAX_STALE_RECORDS
 
-    def anew(self) -> list[list[Any]]:
+    def snapshot(self) -> list[list[Any]]:
         """All open intents as records, with which the log is rewritten."""
         self.records = len(self.open)
         return [[BEGAN, *(getattr(intent, name) for name in Intent.__slots__)] for intent in self.open.values()]
--- a/curlewshift/state/journal.py
+++ b/curlewshift/state/journal.py
@@ -112,7 +112,7 @@
             self.failure = "a partly written record could not be removed"
         raise WriteFailed(f"writing failed: {error}") from None
 
-    def begin_anew(self, records: list[list]) -> None:
+    def rewrite(self, records: list[list]) -> None:
         """Replaces the log atomically by one with these records only. Raises `WriteFailed`; the old log is then kept."""
         temporary = self.path.with_name(self.path.name + ".new")
         try:
--- a/curlewshift/state/session_registry.py
+++ b/curlewshift/state/session_registry.py
@@ -22,14 +22,14 @@
 @dataclass(frozen=True, slots=True)
 class StoredSession:
     """One session. `token` is its address at the front's HTTP listener and `holder` the holder of the permit for it; `key` is
-    the client's idempotency key and `offer` the identity of the offer made under it; `way` is the protocol. `path`, `etag`
+    the client's idempotency key and `offer` the identity of the offer made under it; `protocol` is the protocol. `path`, `etag`
     and `ufrag` come from the media server, `answer` is its answer to the viewer."""
 
     token: str
     holder: str | None
     key: str | None
     offer: str
-    way: str
+    protocol: str
     package: str
     title: str
     ceiling: int
@@ -45,7 +45,7 @@
 _FIELD_COUNT = len(fields(StoredSession))
 
 
-def remembered(
+def to_stored_session(
     front_session: FrontSession, token: str, holder: str | None, path: str, etag: str = "", ufrag: str = "", answer: str = ""
 ) -> StoredSession:
     """The stored form of a viewing that plays."""
@@ -55,7 +55,7 @@
         holder,
         front_session.held.key if front_session.held is not None else None,
         offer.identity if offer else "",
-        offer.way if offer else "",
+        offer.protocol if offer else "",
         viewing.package.name,
         viewing.title,
         viewing.ceiling,
--- a/curlewshift/tasks/planning.py
+++ b/curlewshift/tasks/planning.py
@@ -24,7 +24,7 @@
 
     def now(self) -> int: ...
     def front_names(self) -> list[str]: ...
-    def asked_for(self) -> dict[str, float]:
+    def request_rates(self) -> dict[str, float]:
         """Requests a second at this front, by package with a peak on the calendar."""
 
     def tell_asked(self, to: str, asked: dict[str, float]) -> None: ...
@@ -52,7 +52,7 @@
         if now < self.due:
             return
         self.due = now + PLAN_INTERVAL_NS
-        self.demand[self.local_name] = now, self.driver.asked_for()
+        self.demand[self.local_name] = now, self.driver.request_rates()
         self.demand = {name: report for name, report in self.demand.items() if now - report[0] <= PLAN_TTL_NS}
         for package in {package for _, asked in self.demand.values() for package in asked}:
             parts = shares_by_demand(
@@ -71,7 +71,7 @@
 
     def tell(self, planner: str) -> None:
         """Called each second: reports this front's demand to the front that plans."""
-        asked = self.driver.asked_for()
+        asked = self.driver.request_rates()
         if asked and planner != self.local_name:
             self.driver.tell_asked(planner, asked)
 
--- a/curlewshift/teardown/pending.py
+++ b/curlewshift/teardown/pending.py
@@ -48,8 +48,8 @@
     # to be sent on the next connection that is up
     DUE = "due"
     # sent on a connection, not confirmed by the server
-    SAID = "said"
-    # as SAID, and something that the server has to answer was sent after it on the same connection
+    SENT = "said"
+    # as SENT, and something that the server has to answer was sent after it on the same connection
     TESTED = "tested"
     # confirmed by the server, or the server has gone
     CLOSED = "closed"
@@ -60,12 +60,12 @@
     """Something that set-ups wait for."""
 
     # called when its state has changed
-    followers: list[Callable[[], None]] = field(default_factory=list)
+    waiters: list[Callable[[], None]] = field(default_factory=list)
 
-    def notify_followers(self) -> None:
+    def notify_waiters(self) -> None:
         """Calls everything that waits for it, once."""
-        followers, self.followers = self.followers, []
-        for follow in followers:
+        waiters, self.waiters = self.waiters, []
+        for follow in waiters:
             follow()
 
 
@@ -80,16 +80,16 @@
     sent_at: int
     written: bool = False
     # set once its first byte is written to the kernel
-    handed: bool = False
+    sending_started: bool = False
 
-    def leaves(self) -> bool:
+    def may_send(self) -> bool:
         """Called before its first byte is written: whether it may be sent, which is always so."""
         return True
 
-    def out(self) -> None:
+    def on_written(self) -> None:
         """Called when the kernel has its last byte."""
         self.written = True
-        self.notify_followers()
+        self.notify_waiters()
 
 
 @dataclass(eq=False, slots=True)
@@ -105,7 +105,7 @@
     closed_by_server: bool = False
     # when the next step is due
     next_at: int = 0
-    times_said: int = 0
+    times_sent: int = 0
     # a copy sent before this time does not close the record: the set-up may still be in transit, on a connection that this side
     # has closed
     confirmable_from: int = 0
@@ -113,9 +113,9 @@
     copies: list[Copy] = field(default_factory=list)
 
 
-def _backoff(times_said: int) -> int:
+def _backoff(times_sent: int) -> int:
     """The pause before a release is sent again after its connection has ended."""
-    return min(RETRY_INTERVAL_NS, INITIAL_BACKOFF_NS << min(times_said - 2, 8))
+    return min(RETRY_INTERVAL_NS, INITIAL_BACKOFF_NS << min(times_sent - 2, 8))
 
 
 class PendingReleases:
@@ -162,7 +162,7 @@
         """Open records of this server, the oldest first."""
         return list(self.at.get(server, {}).values())
 
-    def unsaid_on(self, server: Server, connection: object) -> list[PendingRelease]:
+    def unsent_on(self, server: Server, connection: object) -> list[PendingRelease]:
         """Open records without a copy on this connection: a new connection sends these first."""
         return [record for record in self.of(server) if all(copy.connection is not connection for copy in record.copies)]
 
@@ -177,29 +177,29 @@
 
     # ---- messages written
 
-    def said(self, record: PendingRelease, connection: object, number: int) -> Copy:
+    def sent(self, record: PendingRelease, connection: object, number: int) -> Copy:
         """The release is sent on this connection, as the message with this sequence number."""
         now = self.now()
         copy = Copy(record, connection, number, now)
         record.copies.append(copy)
-        record.times_said += 1
-        record.state = State.SAID
+        record.times_sent += 1
+        record.state = State.SENT
         record.next_at = now + CONFIRM_TIMEOUT_NS
         self.by_connection.setdefault(connection, []).append(copy)
         self._track(record)
-        followers, record.followers = record.followers, []
-        copy.followers += followers
+        waiters, record.waiters = record.waiters, []
+        copy.waiters += waiters
         return copy
 
     def tested(self, connection: object) -> None:
         """Something that the server has to answer is sent on this connection, after all releases sent there so far."""
         for copy in self.by_connection.get(connection, ()):
             record = copy.record
-            if record.state is State.SAID and record.copies[-1] is copy:
+            if record.state is State.SENT and record.copies[-1] is copy:
                 record.state = State.TESTED
                 record.next_at = max(record.next_at, self.now() + CONFIRM_TIMEOUT_NS)
 
-    def put_off(self, records: Iterable[PendingRelease]) -> None:
+    def delay(self, records: Iterable[PendingRelease]) -> None:
         """Delays the next step of these records by a pause."""
         now = self.now()
         for record in records:
@@ -207,7 +207,7 @@
 
     # ---- events from the server and its connections
 
-    def heard(self, server: Server, id: bytes, connection: object) -> None:
+    def confirmed(self, server: Server, id: bytes, connection: object) -> None:
         """The server has sent "release heard". It confirms the copy on this connection, or else the oldest copy."""
         copies = [copy for record in self.by_id.get(id, ()) if record.server is server for copy in record.copies]
         if not copies:
@@ -226,12 +226,12 @@
                     self._confirm_read(copy.record, copy, "read")
                 self._remove_copy(copy)
 
-    def crossed(self, record: PendingRelease) -> None:
+    def closed_locally(self, record: PendingRelease) -> None:
         """This side has closed the connection of the set-up: a release on another connection may overtake the set-up, and then
         ends nothing."""
         record.confirmable_from = self.now() + MAX_TRANSIT_NS
 
-    def over(self, server: Server, id: bytes) -> None:
+    def released_by_server(self, server: Server, id: bytes) -> None:
         """The server has reported, without being asked, that it has nothing under this id any more."""
         record = self.find(server, id)
         if record is not None:
@@ -262,10 +262,10 @@
             record = copy.record
             if record.state is not State.CLOSED and record.copies[-1] is copy:
                 record.state = State.DUE
-                record.next_at = max(record.next_at, now + _backoff(record.times_said)) if record.times_said > 1 else now
+                record.next_at = max(record.next_at, now + _backoff(record.times_sent)) if record.times_sent > 1 else now
             if by_peer:
                 self._remove_copy(copy)
-            copy.out()
+            copy.on_written()
 
     # ---- set-ups that wait for releases
 
@@ -273,7 +273,7 @@
         """Servers that may still have something under this id. The set returned is updated as records are closed."""
         return self.servers_by_id.get(id, set())
 
-    def before(self, server: Server, id: bytes) -> PendingRelease | Copy | None:
+    def blocker(self, server: Server, id: bytes) -> PendingRelease | Copy | None:
         """What a set-up with this id at this server has to wait for: a record whose release was never sent, or a copy."""
         for record in self.by_id.get(id, ()):
             if record.server is server:
@@ -318,7 +318,7 @@
         if not same_id:
             self.by_id.pop(record.id, None)
             self.servers_by_id.pop(record.id, None)
-        record.notify_followers()
+        record.notify_waiters()
 
     def _confirm_read(self, record: PendingRelease, copy: Copy, reason: str) -> None:
         """The server has read this copy."""
@@ -352,4 +352,4 @@
         if not on_connection:
             del self.by_connection[copy.connection]
         self._untrack(record)
-        copy.notify_followers()
+        copy.notify_waiters()
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,6 +1,6 @@
 """A fake host for the rules, and a fixture with helpers that the tests share."""
 
-from curlewshift.model import Link, Listed, Package, Rack, Server, Terms, Viewing
+from curlewshift.model import Link, ListedServer, Package, Rack, Server, Terms, Viewing
 from curlewshift.rules import Rules
 
 SECOND = 1_000_000_000
@@ -74,11 +74,11 @@
         if warm:
             self.advance(20 * SECOND)
             for server in self.servers:
-                self.rules.link_told(server, 0.0)
-            self.rules.uplink_told(self.servers[0], 0.0)
+                self.rules.link_report_received(server, 0.0)
+            self.rules.uplink_report_received(self.servers[0], 0.0)
 
     def list(self, *servers, open=True, started=0, stale=False):
-        self.rules.listed([Listed(server, open, started) for server in servers], stale=stale)
+        self.rules.listed([ListedServer(server, open, started) for server in servers], stale=stale)
 
     def advance(self, span):
         self.host.clock += span
--- a/tests/fake_driver.py
+++ b/tests/fake_driver.py
@@ -2,7 +2,7 @@
 
 from curlewshift.model import Outcome, Terms
 from curlewshift.rules import NEVER_RAN
-from curlewshift.session_core.front_session import Kind
+from curlewshift.session_core.front_session import AnswerKind
 from curlewshift.session_core.server_list import ServerEntry, ServerList
 from curlewshift.session_core.session_core import SessionCore
 from tests.fake import MS, SECOND, package
@@ -126,7 +126,7 @@
             self.violations.append("answered too late")
         front_session = answer.front_session or request.front_session
         if (
-            answer.kind is Kind.REFUSED
+            answer.kind is AnswerKind.REFUSED
             and front_session
             and front_session.viewing in self.may_have_run
             and front_session.viewing.package.paid_at_setup
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -171,7 +171,7 @@
                 return got
 
 
-def story(test):
+def async_test(test):
     """An async test method as an ordinary one."""
 
     def run(self):
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -19,7 +19,7 @@
 
 from curlewshift.fault_injection.processes import ROOT, free_ports
 from tests.node_testbed import CLIP, RawViewer, Testbed
-from tests.sockets import story
+from tests.sockets import async_test
 
 READY_DEADLINE_S = 10.0
 PROBE = b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 0\r\n\r\n"
@@ -65,7 +65,7 @@
 
 
 class Restarts(unittest.TestCase):
-    @story
+    @async_test
     async def test_nine_of_ten_killed_processes_are_ready_in_time_with_or_without_discovery_and_then_serve(self):
         elapsed, answers = [], []
         async with Testbed(2, sockets=200).without_node() as testbed:
@@ -102,7 +102,7 @@
         self.assertLessEqual(elapsed[8], READY_DEADLINE_S, elapsed)
         self.assertEqual(answers, [200] * 10)
 
-    @story
+    @async_test
     async def test_a_process_that_never_starts_is_not_reported_ready(self):
         async with Testbed(1).without_node() as testbed:
             with mock.patch(f"{__name__}.READY_DEADLINE_S", 0.2):
--- a/tests/test_attempt_order.py
+++ b/tests/test_attempt_order.py
@@ -12,7 +12,7 @@
 from curlewshift.node.buffered_connection import BufferedConnection
 from tests.node_testbed import RawViewer, Testbed
 from tests.proxied_testbed import ProxiedTestbed
-from tests.sockets import SmallSite, story, until
+from tests.sockets import SmallSite, async_test, until
 
 REQUEST = "00000000000000a1"
 
@@ -49,7 +49,7 @@
             viewer.close()
         return attempts.max_open
 
-    @story
+    @async_test
     async def test_no_second_attempt_is_open_when_the_release_of_the_first_is_late(self):
         for delay_s in (0.02, 0.15):
             with self.subTest(delay_s=delay_s):
@@ -66,7 +66,7 @@
             viewer.close()
             return len(media.received_of(isup.SET_UP))
 
-    @story
+    @async_test
     async def test_a_server_that_has_confirmed_the_release_is_tried_again(self):
         async def confirms(connection, kind, id, parameters):
             if kind == isup.RELEASE:
@@ -74,7 +74,7 @@
 
         self.assertGreaterEqual(await self.set_ups(confirms, 2), 2)
 
-    @story
+    @async_test
     async def test_a_server_that_closes_the_connection_is_tried_again(self):
         async def closes(connection, kind, id, parameters):
             if kind == isup.SET_UP:
@@ -82,7 +82,7 @@
 
         self.assertGreaterEqual(await self.set_ups(closes, 2), 2)
 
-    @story
+    @async_test
     async def test_no_second_attempt_follows_a_local_close_that_the_server_may_not_have_seen(self):
         async def sends_garbage(connection, kind, id, parameters):
             if kind == isup.SET_UP:
@@ -90,7 +90,7 @@
 
         self.assertEqual(await self.set_ups(sends_garbage, 2), 1)
 
-    @story
+    @async_test
     async def test_a_repeated_id_waits_until_the_release_of_its_session_is_confirmed(self):
         go = anyio.Event()
         async with Testbed().running() as testbed:
@@ -125,11 +125,11 @@
         await until(lambda: any(media.received_of(isup.SET_UP) for media in testbed.media_servers))
         first = next(media for media in testbed.media_servers if media.received_of(isup.SET_UP))
         second = next(media for media in testbed.media_servers if media is not first)
-        first_connection = next(iter(testbed.node.server_pool.attempts.values())).connection.wire
+        first_connection = next(iter(testbed.node.server_pool.attempts.values())).connection.transport
         write_queue = BufferedConnection._write_queue
 
-        def write_if_allowed(wire):
-            return write_queue(wire) if wire is not first_connection or may_write() else False
+        def write_if_allowed(transport):
+            return write_queue(transport) if transport is not first_connection or may_write() else False
 
         async def writable(sock):
             if sock is first_connection.socket and not may_write():
@@ -148,7 +148,7 @@
         viewer.close()
         return first, second, times["next"] - times["given up"]
 
-    @story
+    @async_test
     async def test_no_further_attempt_is_sent_before_the_kernel_has_the_release_of_the_previous_one(self):
         may_write = []
         async with Testbed(2).running() as testbed:
@@ -164,7 +164,7 @@
                 first, _, _ = await self.first_and_second(testbed, lambda: may_write)
             self.assertEqual(len(first.received_of(isup.RELEASE)), 1)
 
-    @story
+    @async_test
     async def test_a_connection_that_cannot_write_a_release_is_reset_and_delays_no_further_attempt(self):
         async with Testbed(2).running() as testbed:
             first, _, after_s = await self.first_and_second(testbed, lambda: False)
@@ -175,7 +175,7 @@
 
 
 class HttpFront(unittest.TestCase):
-    @story
+    @async_test
     async def test_no_second_request_is_sent_to_a_server_that_has_not_closed_the_first(self):
         site, requests = SmallSite(1), []
 
@@ -201,7 +201,7 @@
 
 
 class RungChanges(unittest.TestCase):
-    @story
+    @async_test
     async def test_rung_changes_of_one_session_use_one_connection(self):
         async with Testbed().running() as testbed:
             viewer, server_pool = RawViewer(testbed.port), testbed.node.server_pool
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -21,7 +21,7 @@
 from curlewshift.standins.traffic import TICK, arrived_at
 from curlewshift.state.journal import Journal
 from curlewshift.verdict.attempts import judge_attempts
-from tests.sockets import SDP, SmallSite, an_offer, story, until
+from tests.sockets import SDP, SmallSite, an_offer, async_test, until
 
 MS = 1_000_000
 ROOT = Path(__file__).resolve().parents[1]
@@ -179,26 +179,26 @@
         with mock.patch.object(Journal, "add", held):
             yield
 
-    @story
+    @async_test
     async def test_no_attempt_begins_for_who_closed_or_shut_down_while_its_connection_was_being_made(self):
         for leaves in (lambda call: call.cut(), lambda call: call.say_no_more()):
             for package in ("clip", "paid"):
                 told, standing = await self.begun(self.dials, package, leaves)
                 self.assertEqual((told["left"], told["attempts"], standing), (1, 0, 0))
 
-    @story
+    @async_test
     async def test_nor_while_its_intent_was_being_written(self):
         with tempfile.TemporaryDirectory() as folder:
             told, standing = await self.begun(self.disk, "paid", lambda call: call.say_no_more(), state=Path(folder))
         self.assertEqual((told["left"], told["attempts"], standing), (1, 0, 0))
 
-    @story
+    @async_test
     async def test_a_front_that_does_not_hear_of_it_is_caught(self):
         told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), session_core=DeafSessionCore)
         self.assertEqual((told["late"], told["clean"]), (1, False), told)
         self.assertGreater(told["latest_ms"], 140)
 
-    @story
+    @async_test
     async def test_a_server_that_accepts_late_gets_nothing_for_who_left_meanwhile_unless_the_front_is_deaf(self):
         for session_core, begun in ((None, 0), (DeafSessionCore, 1)):
             async with SmallSite(servers=1, patience=4 * 1000 * MS).up() as site:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -14,13 +14,13 @@
 from curlewshift.node import isup
 from curlewshift.node.connections import Session
 from tests.node_testbed import CLIP, DelayedReads, MediaServer, RawViewer, Testbed
-from tests.sockets import story, until
+from tests.sockets import async_test, until
 
 FIRST, SECOND = "00000000000000a1", "00000000000000b2"
 
 
 class MediaServerConnections(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_release_that_crosses_the_idle_close_of_its_connection_is_sent_to_the_client(self):
         delayed = DelayedReads()
         async with Testbed(idle_close_ms=500).running() as testbed:
@@ -33,19 +33,19 @@
                 endpoint = next(iter(testbed.node.server_pool.endpoints.values()))
                 closing, staying = endpoint.connections
                 staying.last_used_at += 10**10
-                delayed.sockets.add(closing.wire.socket)
-                port = closing.wire.socket.getsockname()[1]
+                delayed.sockets.add(closing.transport.socket)
+                port = closing.transport.socket.getsockname()[1]
                 connection = next(
                     stream for stream in media.connections if stream.extra(anyio.abc.SocketAttribute.remote_port) == port
                 )
-                await connection.send(isup.release(bytes.fromhex(FIRST), isup.OVER))
+                await connection.send(isup.release(bytes.fromhex(FIRST), isup.ENDED))
                 await until(lambda: closing not in endpoint.connections)
                 delayed.resume_reads.set()
                 message = await viewer.receive(within=1.0)
             self.assertEqual((message.method, message.fields["session"]), ("TEARDOWN", FIRST))
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_release_lost_with_its_connection_is_sent_again_on_another(self):
         async with Testbed().running() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -64,7 +64,7 @@
             await until(lambda: len(media.received_of(isup.RELEASE)) == 2, 1.0)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_release_lost_to_a_reset_after_a_graceful_close_is_sent_again(self):
         go = anyio.Event()
         async with Testbed().running() as testbed:
@@ -91,7 +91,7 @@
             await until(lambda: len(media.received_of(isup.RELEASE)) == 2, 1.0)
             viewer.close()
 
-    @story
+    @async_test
     async def test_two_releases_of_one_session_are_both_completed(self):
         async with Testbed().running() as testbed:
             viewer, session_core = RawViewer(testbed.port), testbed.node.session_core
@@ -103,7 +103,7 @@
             await until(lambda: not len(session_core.session_ends), 1.0)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_session_is_released_at_the_server_that_has_taken_over_the_address(self):
         async with Testbed().running() as testbed:
             old, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -120,7 +120,7 @@
 
 
 class ClientConnections(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_session_answered_after_its_client_had_closed_is_released_at_its_server(self):
         delayed = DelayedReads()
         async with Testbed().running() as testbed:
@@ -136,7 +136,7 @@
                 media.handler = replies_late
                 viewer.send_set_up(FIRST)
                 await until(lambda: media.received_of(isup.SET_UP))
-                delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
+                delayed.sockets.update(connection.transport.socket for connection in testbed.node.listener.connections)
                 viewer.close()
                 go.set()
                 await until(lambda: media.received_of(isup.RELEASE), 1.0)
@@ -159,11 +159,11 @@
             other.close()
             return ended, notified
 
-    @story
+    @async_test
     async def test_a_session_whose_client_closed_with_the_answer_unread_is_released_and_its_end_sent(self):
         self.assertEqual(await self.released_after_close(lambda viewer: viewer.close()), ([FIRST], FIRST))
 
-    @story
+    @async_test
     async def test_a_session_whose_client_half_closed_and_then_closed_with_the_answer_unread_is_released_and_its_end_sent(self):
         def in_two_steps(viewer):
             viewer.socket.shutdown(socket.SHUT_WR)
@@ -171,7 +171,7 @@
 
         self.assertEqual(await self.released_after_close(in_two_steps), ([FIRST], FIRST))
 
-    @story
+    @async_test
     async def test_a_session_whose_client_closes_after_reading_the_answer_continues(self):
         async with Testbed().running() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -181,7 +181,7 @@
             await anyio.sleep(0.2)
             self.assertEqual((len(testbed.node.session_core.front_sessions), media.received_of(isup.RELEASE)), (1, []))
 
-    @story
+    @async_test
     async def test_a_teardown_left_unread_at_a_close_is_sent_on_another_connection(self):
         async with Testbed().running() as testbed:
             media, viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
@@ -189,14 +189,14 @@
                 client.send_set_up(id)
                 await client.receive()
             await anyio.sleep(1.1)
-            await media.connections[0].send(isup.release(bytes.fromhex(FIRST), isup.OVER))
+            await media.connections[0].send(isup.release(bytes.fromhex(FIRST), isup.ENDED))
             await anyio.wait_readable(viewer.socket)
             viewer.close()
             message = await other.receive(within=1.0)
             self.assertEqual((message.method, message.fields["session"]), ("TEARDOWN", FIRST))
             other.close()
 
-    @story
+    @async_test
     async def test_a_set_up_that_arrives_after_its_own_teardown_on_another_connection_is_not_forwarded(self):
         async with Testbed().running() as testbed:
             media, viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
@@ -208,7 +208,7 @@
             viewer.close()
             other.close()
 
-    @story
+    @async_test
     async def test_input_sent_before_the_connection_failed_on_a_write_is_read(self):
         delayed = DelayedReads()
         async with Testbed().running() as testbed:
@@ -220,16 +220,16 @@
                 await viewer.receive()
                 await anyio.sleep(0.1)
                 connection = next(iter(testbed.node.listener.connections))
-                delayed.sockets.add(connection.wire.socket)
+                delayed.sockets.add(connection.transport.socket)
                 viewer.tear_down(FIRST)
                 viewer.close()
                 for _ in range(3):
-                    connection.wire.send(b"RTSP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    connection.transport.send(b"RTSP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")
                     await anyio.sleep(0.02)
                 delayed.resume_reads.set()
                 await until(lambda: media.received_of(isup.RELEASE), 1.0)
 
-    @story
+    @async_test
     async def test_a_teardown_that_crosses_the_close_of_its_connection_ends_the_session(self):
         delayed = DelayedReads()
         async with Testbed().running() as testbed:
@@ -238,16 +238,16 @@
                 viewer.send_set_up(FIRST)
                 await viewer.receive()
                 connection = next(iter(testbed.node.listener.connections))
-                delayed.sockets.add(connection.wire.socket)
+                delayed.sockets.add(connection.transport.socket)
                 viewer.tear_down(FIRST)
-                connection.wire.close_gracefully()
+                connection.transport.close_gracefully()
                 delayed.resume_reads.set()
                 await until(lambda: media.received_of(isup.RELEASE), 1.0)
             viewer.close()
 
 
 class Shutdown(unittest.TestCase):
-    @story
+    @async_test
     async def test_every_request_on_an_open_connection_is_answered_before_the_process_could_be_killed(self):
         # the longest deadline of the packages is 2 s, and the kill follows 0.7 s later
         async with Testbed().without_node() as testbed:
@@ -279,7 +279,7 @@
                 if process.returncode is None:
                     process.kill()
 
-    @story
+    @async_test
     async def test_a_request_with_a_deadline_beyond_the_shutdown_is_answered_before_the_exit(self):
         async with Testbed().running() as testbed:
             media = testbed.media_servers[0]
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -29,9 +29,9 @@
 from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.site.site import SCHEMA, read_site, site_of
 from curlewshift.standins.script import read_script
-from curlewshift.state.configured import Record
+from curlewshift.state.configured import RecordFile
 from curlewshift.verdict.configuration import judge_configuration
-from tests.sockets import story, until
+from tests.sockets import async_test, until
 
 EXAMPLES = Path(__file__).resolve().parents[1] / "examples"
 CONTROL_XML = """  <control term="2s" every="200ms">
@@ -191,24 +191,24 @@
 
 class DiskRecord(WithSiteFolder):
     def test_record_is_complete_or_absent(self):
-        record = Record(self.folder / "vote")
+        record = RecordFile(self.folder / "vote")
         self.assertEqual((record.read(), record.damage), (None, ""))
         record.write_durable(b"one")
         record.write(b"two\nlines")
         record.flush()
-        self.assertEqual(Record(self.folder / "vote").read(), b"two\nlines")
+        self.assertEqual(RecordFile(self.folder / "vote").read(), b"two\nlines")
         # a kill during the next write leaves the earlier record
         (self.folder / "vote.new").write_bytes(b"curlewshift rec")
         self.assertEqual(record.read(), b"two\nlines")
 
     def test_any_corrupt_byte_is_detected_and_the_file_is_set_aside(self):
-        record = Record(self.folder / "vote")
+        record = RecordFile(self.folder / "vote")
         record.write(b"content")
         data = record.path.read_bytes()
         for at in range(len(data)):
             record.path.write_bytes(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :])
             self.assertIsNone(record.read(), at)
-            self.assertIn("spoilt", record.damage)
+            self.assertIn("corrupt", record.damage)
             self.assertFalse(record.path.exists())
             self.assertTrue((self.folder / "vote.damaged").exists())
         for length in range(len(data)):
@@ -216,7 +216,7 @@
             self.assertIsNone(record.read(), length)
 
     def test_failed_write_leaves_the_earlier_record(self):
-        record = Record(self.folder / "vote")
+        record = RecordFile(self.folder / "vote")
         record.write_durable(b"one")
         with mock.patch("os.fsync", side_effect=OSError(28, "No space left on device")), self.assertRaises(OSError):
             record.write_durable(b"two")
@@ -274,7 +274,7 @@
             },
             {shelf: [title.name for title in titles] for shelf, titles in session_core.server_list.on_shelf.items()},
             [rack.link.size for rack in session_core.server_list.racks.values()],
-            session_core.rules.wait,
+            session_core.rules.retry_wait,
             session_core.rules.free_further,
             self.front.door.admission.bounds,
             self.front.site.obligations,
@@ -304,7 +304,7 @@
         self.assertEqual(live["packages"]["receipt"]["patience"], 6 * SECOND)
         self.assertEqual((live["longest_wait"], live["most_tune_ins"], live["version"]), (SECOND // 2, 7, "7.1-abc"))
         self.assertEqual(live["limits"], {"source": [10.0, 30.0], "package": [40.0, 120.0]})
-        self.assertEqual((front.session_core.rules.wait, front.session_core.rules.free_further), (SECOND // 2, 9))
+        self.assertEqual((front.session_core.rules.retry_wait, front.session_core.rules.free_further), (SECOND // 2, 9))
         self.assertEqual(front.session_core.server_list.racks["r1"].link.size, 11_000.0)
         # identity matters: seats are counted by the package object, and waiting viewings refer to the list of holders
         self.assertEqual([id(package) for package in front.session_core.packages.values()], [id(package) for package in packages])
@@ -393,7 +393,7 @@
 class FrontStart(WithSiteFolder):
     def begun(self, data, begin=begin):
         self.path.write_bytes(self.site())
-        record = Record(self.folder / "configuration")
+        record = RecordFile(self.folder / "configuration")
         if data is not None:
             record.write(data)
         return begin(self.path, read_site(self.path), self.folder)
@@ -419,7 +419,7 @@
         path = self.folder / "configuration"
         self.begun(stored_copy(newer))
         path.write_bytes(path.read_bytes()[:-1] + b"?")
-        self.assertIn("spoilt", begin(self.path, read_site(self.path), self.folder).cause)
+        self.assertIn("corrupt", begin(self.path, read_site(self.path), self.folder).cause)
         # with the planted fault `digest-unchecked` a front starts from a content that was never a version
         self.assertEqual(
             self.begun(stored_copy(newer, of=b"other"), lambda *args: spoilt_begin("digest-unchecked", *args)).how, "disk"
@@ -465,7 +465,7 @@
         tasks.start_soon(run)
         return scope
 
-    @story
+    @async_test
     async def test_put_reaches_the_front_and_an_invalid_one_reaches_none(self):
         with anyio.fail_after(25):
             async with anyio.create_task_group() as tasks:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 from curlewshift.node.client_listener import ClientListener
 from curlewshift.node.node import Node
 from tests.node_testbed import CLIP, DelayedReads, DiscoveryServer, RawViewer, Testbed, set_up
-from tests.sockets import story, until
+from tests.sockets import async_test, until
 
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
 
@@ -50,33 +50,33 @@
                 for viewer, id in zip(viewers, ids):
                     viewer.send_set_up(id, package=CLIP)
                 await until(lambda: len(testbed.node.server_pool.attempts) == 100)
-                delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
+                delayed.sockets.update(connection.transport.socket for connection in testbed.node.listener.connections)
                 for viewer, id in zip(viewers, ids):
                     leaves(viewer, id)
                 delayed.resume_connects.set()
                 await until(lambda: testbed.media_servers[0].connections)
                 await assert_unchanged(lambda: len(testbed.media_servers[0].received_of(isup.SET_UP)))
                 delayed.resume_reads.set()
-                await until(lambda: not testbed.node.listener.asked)
+                await until(lambda: not testbed.node.listener.sessions)
             await assert_unchanged(lambda: len(testbed.media_servers[0].received_of(isup.SET_UP)))
             self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.server_pool.attempts)
             for viewer in viewers:
                 viewer.close()
             return len(testbed.media_servers[0].received_of(isup.SET_UP))
 
-    @story
+    @async_test
     async def test_no_set_up_is_sent_for_viewers_that_closed_during_connects(self):
         self.assertEqual(await self.set_ups_after_leaving(lambda viewer, id: viewer.close()), 0)
 
-    @story
+    @async_test
     async def test_no_set_up_is_sent_for_viewers_that_half_closed_during_connects(self):
         self.assertEqual(await self.set_ups_after_leaving(lambda viewer, id: viewer.socket.shutdown(1)), 0)
 
-    @story
+    @async_test
     async def test_no_set_up_is_sent_for_viewers_that_cancelled_during_connects(self):
         self.assertEqual(await self.set_ups_after_leaving(lambda viewer, id: viewer.tear_down(id)), 0)
 
-    @story
+    @async_test
     async def test_a_viewer_that_sends_another_request_during_the_connect_is_served(self):
         delayed = DelayedReads(delay_connects=True)
         async with Testbed().running() as testbed:
@@ -84,7 +84,7 @@
                 viewer = RawViewer(testbed.port)
                 viewer.send_set_up(A, package=CLIP)
                 await until(lambda: testbed.node.server_pool.attempts)
-                delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
+                delayed.sockets.update(connection.transport.socket for connection in testbed.node.listener.connections)
                 viewer.send(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
                 delayed.resume_connects.set()
                 await until(lambda: testbed.media_servers[0].connections)
@@ -106,18 +106,18 @@
                 viewer.send_set_up(A)
                 await until(lambda: any(media.received_of(isup.SET_UP) for media in testbed.media_servers))
                 first = next(media for media in testbed.media_servers if media.received_of(isup.SET_UP))
-                delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
+                delayed.sockets.update(connection.transport.socket for connection in testbed.node.listener.connections)
                 leaves(viewer)
                 await ends(first)
                 await until(lambda: any(attempt.tune_in.number == 2 for attempt in testbed.node.server_pool.attempts.values()))
                 await assert_unchanged(lambda: sum(len(media.received_of(isup.SET_UP)) for media in testbed.media_servers))
                 delayed.resume_reads.set()
-                await until(lambda: not testbed.node.listener.asked)
+                await until(lambda: not testbed.node.listener.sessions)
             await assert_unchanged(lambda: sum(len(media.received_of(isup.SET_UP)) for media in testbed.media_servers))
             viewer.close()
             return sum(len(media.received_of(isup.SET_UP)) for media in testbed.media_servers)
 
-    @story
+    @async_test
     async def test_no_further_attempt_is_made_once_the_viewer_has_closed_or_cancelled(self):
         async def refuses(media):
             await media.connections[0].send(isup.release(bytes.fromhex(A), isup.FULL))
@@ -129,7 +129,7 @@
             for ends in (refuses, breaks):
                 self.assertEqual(await self.set_ups_after_first_attempt(leaves, ends), 1)
 
-    @story
+    @async_test
     async def test_a_set_up_moved_from_a_broken_connection_is_not_written_for_a_departed_viewer(self):
         delayed = DelayedReads()
         async with Testbed().running() as testbed:
@@ -148,20 +148,20 @@
                         and not any(map(testbed.node.server_pool.teardowns.unconfirmed_on, endpoint.connections))
                     )
                 )
-                with mock.patch.object(BufferedConnection, "_write_queue", lambda wire: False):
+                with mock.patch.object(BufferedConnection, "_write_queue", lambda transport: False):
                     viewer.send_set_up(C, package=CLIP)
                     await until(lambda: testbed.node.server_pool.attempts)
                     attempt = next(iter(testbed.node.server_pool.attempts.values()))
-                    delayed.sockets.update(connection.wire.socket for connection in testbed.node.listener.connections)
+                    delayed.sockets.update(connection.transport.socket for connection in testbed.node.listener.connections)
                     viewer.close()
                     testbed.node.server_pool._break(attempt.connection, "a fault of the test")
                     self.assertEqual(attempt.moves, 1)
                 await assert_unchanged(lambda: len(media.received_of(isup.SET_UP)))
                 delayed.resume_reads.set()
-                await until(lambda: not testbed.node.listener.asked)
+                await until(lambda: not testbed.node.listener.sessions)
             self.assertEqual(len(media.received_of(isup.SET_UP)), 2)
 
-    @story
+    @async_test
     async def test_an_internal_fault_in_one_cancel_does_not_affect_other_requests_of_the_connection(self):
         async with Testbed().running() as testbed:
             testbed.media_servers[0].handler = testbed.media_servers[0].ignore
@@ -183,7 +183,7 @@
 
 
 class PendingOutput(unittest.TestCase):
-    @story
+    @async_test
     async def test_an_answer_queued_just_before_the_gate_makes_room_reaches_its_viewer(self):
         async with Testbed().running() as testbed:
             listener, answers = testbed.node.listener, []
@@ -200,7 +200,7 @@
             self.assertEqual((await viewer.request(A)).status, 200)
             self.assertEqual(len(answers), 1)
 
-    @story
+    @async_test
     async def test_an_unread_request_on_an_idle_connection_keeps_the_gate_from_closing_it(self):
         async with Testbed().running() as testbed:
             viewer = RawViewer(testbed.port)
@@ -212,7 +212,7 @@
             self.assertEqual((await viewer.receive()).status, 200)
             viewer.close()
 
-    @story
+    @async_test
     async def test_garbage_after_a_request_gets_an_error_at_once_and_the_request_is_answered_before_the_close(self):
         async with Testbed().running() as testbed:
             media = testbed.media_servers[0]
@@ -227,18 +227,18 @@
             self.assertIsNone(await viewer.receive(1.0))
             viewer.close()
 
-    @story
+    @async_test
     async def test_input_after_garbage_does_not_reset_the_connection_before_the_error_is_read(self):
         async with Testbed().running() as testbed:
             viewer = RawViewer(testbed.port)
             viewer.send(b"\x91\xf5noise")
-            await until(lambda: any(not connection.wire.open for connection in testbed.node.listener.connections))
+            await until(lambda: any(not connection.transport.open for connection in testbed.node.listener.connections))
             viewer.send(b"more of it" * 1000)
             await until(lambda: not testbed.node.listener.connections)
             self.assertEqual((await viewer.receive()).status, 400)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_peer_that_does_not_read_is_dropped_and_no_other(self):
         async with Testbed().running() as testbed:
             non_reading, other = RawViewer(testbed.port), RawViewer(testbed.port)
@@ -256,7 +256,7 @@
             for viewer in (non_reading, other):
                 viewer.close()
 
-    @story
+    @async_test
     async def test_a_release_queued_on_a_connection_that_ends_is_sent_once_on_another(self):
         async with Testbed().running() as testbed:
             media, own_viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
@@ -264,14 +264,14 @@
             await own_viewer.receive()
             other.send_set_up(B)
             await other.receive()
-            connection = testbed.node.listener.asked[A].connection
-            with mock.patch.object(connection.wire, "_write_queue", lambda: False):
+            connection = testbed.node.listener.sessions[A].connection
+            with mock.patch.object(connection.transport, "_write_queue", lambda: False):
                 await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
-                await until(lambda: connection.wire.queue)
+                await until(lambda: connection.transport.queue)
                 # the release stays pending while it is queued, and is queued once
                 for _ in range(3):
                     testbed.node.listener.sweep()
-                self.assertEqual(len(connection.wire.queue), 1)
+                self.assertEqual(len(connection.transport.queue), 1)
                 own_viewer.close()
                 received = await other.receive()
             self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", A))
@@ -280,7 +280,7 @@
                 await other.receive(0.3)
             other.close()
 
-    @story
+    @async_test
     async def test_a_release_that_was_sent_is_not_repeated_when_its_connection_ends(self):
         async with Testbed().running() as testbed:
             media, own_viewer, other = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
@@ -305,14 +305,14 @@
         for _ in range(2):
             await viewer.receive()
         connection = next(iter(testbed.node.listener.connections))
-        with mock.patch.object(connection.wire, "_write_queue", lambda: False):
+        with mock.patch.object(connection.transport, "_write_queue", lambda: False):
             viewer.send_set_up(C)
-            await until(lambda: connection.wire.queue)
+            await until(lambda: connection.transport.queue)
             ends()
             await until(lambda: not testbed.node.listener.connections)
         return [call.kwargs for call in testbed.node.log.warning.call_args_list if call.args == ("trail",)]
 
-    @story
+    @async_test
     async def test_each_step_is_logged_only_for_a_request_whose_connection_ended_before_its_answer_was_sent(self):
         with mock.patch.dict(os.environ, CURLEWSHIFT_TRAIL="1"):
             async with Testbed().running() as testbed:
@@ -325,7 +325,7 @@
                 )
                 self.assertFalse(testbed.node.listener.tracer.traces)
 
-    @story
+    @async_test
     async def test_without_the_environment_variable_nothing_is_traced(self):
         async with Testbed().running() as testbed:
             viewer = RawViewer(testbed.port)
@@ -333,7 +333,7 @@
 
 
 class DuplicateIds(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_duplicate_id_at_once_or_after_the_answer_gets_one_answer_with_that_id(self):
         async with Testbed().running() as testbed:
             viewer, other = RawViewer(testbed.port), RawViewer(testbed.port)
@@ -348,7 +348,7 @@
             for client in (viewer, other):
                 client.close()
 
-    @story
+    @async_test
     async def test_the_properties_of_one_request_never_apply_to_another_with_its_id_or_connection(self):
         async with Testbed(sockets=5).running() as testbed:
             viewer, media = RawViewer(testbed.port), testbed.media_servers[0]
@@ -369,7 +369,7 @@
             )
             viewer.close()
 
-    @story
+    @async_test
     async def test_an_invalid_but_decodable_request_does_not_affect_the_next(self):
         async with Testbed().running() as testbed:
             viewer = RawViewer(testbed.port)
@@ -383,7 +383,7 @@
         viewer.send_set_up(A, legs=legs)
         return await viewer.receive()
 
-    @story
+    @async_test
     async def test_a_hand_over_after_the_servers_release_is_refused_with_a_teardown(self):
         async with Testbed().running() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -398,16 +398,16 @@
             self.assertEqual(len(testbed.node.session_core.front_sessions), 1)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_hand_over_at_an_unlisted_server_is_refused_with_a_teardown(self):
         async with Testbed().running() as testbed:
             viewer = RawViewer(testbed.port)
             received = await self.hand_over(testbed, viewer, ";at:s-0000dead")
             self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", A))
-            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.asked)
+            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.sessions)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_hand_over_after_the_viewers_teardown_on_another_connection_is_released_at_its_server(self):
         async with Testbed().running() as testbed:
             media, first, second = testbed.media_servers[0], RawViewer(testbed.port), RawViewer(testbed.port)
@@ -416,11 +416,11 @@
             first.send_set_up(A, legs=f";at:{media.name}")
             await until(lambda: media.received_of(isup.RELEASE))
             self.assertEqual(media.received_of(isup.RELEASE)[0], (bytes.fromhex(A), {isup.CAUSE: b"\x13"}))
-            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.asked)
+            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.sessions)
             for viewer in (first, second):
                 viewer.close()
 
-    @story
+    @async_test
     async def test_a_hand_over_is_accepted_before_the_node_is_ready(self):
         async with Testbed().running() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -429,7 +429,7 @@
             await until(lambda: testbed.node.session_core.front_sessions)
             testbed.node.ready = True
             await until(lambda: media.connections)
-            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.OVER))
+            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.ENDED))
             self.assertEqual((await viewer.receive()).method, "TEARDOWN")
             viewer.close()
 
@@ -449,14 +449,14 @@
         )
         return connection
 
-    @story
+    @async_test
     async def test_no_paid_set_up_is_sent_on_an_idle_connection_that_its_server_has_just_closed(self):
         delayed = DelayedReads()
         async with Testbed().running() as testbed:
             with delayed.applied():
                 media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
                 connection = await self.idle_connection(testbed, viewer)
-                delayed.sockets.add(connection.wire.socket)
+                delayed.sockets.add(connection.transport.socket)
                 # the close is in the kernel and has not been read
                 await media.connections[0].aclose()
                 viewer.send_set_up(B, package=CLIP)
@@ -466,7 +466,7 @@
                 delayed.resume_reads.set()
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_drain_between_queueing_and_writing_is_obeyed_on_an_established_connection(self):
         async with Testbed().running() as testbed:
             node, media, viewer = testbed.node, testbed.media_servers[0], RawViewer(testbed.port)
@@ -484,7 +484,7 @@
             self.assertEqual(len(media.received_of(isup.SET_UP)), 1)
             viewer.close()
 
-    @story
+    @async_test
     async def test_nothing_is_sent_on_a_slow_connection_whose_request_was_cancelled_or_timed_out(self):
         for timeout_ms, cancels in ((2000, True), (150, False)):
             delayed = DelayedReads(delay_connects=True)
@@ -502,7 +502,7 @@
                 self.assertEqual(testbed.media_servers[0].received_of(isup.SET_UP), [])
                 viewer.close()
 
-    @story
+    @async_test
     async def test_nothing_is_sent_on_a_connection_established_after_its_address_moved_to_another_server(self):
         delayed = DelayedReads(delay_connects=True)
         async with Testbed(2).running() as testbed:
@@ -525,11 +525,11 @@
             self.assertLessEqual(len(old.received_of(isup.SET_UP)), 1)
             self.assertEqual(other.received_of(isup.SET_UP), [])
             if received.status == 200:
-                self.assertEqual(node.listener.asked[A].front_session.viewing.server.name, other.name)
+                self.assertEqual(node.listener.sessions[A].front_session.viewing.server.name, other.name)
             viewer.close()
             other.port = mine
 
-    @story
+    @async_test
     async def test_any_two_of_answer_cancel_drain_and_time_out_in_one_loop_iteration_give_one_answer(self):
         """Both events happen, or are in the kernel, one before the other, before the next iteration of the event loop."""
         for first in ("answer", "cancel", "drain", "due"):
@@ -559,7 +559,7 @@
             received = await viewer.receive()
             if received.fields["cseq"] == "2":
                 # the cancel was processed; a session established meanwhile has to end at its server
-                await until(lambda: not node.listener.asked and not node.session_core.front_sessions)
+                await until(lambda: not node.listener.sessions and not node.session_core.front_sessions)
             elif "due" in (first, second) and received.status == 500:
                 await until(lambda: not node.session_core.front_sessions)
             else:
@@ -571,7 +571,7 @@
             self.assertFalse(node.server_pool.attempts)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_late_and_duplicate_answer_to_a_timed_out_attempt_is_released_and_not_forwarded(self):
         async with Testbed().running() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -590,7 +590,7 @@
     async def ended(self, testbed):
         await until(lambda: testbed.node.tasks.cancel_scope.cancel_called, 8)
 
-    @story
+    @async_test
     async def test_the_last_requests_are_answered_and_queued_output_is_written_before_the_exit(self):
         async with Testbed().running() as testbed:
             early = RawViewer(testbed.port)
@@ -619,7 +619,7 @@
                 viewer.close()
             self.assertEqual(len(testbed.media_servers[0].received_of(isup.SET_UP)), 1)
 
-    @story
+    @async_test
     async def test_two_sigterms_and_a_reload_during_the_drain_shut_down_once_and_answer_open_requests(self):
         async with Testbed().running() as testbed:
             media, viewer, other = testbed.media_servers[0], RawViewer(testbed.port), DiscoveryServer()
@@ -634,13 +634,13 @@
             testbed.path.write_text(json.dumps(testbed.config_document()))
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: other.requests == [1])
-            await media.connections[0].send(answer_to(A) + isup.release(bytes.fromhex(A), isup.OVER))
+            await media.connections[0].send(answer_to(A) + isup.release(bytes.fromhex(A), isup.ENDED))
             self.assertEqual([(await viewer.receive()).fields["cseq"] for _ in range(2)], ["1", "2"])
             await self.ended(testbed)
             self.assertEqual([call.args[0] for call in testbed.node.log.info.call_args_list].count("drain"), 1)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_shutdown_during_a_connect_answers_every_request(self):
         delayed = DelayedReads(delay_connects=True)
         async with Testbed().running() as testbed:
@@ -655,7 +655,7 @@
             self.assertEqual(testbed.media_servers[0].received_of(isup.SET_UP), [])
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_session_answered_late_in_the_drain_is_served_to_its_end(self):
         async with Testbed().running() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -674,7 +674,7 @@
             await self.ended(testbed)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_sigterm_during_the_start_shuts_down_once_started(self):
         async with Testbed().without_node() as testbed:
             node, opened = Node(configuration.read(testbed.path), testbed.path, mock.Mock()), Listener.__init__
@@ -687,7 +687,7 @@
                 await node.run()
             self.assertTrue(node.draining)
 
-    @story
+    @async_test
     async def test_a_cancellation_with_an_answer_queued_in_the_same_loop_iteration_still_ends_the_node(self):
         async with Testbed().without_node() as testbed:
             node, ended = Node(configuration.read(testbed.path), testbed.path, mock.Mock()), anyio.Event()
@@ -713,7 +713,7 @@
 
 
 class DiscoveryClient(unittest.TestCase):
-    @story
+    @async_test
     async def test_keep_alives_with_a_newer_number_cause_repeated_requests(self):
         async with Testbed().running() as testbed:
             discovery, requests = testbed.discovery, testbed.discovery.requests
@@ -731,14 +731,14 @@
             await discovery.send_event(2, media)
             await until(lambda: not testbed.node.fleet.servers[media.name].open)
 
-    @story
+    @async_test
     async def test_a_connection_without_a_first_frame_is_abandoned_sooner_than_one_that_fell_silent(self):
         async with Testbed().running() as testbed:
             started_at = anyio.current_time()
             await until(lambda: len(testbed.discovery.requests) == 3, 6)
             self.assertLess(anyio.current_time() - started_at, 4.0)
 
-    @story
+    @async_test
     async def test_address_changes_between_and_during_connects_switch_to_the_last_address_at_once(self):
         async with Testbed().running() as testbed:
             node, first, second = testbed.node, DiscoveryServer(), DiscoveryServer()
@@ -768,7 +768,7 @@
             await assert_unchanged(lambda: (len(first.requests), len(second.requests)))
             await never.aclose()
 
-    @story
+    @async_test
     async def test_the_same_event_from_the_old_and_the_new_service_is_applied_once(self):
         async with Testbed().running() as testbed:
             node, other, media = testbed.node, DiscoveryServer(), testbed.media_servers[0]
@@ -799,7 +799,7 @@
 
 
 class DescriptorLimit(unittest.TestCase):
-    @story
+    @async_test
     async def test_discovery_is_connected_with_the_reserved_descriptor_and_no_other(self):
         opened = []
 
@@ -817,7 +817,7 @@
                 await until(lambda: len(testbed.discovery.requests) == 4)
         self.assertGreaterEqual(len(opened), 4)
 
-    @story
+    @async_test
     async def test_after_idle_clients_took_every_descriptor_during_an_outage_discovery_servers_and_clients_are_connected(
         self,
     ):
@@ -866,7 +866,7 @@
                 played = next(
                     media for media in testbed.media_servers if bytes.fromhex(A) in dict(media.received_of(isup.SET_UP))
                 )
-                await played.connections[-1].send(isup.release(bytes.fromhex(A), isup.OVER))
+                await played.connections[-1].send(isup.release(bytes.fromhex(A), isup.ENDED))
                 received = await first.receive()
                 self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", A))
                 first.send_set_up(C, package=CLIP)
@@ -876,7 +876,7 @@
                     media for media in testbed.media_servers if bytes.fromhex(C) in dict(media.received_of(isup.SET_UP))
                 )
                 await until(lambda: played.connections)
-                await played.connections[-1].send(isup.release(bytes.fromhex(C), isup.OVER))
+                await played.connections[-1].send(isup.release(bytes.fromhex(C), isup.ENDED))
                 received = await clean.receive()
                 self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", C))
                 self.assertNotIn(b'"event":"fault"', b"".join(logged))
--- a/tests/test_crossings_reloads.py
+++ b/tests/test_crossings_reloads.py
@@ -16,7 +16,7 @@
 from curlewshift.node.node import Node
 from tests.fake import SECOND
 from tests.node_testbed import CLIP, DelayedReads, DiscoveryServer, RawViewer, Testbed
-from tests.sockets import story, until
+from tests.sockets import async_test, until
 from tests.test_crossings import answer_to, assert_unchanged
 
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
@@ -60,7 +60,7 @@
 class Reloads(unittest.TestCase):
     """A reload while servers drain, and while the node itself drains."""
 
-    @story
+    @async_test
     async def test_a_drain_in_a_new_configuration_is_obeyed_by_attempts_waiting_for_a_connection(self):
         delayed = DelayedReads(delay_connects=True)
         async with Testbed(2).running() as testbed:
@@ -80,7 +80,7 @@
             self.assertEqual(sum(map(len, set_ups_sent(testbed))), 1)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_late_event_of_the_old_discovery_service_does_not_undo_a_drain_from_the_new_one(self):
         delayed = DelayedReads()
         async with Testbed(2).running() as testbed:
@@ -102,7 +102,7 @@
                     len([call for call in node.log.info.call_args_list if call.args == ("list",)]), len(list_events) + 2
                 )
 
-    @story
+    @async_test
     async def test_a_session_at_a_draining_server_survives_a_change_of_the_discovery_address(self):
         async with Testbed(2).running() as testbed:
             viewer, other = RawViewer(testbed.port), DiscoveryServer()
@@ -120,12 +120,12 @@
             await other.send_event(3, at)
             await until(lambda: testbed.node.follower.last == 3)
             await assert_unchanged(lambda: len(testbed.node.session_core.front_sessions))
-            await at.connections[0].send(isup.release(bytes.fromhex(A), isup.OVER))
+            await at.connections[0].send(isup.release(bytes.fromhex(A), isup.ENDED))
             received = await viewer.receive()
             self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", A))
             viewer.close()
 
-    @story
+    @async_test
     async def test_an_invalid_and_a_valid_file_during_the_nodes_drain_change_only_the_server_list(self):
         with mock.patch("curlewshift.node.node.MIN_DRAIN_S", 0.4):
             await self.reloads_during_drain()
@@ -148,13 +148,13 @@
             late.send_set_up(B)
             self.assertEqual((await late.receive()).status, 503)
             self.assertTrue(testbed.node.session_core.front_sessions and not testbed.node.tasks.cancel_scope.cancel_called)
-            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.OVER))
+            await media.connections[0].send(isup.release(bytes.fromhex(A), isup.ENDED))
             self.assertEqual((await viewer.receive()).fields["session"], A)
             await until(lambda: testbed.node.tasks.cancel_scope.cancel_called, 8)
             for client in (viewer, late):
                 client.close()
 
-    @story
+    @async_test
     async def test_a_sighup_during_the_start_is_applied_once_started(self):
         async with Testbed().without_node() as testbed:
             node, opened, other = (
@@ -176,7 +176,7 @@
 
 
 class SilentPeers(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_discovery_connection_silent_within_an_event_is_replaced_and_requests_from_the_last_complete_one(self):
         # the actual time-out is covered by a test in test_node
         with mock.patch("curlewshift.node.follower.FRAME_TIMEOUT_S", 0.6):
@@ -219,7 +219,7 @@
         endpoint.address = ("127.0.0.1", port)
         return never, endpoint
 
-    @story
+    @async_test
     async def test_a_server_that_answered_probes_and_then_fell_silent_is_declared_lost_in_time(self):
         async with Testbed().running() as testbed:
             viewer, media = RawViewer(testbed.port), testbed.media_servers[0]
@@ -244,7 +244,7 @@
             await never.aclose()
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_silent_server_with_a_long_report_interval_is_declared_lost_as_soon(self):
         testbed, config_document = Testbed(), Testbed.config_document
 
@@ -269,7 +269,7 @@
 
 
 class FullLists(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_fragmented_full_list_with_a_number_gap_closes_an_unnamed_server_under_a_queued_set_up(self):
         delayed = DelayedReads(delay_connects=True)
         async with Testbed(2).running() as testbed:
@@ -299,7 +299,7 @@
             self.assertEqual(discovery.requests, [1])
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_full_list_does_not_affect_requests_at_the_servers_it_names_and_is_applied_once(self):
         async with Testbed(2).running() as testbed:
             viewer, discovery = RawViewer(testbed.port), testbed.discovery
@@ -323,7 +323,7 @@
             self.assertEqual(full_lists, [True, True, True])
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_server_missing_from_one_full_list_and_named_by_the_next_keeps_its_session_and_is_used_again(self):
         async with Testbed().running() as testbed:
             viewer, discovery, media = RawViewer(testbed.port), testbed.discovery, testbed.media_servers[0]
@@ -342,7 +342,7 @@
             self.assertEqual(len(testbed.node.session_core.front_sessions), 2)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_full_list_after_a_disconnect_replaces_missed_changes_and_its_drain_is_obeyed(self):
         async with Testbed(2).running() as testbed:
             viewer, discovery, media = RawViewer(testbed.port), testbed.discovery, testbed.media_servers[0]
@@ -369,7 +369,7 @@
         for connection in list(media.connections):
             await reset(connection)
 
-    @story
+    @async_test
     async def test_a_set_up_for_a_process_killed_right_after_accepting_is_not_sent_there(self):
         delayed = DelayedReads(delay_connects=True)
         async with Testbed(2).running() as testbed:
@@ -389,7 +389,7 @@
             self.assertEqual([ids for server, ids in zip(testbed.media_servers, set_ups_sent(testbed)) if server is media], [[]])
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_paid_set_up_received_by_a_process_that_is_killed_fails_and_is_not_repeated(self):
         async with Testbed(2).running() as testbed:
             viewer = RawViewer(testbed.port)
@@ -406,7 +406,7 @@
             await assert_unchanged(lambda: (sum(map(len, set_ups_sent(testbed))), viewer.buffered))
             viewer.close()
 
-    @story
+    @async_test
     async def test_sessions_end_when_the_restarted_process_is_killed_right_after_accepting_too(self):
         """The process dies; its successor accepts the node's next connection, and is kill at that moment too."""
         async with Testbed().running() as testbed:
@@ -438,7 +438,7 @@
             self.assertEqual(len(accepted), 1)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_repeatable_set_up_to_a_server_silent_after_accepting_is_retried_at_another(self):
         async with Testbed(2).running() as testbed:
             viewer = RawViewer(testbed.port)
@@ -460,7 +460,7 @@
 
 
 class SessionEnds(unittest.TestCase):
-    @story
+    @async_test
     async def test_releases_are_confirmed_at_a_server_that_sends_on_the_first_of_several_connections(self):
         """An end that is never completed would use up one of the few ends that may be pending at a server."""
         ids = [f"{number:016x}" for number in range(1, 7)]
@@ -473,7 +473,7 @@
             endpoint = testbed.node.server_pool.endpoints[testbed.node.fleet.servers[media.name]]
             self.assertGreater(len(endpoint.connections), 1)
             first = endpoint.connections[0]
-            at = first.wire.socket.getsockname()[1]
+            at = first.transport.socket.getsockname()[1]
             [stream] = [
                 connection for connection in media.connections if connection.extra(anyio.abc.SocketAttribute.remote_port) == at
             ]
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -11,7 +11,7 @@
 from curlewshift.soak.proxy import LINGER_ZERO
 from tests.node_testbed import RawViewer
 from tests.proxied_testbed import ProxiedTestbed
-from tests.sockets import story, until
+from tests.sockets import async_test, until
 
 FIRST, SECOND = "00000000000000a1", "00000000000000b2"
 # The required time within which the end of a session is known at the other side (s).
@@ -39,10 +39,10 @@
         """Sends a note about an established session twice a second."""
         while True:
             await anyio.sleep(0.5)
-            await stream.send(isup.encode(isup.NOTE, id, (isup.KIND, b"wire"), (isup.FIGURE, b"0.4")))
+            await stream.send(isup.encode(isup.NOTE, id, (isup.KIND, b"wire"), (isup.VALUE, b"0.4")))
 
     async def send_release(self, id):
-        release, known = isup.release(id, isup.OVER), set(self.media.connections)
+        release, known = isup.release(id, isup.ENDED), set(self.media.connections)
         await self.stream_of[id].send(release)
         while True:
             for stream in set(self.media.connections) - known:
@@ -52,7 +52,7 @@
 
 
 class SilentlyLossyConnections(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_release_lost_on_an_open_connection_is_sent_again_in_time(self):
         async with ProxiedTestbed(1).process() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -63,7 +63,7 @@
             await until(lambda: media.received_of(isup.RELEASE), END_DEADLINE_S)
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_release_lost_on_one_of_several_connections_reaches_the_client_in_time(self):
         async with ProxiedTestbed(1).process() as testbed:
             server, viewer = RepeatingServer(testbed.media_servers[0]), RawViewer(testbed.port)
@@ -80,7 +80,7 @@
             self.assertEqual((message.method, message.fields["session"]), ("TEARDOWN", FIRST))
             viewer.close()
 
-    @story
+    @async_test
     async def test_a_release_sent_on_a_connection_closed_unnoticed_by_the_server_reaches_the_client_in_time(self):
         async with ProxiedTestbed(1).process() as testbed:
             server, viewer = RepeatingServer(testbed.media_servers[0]), RawViewer(testbed.port)
@@ -98,7 +98,7 @@
 
 
 class RemovedServer(unittest.TestCase):
-    @story
+    @async_test
     async def test_sessions_of_a_removed_server_end_when_its_address_accepts_and_resets_connections(self):
         async with ProxiedTestbed(1).process() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -155,7 +155,7 @@
             await anyio.sleep(0.005)
         viewer.close()
 
-    @story
+    @async_test
     async def test_no_session_remains_for_clients_that_left_while_their_answers_arrived(self):
         rng = Random(45)
         async with ProxiedTestbed(1).process() as testbed:
@@ -170,7 +170,7 @@
 
 
 class Shutdown(unittest.TestCase):
-    @story
+    @async_test
     async def test_sessions_torn_down_together_during_shutdown_are_released_at_a_server_that_confirms_nothing(self):
         ids = [f"{number:016x}" for number in range(1, 13)]
         async with ProxiedTestbed(1).process() as testbed:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -12,13 +12,13 @@
 from curlewshift.exchange import server as exchange_server
 from curlewshift.exchange.client import ConnectionBroken, RequestNotSent, connect
 from curlewshift.signalling.bodies import LayerChoice, encode
-from tests.sockets import SmallSite, an_offer, story, until
+from tests.sockets import SmallSite, an_offer, async_test, until
 
 
 class Course(unittest.TestCase):
     """A viewing through a running front, on loopback sockets."""
 
-    @story
+    @async_test
     async def test_a_viewing_from_its_offer_to_its_end(self):
         async with SmallSite().up() as site:
             answered = await site.ask()
@@ -42,7 +42,7 @@
             self.assertFalse(site.front.session_core.front_sessions)
             await call.close()
 
-    @story
+    @async_test
     async def test_what_is_wrong_with_a_request_is_said_and_costs_no_tune_in(self):
         async with SmallSite().up() as site:
             for status, words, how in (
@@ -63,7 +63,7 @@
             await call.close()
             self.assertEqual(site.traffic.all("setup"), [])
 
-    @story
+    @async_test
     async def test_a_retry_on_a_slow_answer_joins_it_and_makes_no_second_tune_in(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
@@ -84,7 +84,7 @@
             other = await site.ask("paid", [("idempotency-key", "k")])
             self.assertEqual(other.status, 422)
 
-    @story
+    @async_test
     async def test_a_viewer_that_hangs_up_leaves_nothing_behind(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
@@ -94,9 +94,9 @@
             site.servers["s0"].unfreeze()
             await until(lambda: site.traffic.all("setup-over"))
             await until(lambda: not site.servers["s0"].sessions and not site.front.session_core.front_sessions)
-            self.assertEqual(site.front.session_core.server_list.servers[site.servers["s0"].name].out, 0)
+            self.assertEqual(site.front.session_core.server_list.servers[site.servers["s0"].name].outstanding, 0)
 
-    @story
+    @async_test
     async def test_a_reset_after_the_request_was_written_fails_a_paid_viewing_and_moves_another(self):
         async with SmallSite(servers=2).up() as site:
             for server in site.servers.values():
@@ -108,7 +108,7 @@
             statuses = [(await site.ask()).status for _ in range(4)]
             self.assertEqual(statuses, [201] * 4)
 
-    @story
+    @async_test
     async def test_a_refused_connection_sends_a_paid_viewing_on(self):
         async with SmallSite(servers=2).up() as site:
             with (
@@ -120,7 +120,7 @@
                 statuses = [(await site.ask("paid")).status for _ in range(6)]
             self.assertEqual(statuses, [201] * 6)
 
-    @story
+    @async_test
     async def test_a_server_that_accepts_and_never_answers_costs_time_and_no_viewing(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].freeze()
@@ -130,7 +130,7 @@
             self.assertLess(time.monotonic() - began, 3)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
-    @story
+    @async_test
     async def test_with_nobody_left_a_request_is_answered_before_patience_ends(self):
         for pack, status in (("clip", 503), ("paid", 502)):
             async with SmallSite(servers=1).up() as site:
@@ -140,7 +140,7 @@
                 self.assertEqual(answered.status, status)
                 self.assertLess(time.monotonic() - began, 2.0)
 
-    @story
+    @async_test
     async def test_a_refusal_says_when_to_come_back(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].draining = True
@@ -151,7 +151,7 @@
 
 
 class News(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_drain_told_by_the_list_is_kept_and_the_successor_used(self):
         async with SmallSite(servers=2).up() as site:
             first = site.site.machines[0]
@@ -162,7 +162,7 @@
                 self.assertEqual((await site.ask()).status, 201)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
-    @story
+    @async_test
     async def test_a_server_that_restarts_unannounced_is_known_by_its_notes(self):
         async with SmallSite(servers=1).up() as site:
             self.assertEqual((await site.ask()).status, 201)
@@ -174,7 +174,7 @@
             server = site.front.session_core.server_list.servers[site.servers["s0"].name]
             self.assertGreater(server.cold_until, site.front.now())
 
-    @story
+    @async_test
     async def test_a_list_that_breaks_off_is_resumed_and_one_with_a_gap_sent_whole(self):
         async with SmallSite(servers=2).up() as site:
             rows = list(site.list.rows.values())
@@ -189,7 +189,7 @@
             await until(lambda: site.front.session_core.server_list.generation == 4)
             await until(lambda: len(site.traffic.all("told-all")) == 2)
 
-    @story
+    @async_test
     async def test_the_list_outlives_the_front_and_is_stale_then(self):
         with tempfile.TemporaryDirectory() as folder:
             async with SmallSite(servers=2).up(Path(folder)) as site:
@@ -202,7 +202,7 @@
                 self.assertLessEqual(names, set(servers))
                 self.assertTrue(all(server.unproven_until for server in servers.values() if server.name in names))
 
-    @story
+    @async_test
     async def test_sessions_that_end_at_their_server_end_here_too(self):
         async with SmallSite(servers=1).up() as site:
             await site.ask()
@@ -212,7 +212,7 @@
 
 
 class Life(unittest.TestCase):
-    @story
+    @async_test
     async def test_told_to_end_it_answers_what_it_took_and_refuses_the_rest(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
@@ -244,7 +244,7 @@
         b"content-length: %d\r\nconnection: close\r\n\r\n"
     )
 
-    @story
+    @async_test
     async def test_a_byte_at_a_time_is_served_and_a_head_that_never_ends_is_cut_off(self):
         async with SmallSite(servers=1).up() as site:
             offer = an_offer()
@@ -261,7 +261,7 @@
             self.assertTrue(slow.startswith(b"HTTP/1.1 408 "), slow)
             self.assertEqual((await site.ask()).status, 201)
 
-    @story
+    @async_test
     async def test_too_much_and_malformed_are_said_to_be(self):
         async with SmallSite(servers=1).up() as site:
             for status, data in (
@@ -277,7 +277,7 @@
             self.assertEqual((await site.ask()).status, 201)
             self.assertEqual(len(site.traffic.all("setup")), 1)
 
-    @story
+    @async_test
     async def test_requests_sent_one_behind_the_other_are_answered_in_order(self):
         async with SmallSite(servers=1).up() as site:
             one = b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n"
@@ -285,7 +285,7 @@
             got = await site.raw(one * 20 + last)
             self.assertEqual((got.count(b"HTTP/1.1 404 "), got.count(b"HTTP/1.1 204 ")), (20, 1))
 
-    @story
+    @async_test
     async def test_an_answer_cut_off_is_broken_and_a_closed_port_never_reached(self):
         async def cut(stream):
             await stream.receive()
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -12,7 +12,7 @@
 from curlewshift.signalling.conditions import refusal, tags_of
 from curlewshift.signalling.fragments import fragment_text, parse_fragment
 from curlewshift.signalling.sdp import InvalidDescription
-from tests.sockets import SmallSite, an_offer, story, until
+from tests.sockets import SmallSite, an_offer, async_test, until
 
 STEADY = settings(derandomize=True, deadline=None, max_examples=300)
 FRAGMENT = fragment_text("abcd", "p" * 22, ["1 1 udp 2113929471 192.0.2.1 50000 typ host"], ended=True)
@@ -92,7 +92,7 @@
             return bytes(raw[:at]) + rng.randbytes(rng.randrange(1, 3000))
         return rng.randbytes(rng.randrange(1, 400))
 
-    @story
+    @async_test
     async def test_bytes_that_mean_nothing(self):
         rng, faults = random.Random(7), []
         async with SmallSite(servers=1).up() as site:
@@ -119,7 +119,7 @@
             await until(lambda: site.front.door.busy == 0 and site.front.session_core.waiting == 0)
             self.assertEqual((await site.ask()).status, 201)
 
-    @story
+    @async_test
     async def test_whole_requests_of_odd_parts(self):
         rng, faults = random.Random(8), []
         words = ["whep", "whip", "session", "layer", "events", "clip", "paid", "t", "..", "%2e", "x" * 300, "", "ä", "?", "*"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 import anyio
 
 from curlewshift.exchange.client import connect
-from curlewshift.limits.admission import Admission, Bounds
+from curlewshift.limits.admission import Admission, AdmissionLimits
 from curlewshift.limits.buckets import Buckets
 from curlewshift.limits.concurrency import Concurrency
 from curlewshift.limits.descriptors import DescriptorGate
@@ -18,7 +18,7 @@
 from curlewshift.limits.prefixes import Prefixes
 from curlewshift.limits.queue import SourceQueues, Ticket
 from tests.fake import MS, SECOND
-from tests.sockets import SDP, SmallSite, an_offer, story, until
+from tests.sockets import SDP, SmallSite, an_offer, async_test, until
 
 
 class TokenBuckets(unittest.TestCase):
@@ -170,9 +170,9 @@
 
 
 class AdmissionControl(unittest.TestCase):
-    def admission(self, most=8, source=0.0, holder=0.0, in_line=SECOND, **more):
+    def admission(self, most=8, source=0.0, holder=0.0, queue_timeout=SECOND, **more):
         self.notified = []
-        bounds = Bounds(
+        bounds = AdmissionLimits(
             **{
                 **dict(
                     source=source,
@@ -181,8 +181,8 @@
                     package=0.0,
                     burst=2.0,
                     longest_wait=4 * SECOND,
-                    in_line=in_line,
-                    most=most,
+                    queue_timeout=queue_timeout,
+                    max_concurrency=most,
                 ),
                 **more,
             }
@@ -191,19 +191,19 @@
 
     def test_known_clients_at_a_flooding_address_are_admitted(self):
         admission = self.admission(most=1000, source=2.0)
-        flood = [admission.asked("192.0.2.1", None, "x", "p", n) for n in range(100)]
-        known = [admission.asked("192.0.2.1", f"checker {n % 30}", "x", "p", 100 + n) for n in range(30)]
+        flood = [admission.request("192.0.2.1", None, "x", "p", n) for n in range(100)]
+        known = [admission.request("192.0.2.1", f"checker {n % 30}", "x", "p", 100 + n) for n in range(30)]
         self.assertEqual({ticket.state for ticket in known}, {"in"})
         self.assertEqual(collections.Counter(ticket.state for ticket in flood)["in"], 4)
 
     def test_reserved_places_are_lent_while_known_clients_are_idle_and_given_back(self):
         admission, now = self.admission(most=8), 10 * SECOND
-        borrowed = [admission.asked(f"192.0.2.{n}", None, "x", "p", now) for n in range(8)]
+        borrowed = [admission.request(f"192.0.2.{n}", None, "x", "p", now) for n in range(8)]
         self.assertEqual({ticket.state for ticket in borrowed}, {"in"})
-        known = admission.asked("192.0.2.99", "one", "x", "p", now)
+        known = admission.request("192.0.2.99", "one", "x", "p", now)
         self.assertEqual(known.state, "waiting")
         # the next free place goes to the known client, even though others have waited longer
-        unknown = admission.asked("192.0.2.98", None, "x", "p", now)
+        unknown = admission.request("192.0.2.98", None, "x", "p", now)
         admission.answered(borrowed[0], now + MS, False)
         self.assertEqual((known.state, unknown.state, self.notified), ("in", "waiting", [known]))
         admission.answered(borrowed[1], now + 2 * MS, False)
@@ -214,15 +214,15 @@
         self.assertIn(unknown.state, ("in", "no"))
 
     def test_each_waiting_ticket_is_notified_once(self):
-        admission, rng, now, waiting = self.admission(most=4, in_line=SECOND // 2), random.Random(4), 0, []
+        admission, rng, now, waiting = self.admission(most=4, queue_timeout=SECOND // 2), random.Random(4), 0, []
         admitted_tickets = []
         for _ in range(3000):
             now += rng.randrange(1, 30) * MS
             if waiting and rng.random() < 0.1:
                 leaver = rng.choice(waiting)
-                admission.gave_up(leaver, now)
+                admission.disconnected(leaver, now)
                 waiting.remove(leaver)
-            ticket = admission.asked(f"192.0.2.{rng.randrange(6)}", None, "x", "p", now)
+            ticket = admission.request(f"192.0.2.{rng.randrange(6)}", None, "x", "p", now)
             (admitted_tickets if ticket.state == "in" else waiting).append(ticket) if ticket.state != "no" else None
             if admitted_tickets and rng.random() < 0.6:
                 admission.answered(admitted_tickets.pop(0), now, rng.random() < 0.8)
@@ -234,20 +234,20 @@
                     admitted_tickets.append(notified)
             self.notified.clear()
             self.assertEqual(admission.in_progress, sum(ticket.state == "in" for ticket in admitted_tickets))
-            self.assertLessEqual(admission.in_progress, int(admission.concurrency.most))
+            self.assertLessEqual(admission.in_progress, int(admission.concurrency.max_limit))
         while admitted_tickets:
             now += 10 * MS
             admission.answered(admitted_tickets.pop(), now, True)
             admitted_tickets += [notified for notified in self.notified if notified.state == "in"]
             self.notified.clear()
         admission.tick(now + SECOND)
-        self.assertEqual((len(admission.lines), admission.in_progress), (0, 0))
+        self.assertEqual((len(admission.queues), admission.in_progress), (0, 0))
 
     def test_retry_times_of_a_crowd_are_spread(self):
-        admission = self.admission(most=2, in_line=1, longest_wait=60 * SECOND)
+        admission = self.admission(most=2, queue_timeout=1, longest_wait=60 * SECOND)
         for _ in range(2):
-            admission.asked("192.0.2.1", None, "x", "p", 0)
-        refused = [admission.asked(f"198.51.100.{n}", None, "x", "p", MS) for n in range(200)]
+            admission.request("192.0.2.1", None, "x", "p", 0)
+        refused = [admission.request(f"198.51.100.{n}", None, "x", "p", MS) for n in range(200)]
         admission.tick(10 * MS)
         waits = sorted(ticket.wait for ticket in refused if ticket.state == "no")
         self.assertGreater(len(waits), 150)
@@ -256,10 +256,10 @@
     def test_retry_time_grows_only_for_clients_that_return_early(self):
         waits = {}
         for kind in ("hasty", "patient"):
-            admission, now, waits[kind] = self.admission(most=1, in_line=1, longest_wait=60 * SECOND), 0, []
-            admission.asked("192.0.2.1", None, "x", "p", 0)
+            admission, now, waits[kind] = self.admission(most=1, queue_timeout=1, longest_wait=60 * SECOND), 0, []
+            admission.request("192.0.2.1", None, "x", "p", 0)
             for _ in range(5):
-                ticket = admission.asked("198.51.100.1", None, "x", "p", now)
+                ticket = admission.request("198.51.100.1", None, "x", "p", now)
                 admission.tick(now + 2)
                 waits[kind].append(ticket.wait)
                 now += ticket.wait + SECOND if kind == "patient" else 10 * MS
@@ -269,7 +269,7 @@
     def test_limited_sources_are_shown(self):
         admission = self.admission(most=100, source=1.0)
         for number in range(50):
-            admission.asked("192.0.2.7", None, "x", "p", number)
+            admission.request("192.0.2.7", None, "x", "p", number)
         shown = admission.show(SECOND // 2)
         self.assertEqual(shown["held_back"][0]["who"], "prefix 192.0.2.7/32")
         self.assertEqual(shown["heaviest"][0]["who"], "prefix 192.0.2.7/32")
@@ -277,8 +277,8 @@
 
 
 class Connection:
-    def __init__(self, rested_at, at_work=False):
-        self.rested_at, self.at_work, self.gone = rested_at, at_work, False
+    def __init__(self, idle_since_s, is_busy=False):
+        self.idle_since_s, self.is_busy, self.gone = idle_since_s, is_busy, False
 
     def drop(self):
         self.gone = True
@@ -287,7 +287,7 @@
 class DescriptorLimit(unittest.TestCase):
     def test_only_idle_connections_are_dropped(self):
         gate = DescriptorGate(64, lambda: 100.0)
-        connections = [Connection(90.0 + number, at_work=number % 2 == 0) for number in range(10)]
+        connections = [Connection(90.0 + number, is_busy=number % 2 == 0) for number in range(10)]
         for connection in connections:
             gate.opened(connection)
         gate.make_room()
@@ -295,18 +295,25 @@
 
     def test_accept_without_descriptor_lowers_the_limit_to_half_at_most(self):
         gate = DescriptorGate(100, lambda: 0.0)
-        first = gate.most
+        first = gate.max_connections
         for _ in range(100):
             gate.ran_out()
-        self.assertEqual(gate.most, first // 2)
+        self.assertEqual(gate.max_connections, first // 2)
 
 
 class OnSockets(unittest.TestCase):
-    LIMITS = Bounds(
-        source=3.0, holder=0.0, build=0.0, package=0.0, burst=2.0, longest_wait=2 * SECOND, in_line=SECOND // 4, most=100
+    LIMITS = AdmissionLimits(
+        source=3.0,
+        holder=0.0,
+        build=0.0,
+        package=0.0,
+        burst=2.0,
+        longest_wait=2 * SECOND,
+        queue_timeout=SECOND // 4,
+        max_concurrency=100,
     )
 
-    @story
+    @async_test
     async def test_flood_is_refused_with_429_and_retry_after_and_costs_no_tune_in(self):
         async with SmallSite(site={"limits": self.LIMITS}).up() as site:
             answers = [await site.ask() for _ in range(12)]
@@ -317,7 +324,7 @@
             self.assertGreaterEqual(int(refused.headers["retry-after"]), 1)
             self.assertEqual(site.front.door.admission.in_progress, 0)
 
-    @story
+    @async_test
     async def test_each_of_many_requests_on_one_connection_is_answered(self):
         async with SmallSite(site={"limits": self.LIMITS}).up() as site:
             call, count = await connect("127.0.0.1", site.port, 2.0), 300
@@ -332,7 +339,7 @@
             self.assertEqual(sum(statuses.values()), count)
             self.assertLess(statuses[201], 40)
 
-    @story
+    @async_test
     async def test_accept_without_descriptor_pauses_the_listener_only(self):
         async with SmallSite().up() as site:
             listener = site.front.listener
@@ -350,23 +357,30 @@
                 self.assertEqual((await site.ask()).status, 201)
             self.assertEqual((failures_left[0], site.front.gate.none_left), (0, 3))
 
-    @story
+    @async_test
     async def test_idle_connections_are_dropped_when_the_limit_is_reached(self):
         async with SmallSite().up() as site:
-            site.front.gate.most = 4
+            site.front.gate.max_connections = 4
             idle = [await connect("127.0.0.1", site.port, 2.0) for _ in range(4)]
             await until(lambda: len(site.front.gate.connections) == 4)
             for connection in site.front.gate.connections:
-                connection.rested_at -= 10
+                connection.idle_since_s -= 10
             self.assertEqual((await site.ask()).status, 201)
             self.assertGreater(site.front.gate.dropped, 0)
             for call in idle:
                 await call.close()
 
-    @story
+    @async_test
     async def test_disconnecting_while_waiting_frees_the_place_in_the_queue(self):
-        bounds = Bounds(
-            source=0.0, holder=0.0, build=0.0, package=0.0, burst=2.0, longest_wait=SECOND, in_line=10 * SECOND, most=1
+        bounds = AdmissionLimits(
+            source=0.0,
+            holder=0.0,
+            build=0.0,
+            package=0.0,
+            burst=2.0,
+            longest_wait=SECOND,
+            queue_timeout=10 * SECOND,
+            max_concurrency=1,
         )
         async with SmallSite(site={"limits": bounds}).up() as site:
             for server in site.servers.values():
@@ -383,7 +397,7 @@
             with anyio.move_on_after(0.1):
                 await call.ask("POST", "/whep/clip/t", [SDP, ("x-request-id", secrets.token_hex(4))], an_offer())
             await call.close()
-            await until(lambda: not len(admission.lines))
+            await until(lambda: not len(admission.queues))
             await until(lambda: bool(first))
             self.assertEqual(first[0].status, 201)
             self.assertEqual((await site.ask()).status, 201)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,7 +16,7 @@
 from curlewshift.node import configuration, isup
 from tests.fake import SECOND
 from tests.node_testbed import CLIP, DiscoveryServer, MediaServer, Testbed, set_up
-from tests.sockets import story, until
+from tests.sockets import async_test, until
 
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
 ANSWER = isup.encode(isup.ANSWER, b"IDIDIDID", (isup.DESCRIPTION, b"late"))
@@ -24,7 +24,7 @@
 
 
 class SessionLifecycle(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_session_from_set_up_to_the_viewers_teardown(self):
         async with Testbed().running() as testbed:
             viewer, media = await testbed.viewer(), testbed.media_servers[0]
@@ -39,9 +39,9 @@
             await viewer.tear_down(A, "Reason: cause=19\r\n")
             await until(lambda: media.received_of(isup.RELEASE))
             self.assertEqual(media.received_of(isup.RELEASE), [(bytes.fromhex(A), {isup.CAUSE: b"\x13"})])
-            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.asked)
+            self.assertFalse(testbed.node.session_core.front_sessions or testbed.node.listener.sessions)
 
-    @story
+    @async_test
     async def test_a_release_is_sent_on_another_connection_if_the_viewers_own_has_closed(self):
         async with Testbed().running() as testbed:
             first, second = await testbed.viewer(), await testbed.viewer()
@@ -55,7 +55,7 @@
             self.assertEqual((release.method, release.fields["session"], release.fields["reason"]), ("TEARDOWN", A, "cause=41"))
             await until(lambda: media.received_of(isup.RELEASED))
 
-    @story
+    @async_test
     async def test_a_handed_over_session_is_not_answered_is_counted_and_has_a_connection_opened_for_its_release(self):
         async with Testbed().running() as testbed:
             viewer, media = await testbed.viewer(), testbed.media_servers[0]
@@ -64,8 +64,8 @@
             await until(lambda: media.connections)
             server = testbed.node.fleet.servers[media.name]
             self.assertEqual((server.link.own, len(server.link.playing)), (100, 1))
-            note = isup.encode(isup.NOTE, bytes.fromhex(A), (isup.KIND, b"tier"), (isup.FIGURE, b"1"))
-            await media.connections[0].send(note + isup.release(bytes.fromhex(A), isup.OVER))
+            note = isup.encode(isup.NOTE, bytes.fromhex(A), (isup.KIND, b"tier"), (isup.VALUE, b"1"))
+            await media.connections[0].send(note + isup.release(bytes.fromhex(A), isup.ENDED))
             self.assertEqual((await viewer.receive()).method, "TEARDOWN")
             self.assertEqual(server.link.own, 0)
 
@@ -83,7 +83,7 @@
         answer = await viewer.request(A, package=CLIP, timeout_ms=500)
         return answer, [len(media.received_of(isup.SET_UP)) for media in testbed.media_servers]
 
-    @story
+    @async_test
     async def test_a_lost_corrupt_truncated_reset_or_error_answer_fails_the_request_without_another_attempt(self):
         cut = isup.encode(isup.ANSWER, b"IDIDIDID", (isup.DESCRIPTION, b"d"))[:14]
         for reply in (
@@ -101,7 +101,7 @@
                 self.assertEqual(sum(sent), 1, reply)
                 self.assertNotIn("x-pause", answer.fields)
 
-    @story
+    @async_test
     async def test_a_connection_closed_after_the_set_up_fails_the_request(self):
         async def hangs_up(connection, kind, id, parameters):
             await connection.aclose()
@@ -110,7 +110,7 @@
             answer, sent = await self.paid(testbed, hangs_up, hangs_up)
             self.assertEqual((answer.status, sum(sent)), (500, 1))
 
-    @story
+    @async_test
     async def test_full_moot_or_a_refused_connection_allows_another_attempt(self):
         for reply in (isup.release(b"IDIDIDID", isup.FULL), isup.release(b"IDIDIDID", isup.MOOT)):
             async with Testbed(2).running() as testbed:
@@ -124,7 +124,7 @@
             self.assertIn(answer.status, REFUSED)
             self.assertLessEqual(int(answer.fields["x-pause"]) > 0, 2000)
 
-    @story
+    @async_test
     async def test_a_corrupt_answer_fails_all_attempts_on_its_connection(self):
         async with Testbed(sockets=5).running() as testbed:
             media = testbed.media_servers[0]
@@ -136,15 +136,16 @@
             shared = max(
                 media.connections,
                 key=lambda connection: sum(
-                    attempt.connection.wire is not None
-                    and attempt.connection.wire.socket.getsockname()[1] == connection.extra(anyio.abc.SocketAttribute.remote_port)
+                    attempt.connection.transport is not None
+                    and attempt.connection.transport.socket.getsockname()[1]
+                    == connection.extra(anyio.abc.SocketAttribute.remote_port)
                     for attempt in testbed.node.server_pool.attempts.values()
                 ),
             )
             await shared.send(b"\0\2no")
             self.assertEqual([(await viewer.receive(0.5)).status for _ in range(2)], [500, 500])
 
-    @story
+    @async_test
     async def test_an_answer_that_crosses_its_release_is_released_again_and_a_duplicate_is_not(self):
         async with Testbed().running() as testbed:
             viewer, media = await testbed.viewer(), testbed.media_servers[0]
@@ -164,7 +165,7 @@
 
 
 class UnansweredRequests(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_request_past_its_deadline_is_answered_once_by_the_sweep_and_logged(self):
         async with Testbed().running() as testbed:
             testbed.media_servers[0].handler = testbed.media_servers[0].ignore
@@ -176,7 +177,7 @@
                 answer = await viewer.request(A, package=CLIP, timeout_ms=300)
             self.assertEqual((answer.status, log_error.call_args.args), (500, ("unanswered",)))
             self.assertFalse(
-                testbed.node.listener.asked or any(connection.waiting for connection in testbed.node.listener.connections)
+                testbed.node.listener.sessions or any(connection.waiting for connection in testbed.node.listener.connections)
             )
             testbed.node.session_core.time()
             # a second answer to A would be received before this one
@@ -184,7 +185,7 @@
 
 
 class MediaServerFailures(unittest.TestCase):
-    @story
+    @async_test
     async def test_sessions_of_a_dead_process_are_released_to_their_viewers(self):
         async with Testbed().running() as testbed:
             viewer = await testbed.viewer()
@@ -192,7 +193,7 @@
             await testbed.media_servers[0].close()
             self.assertEqual((await viewer.receive()).fields["reason"], "cause=41")
 
-    @story
+    @async_test
     async def test_sessions_of_a_dead_process_are_released_even_if_a_connection_stays_open_and_silent(self):
         async with Testbed().running() as testbed:
             viewer, media = await testbed.viewer(), testbed.media_servers[0]
@@ -202,7 +203,7 @@
             release = await viewer.receive(7.5)
             self.assertEqual(release.fields["reason"], "cause=41")
 
-    @story
+    @async_test
     async def test_sessions_of_a_vanished_machine_are_released_within_eight_seconds(self):
         async with Testbed().running() as testbed:
             viewer, media = await testbed.viewer(), testbed.media_servers[0]
@@ -221,7 +222,7 @@
             self.assertEqual(release.fields["reason"], "cause=41")
             await never.aclose()
 
-    @story
+    @async_test
     async def test_a_silent_process_that_still_accepts_connections_keeps_its_sessions(self):
         async with Testbed().running() as testbed:
             viewer, media = await testbed.viewer(), testbed.media_servers[0]
@@ -232,7 +233,7 @@
             self.assertTrue(media.received_of(isup.PROBE))
             self.assertLess(len(testbed.node.server_pool.endpoints[testbed.node.fleet.servers[media.name]].connections), 4)
 
-    @story
+    @async_test
     async def test_a_new_server_at_the_address_of_a_removed_one_inherits_no_state(self):
         async with Testbed().running() as testbed:
             viewer, old = await testbed.viewer(), testbed.media_servers[0]
@@ -248,9 +249,9 @@
             self.assertFalse(before.open)
             self.assertEqual((now.started, now.link.own), (new.started * 1_000_000, 0))
             self.assertEqual((await viewer.request(B)).status, 200)
-            self.assertIs(testbed.node.listener.asked[B].front_session.viewing.server, now)
+            self.assertIs(testbed.node.listener.sessions[B].front_session.viewing.server, now)
 
-    @story
+    @async_test
     async def test_a_drain_received_between_selection_and_sending_is_obeyed(self):
         async with Testbed(2).running() as testbed:
             node, picked = testbed.node, []
@@ -271,7 +272,7 @@
 
 
 class ServerListUpdates(unittest.TestCase):
-    @story
+    @async_test
     async def test_duplicate_events_are_dropped_and_a_new_connection_requests_from_the_last_number(self):
         async with Testbed(2).running() as testbed:
             discovery, media = testbed.discovery, testbed.media_servers[0]
@@ -289,7 +290,7 @@
             await until(lambda: len(discovery.requests) == 3)
             self.assertEqual(discovery.requests[2], 2)
 
-    @story
+    @async_test
     async def test_a_discovery_service_that_always_answers_late_is_received_in_the_end(self):
         async with Testbed(2).running() as testbed:
             media = testbed.media_servers[0]
@@ -308,12 +309,12 @@
                         testbed.tasks.start_soon(answers_late, connection)
                     await anyio.sleep(0.01)
 
-    @story
+    @async_test
     async def test_a_silent_discovery_connection_is_replaced(self):
         async with Testbed().running() as testbed:
             await until(lambda: len(testbed.discovery.requests) == 2, 4)
 
-    @story
+    @async_test
     async def test_sighup_switches_to_the_new_discovery_address_and_an_invalid_file_changes_nothing(self):
         async with Testbed().running() as testbed:
             viewer, other = await testbed.viewer(), DiscoveryServer()
@@ -333,7 +334,7 @@
 
 
 class StartAndShutdown(unittest.TestCase):
-    @story
+    @async_test
     async def test_sigterm_answers_accepted_requests_refuses_new_ones_and_exits_once_no_session_is_left(self):
         async with Testbed().running() as testbed:
             viewer, media = await testbed.viewer(), testbed.media_servers[0]
@@ -404,7 +405,7 @@
         }.items():
             self.assertIn(f"'{field}'", self.refused(change), field)
 
-    @story
+    @async_test
     async def test_a_configuration_with_little_more_than_classes_is_accepted(self):
         testbed = Testbed()
         config_document = testbed.config_document
@@ -423,7 +424,7 @@
 
 
 class FleetFailures(unittest.TestCase):
-    @story
+    @async_test
     async def test_all_servers_replaced_at_once_by_new_ones_at_exchanged_addresses(self):
         async with Testbed(4).running() as testbed:
             viewer, old_servers = await testbed.viewer(), testbed.media_servers
@@ -445,10 +446,10 @@
             messages = {message.fields["session"]: message for message in (await viewer.receive(), await viewer.receive())}
             self.assertEqual((messages[A].method, messages[B].status), ("TEARDOWN", 500))
             self.assertEqual((await viewer.request(C)).status, 200)
-            self.assertIn(testbed.node.listener.asked[C].front_session.viewing.server.name, [new.name for new in new_servers])
+            self.assertIn(testbed.node.listener.sessions[C].front_session.viewing.server.name, [new.name for new in new_servers])
             self.assertEqual((len(testbed.node.session_core.front_sessions), viewer.buffered), (1, []))
 
-    @story
+    @async_test
     async def test_a_zone_partitioned_and_restarted_cold_loses_no_answer_repeats_no_paid_set_up_and_is_not_overloaded(self):
         testbed, arrivals = Testbed(3), {}
         testbed.obligations = dict(warm_within_ms=4000, start_capacity=0.1, fall_multiple=2.0, fall_ms=1000)
@@ -492,7 +493,7 @@
             servers = testbed.node.fleet.servers
             await until(lambda: all(servers[media.name].cold_until for media in zone))
             # in its first window a front sends less, as an earlier run of the process may have sent set-ups too
-            await until(lambda: testbed.node.now() > testbed.node.session_core.rules.born + SECOND)
+            await until(lambda: testbed.node.now() > testbed.node.session_core.rules.started_at + SECOND)
             ids = [f"{number:016x}" for number in range(100, 140)]
             for id in ids:
                 await viewer.send_set_up(id, timeout_ms=2000)
@@ -505,17 +506,17 @@
                 self.assertLessEqual(max(sum(at <= time < at + 1 for time in times) for at in times), 5)
             self.assertEqual(viewer.buffered, [])
 
-    @story
+    @async_test
     async def test_without_a_free_descriptor_a_request_is_refused_with_a_pause_and_no_server_is_blamed(self):
         async with Testbed(2).running() as testbed:
             viewer, none_left = await testbed.viewer(), OSError(errno.EMFILE, "no descriptor left")
             with mock.patch("curlewshift.node.server_pool.dial", side_effect=none_left):
                 answer = await viewer.request(A, package=CLIP)
             self.assertEqual((answer.status, int(answer.fields["x-pause"]) > 0), (453, True))
-            self.assertEqual([server.trouble for server in testbed.node.fleet.servers.values()], [0.0, 0.0])
+            self.assertEqual([server.fault_score for server in testbed.node.fleet.servers.values()], [0.0, 0.0])
             self.assertEqual((await viewer.request(B, package=CLIP)).status, 200)
 
-    @story
+    @async_test
     async def test_a_paid_set_up_cancelled_and_repeated_at_once_is_sent_once_per_id_and_answered_once(self):
         async with Testbed().running() as testbed:
             viewer, media = await testbed.viewer(), testbed.media_servers[0]
@@ -531,7 +532,7 @@
             await until(lambda: [id.hex() for id, _ in media.received_of(isup.RELEASE)] == [A])
             self.assertEqual((len(testbed.node.session_core.front_sessions), viewer.buffered), (1, []))
 
-    @story
+    @async_test
     async def test_a_missing_file_at_sighup_keeps_the_configuration_and_logs_one_line(self):
         async with Testbed().running() as testbed:
             testbed.path.unlink()
@@ -555,7 +556,7 @@
         )
         return connection
 
-    @story
+    @async_test
     async def test_an_idle_connection_is_kept_unless_the_connection_limit_is_reached(self):
         async with Testbed().running() as testbed:
             viewer, server_pool = await testbed.viewer(), testbed.node.server_pool
@@ -568,7 +569,7 @@
             self.assertNotIn(connection, connection.endpoint.connections)
             await until(lambda: connection.closed, 1.0)
 
-    @story
+    @async_test
     async def test_an_idle_connection_is_closed_before_its_server_would_close_it_under_a_set_up(self):
         async with Testbed().running() as testbed:
             connection = await self.unused(testbed, await testbed.viewer(), A)
@@ -578,10 +579,10 @@
 
 
 class FaultyClients(unittest.TestCase):
-    @story
+    @async_test
     async def test_idle_connections_are_dropped_to_accept_new_ones(self):
         async with Testbed(sockets=120).running() as testbed:
-            viewers, max_connections = [], testbed.node.listener.gate.most
+            viewers, max_connections = [], testbed.node.listener.gate.max_connections
             with anyio.fail_after(8):
                 for _ in range(4 * max_connections):
                     viewers.append(await testbed.viewer())
@@ -590,7 +591,7 @@
             self.assertLessEqual(len(testbed.node.listener.connections), max_connections)
             self.assertEqual((await (await testbed.viewer()).request(A)).status, 200)
 
-    @story
+    @async_test
     async def test_each_faulty_client_gets_an_error_or_is_closed_in_time_and_an_open_request_is_not_affected(self):
         async with Testbed().running() as testbed:
             media = testbed.media_servers[0]
@@ -633,7 +634,7 @@
             for half in (b"", b"SETUP rtsp://media/"):
                 await assert_rejected(half)
 
-    @story
+    @async_test
     async def test_a_flood_of_requests_and_cancels_on_one_connection_leaves_no_state_behind(self):
         async with Testbed().running() as testbed:
             media = testbed.media_servers[0]
@@ -643,7 +644,7 @@
                 await viewer.send_set_up(f"{number:016x}", package=CLIP)
             for number in range(300):
                 await viewer.tear_down(f"{number:016x}")
-            await until(lambda: not testbed.node.session_core.waiting and not testbed.node.listener.asked)
+            await until(lambda: not testbed.node.session_core.waiting and not testbed.node.listener.sessions)
             self.assertFalse(testbed.node.server_pool.attempts or testbed.node.session_core.front_sessions)
             self.assertEqual(testbed.node.fleet.servers[media.name].link.own, 0)
 
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -9,7 +9,7 @@
 import anyio
 
 from tests.node_testbed import Testbed
-from tests.sockets import story
+from tests.sockets import async_test
 
 A = "00000000000000a1"
 # Refuses the calls in its own process before anything of the node is imported, prints each attempted call on standard output, and
@@ -84,11 +84,11 @@
                 with anyio.CancelScope(shield=True):
                     await process.aclose()
 
-    @story
+    @async_test
     async def test_no_refused_call_is_made_from_import_to_exit(self):
         self.assertEqual(await self.answer_and_calls(), (200, [], 0))
 
-    @story
+    @async_test
     async def test_each_planted_call_is_detected(self):
         for planted_call in ("sendfile", "splice", "subprocess", "socket"):
             status, calls, _ = await self.answer_and_calls(planted_call)
--- a/tests/test_node_crowds.py
+++ b/tests/test_node_crowds.py
@@ -21,7 +21,7 @@
 from curlewshift.node.node import Node
 from tests.fake import SECOND
 from tests.node_testbed import CLIP, DelayedReads, DiscoveryServer, RawViewer, Testbed, set_up
-from tests.sockets import story, until
+from tests.sockets import async_test, until
 from tests.test_crossings import assert_unchanged
 
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
@@ -40,13 +40,13 @@
             self.assertEqual((await idle[-1].receive()).status, 200)
         return idle
 
-    @story
+    @async_test
     async def test_idle_connections_are_dropped_before_those_with_sessions_and_releases_are_sent_at_once(self):
         async with Testbed(sockets=120).running() as testbed:
             media, viewers, max_connections = (
                 testbed.media_servers[0],
                 [RawViewer(testbed.port) for _ in range(3)],
-                testbed.node.listener.gate.most,
+                testbed.node.listener.gate.max_connections,
             )
             for viewer, id in zip(viewers, (A, B, C)):
                 viewer.send_set_up(id)
@@ -54,7 +54,7 @@
             idle = await self.connect_and_probe(testbed, 3 * max_connections)
             self.assertGreater(testbed.node.listener.gate.dropped, max_connections)
             for viewer, id in zip(viewers, (A, B, C)):
-                await media.connections[0].send(isup.release(bytes.fromhex(id), isup.OVER))
+                await media.connections[0].send(isup.release(bytes.fromhex(id), isup.ENDED))
                 received = await viewer.receive(0.5)
                 self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", id))
             # the sessions have ended: these connections are now treated like all others
@@ -67,23 +67,23 @@
             for viewer in (*viewers, *idle):
                 viewer.close()
 
-    @story
+    @async_test
     async def test_with_sessions_on_all_connections_the_longest_idle_is_dropped_and_new_ones_are_accepted(self):
         async with Testbed(sockets=60).running() as testbed:
-            media, max_connections, idle = testbed.media_servers[0], testbed.node.listener.gate.most, []
+            media, max_connections, idle = testbed.media_servers[0], testbed.node.listener.gate.max_connections, []
             with anyio.fail_after(8):
                 for number in range(1, 2 * max_connections):
                     idle.append(RawViewer(testbed.port))
                     idle[-1].send_set_up(f"{number:016x}")
                     self.assertEqual((await idle[-1].receive(2)).status, 200)
             self.assertIsNone(await idle[0].receive())
-            await media.connections[0].send(isup.release(bytes.fromhex(f"{1:016x}"), isup.OVER))
+            await media.connections[0].send(isup.release(bytes.fromhex(f"{1:016x}"), isup.ENDED))
             received = await idle[-1].receive()
             self.assertEqual((received.method, received.fields["session"]), ("TEARDOWN", f"{1:016x}"))
             for viewer in idle:
                 viewer.close()
 
-    @story
+    @async_test
     async def test_a_release_avoids_a_connection_with_an_unread_close_and_is_sent_on_another(self):
         delayed = DelayedReads()
         async with Testbed().running() as testbed:
@@ -92,7 +92,7 @@
                 for viewer, id in ((own_viewer, A), (other, B)):
                     viewer.send_set_up(id)
                     await viewer.receive()
-                delayed.sockets.add(testbed.node.listener.asked[A].connection.wire.socket)
+                delayed.sockets.add(testbed.node.listener.sessions[A].connection.transport.socket)
                 own_viewer.close()
                 await media.connections[0].send(isup.release(bytes.fromhex(A), isup.RESET))
                 await until(lambda: testbed.node.listener.pending_releases)
@@ -113,10 +113,10 @@
         for byte in data:
             viewer.send(bytes([byte]))
             with anyio.fail_after(3):
-                while connection.wire.has_unread_input():
+                while connection.transport.has_unread_input():
                     await anyio.sleep(0)
 
-    @story
+    @async_test
     async def test_three_fragmented_requests_are_accepted_with_their_last_byte_and_arrive_unchanged(self):
         async with Testbed().running() as testbed:
             media, viewer = testbed.media_servers[0], RawViewer(testbed.port)
@@ -143,7 +143,7 @@
         await until(lambda: any(connection.input.reader.partial for connection in testbed.node.listener.connections))
         return next(connection for connection in testbed.node.listener.connections if connection.input.reader.partial)
 
-    @story
+    @async_test
     async def test_a_request_that_takes_two_seconds_to_arrive_is_served(self):
         async with Testbed().running() as testbed:
             viewer, data = RawViewer(testbed.port), set_up(A)
@@ -157,7 +157,7 @@
             self.assertEqual((await viewer.receive()).status, 200)
             viewer.close()
 
-    @story
+    @async_test
     async def test_an_incomplete_or_endless_request_is_closed_within_three_seconds_of_its_connection(self):
         async with Testbed().running() as testbed:
             for opened, began, received in ((1.0, 1.0, 1.0), (2.5, 2.5, 0.0), (2.5, 1.0, 0.0)):
@@ -170,13 +170,13 @@
                 viewer.close()
                 await until(lambda: not testbed.node.listener.connections)
 
-    @story
+    @async_test
     async def test_the_descriptor_gate_does_not_close_a_connection_with_a_partly_received_request(self):
         async with Testbed().running() as testbed:
             viewer, stops, data = RawViewer(testbed.port), RawViewer(testbed.port), set_up(A)
             await until(lambda: len(testbed.node.listener.connections) == 2)
             for connection in testbed.node.listener.connections:
-                connection.rested_at -= 10
+                connection.idle_since_s -= 10
             connection = await self.send_part(testbed, viewer, data[:100])
             testbed.node.listener.gate.make_room()
             # the silent connection is dropped, the one with a partly received request stays
@@ -187,13 +187,13 @@
             self.assertEqual((await viewer.receive()).status, 200)
             # a partly received request that does not go on counts as idle
             await self.send_part(testbed, viewer, data[:100])
-            connection.rested_at -= 10
+            connection.idle_since_s -= 10
             testbed.node.listener.gate.make_room()
             self.assertIsNone(await viewer.receive(0.5))
             for client in (viewer, stops):
                 client.close()
 
-    @story
+    @async_test
     async def test_a_request_completed_during_shutdown_is_answered(self):
         async with Testbed().running() as testbed:
             viewer, data = RawViewer(testbed.port), set_up(A)
@@ -239,7 +239,7 @@
         faults = [call for node, _ in nodes for call in node.log.error.call_args_list]
         self.assertFalse(faults, faults)
 
-    @story
+    @async_test
     async def test_thirty_nodes_with_little_load_each_do_not_overload_a_cold_server_and_answer_each_request_once(self):
         testbed, arrivals = Testbed(2), []
         testbed.obligations = dict(warm_within_ms=8000, start_capacity=0.1, fall_multiple=2.0, fall_ms=1000)
@@ -317,7 +317,7 @@
         fields = Path(f"/proc/{process.pid}/stat").read_text().rsplit(") ", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), len(os.listdir(f"/proc/{process.pid}/fd"))
 
-    @story
+    @async_test
     async def test_an_unused_node_uses_little_cpu_makes_no_connections_follows_a_reload_and_exits_promptly(self):
         async with Testbed(4).without_node() as testbed, self.started(testbed) as process:
             await until(lambda: testbed.discovery.connections)
@@ -339,7 +339,7 @@
                 self.assertEqual(await process.wait(), 0)
             self.assertLess(anyio.current_time() - signalled_at, 2.5)
 
-    @story
+    @async_test
     async def test_without_discovery_and_servers_it_passes_its_probe_refuses_requests_and_leaves_none_unanswered_at_exit(self):
         async with Testbed(2).without_node() as testbed:
             for server in (*testbed.media_servers, testbed.discovery):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -18,7 +18,7 @@
 from curlewshift.verdict.shed import judge_shed, storm_over
 from curlewshift.verdict.verdict import Figures
 from tests.fake import package
-from tests.sockets import SmallSite, an_offer, story
+from tests.sockets import SmallSite, an_offer, async_test
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -139,7 +139,7 @@
         are refused by their front's rules. Returns the admitted viewers."""
         let_in = []
         for front, pack, holders, who in asks:
-            if not self.ends[front].overload.asked(pack, holders, who):
+            if not self.ends[front].overload.admission_wait(pack, holders, who):
                 let_in.append(who)
                 if len(let_in) <= room:
                     self.ends[front].overload.began(holders, who, False)
@@ -164,7 +164,7 @@
     def servers(self):
         return self.fleet.servers_
 
-    def takes(self, server):
+    def can_admit(self, server):
         return server.room
 
     def reaches(self, other):
@@ -220,7 +220,9 @@
         self.overloaded(fleet)
         levels = self.levels(fleet)
         self.assertTrue(min(levels) > 0 and max(levels) - min(levels) < STEPS_PER_PACKAGE // 4, levels)
-        verdicts = [{who: bool(end.overload.asked(CHEAP, fleet.zone("a"), f"n{who}")) for who in range(50)} for end in fleet.ends]
+        verdicts = [
+            {who: bool(end.overload.admission_wait(CHEAP, fleet.zone("a"), f"n{who}")) for who in range(50)} for end in fleet.ends
+        ]
         self.assertTrue(all(verdict == verdicts[0] for verdict in verdicts[1:]))
 
     def test_planted_faults_of_own_levels_and_no_floor_are_visible(self):
@@ -228,7 +230,8 @@
             fleet = Fleet(overload=fault)
             self.overloaded(fleet)
             return [
-                {who for who in range(300) if not end.overload.asked(CHEAP, fleet.zone("a"), f"n{who}")} for end in fleet.ends
+                {who for who in range(300) if not end.overload.admission_wait(CHEAP, fleet.zone("a"), f"n{who}")}
+                for end in fleet.ends
             ]
 
         sound, own, none = (let_in(fault) for fault in (Overload, FAULTS["own-level-only"], FAULTS["no-floor"]))
@@ -241,7 +244,7 @@
         self.overloaded(fleet)
         self.assertEqual(self.levels(fleet, "b"), [0] * 4)
         both = fleet.zone("a")[:1] + fleet.zone("b")[:1]
-        self.assertTrue(all(not fleet.ends[0].overload.asked(CHEAP, both, f"n{n}") for n in range(20)))
+        self.assertTrue(all(not fleet.ends[0].overload.admission_wait(CHEAP, both, f"n{n}") for n in range(20)))
 
     def test_crowd_for_one_full_title_sheds_no_other_viewings(self):
         fleet = Fleet(zones=("a", "a", "a"))
@@ -330,11 +333,11 @@
         fleet = Fleet()
         self.overloaded(fleet)
         one = fleet.ends[0].overload
-        shed = next(f"n{n}" for n in range(99) if one.asked(CHEAP, fleet.zone("a"), f"n{n}"))
+        shed = next(f"n{n}" for n in range(99) if one.admission_wait(CHEAP, fleet.zone("a"), f"n{n}"))
         one.began(fleet.zone("a"), shed, False)
         first = [one.order.rank(CHEAP, f"m{n}", 0, True) for n in range(50)]
         one.levels["a"].cut = min(first)
-        self.assertEqual(one.asked(CHEAP, fleet.zone("a"), shed), 0)
+        self.assertEqual(one.admission_wait(CHEAP, fleet.zone("a"), shed), 0)
 
     def test_show_has_shed_packages_and_the_reason(self):
         fleet = Fleet()
@@ -444,7 +447,7 @@
         level.cut = overload.order.top
         level.floored = overload.order.floored = lambda rank: False
 
-    @story
+    @async_test
     async def test_shed_request_gets_retry_after_and_reaches_no_server(self):
         async with SmallSite(site={"overload": TERMS}).up() as site:
             self.raise_level_to_top(site)
@@ -454,7 +457,7 @@
             site.front.sheds.overload.levels["z"].cut = 0
             self.assertEqual((await site.ask(headers=[("x-viewing", "v2")])).status, 201)
 
-    @story
+    @async_test
     async def test_paid_set_up_lost_during_shedding_is_neither_refused_nor_resent(self):
         async with SmallSite(servers=1, site={"overload": TERMS}).up() as site:
             server = next(iter(site.servers.values()))
@@ -467,7 +470,7 @@
             self.assertEqual((first.status, again.status, len(site.traffic.all("setup"))), (502, 502, 1))
             self.assertEqual((await site.ask("paid", headers=[("x-viewing", "v9")])).status, 503)
 
-    @story
+    @async_test
     async def test_further_tune_ins_stop_without_successes_to_pay_for_them(self):
         async with SmallSite(site={"overload": OverloadTerms(again_free=1.0, again_share=0.0)}).up() as site:
             for server in site.servers.values():
@@ -476,7 +479,7 @@
             spent = site.front.sheds.overload.again.spent
             await site.ask()
             self.assertEqual((spent, site.front.sheds.overload.again.spent), (1, 1))
-            self.assertTrue(site.front.session_core.rules.again_stopped)
+            self.assertTrue(site.front.session_core.rules.retries_stopped)
 
 
 FIGURES = Figures(
--- a/tests/test_peaks.py
+++ b/tests/test_peaks.py
@@ -13,7 +13,7 @@
 from curlewshift.state.peaks import PeakStore
 from tests.fake import SECOND, RulesFixture, package
 from tests.fake_driver import PACKAGES, FakeDriver
-from tests.sockets import SmallSite, story, until
+from tests.sockets import SmallSite, async_test, until
 
 ROOT = Path(__file__).resolve().parents[1]
 MINUTE = 60 * SECOND
@@ -151,7 +151,7 @@
             self.driver.advance(SECOND // 4)
         self.driver.advance(SECOND)
         self.assertGreater(self.held(), 0.0)
-        self.assertEqual(self.session_core.peaks.holding["month-end"].phase, "on")
+        self.assertEqual(self.session_core.peaks.hold_states["month-end"].phase, "on")
 
     def test_the_hold_for_a_peak_that_never_comes_is_released(self):
         self.announce(SECOND, rate=1.0)
@@ -274,7 +274,7 @@
         low.ceiling = 2
         fixture.servers[0].link.holds = {mine: 500.0}
         fixture.advance(11 * SECOND)
-        fixture.rules.link_told(fixture.servers[0], 0.2)
+        fixture.rules.link_report_received(fixture.servers[0], 0.2)
         fixture.ticks(3)
         self.assertEqual(low.rung, 1)
         fixture.servers[0].link.holds = {}
@@ -320,7 +320,7 @@
 
 
 class Commands(unittest.TestCase):
-    @story
+    @async_test
     async def test_announce_list_restart_and_cancel(self):
         with tempfile.TemporaryDirectory() as folder:
             state = Path(folder)
@@ -352,7 +352,7 @@
                 self.assertTrue((await tell(state, {"do": "cancel", "name": "m", "why": "moved"}))["ok"])
                 self.assertEqual(site.front.calendar.peaks, {})
 
-    @story
+    @async_test
     async def test_the_command_line_reports_errors_and_lists_the_peaks(self):
         with tempfile.TemporaryDirectory() as folder:
             state = Path(folder)
@@ -379,7 +379,7 @@
                 self.assertIn(b"a story", listing.stdout)
                 self.assertIn(b"ahead", listing.stdout)
 
-    @story
+    @async_test
     async def test_an_announcement_that_could_not_be_stored_is_not_confirmed(self):
         with tempfile.TemporaryDirectory() as folder:
             state = Path(folder)
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -19,14 +19,14 @@
 from curlewshift.schedule.clock import SkewedClock
 from curlewshift.site.site import ListenAddress, Peers
 from tests.fake import MS, SECOND
-from tests.sockets import SmallSite, story, until
+from tests.sockets import SmallSite, async_test, until
 
 ROOT = Path(__file__).resolve().parents[1]
 FRONTS = 4
 
 
 class FloodedPeerPort(unittest.TestCase):
-    @story
+    @async_test
     async def test_flood_of_garbage_at_the_peer_port_costs_no_viewing(self):
         ports = free_ports(2, Random(), socket.SOCK_DGRAM)
         peers = Peers([("127.0.0.1", ports[0])], default_membership_terms(200 * MS), 64_000)
@@ -56,7 +56,7 @@
             for why in ("oversized", "other-form", "other-version", "spoilt"):
                 self.assertGreater(refused[why], 0, why)
             # the peer's clock is set back while it runs
-            other.clock.lead(1.0, -600 * SECOND)
+            other.clock.skew(1.0, -600 * SECOND)
             await until(lambda: other.channel.membership.steady.stalls == 1)
             await until(
                 lambda: membership.members["g"].rank is Rank.ALIVE and membership.members["g"].heard > membership.now - 600 * MS
@@ -66,7 +66,7 @@
 
 
 class FencedActs(unittest.TestCase):
-    @story
+    @async_test
     async def test_server_refuses_an_act_of_an_earlier_tenure_without_counting_as_a_server_fault(self):
         async with SmallSite(servers=1).up() as site:
             server = next(iter(site.front.session_core.rules.servers))
@@ -76,7 +76,7 @@
                 self.assertEqual(site.traffic.all("act")[-1]["accepted"], accepted, number)
             site.front.server_pool.probe(server, "probe/2;1")
             await until(lambda: len(site.traffic.all("act")) == 5)
-            self.assertEqual((site.traffic.all("act")[-1]["accepted"], server.trouble), (True, 0.0))
+            self.assertEqual((site.traffic.all("act")[-1]["accepted"], server.fault_score), (True, 0.0))
 
 
 class SeveralProcesses(unittest.TestCase):
--- a/tests/test_pending_releases.py
+++ b/tests/test_pending_releases.py
@@ -26,11 +26,11 @@
 
     def said(self, connection="c", number=2, at=None):
         record = self.pending.open(at or self.server, ID, OVER)
-        return record, self.pending.said(record, connection, number)
+        return record, self.pending.sent(record, connection, number)
 
     def test_record_stays_open_after_write_and_close_until_it_expires(self):
         record, copy = self.said()
-        copy.out()
+        copy.on_written()
         self.clock += 29 * SECOND_NS
         self.pending.expire()
         self.pending.connection_ended("c", by_peer=True)
@@ -49,31 +49,31 @@
 
     def test_further_set_up_waits_for_every_copy_even_if_the_record_is_closed(self):
         record, _ = self.said("c", 2)
-        self.pending.said(record, "d", 1)
-        self.pending.heard(self.server, ID, "d")
+        self.pending.sent(record, "d", 1)
+        self.pending.confirmed(self.server, ID, "d")
         self.assertEqual(record.state, State.CLOSED)
-        self.assertIs(self.pending.before(self.server, ID).connection, "c")
+        self.assertIs(self.pending.blocker(self.server, ID).connection, "c")
         self.assertEqual(self.pending.servers_of(ID), {self.server})
         self.pending.connection_ended("c", by_peer=True)
-        self.assertIsNone(self.pending.before(self.server, ID))
+        self.assertIsNone(self.pending.blocker(self.server, ID))
         self.assertEqual(self.pending.servers_of(ID), set())
 
     def test_set_up_at_another_server_waits_only_for_the_write(self):
         _, copy = self.said()
-        self.assertIs(self.pending.before(self.other, ID), copy)
-        copy.out()
-        self.assertIsNone(self.pending.before(self.other, ID))
+        self.assertIs(self.pending.blocker(self.other, ID), copy)
+        copy.on_written()
+        self.assertIsNone(self.pending.blocker(self.other, ID))
 
     def test_release_that_may_have_overtaken_the_set_up_does_not_close_the_record(self):
         record, _ = self.said("c", 1)
-        self.pending.crossed(record)
+        self.pending.closed_locally(record)
         self.pending.connection_ended("c", by_peer=False)
-        self.pending.said(record, "d", 1)
+        self.pending.sent(record, "d", 1)
         self.pending.answered("d", 2)
         self.assertEqual((record.state, self.pending.due(self.server)), (State.DUE, []))
         self.clock += pending.MAX_TRANSIT_NS
         self.assertEqual(self.pending.due(self.server), [record])
-        self.pending.said(record, "d", 3)
+        self.pending.sent(record, "d", 3)
         self.pending.answered("d", 4)
         self.assertEqual((record.state, len(self.pending)), (State.CLOSED, 0))
 
@@ -83,7 +83,7 @@
             while not self.pending.due(self.server):
                 self.clock += SECOND_NS // 10
             times.append(self.clock)
-            self.pending.said(record, number, 1)
+            self.pending.sent(record, number, 1)
             self.pending.connection_ended(number, by_peer=True)
         gaps = [after - before for before, after in itertools.pairwise(times)]
         self.assertEqual(gaps[0], 0)
@@ -139,7 +139,7 @@
         return self.sent[connection]
 
     def say(self, connection, record, attempt=None):
-        self.pending.said(record, connection, self.sent[connection] + 1).out()
+        self.pending.sent(record, connection, self.sent[connection] + 1).on_written()
         self.send(connection, ("release", attempt or self.attempt))
 
     def test(self, connection):
@@ -150,7 +150,7 @@
         name = f"c{self.opened}"
         self.opened += 1
         self.in_transit[name], self.answers[name] = deque(), deque()
-        waiting = self.pending.unsaid_on(self.server, name)
+        waiting = self.pending.unsent_on(self.server, name)
         for record in waiting:
             self.say(name, record)
         if waiting:
@@ -159,10 +159,10 @@
     def step_due(self):
         for record in self.pending.due(self.server):
             connection = record.copies[-1].connection if record.copies else None
-            if record.state is State.SAID and connection in self.in_transit:
+            if record.state is State.SENT and connection in self.in_transit:
                 self.test(connection)
                 continue
-            self.pending.put_off([record])
+            self.pending.delay([record])
             used = {copy.connection for copy in record.copies}
             unused = [name for name in self.in_transit if name not in used]
             if unused:
@@ -174,7 +174,7 @@
     def actions(self):
         yield from (["open"] if self.opened < self.CONNECTIONS else [])
         for name in self.in_transit:
-            if self.setup_connection is None and self.attempt < self.ATTEMPTS and self.pending.before(self.server, ID) is None:
+            if self.setup_connection is None and self.attempt < self.ATTEMPTS and self.pending.blocker(self.server, ID) is None:
                 yield "set up", name
             if self.in_transit[name]:
                 yield "arrive", name
@@ -245,7 +245,7 @@
         if self.setup_connection == name:
             self.setup_connection = None
             self.send(name, ("close", self.attempt))
-            self.pending.said(self.pending.open(self.server, ID, OVER), name, self.sent[name])
+            self.pending.sent(self.pending.open(self.server, ID, OVER), name, self.sent[name])
         messages = self.in_transit[name]
         self.gone(name, by_peer=False)
         if messages:
@@ -305,12 +305,12 @@
         self.assertGreater(states, 2_000)
 
     def test_search_finds_the_violation_if_set_ups_do_not_wait(self):
-        before = PendingReleases.before
-        PendingReleases.before = lambda self, server, id: None
+        before = PendingReleases.blocker
+        PendingReleases.blocker = lambda self, server, id: None
         try:
             actions, violation, _ = self.explore(depth=8, max_states=12_000)
         finally:
-            PendingReleases.before = before
+            PendingReleases.blocker = before
         self.assertTrue(actions and violation)
 
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -52,9 +52,9 @@
         )
         # the simulation sets its clock and the server's start
         fixture.host.clock = self.now + self.clock_offsets[index]
-        fixture.rules.born = fixture.rules.unproven_at = fixture.host.clock
+        fixture.rules.started_at = fixture.rules.unproven_at = fixture.host.clock
         server = fixture.servers[0]
-        server.mark, server.streams = self.placement_hash, streams
+        server.placement_hash, server.streams = self.placement_hash, streams
         server.unproven_until = fixture.host.clock + WARM
         fixture.rules.unproven_pace = streams * fixture.rules.pace / self.fronts
         fixture.started = self.now
@@ -139,7 +139,7 @@
     def test_a_crowd_that_exceeds_the_pace_is_detected(self):
         crowd = Crowd(30, 4.5)
         for fixture in crowd.fixtures:
-            fixture.rules._own_part_left = lambda server, now: len(server.sent) < 1
+            fixture.rules._own_share_left = lambda server, now: len(server.sent) < 1
         self.assertGreater(crowd.play(4 * SECOND).max_in_window(), bound(4.5))
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,13 +10,13 @@
 from curlewshift.exchange.client import ask
 from curlewshift.front.front import Front
 from curlewshift.recovery.recovery import GIVE_UP_AFTER, InterruptedSetup, ListedSession, Recovery
-from curlewshift.session_core.front_session import Kind
+from curlewshift.session_core.front_session import AnswerKind
 from curlewshift.session_core.session_core import UnknownResource
 from curlewshift.state.journal import Journal, WriteFailed
 from curlewshift.state.session_registry import BEGAN, SessionRegistry, StoredSession
 from tests.fake import SECOND
 from tests.fake_driver import FakeDriver
-from tests.sockets import SmallSite, an_offer, story, until
+from tests.sockets import SmallSite, an_offer, async_test, until
 
 OWN_LIFE, EARLIER_LIFE = "f.2", "f.1"
 
@@ -29,7 +29,7 @@
                 holder=None,
                 key=key,
                 offer="offer",
-                way="whep",
+                protocol="whep",
                 package=pack,
                 title=title,
                 ceiling=2,
@@ -62,7 +62,7 @@
     def adopt(self, server, paths):
         self.adopting.append((server.name, paths))
 
-    def taken_up(self, stored, server):
+    def resume(self, stored, server):
         front_session = self.front_sessions[stored.token] = self.fake.session_core.handed_over(
             stored.package, stored.title, stored.ceiling, server, stored.path, stored.rung, stored.key, stored.offer
         )
@@ -71,7 +71,7 @@
     def session_of(self, found, doubt):
         return found.path
 
-    def forgotten(self, stored):
+    def ended_before_resume(self, stored):
         self.forgotten_tokens.append(stored.token)
 
     def answer_list(self, server, *rows, boot="b"):
@@ -103,7 +103,7 @@
         self.assertGreater(front.fake.server("s0").link.own, 0)
         # both seats of the title are taken: a third viewing is refused at every server
         third = front.fake.ask("clip", "t1", key="new")
-        self.assertEqual((third.answer.kind, front.fake.out), (Kind.REFUSED, []))
+        self.assertEqual((third.answer.kind, front.fake.out), (AnswerKind.REFUSED, []))
 
     def test_kept_ended_and_orphaned_sessions_are_distinguished(self):
         front = RestartedFront([stored_session("kept", path="/session/1"), stored_session("gone", path="/session/2", key="k2")])
@@ -118,12 +118,12 @@
         for server in ("s1", "s2", "s3"):
             front.answer_list(server)
         recovery = front.recovery
-        self.assertEqual((recovery.over, recovery.kept, recovery.ended, recovery.orphans), (True, 1, 1, 1))
+        self.assertEqual((recovery.finished, recovery.kept, recovery.ended, recovery.orphans), (True, 1, 1, 1))
 
     def test_client_that_retries_gets_the_stored_session(self):
         front = RestartedFront([stored_session(key="k")])
         request = front.fake.ask("lesson", "t1", key="k", offer="offer")
-        self.assertEqual((request.answer.kind, request.answer.front_session), (Kind.PLAYS, front.front_sessions["tk"]))
+        self.assertEqual((request.answer.kind, request.answer.front_session), (AnswerKind.PLAYS, front.front_sessions["tk"]))
         self.assertEqual(front.fake.out, [])
 
     def test_session_that_ends_during_adoption(self):
@@ -160,7 +160,7 @@
         for server in ("s1", "s2", "s3"):
             front.answer_list(server)
         tries = 0
-        while not front.recovery.over:
+        while not front.recovery.finished:
             if front.asked_servers:
                 front.no_answer("s0")
                 tries += 1
@@ -175,7 +175,7 @@
         front = RestartedFront([stored_session(server="late")])
         self.assertEqual(front.front_sessions, {})
         front.fake.change(front.fake.row("late"))
-        front.recovery.list_told()
+        front.recovery.list_changed()
         self.assertIn("late", front.asked_servers)
         front.answer_list("late", ("/session/1", EARLIER_LIFE, 1, ""))
         front.answer_adoption("late", "/session/1")
@@ -189,7 +189,7 @@
         for server in ("s1", "s2", "s3"):
             front.answer_list(server)
         front.later(SECOND)
-        self.assertTrue(front.recovery.over)
+        self.assertTrue(front.recovery.finished)
 
     def test_session_of_a_removed_title_is_an_orphan(self):
         front = RestartedFront([stored_session(title="dropped")])
@@ -216,24 +216,24 @@
         self.front.answer_list("s0", ("/session/1", EARLIER_LIFE, 1, "mark"))
         self.assertIsNone(request.answer)
         self.front.answer_adoption("s0", "/session/1")
-        self.assertEqual(request.answer.kind, Kind.PLAYS)
+        self.assertEqual(request.answer.kind, AnswerKind.PLAYS)
         self.assertEqual((request.answer.front_session.session, self.fake.out), ("/session/1", []))
-        self.assertEqual(self.ask_again().answer.kind, Kind.PLAYS)
+        self.assertEqual(self.ask_again().answer.kind, AnswerKind.PLAYS)
 
     def test_client_waits_until_it_is_known_that_the_set_up_failed(self):
         request = self.ask_again()
         self.front.answer_list("s0")
-        self.assertEqual((request.answer.kind, self.fake.out), (Kind.FAILED, []))
-        self.assertEqual(self.ask_again().answer.kind, Kind.FAILED)
+        self.assertEqual((request.answer.kind, self.fake.out), (AnswerKind.FAILED, []))
+        self.assertEqual(self.ask_again().answer.kind, AnswerKind.FAILED)
 
     def test_answer_given_at_the_end_of_patience_stays_valid(self):
         request = self.ask_again(patience=SECOND)
         self.fake.advance(SECOND)
-        self.assertEqual(request.answer.kind, Kind.FAILED)
+        self.assertEqual(request.answer.kind, AnswerKind.FAILED)
         self.front.answer_list("s0", ("/session/1", EARLIER_LIFE, 1, "mark"))
         self.front.answer_adoption("s0", "/session/1")
         self.assertEqual(self.fake.torn_down, ["/session/1"])
-        self.assertEqual(self.ask_again().answer.kind, Kind.FAILED)
+        self.assertEqual(self.ask_again().answer.kind, AnswerKind.FAILED)
 
     def test_disconnecting_while_in_doubt_does_not_free_the_key(self):
         self.fake.session_core.hung_up(self.ask_again())
@@ -243,7 +243,7 @@
     def test_set_up_at_a_server_that_never_answers_fails(self):
         request = self.ask_again()
         self.front.later(GIVE_UP_AFTER)
-        self.assertEqual((request.answer.kind, self.fake.out, self.fake.violations), (Kind.FAILED, [], []))
+        self.assertEqual((request.answer.kind, self.fake.out, self.fake.violations), (AnswerKind.FAILED, [], []))
 
     def test_mark_at_another_server_than_that_of_the_intent_is_an_orphan(self):
         self.front.answer_list("s1", ("/session/7", EARLIER_LIFE, 1, "mark"))
@@ -300,13 +300,13 @@
         await opened.wait()
         return site.front
 
-    @story
+    @async_test
     async def test_sessions_continue_at_the_addresses_their_clients_have(self):
         async with SmallSite().up(self.state) as site:
             kept, closed = await site.ask(), await site.ask()
             sessions = {name for server in site.servers.values() for name in server.sessions}
             front = await self.again(site)
-            await until(lambda: front.recovery.over)
+            await until(lambda: front.recovery.finished)
             self.assertEqual((front.recovery.kept, front.recovery.orphans), (2, 0))
             self.assertEqual({name for server in site.servers.values() for name in server.sessions}, sessions)
             self.assertEqual(
@@ -326,17 +326,17 @@
             self.assertEqual(ended.status, 200)
             await until(lambda: sum(len(server.sessions) for server in site.servers.values()) == 1)
 
-    @story
+    @async_test
     async def test_front_without_its_folder_ends_unknown_sessions(self):
         async with SmallSite().up(self.state) as site:
             await site.ask()
             (self.state / "empty").mkdir()
             front = await self.again(site, self.state / "empty")
-            await until(lambda: front.recovery.over)
+            await until(lambda: front.recovery.finished)
             await until(lambda: not any(server.sessions for server in site.servers.values()))
             self.assertEqual((front.recovery.kept, front.recovery.orphans), (0, 1))
 
-    @story
+    @async_test
     async def test_paid_set_up_interrupted_before_its_answer_is_resolved(self):
         async with SmallSite(servers=1).up(self.state) as site:
             server = next(iter(site.servers.values()))
@@ -357,12 +357,12 @@
             answered = await site.ask("paid", [key], offer)
             # depending on whether the set-up was complete, the session plays or the request failed; it never runs twice
             self.assertIn(answered.status, (201, 502))
-            await until(lambda: front.recovery.over)
+            await until(lambda: front.recovery.finished)
             self.assertEqual(len(site.traffic.all("setup")), 1)
             if answered.status == 201:
                 self.assertEqual(len(server.sessions), 1)
 
-    @story
+    @async_test
     async def test_full_disk_stops_the_session_writer_and_not_the_front(self):
         async with SmallSite().up(self.state) as site:
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -58,7 +58,7 @@
 class IdempotencyKeys(unittest.TestCase):
     def test_key_in_progress_never_expires_and_an_ended_one_at_its_time(self):
         table = KeyTable(0)
-        held = table.hold("k", "m", "c")
+        held = table.add("k", "m", "c")
         self.assertIs(table.find("k", 10**15), held)
         table.ended(held, 10**15 + SECOND)
         self.assertIs(table.find("k", 10**15 + SECOND - 1), held)
@@ -68,24 +68,24 @@
     def test_ended_keys_are_bounded_and_the_first_to_expire_are_dropped(self):
         table = KeyTable(0, most_ended=100)
         for number in range(1000):
-            table.ended(table.hold(str(number), "m", None), (number + 1) * SECOND)
+            table.ended(table.add(str(number), "m", None), (number + 1) * SECOND)
         self.assertLessEqual(len(table), 100)
         self.assertIsNotNone(table.find("999", 1))
 
     def test_ended_keys_expire_with_their_span_and_a_reused_key_stays(self):
         table = KeyTable(0)
         for number in range(100):
-            table.ended(table.hold(str(number), "m", None), SECOND + number)
+            table.ended(table.add(str(number), "m", None), SECOND + number)
         self.assertIsNone(table.find("7", SECOND + 50))
-        reused = table.hold("7", "m", None)
+        reused = table.add("7", "m", None)
         self.assertIsNone(table.find("none", 3 * SECOND))
-        self.assertEqual((table.held, table.ended_count, table.buckets), ({"7": reused}, 0, {}))
+        self.assertEqual((table.entries, table.ended_count, table.buckets), ({"7": reused}, 0, {}))
 
     def test_forgotten_key_is_free_and_the_old_entry_does_not_affect_the_new_one(self):
         table = KeyTable(0)
-        old = table.hold("k", "m", "c")
+        old = table.add("k", "m", "c")
         table.forget(old)
-        new = table.hold("k", "n", "d")
+        new = table.add("k", "n", "d")
         table.ended(old, SECOND)
         table.forget(old)
         self.assertIs(table.find("k", 5 * SECOND), new)
@@ -219,13 +219,13 @@
         self.commands.finish()
         self.patch("c")
         self.commands.answered(self.sent[0], Result.DONE)
-        self.assertEqual(self.results, [("b", Result.OVER), ("c", Result.OVER), ("a", Result.DONE)])
+        self.assertEqual(self.results, [("b", Result.ENDED), ("c", Result.ENDED), ("a", Result.DONE)])
         self.assertEqual(len(self.sent), 1)
 
     def test_commands_beyond_the_limit_are_refused(self):
         for number in range(40):
             self.patch(str(number))
-        self.assertEqual(sum(result is Result.CROWDED for _, result in self.results), 23)
+        self.assertEqual(sum(result is Result.QUEUE_FULL for _, result in self.results), 23)
 
 
 class ClientPlan(unittest.TestCase):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,7 +21,7 @@
         wide, small = fixture.play(), fixture.play(ceiling=1)
         fixture.advance(5 * SECOND)
         for _ in range(30):
-            fixture.rules.link_told(wide.server, 1.1)
+            fixture.rules.link_report_received(wide.server, 1.1)
         fixture.ticks(1)
         self.assertEqual((wide.rung, small.rung), (1, 1))
 
@@ -41,12 +41,12 @@
     def test_a_viewing_climbs_at_most_one_rung_in_ten_seconds(self):
         fixture = RulesFixture(count=1, size=1000.0)
         for _ in range(9):
-            fixture.rules.link_told(fixture.servers[0], 0.85)
+            fixture.rules.link_report_received(fixture.servers[0], 0.85)
             fixture.advance(SECOND)
         viewing = fixture.play()
         self.assertEqual(viewing.rung, 0)
         for _ in range(9):
-            fixture.rules.link_told(viewing.server, 0.0)
+            fixture.rules.link_report_received(viewing.server, 0.0)
             fixture.advance(SECOND)
         rungs = []
         for _ in range(16):
@@ -58,7 +58,7 @@
         fixture = RulesFixture(warm=False)
         viewing = fixture.viewing()
         fixture.rules.handed_over(viewing, fixture.servers[0])
-        fixture.rules.rung_told(viewing, 0)
+        fixture.rules.rung_reported(viewing, 0)
         fixture.ticks(15)
         self.assertEqual(viewing.rung, 0)
 
@@ -68,14 +68,14 @@
         late = fixture.want()
         self.assertEqual((late.rung, fixture.host.calls_of("block")), (0, []))
         fixture.rules.delivered(wide.server, 0.9)
-        self.assertTrue(fixture.want().over)
+        self.assertTrue(fixture.want().ended)
 
     def test_the_estimate_of_an_old_report_decays_to_the_usual_use(self):
         fixture = RulesFixture(count=3)
         fixture.advance(60 * SECOND)
         for server in fixture.servers[:2]:
             for _ in range(5):
-                fixture.rules.link_told(server, 0.9)
+                fixture.rules.link_report_received(server, 0.9)
         fixture.ticks(1)
         self.assertGreater(fixture.rules._use(fixture.servers[2].link), 500.0)
 
@@ -85,7 +85,7 @@
         fixture = RulesFixture(count=16, size=1e6)
         # hashes of servers use all 64 bits, those of viewers have leading zeros
         for place, server in enumerate(fixture.servers):
-            server.mark = (place + 1) * 0x0F1E2D3C4B5A6978 % 2**64
+            server.placement_hash = (place + 1) * 0x0F1E2D3C4B5A6978 % 2**64
         self.assertGreater(len({fixture.want().server for _ in range(64)}), 8)
 
     def steps(self, fronts, report):
@@ -94,9 +94,9 @@
             fixture = RulesFixture(count=1, size=1000.0, me=index, fronts=fronts, seed=index)
             viewing = fixture.viewing()
             fixture.rules.handed_over(viewing, fixture.servers[0])
-            fixture.rules.rung_told(viewing, 1)
+            fixture.rules.rung_reported(viewing, 1)
             fixture.advance(SECOND)
-            fixture.rules.link_told(fixture.servers[0], 0.9)
+            fixture.rules.link_report_received(fixture.servers[0], 0.9)
             report(fixture)
             fixture.rules.tick()
             taken += viewing.rung == 0
@@ -105,7 +105,7 @@
     def test_many_fronts_with_the_same_report_of_a_full_link_together_step_by_the_excess(self):
         def full(fixture):
             for _ in range(12):
-                fixture.rules.link_told(fixture.servers[0], 1.12)
+                fixture.rules.link_report_received(fixture.servers[0], 1.12)
 
         # each front knows its own viewing and a load report over the link's size: a few have to step, not all
         self.assertTrue(1 <= self.steps(60, full) <= 30)
@@ -138,9 +138,9 @@
         fixture.play(ceiling=2)
         empty = next(server for server in fixture.servers if not server.link.own)
         before = fixture.rules._link_room(empty.link)
-        fixture.rules.link_told(empty, 0.5)
+        fixture.rules.link_report_received(empty, 0.5)
         fixture.advance(3 * SECOND)
-        fixture.rules.link_told(empty, 0.5)
+        fixture.rules.link_report_received(empty, 0.5)
         self.assertLess(fixture.rules._link_room(empty.link), before - fixture.rules._others(empty.link) - 100.0)
 
     def test_more_fronts_keep_a_larger_margin(self):
@@ -155,9 +155,9 @@
         viewing = fixture.want()
         (first,), (second,) = fixture.host.calls_of("probe")
         self.assertEqual(fixture.host.calls_of("tune_in"), [])
-        fixture.rules.link_told(first, 0.9)
+        fixture.rules.link_report_received(first, 0.9)
         fixture.rules.probed(first, Outcome.PLAYED)
-        fixture.rules.link_told(second, 0.1)
+        fixture.rules.link_report_received(second, 0.1)
         fixture.rules.probed(second, Outcome.PLAYED)
         self.assertEqual((viewing.server is first, viewing.rung), (False, 2))
 
@@ -166,7 +166,7 @@
         fixture.advance(10 * SECOND)
         viewing = fixture.want()
         fixture.ticks(2)
-        self.assertTrue(viewing.over or viewing.server)
+        self.assertTrue(viewing.ended or viewing.server)
 
     def test_a_viewer_whose_patience_ends_before_a_probe_can_time_out_is_placed_at_once(self):
         fixture = RulesFixture(count=2, probes=True)
@@ -180,7 +180,7 @@
         fixture = RulesFixture()
         viewing = fixture.want()
         ((_, first, until),) = fixture.host.calls_of("tune_in")
-        self.assertLess(until, viewing.asked_at + viewing.package.join_target * 0.6)
+        self.assertLess(until, viewing.requested_at + viewing.package.join_target * 0.6)
         fixture.host.clock = until
         fixture.rules.ended(viewing, Outcome.SILENT, False)
         self.assertIsNot(fixture.host.calls_of("tune_in")[1][1], first)
@@ -256,27 +256,27 @@
         for _ in range(8):
             fixture.advance(2 * SECOND)
             for server in (quiet, other):
-                fixture.rules.link_told(server, 0.1 if server is quiet else 0.5)
+                fixture.rules.link_report_received(server, 0.1 if server is quiet else 0.5)
         self.assertIs(fixture.want().server, quiet)
         for _ in range(4):
             fixture.advance(2 * SECOND)
-            fixture.rules.link_told(other, 0.5)
+            fixture.rules.link_report_received(other, 0.5)
         self.assertIs(fixture.want().server, other)
 
     def test_after_the_answer_full_the_link_counts_as_fully_used_despite_earlier_reports(self):
         fixture = RulesFixture(count=1, size=1000.0)
         fixture.rules.ended(fixture.want(), Outcome.FULL, True)
         fixture.advance(SECOND)
-        self.assertTrue(fixture.want().over)
+        self.assertTrue(fixture.want().ended)
 
     def test_many_viewings_lost_at_once_do_not_prolong_the_avoidance_of_a_server(self):
         fixture = RulesFixture(count=1, size=1e6)
         viewings = [fixture.play() for _ in range(9)]
         for viewing in viewings:
             fixture.rules.ended(viewing, Outcome.BROKEN, True)
-        self.assertTrue(fixture.rules._sick(fixture.servers[0]))
+        self.assertTrue(fixture.rules._is_failing(fixture.servers[0]))
         fixture.advance(20 * SECOND)
-        self.assertFalse(fixture.rules._sick(fixture.servers[0]))
+        self.assertFalse(fixture.rules._is_failing(fixture.servers[0]))
 
 
 class SendLimits(unittest.TestCase):
@@ -345,23 +345,23 @@
         handed = fixture.viewing(pack=pack)
         fixture.rules.handed_over(handed, fixture.servers[0])
         fixture.want(pack=pack)
-        self.assertTrue(fixture.want(pack=pack).over)
-        self.assertFalse(fixture.want(pack=pack, title="another").over)
+        self.assertTrue(fixture.want(pack=pack).ended)
+        self.assertFalse(fixture.want(pack=pack, title="another").ended)
         fixture.rules.ended(handed, Outcome.PLAYED, True)
-        self.assertFalse(fixture.want(pack=pack).over)
+        self.assertFalse(fixture.want(pack=pack).ended)
 
     def test_a_paid_set_up_never_goes_to_a_failing_server(self):
         fixture = RulesFixture(count=1)
         fixture.play()
         fixture.rules.ended(fixture.want(), Outcome.ERROR, True)
-        self.assertTrue(fixture.want(pack=package(paid_at_setup=True)).over)
-        self.assertFalse(fixture.want().over)
+        self.assertTrue(fixture.want(pack=package(paid_at_setup=True)).ended)
+        self.assertFalse(fixture.want().ended)
 
     def test_errors_on_a_title_that_never_played_are_not_held_against_a_server(self):
         fixture = RulesFixture(count=1)
         for _ in range(5):
             fixture.rules.ended(fixture.want(title="nowhere"), Outcome.ERROR, True)
-        self.assertFalse(fixture.want(pack=package(paid_at_setup=True)).over)
+        self.assertFalse(fixture.want(pack=package(paid_at_setup=True)).ended)
 
     def test_the_record_of_attempts_to_a_warm_server_is_pruned(self):
         fixture = RulesFixture(count=1, size=1e9)
--- a/tests/test_session_core.py
+++ b/tests/test_session_core.py
@@ -1,10 +1,10 @@
 import unittest
 
 from curlewshift.model import Outcome
-from curlewshift.session_core.front_session import Kind
+from curlewshift.session_core.front_session import AnswerKind
 from curlewshift.session_core.session_core import InvalidRequest, KeyReused, UnknownResource
 from curlewshift.session_core.timers import Timers
-from curlewshift.state.intents import KEPT_ON
+from curlewshift.state.intents import RETENTION
 from tests.fake import SECOND
 from tests.fake_driver import FakeDriver
 
@@ -26,14 +26,14 @@
         self.driver.clock = tune_in.until
         self.driver.ends(tune_in, Outcome.PLAYED, "s")
         self.driver.advance(0)
-        self.assertEqual((self.kind(request), self.driver.torn_down), (Kind.PLAYS, []))
+        self.assertEqual((self.kind(request), self.driver.torn_down), (AnswerKind.PLAYS, []))
 
     def test_a_session_that_plays_after_the_time_out_is_torn_down(self):
         request = self.driver.ask("paid")
         tune_in = self.driver.out[0]
         self.driver.advance(tune_in.until - self.driver.clock)
         self.driver.ends(tune_in, Outcome.PLAYED, "s")
-        self.assertEqual((self.kind(request), self.driver.torn_down), (Kind.FAILED, ["s"]))
+        self.assertEqual((self.kind(request), self.driver.torn_down), (AnswerKind.FAILED, ["s"]))
 
     def test_an_answer_after_the_viewer_left_is_torn_down_and_frees_the_link(self):
         request = self.driver.ask()
@@ -41,7 +41,7 @@
         self.session_core.hung_up(request)
         self.driver.ends(tune_in, Outcome.PLAYED, "s")
         self.assertEqual((self.driver.torn_down, self.driver.answers), (["s"], {}))
-        self.assertEqual((tune_in.server.link.own, tune_in.server.out, self.session_core.waiting), (0.0, 0, 0))
+        self.assertEqual((tune_in.server.link.own, tune_in.server.outstanding, self.session_core.waiting), (0.0, 0, 0))
 
     def test_a_repeated_outcome_changes_nothing(self):
         front_session = self.driver.play()
@@ -55,7 +55,7 @@
         reset, refused = self.driver.ask("paid"), self.driver.ask("paid")
         first, second = self.driver.out
         self.driver.ends(first, Outcome.BROKEN)
-        self.assertEqual((self.kind(reset), self.driver.out), (Kind.FAILED, [second]))
+        self.assertEqual((self.kind(reset), self.driver.out), (AnswerKind.FAILED, [second]))
         self.driver.ends(second, Outcome.UNREACHED)
         self.assertEqual([tune_in.number for tune_in in self.driver.out], [2])
         self.assertIsNot(self.driver.out[0].server, second.server)
@@ -65,7 +65,7 @@
         request = self.driver.ask("paid")
         self.driver.withdraw = lambda tune_in: self.driver.out.remove(tune_in)
         self.driver.advance(4 * SECOND)
-        self.assertEqual(self.kind(request), Kind.REFUSED)
+        self.assertEqual(self.kind(request), AnswerKind.REFUSED)
 
     def test_nothing_is_sent_to_a_server_that_closed_between_choice_and_send(self):
         self.driver.ask()
@@ -117,7 +117,7 @@
         self.session_core.hung_up(first)
         again = self.driver.ask("paid", key="k")
         self.driver.ends(self.driver.out[0], Outcome.PLAYED, "s")
-        self.assertEqual((self.driver.answers[again].kind, self.driver.torn_down), (Kind.PLAYS, []))
+        self.assertEqual((self.driver.answers[again].kind, self.driver.torn_down), (AnswerKind.PLAYS, []))
 
     def test_a_retry_after_a_hang_up_starts_over_only_where_nothing_can_have_run(self):
         for pack, outcome, sent, answered in (
@@ -147,8 +147,8 @@
         # the set-up may have run and been paid: the key is kept past the end of patience
         self.driver.advance(5 * SECOND)
         late = self.driver.ask("paid", key="k")
-        self.assertEqual((late.answer.kind, self.driver.out), (Kind.FAILED, []))
-        self.driver.advance(KEPT_ON)
+        self.assertEqual((late.answer.kind, self.driver.out), (AnswerKind.FAILED, []))
+        self.driver.advance(RETENTION)
         self.driver.ask("paid", key="k")
         self.assertEqual(len(self.driver.out), 1)
 
@@ -177,9 +177,9 @@
         driver = FakeDriver()
         taken = driver.ask()
         driver.session_core.drain()
-        self.assertEqual(driver.answers[driver.ask()].kind, Kind.REFUSED)
+        self.assertEqual(driver.answers[driver.ask()].kind, AnswerKind.REFUSED)
         driver.ends(driver.out[0], Outcome.PLAYED)
-        self.assertEqual(driver.answers[taken].kind, Kind.PLAYS)
+        self.assertEqual(driver.answers[taken].kind, AnswerKind.PLAYS)
 
     def test_an_invalid_request_causes_no_tune_in(self):
         driver = FakeDriver()
@@ -277,7 +277,7 @@
     def test_handed_over_viewings_take_seats(self):
         for _ in range(2):
             self.session_core.handed_over("clip", "t1", 2, self.driver.server("s0"), "s", 1)
-        self.assertEqual(self.driver.answers[self.driver.ask("clip", "t1")].kind, Kind.REFUSED)
+        self.assertEqual(self.driver.answers[self.driver.ask("clip", "t1")].kind, AnswerKind.REFUSED)
 
     def test_a_lower_ceiling_steps_the_viewing_at_once_and_never_under_the_floor(self):
         front_session = self.driver.play(pack="clip")
--- a/tests/test_session_core_histories.py
+++ b/tests/test_session_core_histories.py
@@ -177,7 +177,7 @@
         for server in self.session_core.server_list.servers.values():
             rates = sum(viewing.held_rate for viewing in self.session_core.front_sessions if viewing.server is server)
             assert abs(server.link.own - rates) < 1e-6
-            assert server.out == sum(tune_in.server is server for tune_in in self.driver.out)
+            assert server.outstanding == sum(tune_in.server is server for tune_in in self.driver.out)
 
 
 SETTINGS = settings(
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -25,7 +25,7 @@
 from curlewshift.signalling.sdp import PUBLISHES, offer_text
 from curlewshift.site.authority import AuthorityError, issue, make_authority
 from tests.fake import SECOND
-from tests.sockets import FINGERPRINT, SDP, SmallSite, an_offer, story, until
+from tests.sockets import FINGERPRINT, SDP, SmallSite, an_offer, async_test, until
 
 HOST = "1 1 udp 2113929471 192.0.2.1 50000 typ host"
 
@@ -54,7 +54,7 @@
 
 
 class Patches(unittest.TestCase):
-    @story
+    @async_test
     async def test_candidates_go_to_the_server_that_holds_the_session_under_its_tag(self):
         async with SmallSite(servers=2).up() as site:
             session = await OneSession.of(site)
@@ -75,7 +75,7 @@
                 self.assertEqual(answered.headers["content-type"], "application/problem+json")
             self.assertEqual(len(site.traffic.all("patch")), 1)
 
-    @story
+    @async_test
     async def test_a_restart_makes_another_tag_and_the_address_outlives_rungs(self):
         async with SmallSite(servers=1).up() as site:
             session = await OneSession.of(site)
@@ -91,7 +91,7 @@
             new = await session.patch(restarted.headers["etag"], fragment_text(ufrag, pwd, [HOST], ended=True))
             self.assertEqual(new.status, 204)
 
-    @story
+    @async_test
     async def test_a_patch_to_a_session_whose_server_died_finds_it_gone_or_silent(self):
         async with SmallSite(servers=1).up() as site:
             session = await OneSession.of(site)
@@ -101,7 +101,7 @@
             await until(lambda: not site.front.session_core.front_sessions)
             self.assertEqual((await session.patch(session.etag)).status, 404)
 
-    @story
+    @async_test
     async def test_a_hanging_server_keeps_patches_in_order_and_the_end_answers_them(self):
         async with SmallSite(servers=1).up() as site:
             session = await OneSession.of(site)
@@ -121,7 +121,7 @@
             self.assertEqual(sorted(statuses)[1:], [404, 404])
             await until(lambda: not site.servers["s0"].sessions)
 
-    @story
+    @async_test
     async def test_what_the_papers_want_of_the_other_methods(self):
         async with SmallSite(servers=1, site={"ice_servers": ('<stun:192.0.2.9>; rel="ice-server"',)}).up() as site:
             session = await OneSession.of(site)
@@ -139,7 +139,7 @@
             self.assertIn("PATCH", endpoint.headers["access-control-allow-methods"])
             self.assertEqual((await ask("127.0.0.1", site.port, "GET", "/whep/clip/t")).status, 405)
 
-    @story
+    @async_test
     async def test_events_tell_the_rung_and_the_end(self):
         async with SmallSite(servers=1).up() as site:
             session = await OneSession.of(site)
@@ -165,7 +165,7 @@
 
 
 class Publishing(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_publish_is_counted_like_any_viewing_and_keeps_its_seats(self):
         async with SmallSite(servers=1).up() as site:
             caller = Caller([f"http://127.0.0.1:{site.port}"])
@@ -189,7 +189,7 @@
 
 
 class Retries(unittest.TestCase):
-    @story
+    @async_test
     async def test_the_same_offer_without_a_key_joins_itself_and_another_does_not(self):
         async with SmallSite(servers=1).up() as site:
             offer = an_offer()
@@ -198,7 +198,7 @@
             self.assertNotEqual(first.headers["location"], other.headers["location"])
             self.assertEqual(len(site.traffic.all("setup")), 2)
 
-    @story
+    @async_test
     async def test_an_answer_that_crosses_with_the_giving_up_is_read_and_its_session_ended(self):
         async with SmallSite(servers=1).up() as site:
             server = site.servers["s0"]
@@ -210,7 +210,7 @@
             self.assertEqual(site.traffic.all("session-end")[0]["why"], "deleted")
             self.assertEqual(len(site.traffic.all("setup")), 1)
 
-    @story
+    @async_test
     async def test_a_session_whose_server_hangs_at_its_end_is_ended_once_it_answers(self):
         async with SmallSite(servers=1).up() as site:
             session = await OneSession.of(site)
@@ -222,7 +222,7 @@
             await until(lambda: not site.servers["s0"].sessions)
             await until(lambda: not len(site.front.session_core.session_ends))
 
-    @story
+    @async_test
     async def test_a_redirect_from_a_server_ran_nothing_and_is_not_followed(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].redirects = True
@@ -230,7 +230,7 @@
             self.assertEqual(statuses, [201] * 4)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
-    @story
+    @async_test
     async def test_a_stand_in_that_drains_mid_request_sends_it_on(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].freeze()
@@ -251,7 +251,7 @@
             self.assertEqual(answers, [201])
             self.assertNotEqual(site.traffic.all("session")[0]["server"], name)
 
-    @story
+    @async_test
     async def test_delete_racing_the_answer_ends_it_all_the_same(self):
         async with SmallSite(servers=1).up() as site:
             for _ in range(20):
@@ -266,7 +266,7 @@
 
 
 class Counted(unittest.TestCase):
-    @story
+    @async_test
     async def test_two_thousand_requests_under_faults_have_one_answer_and_one_set_up_each(self):
         site = SmallSite(servers=3, patience=SECOND)
         for machine in site.site.machines:
@@ -324,7 +324,7 @@
 
 
 class Callers(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_caller_keeps_one_key_over_a_lost_answer_and_moves_on_only_with_proof(self):
         async with SmallSite(servers=1).up() as site:
             seen, mode = [], ["cut"]
@@ -350,7 +350,7 @@
             await session.close()
             await until(lambda: not site.servers["s0"].sessions)
 
-    @story
+    @async_test
     async def test_a_refusal_is_waited_out_and_a_failure_is_an_end(self):
         async with SmallSite(servers=1).up() as site:
             caller = Caller(["http://127.0.0.1:1", f"http://127.0.0.1:{site.port}"], seed=1)
@@ -371,7 +371,7 @@
     def test_the_examples_run_against_the_stand_ins(self):
         root = Path(__file__).resolve().parents[1]
 
-        async def story():
+        async def async_test():
             async with SmallSite(servers=1).up() as site:
                 for script, how in (("watch.py", ("clip", "t")), ("publish.py", ("camera", "t"))):
                     ran = await anyio.run_process(
@@ -382,7 +382,7 @@
                     )
                     self.assertEqual(ran.returncode, 0, ran.stderr.decode())
 
-        anyio.run(story)
+        anyio.run(async_test)
 
     def test_the_caller_without_async(self):
         with self.assertRaises(Failed):
@@ -460,7 +460,7 @@
             with self.assertRaises(InvalidKeySet):
                 read_keys(raw)
 
-    @story
+    @async_test
     async def test_a_refused_token_costs_no_tune_in_and_keys_change_while_it_runs(self):
         with tempfile.TemporaryDirectory() as folder:
             keys = Path(folder) / "keys.json"
@@ -487,7 +487,7 @@
 
 
 class Tls(unittest.TestCase):
-    @story
+    @async_test
     async def test_the_door_by_a_private_authority_wrong_names_refused_and_renewed_while_it_runs(self):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -466,7 +466,7 @@
             there = next(iter(other.session_core.rules.servers))
             self.assertAlmostEqual(there.link.counted, 300.0)
             owner, wanting = (one, other) if one.sharing.part("s0") else (other, one)
-            wanting.servers()[0].wanted_at = 1
+            wanting.servers()[0].rights_wanted_at = 1
             self.rounds(fleet, (one, other), 1)
             self.assertEqual(
                 (
@@ -497,58 +497,58 @@
     """Shared facts reach the rules; without them each front decides as if it were alone."""
 
     def cold(self, **changed):
-        story = RulesFixture(1, fronts=40, **changed)
-        story.list(story.servers[0], started=story.host.clock)
-        return story, story.servers[0]
+        async_test = RulesFixture(1, fronts=40, **changed)
+        async_test.list(async_test.servers[0], started=async_test.host.clock)
+        return async_test, async_test.servers[0]
 
     def test_held_rights_bound_set_ups_instead_of_the_even_share(self):
-        story, server = self.cold()
-        now = story.host.clock
-        story.rules.rights_dealt = True
-        self.assertEqual(story.rules.rights_of(server), 2)
+        async_test, server = self.cold()
+        now = async_test.host.clock
+        async_test.rules.rights_dealt = True
+        self.assertEqual(async_test.rules.rights_of(server), 2)
         server.rights = [(now + SECOND, 2**62, 1)]
-        self.assertFalse(story.rules._may_send(server))
-        self.assertEqual(server.wanted_at, now)
+        self.assertFalse(async_test.rules._may_send(server))
+        self.assertEqual(server.rights_wanted_at, now)
         server.rights = [(0, now + SECOND, 1)]
-        self.assertTrue(story.rules._may_send(server))
+        self.assertTrue(async_test.rules._may_send(server))
         server.sent.append(now)
-        self.assertFalse(story.rules._may_send(server))
-        story.advance(SECOND + 1)
-        self.assertFalse(story.rules._may_send(server))
+        self.assertFalse(async_test.rules._may_send(server))
+        async_test.advance(SECOND + 1)
+        self.assertFalse(async_test.rules._may_send(server))
 
     def test_fresh_count_replaces_reports(self):
-        story = RulesFixture(1, size=1000.0)
-        rules, link = story.rules, story.servers[0].link
-        rules.link_told(story.servers[0], 0.9)
+        async_test = RulesFixture(1, size=1000.0)
+        rules, link = async_test.rules, async_test.servers[0].link
+        rules.link_report_received(async_test.servers[0], 0.9)
         reported = rules._use(link)
-        rules.counted(story.servers[0].link, 100.0, 0)
+        rules.counted(async_test.servers[0].link, 100.0, 0)
         self.assertAlmostEqual(rules._use(link), 100.0)
         # use beyond the count that reports show is added
         for _ in range(20):
-            story.advance(SECOND)
-            rules.counted(story.servers[0].link, 100.0, 0)
-            rules.link_told(story.servers[0], 0.5)
+            async_test.advance(SECOND)
+            rules.counted(async_test.servers[0].link, 100.0, 0)
+            rules.link_report_received(async_test.servers[0], 0.5)
         self.assertAlmostEqual(rules._use(link), 500.0, delta=30)
-        story.advance(3 * SECOND)
+        async_test.advance(3 * SECOND)
         self.assertNotEqual(rules._use(link), reported)
         self.assertAlmostEqual(rules._use(link), rules._others(link))
 
     def test_doubt_applies_once_own_observations_are_old(self):
-        story = RulesFixture(1)
-        server = story.servers[0]
+        async_test = RulesFixture(1)
+        server = async_test.servers[0]
         server.doubted = True
-        story.rules.link_told(server, 0.1)
-        self.assertFalse(story.rules._sick(server))
-        story.advance(3 * SECOND)
-        self.assertTrue(story.rules._sick(server))
+        async_test.rules.link_report_received(server, 0.1)
+        self.assertFalse(async_test.rules._is_failing(server))
+        async_test.advance(3 * SECOND)
+        self.assertTrue(async_test.rules._is_failing(server))
 
     def test_server_seen_warm_by_others_is_no_longer_unproven(self):
-        story = RulesFixture(1, warm=False, fronts=400)
-        server = story.servers[0]
-        server.sent.append(story.host.clock)
-        self.assertFalse(story.rules._may_send(server))
-        story.rules.seen_warm(server)
-        self.assertTrue(story.rules._may_send(server))
+        async_test = RulesFixture(1, warm=False, fronts=400)
+        server = async_test.servers[0]
+        server.sent.append(async_test.host.clock)
+        self.assertFalse(async_test.rules._may_send(server))
+        async_test.rules.seen_warm(server)
+        self.assertTrue(async_test.rules._may_send(server))
 
 
 class EmulatedDeployments(unittest.TestCase):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -28,7 +28,7 @@
     ServerAttempt,
     Signal,
 )
-from tests.sockets import story
+from tests.sockets import async_test
 
 ROOT = Path(__file__).resolve().parents[1]
 REQUEST, BODY = "00000000000000a1", b"plays"
@@ -50,7 +50,7 @@
 
 
 class Carried(unittest.TestCase):
-    @story
+    @async_test
     async def test_a_delayed_connection_keeps_its_order_and_another_overtakes_it(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -15,10 +15,10 @@
 from curlewshift.capture.records import MAGIC, frame
 from curlewshift.exchange.client import ConnectionBroken, ask
 from curlewshift.model import Outcome
-from curlewshift.state.intents import BEGAN, ENDED, KEPT_ON, Intent, Intents
+from curlewshift.state.intents import BEGAN, ENDED, RETENTION, Intent, Intents
 from curlewshift.state.journal import FolderInUse, Journal, Lock, WriteFailed
 from tests.fake import SECOND
-from tests.sockets import SDP, SmallSite, an_offer, story, until
+from tests.sockets import SDP, SmallSite, an_offer, async_test, until
 
 ROOT = Path(__file__).resolve().parents[1]
 
@@ -48,9 +48,9 @@
         for number in range(3000):
             intents.began(intent(str(number), until=number * SECOND))
         self.assertFalse(intents.stale())
-        intents.forget(2990 * SECOND + KEPT_ON)
+        intents.forget(2990 * SECOND + RETENTION)
         self.assertTrue(intents.stale())
-        anew = intents.anew()
+        anew = intents.snapshot()
         self.assertEqual((len(anew), intents.stale()), (9, False))
         self.assertEqual(len(Intents().restore(anew, 2990 * SECOND)), 9)
 
@@ -128,9 +128,9 @@
     def test_rewritten_log_is_complete_or_the_old_one_stays(self):
         journal = self.filled(5)
         with mock.patch("os.replace", side_effect=OSError("killed")), self.assertRaises(WriteFailed):
-            journal.begin_anew([["new"]])
+            journal.rewrite([["new"]])
         self.assertEqual(len(Journal(self.path).records), 5)
-        journal.begin_anew([["new"]])
+        journal.rewrite([["new"]])
         journal.add(["after"], True)
         self.assertEqual(Journal(self.path).records, [["new"], ["after"]])
 
@@ -143,7 +143,7 @@
 
 
 class CrashRecovery(unittest.TestCase):
-    @story
+    @async_test
     async def test_paid_set_up_interrupted_by_a_kill_is_never_repeated(self):
         """The front, a process of its own, is killed while the server works on a paid set-up. After a restart the client's
         retry must not make a second set-up."""
@@ -174,7 +174,7 @@
                     front.kill()
                     front.wait()
 
-    @story
+    @async_test
     async def test_set_up_without_a_stored_intent_is_not_begun(self):
         with tempfile.TemporaryDirectory() as name:
             async with SmallSite(servers=1).up(Path(name)) as site:
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -13,7 +13,7 @@
 from curlewshift.tasks.tasks import Fences
 from curlewshift.verdict.leases import judge_orphans
 from tests.fake import package
-from tests.sockets import SmallSite, story, until
+from tests.sockets import SmallSite, async_test, until
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -154,7 +154,7 @@
     def front_names(self):
         return ["a", "b", "c"]
 
-    def asked_for(self):
+    def request_rates(self):
         return {"clip": 6.0}
 
     def tell_asked(self, to, asked):
@@ -198,7 +198,7 @@
         self.assertEqual((peaks.share_divisor(pack, 9 * SECOND), peaks.share_divisor(pack, 10 * SECOND)), (2.0, 4))
         peaks.calendar.announce(Peak("p", "clip", 0, SECOND, 5.0), 0)
         peaks.request_arrived(pack, SECOND, [])
-        self.assertGreater(peaks.asked_for(SECOND)["clip"], 0)
+        self.assertGreater(peaks.request_rates(SECOND)["clip"], 0)
 
 
 class AtAServer(unittest.TestCase):
@@ -223,7 +223,7 @@
         )
         return answered.status, decode(answered.body, SessionList).sessions if answered.status == 200 else None
 
-    @story
+    @async_test
     async def test_sessions_of_a_front_that_is_gone_are_listed_and_ended(self):
         async with SmallSite(servers=1).up() as site:
             server, _session = await self.left(site)
@@ -234,7 +234,7 @@
             await until(lambda: not server.sessions)
             self.assertEqual(site.traffic.all("session-end")[-1]["why"], "left by a front that is gone")
 
-    @story
+    @async_test
     async def test_session_watched_or_taken_over_or_of_a_present_front_stays(self):
         async with SmallSite(servers=1).up() as site:
             server, session = await self.left(site)
@@ -254,7 +254,7 @@
             )
             self.assertEqual((answered.status, len(server.sessions)), (409, 1))
 
-    @story
+    @async_test
     async def test_act_of_an_earlier_tenure_is_refused(self):
         async with SmallSite(servers=1).up() as site:
             server, session = await self.left(site)
@@ -271,7 +271,7 @@
             self.assertEqual((answered.status, len(server.sessions)), (412, 1))
             self.assertEqual([act["accepted"] for act in site.traffic.all("act")], [True, False, False])
 
-    @story
+    @async_test
     async def test_front_not_reading_the_list_takes_updates_and_resumes(self):
         async with SmallSite(servers=1).up() as site:
             lists, server_list = site.front.lists, site.front.session_core.server_list
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -312,7 +312,7 @@
     def test_free_further_tune_ins_are_shared_by_all_fronts(self):
         fleet = Fleet()
         fleet.advance(30)
-        held = [end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends]
+        held = [end.session_core.rules._valid_rights(end.session_core.rules.further_rights) for end in fleet.ends]
         self.assertEqual(sum(held), 1)
         other = fleet.ends[held.index(0)]
         rules = other.session_core.rules
@@ -322,7 +322,9 @@
         rules.further_times.append(fleet.clock)
         other.sharing.sent(other.servers()[0], True)
         fleet.advance(1)
-        self.assertEqual(sum(end.session_core.rules._in_hand(end.session_core.rules.further_rights) for end in fleet.ends), 0)
+        self.assertEqual(
+            sum(end.session_core.rules._valid_rights(end.session_core.rules.further_rights) for end in fleet.ends), 0
+        )
         self.assertEqual(other.sharing.pools[FURTHER].loans.got, 1)
 
     def test_uplinks_are_counted_over_fronts_as_links_are(self):
@@ -344,33 +346,33 @@
         fleet.advance(1.5)
         others = [end.servers()[0] for end in fleet.ends]
         self.assertEqual([server.link.reported for server in others], [True] * 3)
-        self.assertEqual([server.heard_at for server in others], [0] * 3)
+        self.assertEqual([server.last_seen_at for server in others], [0] * 3)
         at = [server.link.reported_at for server in others]
         fleet.advance(1)
         self.assertEqual([server.link.reported_at for server in others], at)
 
     def test_possibly_cold_server_gets_set_ups_by_rights_only(self):
         # Two fronts that had just started sent set-ups by their ration without a right: 4 set-ups where the server could take 3.
-        story = RulesFixture(1, fronts=40)
-        server = story.servers[0]
-        server.unproven_until = story.host.clock + 8 * SECOND
-        story.rules.unproven_left = 2.0
-        self.assertTrue(story.rules._may_send(server))
-        story.rules.rights_dealt = True
-        self.assertFalse(story.rules._may_send(server))
-        server.rights = [(story.host.clock + SECOND, 2**63, 1)]
-        self.assertFalse(story.rules._may_send(server))
+        async_test = RulesFixture(1, fronts=40)
+        server = async_test.servers[0]
+        server.unproven_until = async_test.host.clock + 8 * SECOND
+        async_test.rules.unproven_left = 2.0
+        self.assertTrue(async_test.rules._may_send(server))
+        async_test.rules.rights_dealt = True
+        self.assertFalse(async_test.rules._may_send(server))
+        server.rights = [(async_test.host.clock + SECOND, 2**63, 1)]
+        self.assertFalse(async_test.rules._may_send(server))
 
     def test_new_server_gets_nothing_before_its_rights_are_known(self):
         # Three set-ups were sent on two rights: one by a front that had a right, two by a front whose turn it was by the clock.
-        story = RulesFixture(1, fronts=1)
-        server = story.servers[0]
-        story.list(server, started=story.host.clock)
-        self.assertTrue(story.rules._may_send(server))
-        story.rules.rights_dealt = True
-        self.assertFalse(story.rules._may_send(server))
+        async_test = RulesFixture(1, fronts=1)
+        server = async_test.servers[0]
+        async_test.list(server, started=async_test.host.clock)
+        self.assertTrue(async_test.rules._may_send(server))
+        async_test.rules.rights_dealt = True
+        self.assertFalse(async_test.rules._may_send(server))
         server.rights = [(0, 2**63, 1)]
-        self.assertTrue(story.rules._may_send(server))
+        self.assertTrue(async_test.rules._may_send(server))
 
 
 class LearningAtStart(unittest.TestCase):
@@ -378,12 +380,12 @@
         fleet = Fleet()
         for end in fleet.ends[1:]:
             for server in end.servers():
-                server.heard_at = fleet.clock
+                server.last_seen_at = fleet.clock
         for _ in range(12):
             fleet.advance(1)
             for end in fleet.ends[1:]:
                 for server in end.servers():
-                    server.heard_at = fleet.clock
+                    server.last_seen_at = fleet.clock
         return fleet
 
     def test_start_learns_from_peers_that_servers_are_warm(self):
@@ -408,7 +410,7 @@
     def test_restored_evidence_is_aged_and_proves_nothing_warm(self):
         fleet = self.seen()
         for end in fleet.ends[1:]:
-            end.servers()[0].trouble_at = fleet.clock
+            end.servers()[0].fault_at = fleet.clock
         fleet.advance(1)
         kept = fleet.ends[0].sharing.snapshot()
         again = End(fleet, 0, life=2)
