--- a/curlewshift/capacity/given.py
+++ b/curlewshift/capacity/given.py
@@ -11,13 +11,13 @@
 from curlewshift.capacity.size import Size
 
 MEMBERSHIP = Mechanism("curlewshift/peering/channel.py", "class Channel")
-SHARING = Mechanism("curlewshift/peering/shared.py", "class SharedWire")
-LEASES = Mechanism("curlewshift/peering/leased.py", "class LeaseWire")
-OVERLOAD = Mechanism("curlewshift/peering/overloaded.py", "class OverloadWire")
-DISTRIBUTION = Mechanism("curlewshift/peering/distributed.py", "class DistributionWire")
+SHARING = Mechanism("curlewshift/peering/shared.py", "class SharingProtocol")
+LEASES = Mechanism("curlewshift/peering/leased.py", "class LeaseTaskProtocol")
+OVERLOAD = Mechanism("curlewshift/peering/overloaded.py", "class OverloadProtocol")
+DISTRIBUTION = Mechanism("curlewshift/peering/distributed.py", "class DistributionProtocol")
 STORE = Mechanism("curlewshift/distribution/store.py", "class Store")
 WRITER = Mechanism("curlewshift/distribution/writer.py", "class Writer")
-GIVER = Mechanism("curlewshift/distribution/giving.py", "class Giver")
+GIVER = Mechanism("curlewshift/distribution/giving.py", "class ContentProvider")
 REPORTS = Mechanism("curlewshift/distribution/reports.py", "class Reporter")
 # What carries configuration, all of which came with distribution.
 DISTRIBUTED = (DISTRIBUTION, STORE, WRITER, GIVER, REPORTS)
--- a/curlewshift/commands/configuration.py
+++ b/curlewshift/commands/configuration.py
@@ -59,7 +59,7 @@
 @click.option("--restarts", is_flag=True, help="Take what needs a restart too: each front has it from its next start on.")
 def configuration_put(file, state, why, base, restarts):
     """Have FILE in force everywhere. It is checked first; what is wrong with it is told before anybody hears of it."""
-    from curlewshift.control.commands import PUT_WITHIN
+    from curlewshift.control.commands import PUT_TIMEOUT_S
 
     try:
         content = file.read_text()
@@ -71,7 +71,7 @@
     answer = tell_front(
         state,
         {"do": "put", "content": content, "base": base, "name": str(file), "why": why, "restarts": restarts},
-        PUT_WITHIN + 10,
+        PUT_TIMEOUT_S + 10,
     )
     click.echo(f"{answer['version']} is with a majority of the control machines, and is on its way to all")
     if answer["needs_restart"]:
--- a/curlewshift/commands/front.py
+++ b/curlewshift/commands/front.py
@@ -44,7 +44,7 @@
             how["begun"] = begin(site, held, state)
         held = how["begun"].site
     try:
-        number = held.door(name) if name else 0
+        number = held.front_index(name) if name else 0
     except KeyError:
         where = f"{site}, as version {how['begun'].version} of it" if how and how["begun"].how == "disk" else site
         click.echo(f"{where}: there is no front {name!r}, but {', '.join(door.name for door in held.front_addresses)}", err=True)
--- a/curlewshift/commands/peak.py
+++ b/curlewshift/commands/peak.py
@@ -20,11 +20,11 @@
     import time
     from datetime import datetime
 
-    from curlewshift.site.reading import span
+    from curlewshift.site.reading import parse_duration
 
     try:
         if text.startswith("+"):
-            return time.time_ns() + span(text[1:])
+            return time.time_ns() + parse_duration(text[1:])
         return int(datetime.fromisoformat(text).timestamp() * 1e9)
     except (ValueError, AttributeError, KeyError, OverflowError):
         raise click.BadParameter(f"{text!r} is neither a date and time, such as 2027-01-31T17:00+01:00, nor +10min") from None
@@ -42,10 +42,10 @@
 @WHY
 def peak_announce(name, state, package, starts, ends, rate, most, lasts, why):
     """Announce the peak NAME. Tell every front."""
-    from curlewshift.site.reading import span
+    from curlewshift.site.reading import parse_duration
 
     try:
-        length = span(lasts)
+        length = parse_duration(lasts)
     except (AttributeError, KeyError, ValueError):
         raise click.BadParameter(f"{lasts!r} is no time with its unit, such as 20s") from None
     tell_front(
--- a/curlewshift/control/commands.py
+++ b/curlewshift/control/commands.py
@@ -10,7 +10,7 @@
 from curlewshift.front.control import Socket
 
 # Time within which a majority must have accepted a version (s).
-PUT_WITHIN = 10.0
+PUT_TIMEOUT_S = 10.0
 
 
 class MachineCommand(msgspec.Struct):
@@ -23,14 +23,14 @@
     base: str = ""
     name: str = ""
     why: str = ""
-    within: float = PUT_WITHIN
+    within: float = PUT_TIMEOUT_S
     restarts: bool = False
 
 
 class CommandSocket(Socket):
     """Carries out the commands of one machine."""
 
-    most_bytes, within = 2 * MAX_CONTENT_BYTES, PUT_WITHIN + 5.0
+    most_bytes, within = 2 * MAX_CONTENT_BYTES, PUT_TIMEOUT_S + 5.0
 
     def __init__(self, machine, path: Path):
         super().__init__(path)
@@ -82,7 +82,7 @@
                 else "the lease under which this machine made versions is over, and its next is on its way"
             )
             return {**_refusal(reason), "writer": writer}
-        return {**await machine.wire.put(content, command.base, min(command.within, PUT_WITHIN)), "needs_restart": errors}
+        return {**await machine.wire.put(content, command.base, min(command.within, PUT_TIMEOUT_S)), "needs_restart": errors}
 
 
 def _refusal(reason: str) -> dict:
--- a/curlewshift/control/machine.py
+++ b/curlewshift/control/machine.py
@@ -16,17 +16,17 @@
 
 from curlewshift.control.commands import CommandSocket
 from curlewshift.front.begun import checked, told
-from curlewshift.peering.distributed import DistributionWire
+from curlewshift.peering.distributed import DistributionProtocol
 from curlewshift.peering.leasing import LeaseMessages
-from curlewshift.peering.wire import PeerWire
+from curlewshift.peering.wire import PeerSocket
 from curlewshift.schedule.clock import Clock
-from curlewshift.sharing.counts import picked
+from curlewshift.sharing.counts import pick_by_rendezvous
 from curlewshift.site.changes import RestartRequired
-from curlewshift.site.places import distribution_of, places_of
+from curlewshift.site.places import distribution_of, locations_of
 from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import Site, read_site
-from curlewshift.state.configured import RecordFile
 from curlewshift.state.journal import Lock
+from curlewshift.state.record_file import RecordFile
 
 NS = 1_000_000_000
 LEASE = "configuration/0"
@@ -43,7 +43,7 @@
             try:
                 self.acceptor.time()
                 self.time()
-                self._to_itself()
+                self._deliver_local()
             except Exception as error:
                 self.log.error("fault", what="leases", cause=repr(error), exc_info=error)
             await anyio.sleep(every)
@@ -52,15 +52,15 @@
         local_name = self.order[self.local_index]
         # a machine that has just started does not know the holder yet, and must not outbid it
         free = not self.acceptor.silent() and self.writer() in ("", local_name)
-        if self.fence() or (free and picked(LEASE, [*self.members(), local_name]) == local_name):
+        if self.fence() or (free and pick_by_rendezvous(LEASE, [*self.members(), local_name]) == local_name):
             self.proposer.want(LEASE)
-        elif LEASE in self.proposer.tries:
+        elif LEASE in self.proposer.views:
             self.proposer.leave(LEASE)
         self.proposer.time()
 
     def leave(self) -> None:
         self.proposer.leave(LEASE)
-        self._to_itself()
+        self._deliver_local()
 
     def members(self) -> list[str]:
         return [member.name for member in self.channel.membership.ring if member.name in self.number_of]
@@ -78,7 +78,7 @@
         return self.order[kept.holder] if holds else ""
 
     def show(self) -> dict:
-        held = self.proposer.tries.get(LEASE)
+        held = self.proposer.views.get(LEASE)
         return {
             "me": self.order[self.local_index],
             "writer": self.writer(),
@@ -93,7 +93,7 @@
     """`path` is the site file, `state` the state folder. The constructor raises `FolderInUse` if another process uses the folder,
     and `OSError` if the peer socket cannot be bound."""
 
-    leases_class, distribution_class = MachineLeases, DistributionWire
+    leases_class, distribution_class = MachineLeases, DistributionProtocol
 
     def __init__(self, path: Path, site: Site, name: str, state: Path, seed: int, log):
         self.path, self.site, self.name, self.log = path, site, name, log
@@ -106,7 +106,7 @@
         for record in (self.copy, self.vote):
             if record.damage:
                 log.error("record-damaged", cause=record.damage)
-        self.peers = PeerWire(site.name, site.control.machines[local_index], site.peers, self.clock, log, Random(rng.random()))
+        self.peers = PeerSocket(site.name, site.control.machines[local_index], site.peers, self.clock, log, Random(rng.random()))
         self.leases = self.leases_class(
             self.peers.channel, self.clock, names, local_index, names, site.control.terms, log, Random(rng.random())
         )
@@ -114,7 +114,7 @@
             self.peers.channel,
             self,
             name,
-            places_of(site),
+            locations_of(site),
             distribution_of(site),
             self.leases.fence,
             self.clock,
@@ -165,12 +165,12 @@
             return told(self.path, errors)
         return None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         self.log.info("configuration-held", version=version)
         return None
 
-    def keep_configuration(self, data: bytes) -> None:
+    def store_configuration(self, data: bytes) -> None:
         self.copy.write_durable(data)
 
-    def keep_vote(self, data: bytes) -> None:
+    def store_vote(self, data: bytes) -> None:
         self.vote.write_durable(data)
--- a/curlewshift/distribution/copy.py
+++ b/curlewshift/distribution/copy.py
@@ -13,7 +13,7 @@
 import msgspec
 import zstandard
 
-from curlewshift.distribution.versions import MAX_CONTENT_BYTES, NONE, Version, digest_of
+from curlewshift.distribution.versions import MAX_CONTENT_BYTES, NO_VERSION, Version, digest_of
 
 FORM = 1
 # Recorded refusals; the oldest is dropped beyond this.
@@ -23,20 +23,20 @@
 
 
 class Driver(Protocol):
-    """`check_configuration` and `take_configuration` return the reason of a refusal, or None."""
+    """`check_configuration` and `apply_configuration` return the reason of a refusal, or None."""
 
     def now(self) -> int: ...
     def check_configuration(self, content: bytes) -> str | None: ...
-    def take_configuration(self, version: str, content: bytes) -> str | None: ...
-    def keep_configuration(self, data: bytes) -> None: ...
+    def apply_configuration(self, version: str, content: bytes) -> str | None: ...
+    def store_configuration(self, data: bytes) -> None: ...
     def write_failed(self, reason: str) -> None: ...
-    def copy_lost(self, reason: str) -> None: ...
+    def copy_unreadable(self, reason: str) -> None: ...
     def in_force(self, version: Version, before: Version) -> None: ...
     def refuses(self, version: Version, reason: str) -> None: ...
     def forked(self, version: Version, other: Version) -> None: ...
 
 
-class Kept(msgspec.Struct, array_like=True):
+class StoredCopy(msgspec.Struct, array_like=True):
     """The record on disk. `form` is the format version; `content` is compressed."""
 
     form: int
@@ -45,7 +45,7 @@
 
 
 ENCODER = msgspec.msgpack.Encoder()
-DECODER = msgspec.msgpack.Decoder(Kept)
+DECODER = msgspec.msgpack.Decoder(StoredCopy)
 
 
 class Copy:
@@ -54,7 +54,7 @@
     def __init__(self, driver: Driver):
         self.driver = driver
         # newest version announced; newest version whose content is held, accepted or not; version in force
-        self.newest, self.held, self.version = NONE, NONE, NONE
+        self.newest, self.held, self.version = NO_VERSION, NO_VERSION, NO_VERSION
         self.content: bytes | None = None
         # content of `held`, accepted or not: other members may request it, and may accept it
         self.held_content = b""
@@ -75,34 +75,34 @@
             if held.form != FORM or not self._fits(version, content):
                 raise ValueError("digest mismatch: the stored content does not match its version")
         except (msgspec.DecodeError, zstandard.ZstdError, ValueError, RecursionError) as error:
-            self.driver.copy_lost(str(error))
+            self.driver.copy_unreadable(str(error))
             return False
         self.newest = version
-        return self._take(version, content, kept_already=True)
+        return self._take(version, content, already_stored=True)
 
     # ---- versions announced as accepted by a majority
 
-    def heard(self, version: Version) -> bool:
+    def version_announced(self, version: Version) -> bool:
         """Records an announced version. True if it is newer than all announced before."""
         for other in {self.newest, self.held}:
             if version.number == other.number and version.digest != other.digest:
                 self.forks += 1
                 self.driver.forked(version, other)
-        if not version.over(self.newest):
+        if not version.newer_than(self.newest):
             return False
         self.newest = version
         return True
 
     def newer(self, version: Version) -> bool:
         """Whether the version is newer than the one held."""
-        return version.over(self.held)
+        return version.newer_than(self.held)
 
     @property
     def wanted_version(self) -> Version | None:
         """The newest announced version, if its content is not held yet."""
         return self.newest if self.newer(self.newest) else None
 
-    def got(self, version: Version, content: bytes) -> bool:
+    def content_received(self, version: Version, content: bytes) -> bool:
         """Takes the content of an announced version. False if it is not newer, does not match its digest, or is refused."""
         if not self.newer(version) or not self._fits(version, content):
             return False
@@ -111,14 +111,14 @@
     def _fits(self, version: Version, content: bytes) -> bool:
         return digest_of(content) == version.digest
 
-    def _take(self, version: Version, content: bytes, kept_already: bool = False) -> bool:
+    def _take(self, version: Version, content: bytes, already_stored: bool = False) -> bool:
         before, self.held, self.held_content, self.confirmed_at = self.version, version, content, None
         reason = self.driver.check_configuration(content)
         if reason is None:
-            if not kept_already:
+            if not already_stored:
                 self._persist(version, content)
-            reason = self.driver.take_configuration(version.text, content)
-            if reason is not None and not kept_already and self.content is not None:
+            reason = self.driver.apply_configuration(version.text, content)
+            if reason is not None and not already_stored and self.content is not None:
                 self._persist(before, self.content)
         if reason is not None:
             self.refused[version] = reason
@@ -133,7 +133,7 @@
     def _persist(self, version: Version, content: bytes) -> None:
         packed = zstandard.ZstdCompressor(level=3).compress(content)
         try:
-            self.driver.keep_configuration(ENCODER.encode(Kept(FORM, tuple(version), packed)))
+            self.driver.store_configuration(ENCODER.encode(StoredCopy(FORM, tuple(version), packed)))
         except OSError as error:
             self.driver.write_failed(str(error))
 
@@ -151,6 +151,6 @@
         return AGE_UNKNOWN if self.confirmed_at is None else max(0, self.driver.now() - self.confirmed_at)
 
     @property
-    def why_refused(self) -> str:
+    def refusal_reason(self) -> str:
         """Why the newest held version was refused; empty if it is in force."""
         return self.refused.get(self.held, "") if self.held != self.version else ""
--- a/curlewshift/distribution/fetching.py
+++ b/curlewshift/distribution/fetching.py
@@ -11,10 +11,10 @@
 from random import Random
 from typing import Protocol
 
-from curlewshift.distribution.library import Library
+from curlewshift.distribution.library import ContentCache
 from curlewshift.distribution.pieces import MAX_PIECES, CorruptContent, ReceivedPieces, unpacked
 from curlewshift.distribution.terms import DistributionTerms
-from curlewshift.distribution.versions import NONE, Version, digest_of
+from curlewshift.distribution.versions import NO_VERSION, Version, digest_of
 
 # Packings of one content that are collected side by side; providers with another base or compression library pack differently.
 MAX_PACKINGS = 3
@@ -53,10 +53,10 @@
         self.pieces_due = self.attempts = 0
 
 
-class Fetch:
+class Fetcher:
     """All fetches of one node. `time` is to be called each `DistributionTerms.every`."""
 
-    def __init__(self, driver: Driver, library: Library, terms: DistributionTerms, rng: Random):
+    def __init__(self, driver: Driver, library: ContentCache, terms: DistributionTerms, rng: Random):
         self.driver, self.library, self.terms, self.rng = driver, library, terms, rng
         self.pending: dict[bytes, PendingFetch] = {}
         # providers that are not asked until the time given (ns)
@@ -177,4 +177,4 @@
         self.driver.content_received(fetch.version, content)
 
     def _fits(self, content: bytes, version: Version) -> bool:
-        return version != NONE and digest_of(content) == version.digest
+        return version != NO_VERSION and digest_of(content) == version.digest
--- a/curlewshift/distribution/giving.py
+++ b/curlewshift/distribution/giving.py
@@ -8,8 +8,8 @@
 
 from typing import Protocol
 
-from curlewshift.distribution.library import Library
-from curlewshift.distribution.pieces import packed_difference, packed_whole, packing_id, piece_at, piece_count
+from curlewshift.distribution.library import ContentCache
+from curlewshift.distribution.pieces import packed_difference, packed_full, packing_id, piece_at, piece_count
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import Version
 
@@ -25,10 +25,10 @@
     def send_not_held(self, to: str, version: Version) -> None: ...
 
 
-class Giver:
+class ContentProvider:
     """The sending side of one node. `is_store` is true at control machines, which have higher limits."""
 
-    def __init__(self, driver: Driver, library: Library, terms: DistributionTerms, is_store: bool = False):
+    def __init__(self, driver: Driver, library: ContentCache, terms: DistributionTerms, is_store: bool = False):
         self.driver, self.library, self.terms = driver, library, terms
         self.rate = terms.store_give_bytes if is_store else terms.give_bytes
         self.burst = max(self.rate, terms.give_burst)
@@ -74,7 +74,7 @@
             self.driver.send_busy(requester, version, after)
 
     def _choose_packing(self, content: bytes, base: bytes, packing: bytes) -> tuple[bytes, bytes]:
-        full, held = packed_whole(content), self.library.get(base)
+        full, held = packed_full(content), self.library.get(base)
         if held is None or packing_id(full) == packing:
             return b"", full
         difference = packed_difference(content, held)
--- a/curlewshift/distribution/library.py
+++ b/curlewshift/distribution/library.py
@@ -8,7 +8,7 @@
 MAX_CONTENTS, MAX_BYTES = 16, 4 * 1024 * 1024
 
 
-class Library:
+class ContentCache:
     """Keeps at least the two newest contents."""
 
     def __init__(self):
--- a/curlewshift/distribution/pieces.py
+++ b/curlewshift/distribution/pieces.py
@@ -35,7 +35,7 @@
 
 
 @lru_cache(maxsize=8)
-def packed_whole(content: bytes) -> bytes:
+def packed_full(content: bytes) -> bytes:
     """The content as it is sent in full: compressed."""
     return zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(content)
 
--- a/curlewshift/distribution/reports.py
+++ b/curlewshift/distribution/reports.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple, Protocol
 
 from curlewshift.distribution.terms import DistributionTerms
-from curlewshift.distribution.versions import NONE, Version
+from curlewshift.distribution.versions import NO_VERSION, Version
 
 
 class Report(NamedTuple):
@@ -100,8 +100,8 @@
         return None
     newest = max((report.version for report in reports.values()), key=lambda version: version.number)
     lowest = min((report.version for report in reports.values()), key=lambda version: version.number)
-    late = sorted(name for name, report in reports.items() if newest.over(report.version))
-    refusing = sorted((name, report.reason) for name, report in reports.items() if report.refused != NONE)
+    late = sorted(name for name, report in reports.items() if newest.newer_than(report.version))
+    refusing = sorted((name, report.reason) for name, report in reports.items() if report.refused != NO_VERSION)
     return ZoneSummary(
         zone,
         len(reports),
--- a/curlewshift/distribution/store.py
+++ b/curlewshift/distribution/store.py
@@ -19,7 +19,7 @@
 import msgspec
 import zstandard
 
-from curlewshift.distribution.versions import MAX_CONTENT_BYTES, NO_BALLOT, NONE, Ballot, Version, digest_of
+from curlewshift.distribution.versions import MAX_CONTENT_BYTES, NO_BALLOT, NO_VERSION, Ballot, Version, digest_of
 
 # The record with which a store was last let in: the writer's fence, the writer's count of notes, and the record's number.
 Noted = tuple[int, int, int]
@@ -37,7 +37,7 @@
 
 
 class Driver(Protocol):
-    def keep_vote(self, data: bytes) -> None: ...
+    def store_vote(self, data: bytes) -> None: ...
     def content_of(self, version: Version) -> bytes | None: ...
     def fetch_for_store(self, version: Version, writer: str) -> None: ...
     def stands(self, writer: str, ballot: Ballot, state: StoreState) -> None: ...
@@ -83,7 +83,7 @@
         self.driver = driver
         self.number, self.blank = rng.getrandbits(60), True
         self.promised, self.taken_at = NO_BALLOT, NO_BALLOT
-        self.taken, self.chosen, self.content = NONE, NONE, b""
+        self.taken, self.chosen, self.content = NO_VERSION, NO_VERSION, b""
         self.noted: dict[str, Noted] = {}
         if kept is not None:
             self._read(kept)
@@ -111,7 +111,7 @@
             self._answer(writer, ballot)
         elif self._superseded(writer, ballot):
             return
-        elif ballot == self.promised or self._keep(promised=ballot):
+        elif ballot == self.promised or self._persist(promised=ballot):
             self._answer(writer, ballot)
 
     def take(self, writer: str, ballot: Ballot, record: int, version: Version) -> None:
@@ -122,14 +122,14 @@
         if self._superseded(writer, ballot):
             return
         # under one ballot versions only rise; a version of another ballot may be replaced, as the writer heard a majority first
-        outdated = self.taken_at == ballot and not version.over(self.taken)
+        outdated = self.taken_at == ballot and not version.newer_than(self.taken)
         if ballot != self.promised or outdated:
             self._answer(writer, ballot)
             return
         content = self.driver.content_of(version)
         if content is None:
             self.driver.fetch_for_store(version, writer)
-        elif digest_of(content) == version.digest and self._keep(taken_at=ballot, taken=version, content=content):
+        elif digest_of(content) == version.digest and self._persist(taken_at=ballot, taken=version, content=content):
             self._answer(writer, ballot)
 
     def note(self, writer: str, ballot: Ballot, record: int, store: str, noted: Noted) -> None:
@@ -137,35 +137,35 @@
         if self.blank or record != self.number or ballot != self.promised:
             if self.blank or not self._superseded(writer, ballot):
                 self._answer(writer, ballot)
-        elif self.noted.get(store, (0, 0, 0)) >= noted or self._keep(noted={**self.noted, store: noted}):
+        elif self.noted.get(store, (0, 0, 0)) >= noted or self._persist(noted={**self.noted, store: noted}):
             self._answer(writer, ballot)
 
     def enter(self, writer: str, ballot: Ballot, record: int, noted: dict[str, Noted], version: Version, founding: bool) -> None:
         """Lets this store in: it votes from here on, with the state that a majority of the others has. `founding` is true if no
         store has taken anything yet."""
-        void = founding and (self.taken != NONE or self.chosen != NONE)
+        void = founding and (self.taken != NO_VERSION or self.chosen != NO_VERSION)
         if record != self.number or void or (not founding and not self.blank):
             self._answer(writer, ballot)
             return
         if self._superseded(writer, ballot):
             return
-        content = b"" if version == NONE else self.driver.content_of(version)
+        content = b"" if version == NO_VERSION else self.driver.content_of(version)
         if content is None:
             self.driver.fetch_for_store(version, writer)
-        elif self._keep(
+        elif self._persist(
             blank=False,
             promised=ballot,
             noted=noted,
             taken=version,
             content=content,
-            taken_at=NO_BALLOT if version == NONE else ballot,
+            taken_at=NO_BALLOT if version == NO_VERSION else ballot,
         ):
             self._answer(writer, ballot)
 
     def learned(self, version: Version) -> None:
         """A majority has accepted the version, as announced by another member."""
-        if not self.blank and version.over(self.chosen):
-            self._keep(chosen=version)
+        if not self.blank and version.newer_than(self.chosen):
+            self._persist(chosen=version)
 
     # ---- the record
 
@@ -180,7 +180,7 @@
             writer, ballot, StoreState(self.number, self.blank, self.taken_at, self.taken, self.chosen, self.noted)
         )
 
-    def _keep(self, **changes) -> bool:
+    def _persist(self, **changes) -> bool:
         """Writes the record with `changes`. False if the write failed: the changes are undone and the writer is not answered."""
         before = {name: getattr(self, name) for name in changes}
         for name, value in changes.items():
@@ -198,7 +198,7 @@
         )
         record.sum = digest_of(ENCODER.encode(record))
         try:
-            self.driver.keep_vote(ENCODER.encode(record))
+            self.driver.store_vote(ENCODER.encode(record))
         except OSError as error:
             for name, value in before.items():
                 setattr(self, name, value)
--- a/curlewshift/distribution/terms.py
+++ b/curlewshift/distribution/terms.py
@@ -39,7 +39,7 @@
     backoff: int = 2 * NS
     # interval at which the writer repeats its messages to all stores: this replaces lost ones, and the answers of a majority
     # confirm which version is the newest
-    again: int = 500 * MS
+    resend_interval: int = 500 * MS
     # a node reports to its zone's aggregator on each change and at this interval; minimum interval between an aggregator's
     # summaries to the stores
     report_interval: int = 30 * NS
--- a/curlewshift/distribution/versions.py
+++ b/curlewshift/distribution/versions.py
@@ -24,7 +24,7 @@
     def number(self) -> tuple[int, int]:
         return self.fence, self.count
 
-    def over(self, other: Version) -> bool:
+    def newer_than(self, other: Version) -> bool:
         return self[:2] > other[:2]
 
     @property
@@ -33,7 +33,7 @@
 
 
 # The site file that a node was started with: every version is newer.
-NONE = Version(0, 0, b"")
+NO_VERSION = Version(0, 0, b"")
 
 
 def digest_of(content: bytes) -> bytes:
--- a/curlewshift/distribution/writer.py
+++ b/curlewshift/distribution/writer.py
@@ -14,7 +14,7 @@
 
 from curlewshift.distribution.store import Noted, StoreState
 from curlewshift.distribution.terms import DistributionTerms
-from curlewshift.distribution.versions import NONE, Ballot, Version, digest_of
+from curlewshift.distribution.versions import NO_VERSION, Ballot, Version, digest_of
 
 
 class Driver(Protocol):
@@ -53,13 +53,13 @@
     stands: dict[str, StoreState] = field(default_factory=dict)
     answered: dict[str, int] = field(default_factory=dict)
     decided: bool = False
-    value: Version = NONE
+    value: Version = NO_VERSION
     is_chosen: bool = False
     votes: set[str] = field(default_factory=set)
     count: int = 0
     # notes made so far, and the note with which each store is being let in
     note_count: int = 0
-    letting: dict[str, Noted] = field(default_factory=dict)
+    admitting: dict[str, Noted] = field(default_factory=dict)
     founding: bool = False
     outbid_by: Ballot | None = None
 
@@ -71,7 +71,7 @@
     def __init__(self, driver: Driver, local_name: str, life: int, terms: DistributionTerms):
         self.driver, self.local_name, self.life, self.terms = driver, local_name, life, terms
         self.tenure: Tenure | None = None
-        self.wanted: PendingChange | None = None
+        self.pending_change: PendingChange | None = None
 
     @property
     def majority(self) -> int:
@@ -81,10 +81,10 @@
 
     def put(self, content: bytes, base: str, within: int, done: Callable[[dict], None]) -> None:
         """Makes a version. `done` is called once with the result, by `time` at the latest `within` ns from now."""
-        if self.wanted is not None:
+        if self.pending_change is not None:
             done(refusal("another change is being made at this moment"))
             return
-        self.wanted = PendingChange(content, base, self.driver.now() + within, done)
+        self.pending_change = PendingChange(content, base, self.driver.now() + within, done)
         self.time()
 
     def time(self) -> None:
@@ -98,7 +98,7 @@
             self._resend(now)
         elif now >= tenure.resend_at:
             self._resend(now)
-        if self.wanted is not None and now >= self.wanted.until:
+        if self.pending_change is not None and now >= self.pending_change.until:
             self._expire()
 
     def stands(self, store: str, ballot: Ballot, state: StoreState) -> None:
@@ -131,14 +131,14 @@
             and tenure.is_chosen
             and tenure.outbid_by is None
             and self.majority
-            <= sum(now - at <= 2 * self.terms.again for store, at in tenure.answered.items() if store in self._voters())
+            <= sum(now - at <= 2 * self.terms.resend_interval for store, at in tenure.answered.items() if store in self._voters())
         )
 
     # ---- steps of a tenure
 
     def _resend(self, now: int) -> None:
         tenure = self.tenure
-        tenure.resend_at = now + self.terms.again
+        tenure.resend_at = now + self.terms.resend_interval
         for store in self.terms.stores:
             if self._may_act():
                 self.driver.prepare(store, tenure.ballot)
@@ -179,13 +179,13 @@
             again = True
         self._let_in(voters, again)
         self._propose_value(voters, again)
-        if not tenure.is_chosen and len(tenure.votes) >= self._enough():
+        if not tenure.is_chosen and len(tenure.votes) >= self._quorum():
             tenure.is_chosen = True
             self._announce_chosen()
         if tenure.is_chosen:
             self._make()
 
-    def _enough(self) -> int:
+    def _quorum(self) -> int:
         """Number of stores that must take a version."""
         return self.majority
 
@@ -195,22 +195,22 @@
         stands = [tenure.stands[store] for store in voters]
         newest = max(stands, key=lambda state: (state.taken_at.fence, state.taken.number))
         tenure.decided, tenure.value = True, newest.taken
-        tenure.is_chosen = newest.taken == NONE or any(state.chosen == newest.taken for state in stands)
+        tenure.is_chosen = newest.taken == NO_VERSION or any(state.chosen == newest.taken for state in stands)
         if tenure.is_chosen:
             self._announce_chosen()
 
     def _announce_chosen(self) -> None:
         """A majority has the value: it can be announced, and the operator's change is answered."""
-        value, change = self.tenure.value, self.wanted
-        if value != NONE:
+        value, change = self.tenure.value, self.pending_change
+        if value != NO_VERSION:
             self.driver.chosen(value)
         if change is not None and change.version == value:
-            self.wanted = None
+            self.pending_change = None
             change.done({"ok": True, "version": value.text})
 
     def _propose_value(self, voters: list[str], again: bool) -> None:
         tenure = self.tenure
-        if tenure.value == NONE:
+        if tenure.value == NO_VERSION:
             return
         if self.driver.content_of(tenure.value) is None:
             self.driver.fetch_for_writer(tenure.value, [store for store in voters if tenure.stands[store].taken == tenure.value])
@@ -226,10 +226,10 @@
         for store, state in list(tenure.stands.items()):
             if store in voters or not self._may_act():
                 continue
-            known, fresh = tenure.letting.get(store), False
+            known, fresh = tenure.admitting.get(store), False
             if known is None or known[2] != state.record:
                 tenure.note_count += 1
-                known = tenure.letting[store] = (tenure.ballot.fence, tenure.note_count, state.record)
+                known = tenure.admitting[store] = (tenure.ballot.fence, tenure.note_count, state.record)
                 fresh = True
             lacking = [other for other in voters if tenure.stands[other].noted.get(store) != known]
             if fresh or again:
@@ -242,7 +242,9 @@
         """Founds the stores if all have answered and none has ever taken anything: no earlier version can be lost."""
         tenure = self.tenure
         stands = tenure.stands
-        if len(stands) < len(self.terms.stores) or any(state.taken != NONE or state.chosen != NONE for state in stands.values()):
+        if len(stands) < len(self.terms.stores) or any(
+            state.taken != NO_VERSION or state.chosen != NO_VERSION for state in stands.values()
+        ):
             return
         if tenure.founding and not again:
             return
@@ -251,18 +253,18 @@
         noted = {store: (tenure.ballot.fence, tenure.note_count, state.record) for store, state in stands.items()}
         for store, state in list(stands.items()):
             if self._may_act():
-                self.driver.enter(store, tenure.ballot, state.record, noted, NONE, True)
+                self.driver.enter(store, tenure.ballot, state.record, noted, NO_VERSION, True)
 
     def _make(self) -> None:
-        tenure, change = self.tenure, self.wanted
+        tenure, change = self.tenure, self.pending_change
         if change is None or change.version is not None or tenure.outbid_by is not None or not self._may_act():
             return
-        if (change.base or NONE.text) != tenure.value.text:
-            self.wanted = None
+        if (change.base or NO_VERSION.text) != tenure.value.text:
+            self.pending_change = None
             change.done(
                 refusal(
                     f"somebody was quicker: the newest is {tenure.value.text}, "
-                    f"and this change was made upon {change.base or NONE.text}"
+                    f"and this change was made upon {change.base or NO_VERSION.text}"
                 )
             )
             return
@@ -274,7 +276,7 @@
         self._propose_value(self._voters(), again=True)
 
     def _expire(self) -> None:
-        change, self.wanted = self.wanted, None
+        change, self.pending_change = self.pending_change, None
         reason = self.blocking_reason()
         if change.version is None:
             change.done(refusal(f"not made: {reason}"))
--- a/curlewshift/emulator/lease_figures.py
+++ b/curlewshift/emulator/lease_figures.py
@@ -97,7 +97,7 @@
     for number, front in enumerate(history.fronts):
         for index, lease in enumerate(history.names):
             if index % fronts != number:
-                front.proposer.tries.pop(lease, None)
+                front.proposer.views.pop(lease, None)
     history.run(10 * SECOND)
     before = history.words
     history.run(16 * SECOND)
--- a/curlewshift/emulator/lease_histories.py
+++ b/curlewshift/emulator/lease_histories.py
@@ -241,12 +241,12 @@
     """Goes on holding while it tries to renew, though its term is over."""
 
     def may_act(self, lease):
-        held = self.tries.get(lease)
+        held = self.views.get(lease)
         return held.fence if held is not None and held.until else 0
 
     def time(self):
         now = self._now()
-        for held in self.tries.values():
+        for held in self.views.values():
             if held.until and now >= held.until:
                 held.until = now + self.terms.every
         super().time()
@@ -254,7 +254,7 @@
 
 class FenceNotRaised(LeaseProposer):
     def _propose(self, lease, held, now):
-        held.proposing, held.proposed_at, held.renews = True, now, held.until > now
+        held.proposing, held.proposed_at, held.is_renewal = True, now, held.until > now
         held.fence = max(1, held.highest_fence)
         for acceptor in self.acceptors:
             self.driver.propose(acceptor, lease, held.ballot, held.fence)
@@ -264,7 +264,7 @@
     """Believes at an act what it knew at its last round."""
 
     def may_act(self, lease):
-        held = self.tries.get(lease)
+        held = self.views.get(lease)
         return held.fence if held is not None and held.until else 0
 
 
--- a/curlewshift/emulator/loan_histories.py
+++ b/curlewshift/emulator/loan_histories.py
@@ -11,7 +11,7 @@
 from itertools import count
 from random import Random
 
-from curlewshift.sharing.loans import Loans, dealt
+from curlewshift.sharing.loans import Loans, initial_share
 from curlewshift.sharing.terms import SharingTerms
 
 MS = 1_000_000
@@ -43,16 +43,16 @@
         return int(self.history.now * self.rate) + self.offset
 
     def ask(self, lender: int, number: int, keys: list[str]) -> None:
-        self.history.say(self.number, lender, "asked", (self.number, number, keys))
+        self.history.say(self.number, lender, "loan_requested", (self.number, number, keys))
 
     def lend(self, borrower: int, number: int, rights: list[tuple[str, int]]) -> None:
-        self.history.say(self.number, borrower, "lends", (self.number, number, rights))
+        self.history.say(self.number, borrower, "loan_received", (self.number, number, rights))
 
     def give_back(self, lender: int, number: int, key: str) -> None:
-        self.history.say(self.number, lender, "given_back", (self.number, number, key))
+        self.history.say(self.number, lender, "loan_returned", (self.number, number, key))
 
     def part(self, key: str) -> int:
-        return dealt(self.history.rights[key], self.number, len(self.history.fronts), self.history.marks[key])
+        return initial_share(self.history.rights[key], self.number, len(self.history.fronts), self.history.marks[key])
 
     def tries(self, key: str) -> bool:
         """A set-up is wanted: used if a right is in hand, else wanted."""
--- a/curlewshift/emulator/overloaded.py
+++ b/curlewshift/emulator/overloaded.py
@@ -54,7 +54,7 @@
     def members(self) -> list[str]:
         return [name for name in self.world.doors_up if name != self.front.door] if self.how.together else []
 
-    def turned_off(self) -> int:
+    def connections_refused(self) -> int:
         return 0
 
     def _say(self, to: str, what: str, *words) -> None:
@@ -67,12 +67,12 @@
         if front.alive:
             getattr(front.sheds.overload, what)(*words)
 
-    def tell_round(self, to: str, zone: str, asks: list, begun: float, short: float) -> None:
+    def send_round(self, to: str, zone: str, asks: list, begun: float, short: float) -> None:
         self.spoken += 1
-        self._say(to, "round_told", self.front.door, self.life, self.spoken, zone, asks, begun, short)
+        self._say(to, "receive_round", self.front.door, self.life, self.spoken, zone, asks, begun, short)
 
-    def tell_level(self, to: str, zone: str, cut: int, why: str) -> None:
-        self._say(to, "level_told", zone, cut, why)
+    def send_level(self, to: str, zone: str, cut: int, why: str) -> None:
+        self._say(to, "receive_level", zone, cut, why)
 
     def level_changed(self, zone: str, cut: int, before: int, why: str) -> None:
         self.world.levels.append((self.now(), self.front.door, zone, cut))
--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -138,9 +138,9 @@
         members = [post.channel.membership for post in self.posts]
         for mine in members:
             mine.joined = True
-            mine.told([other.me.claim() for other in members if other is not mine], "settled")
-            for name in list(mine.news.level):
-                mine.news.drop(name)
+            mine.receive_claims([other.local_member.claim() for other in members if other is not mine], "settled")
+            for name in list(mine.updates.transmissions):
+                mine.updates.drop(name)
 
     def run(self, seconds: float) -> None:
         self.queue.run(self.queue.now + int(seconds * NS))
@@ -178,7 +178,7 @@
         """All that run hold the same to be in, and those are the ones that run."""
         alive = self.alive()
         names = {post.name for post in alive}
-        views = {post.channel.membership.views.whole for post in alive}
+        views = {post.channel.membership.views.digest for post in alive}
         return len(views) == 1 and {member.name for member in alive[0].channel.membership.ring} == (names - {alive[0].name})
 
     def until(self, what: Callable[[], bool], seconds: float, step: float = 0.1) -> float | None:
--- a/curlewshift/emulator/seat_histories.py
+++ b/curlewshift/emulator/seat_histories.py
@@ -13,7 +13,7 @@
 from curlewshift.emulator.loan_histories import MS, LoanFront, LoanHistory, Overdrawn
 from curlewshift.sharing.budgets import SEAT, Pool, Seats
 from curlewshift.sharing.loans import Loans
-from curlewshift.sharing.standing import StandingLoans
+from curlewshift.sharing.renewable_loans import RenewableLoans
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 
 # Standing after its front could act for the last time (ns): a stop of the process, and what servers keep after its death. A
@@ -34,7 +34,7 @@
     pool_class = Seats
 
     def __init__(self, history: SeatHistory, number: int):
-        self.me, self.order, self.rng = number, [f"f{n}" for n in range(len(history.fronts))], history.rng
+        self.local_index, self.order, self.rng = number, [f"f{n}" for n in range(len(history.fronts))], history.rng
         self.life = self.acted_at = 0
         self.viewings: dict[str, list[int]] = {}
         self.out: dict[str, list[int]] = {}
@@ -79,7 +79,7 @@
     # ---- the pool's outside
 
     def ask(self, lender: int, number: int, keys: list[str]) -> None:
-        self.history.say(self.number, lender, "asked", (self.number, number, keys, self.life))
+        self.history.say(self.number, lender, "loan_requested", (self.number, number, keys, self.life))
 
     def seats_wanted_at(self) -> dict[tuple[str, str], int]:
         return self.wanted_at
@@ -190,7 +190,7 @@
     # a front that starts keeps still for long: killed as often as those of other loans, most would hold nothing
     calm, killed = 6000 * MS, 0.15
 
-    def __init__(self, seed: int, kind: type[StandingLoans] = StandingLoans, fronts: int = 0):
+    def __init__(self, seed: int, kind: type[RenewableLoans] = RenewableLoans, fronts: int = 0):
         self.stands: dict[str, set[int]] = {}
         self.most, self.names, self.cut_short, self.turn = Counter(), 0, 0, 0
         self.longest, self.rounds_late = 12_000 * MS, 0
@@ -213,8 +213,8 @@
     def _arrives(self, to: int, what: str, words: tuple) -> None:
         super()._arrives(to, what, words)
         front = self.fronts[to]
-        if front.paused_until <= self.now and what != "given_back":
-            front.pool.write(key if what == "asked" else key[0] for key in words[2])
+        if front.paused_until <= self.now and what != "loan_returned":
+            front.pool.write(key if what == "loan_requested" else key[0] for key in words[2])
 
     def _trouble(self) -> None:
         super()._trouble()
@@ -259,42 +259,42 @@
 # ---- planted faults
 
 
-class SeatsForEver(StandingLoans):
+class SeatsForEver(RenewableLoans):
     """Keeps a lent seat for as long as its viewer likes, whether its loan was renewed or not."""
 
-    def lends(self, lender, number, rights):
-        super().lends(lender, number, rights)
+    def loan_received(self, lender, number, rights):
+        super().loan_received(lender, number, rights)
         for key, lent in rights:
             if lender in self.borrowed.get(key, {}):
                 self.borrowed[key][lender] = (2**62, lent, number)
 
 
-class SeatsLentInUse(StandingLoans):
+class SeatsLentInUse(RenewableLoans):
     """Lends a seat on which somebody of its own sits."""
 
-    def asked(self, borrower, number, keys, life=0):
+    def loan_requested(self, borrower, number, keys, life=0):
         in_use, self.driver.in_use = self.driver.in_use, lambda key: 0
         try:
-            super().asked(borrower, number, keys, life)
+            super().loan_requested(borrower, number, keys, life)
         finally:
             self.driver.in_use = in_use
 
 
-class SeatsSurviveRestart(StandingLoans):
+class SeatsSurviveRestart(RenewableLoans):
     def __init__(self, *arguments, **more):
         super().__init__(*arguments, **more)
         self.quiet_until = 0
 
 
-class SeatsForgotten(StandingLoans):
+class SeatsForgotten(RenewableLoans):
     """Looks only at loans that it still has: what stands on one that was lost otherwise stays for as long as its viewer likes."""
 
     def end_overdue(self):
-        self.stood_on &= set(self.borrowed)
+        self.keys_to_check &= set(self.borrowed)
         super().end_overdue()
 
 
-class SeatsByTheClock(StandingLoans):
+class SeatsByTheClock(RenewableLoans):
     """Tells the rules when its own part will be back by the clock, while it lends by steady time."""
 
     def in_hand(self, key):
--- a/curlewshift/emulator/shared.py
+++ b/curlewshift/emulator/shared.py
@@ -68,7 +68,7 @@
         other = next_front(self.world, to)
         shares, rng = self.shares, self.rng
         shares.words += 1
-        if other is None or {self.sharing.me, self.sharing.number_of[to]} & shares.deaf or rng.random() < shares.loss:
+        if other is None or {self.sharing.local_index, self.sharing.number_of[to]} & shares.deaf or rng.random() < shares.loss:
             return
         self.world.queue.at(self.now() + int(rng.uniform(*WAY)), self._arrives, other, what, words)
 
@@ -93,33 +93,33 @@
 
     def ask(self, to: str, number: int, keys: list[str]) -> None:
         if self.shares.rights:
-            self._say(to, "asked", self.sharing.name, self.life, number, keys)
+            self._say(to, "loan_requested", self.sharing.name, self.life, number, keys)
 
     def lend(self, to: str, number: int, rights: list) -> None:
         self._say(to, "lent", self.sharing.name, number, rights)
 
     def give_back_to(self, to: str, number: int, key: str) -> None:
-        self._say(to, "given_back", self.sharing.name, number, key)
+        self._say(to, "loan_returned", self.sharing.name, number, key)
 
-    def tell_use(self, to: str, rows: list) -> None:
+    def send_use(self, to: str, rows: list) -> None:
         if self.shares.counts:
             self.spoken += 1
-            self._say(to, "use_told", self.sharing.name, self.life, self.spoken, rows)
+            self._say(to, "receive_use", self.sharing.name, self.life, self.spoken, rows)
 
-    def tell_sums(self, to: str, rows: list) -> None:
+    def send_sums(self, to: str, rows: list) -> None:
         self.spoken += 1
-        self._say(to, "sums_told", self.sharing.name, self.life, self.spoken, rows)
+        self._say(to, "receive_sums", self.sharing.name, self.life, self.spoken, rows)
 
-    def tell_report(self, to: str, rows: list) -> None:
-        self._say(to, "report_told", self.sharing.name, rows)
+    def send_link_report(self, to: str, rows: list) -> None:
+        self._say(to, "receive_link_report", self.sharing.name, rows)
 
     def link_reported(self, server: Server, use: float) -> None:
         self.front.session_core.link_reported(server, use)
 
-    def tell_seen(self, to: str, rows: list) -> None:
+    def send_observations(self, to: str, rows: list) -> None:
         if self.shares.seen:
             self.spoken += 1
-            self._say(to, "seen_told", self.sharing.name, self.life, self.spoken, rows)
+            self._say(to, "receive_observations", self.sharing.name, self.life, self.spoken, rows)
 
     def rights_held(self, server: Server, rights: list) -> None:
         self.front.session_core.rights_held(server, rights)
@@ -136,8 +136,8 @@
         if self.shares.seen:
             self.front.session_core.seen_warm(server)
 
-    def ask_what_is_known(self, to: str) -> None:
-        self._say(to, "known_asked", self.sharing.name)
+    def request_observations(self, to: str) -> None:
+        self._say(to, "send_known_observations", self.sharing.name)
 
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
         if self.shares.counts:
--- a/curlewshift/emulator/sharing_bytes.py
+++ b/curlewshift/emulator/sharing_bytes.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from curlewshift.model import Link, Rack, Server
-from curlewshift.peering.channel import PLAIN
+from curlewshift.peering.channel import FRAME_OVERHEAD_BYTES
 from curlewshift.peering.frames import Frame, encode
 from curlewshift.peering.shared import ENCODER, KIND, SEEN, SUMS, USE, Body
 from curlewshift.sharing.sharing import Sharing
@@ -70,18 +70,18 @@
     def members(self) -> list[str]:
         return self.names[1:]
 
-    def tell_use(self, to: str, rows: list) -> None:
+    def send_use(self, to: str, rows: list) -> None:
         self._weighs(USE, uses=rows)
         # as many are told to it, and answered
         self._weighs(SUMS, sums=[(key, value, 100_000_000, 0.5, 200_000_000) for key, value in rows])
 
-    def tell_seen(self, to: str, rows: list) -> None:
+    def send_observations(self, to: str, rows: list) -> None:
         self._weighs(SEEN, seen=rows)
 
     def nothing(self, *words, **more) -> None:
         """Asks of rights are few: only cold servers have any."""
 
-    ask = lend = give_back_to = tell_sums = tell_report = ask_what_is_known = nothing
+    ask = lend = give_back_to = send_sums = send_link_report = request_observations = nothing
     rights_held = doubted = counted = uplink_counted = link_reported = seen_warm = clock_off = nothing
 
 
@@ -98,4 +98,4 @@
                 "datagrams_a_second": round(done.datagrams / SECONDS),
             }
         )
-    return {"simulated": True, "largest_body": 1200 - PLAIN, "sizes": rows}
+    return {"simulated": True, "largest_body": 1200 - FRAME_OVERHEAD_BYTES, "sizes": rows}
--- a/curlewshift/emulator/version_figures.py
+++ b/curlewshift/emulator/version_figures.py
@@ -10,7 +10,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from curlewshift.distribution.pieces import packed_difference, packed_whole
+from curlewshift.distribution.pieces import packed_difference, packed_full
 from curlewshift.emulator.version_histories import FAULTS, InvariantViolated, VersionHistory, histories, planted
 from curlewshift.emulator.versions import NS, VersionFleet, site_file
 
@@ -208,7 +208,7 @@
         "nodes": NODES,
         "zones": ZONES,
         "content_bytes": len(content),
-        "packed_whole_bytes": len(packed_whole(content)),
+        "packed_whole_bytes": len(packed_full(content)),
         "packed_difference_bytes": len(packed_difference(content, base)),
     }
     with ProcessPoolExecutor(workers or max(1, (os.cpu_count() or 2) - 1)) as pool:
--- a/curlewshift/emulator/version_histories.py
+++ b/curlewshift/emulator/version_histories.py
@@ -12,12 +12,12 @@
 from random import Random
 
 from curlewshift.distribution.copy import Copy
-from curlewshift.distribution.fetching import Fetch
+from curlewshift.distribution.fetching import Fetcher
 from curlewshift.distribution.store import Store, read_record
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import NO_BALLOT, Version, digest_of
 from curlewshift.distribution.writer import Writer
-from curlewshift.peering.distributed import DECODER, ENCODER, DistributionWire, Piece
+from curlewshift.peering.distributed import DECODER, ENCODER, DistributionProtocol, Piece
 
 MS = 1_000_000
 NS = 1_000_000_000
@@ -54,7 +54,7 @@
     """A member as all others see it."""
 
     def __init__(self, name: str):
-        self.name, self.there, self.life = name, False, 0
+        self.name, self.is_present, self.life = name, False, 0
 
 
 class Lane:
@@ -62,22 +62,22 @@
 
     def __init__(self, process: Process):
         self.process, self.membership = process, self
-        self.me = Peer(process.name)
-        self.me.life = process.lives
+        self.local_member = Peer(process.name)
+        self.local_member.life = process.lives
         self.members = {name: peer for name, peer in process.history.peers.items() if name != process.name}
         self.heard = self.rider = self.ride_heard = None
 
     @property
     def ring(self) -> list[Peer]:
-        return [peer for peer in self.members.values() if peer.there]
+        return [peer for peer in self.members.values() if peer.is_present]
 
-    def carries(self, kind: int, heard) -> None:
+    def register_handler(self, kind: int, heard) -> None:
         self.heard = heard
 
-    def rides(self, rider, heard) -> None:
+    def register_piggyback(self, rider, heard) -> None:
         self.rider, self.ride_heard = rider, heard
 
-    def say(self, to: Peer, kind: int, body: bytes) -> bool:
+    def send(self, to: Peer, kind: int, body: bytes) -> bool:
         self.process.history.carry(self.process, to.name, body)
         return True
 
@@ -91,7 +91,7 @@
         self.copy: bytes | None = None
         self.vote: bytes | None = None
         self.disk_full = False
-        self.wire: DistributionWire | None = None
+        self.wire: DistributionProtocol | None = None
         # the number in force in this life, and the highest that this disk was given
         self.life_number = self.number = (0, 0)
 
@@ -126,16 +126,16 @@
         # some versions are wrong in the eyes of some nodes, as older programs see newer settings
         return "line 1: not for me" if b"refused-by " + self.name.encode() + b";" in content else None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         self.history.taken(self, version, content)
         return None
 
-    def keep_configuration(self, data: bytes) -> None:
+    def store_configuration(self, data: bytes) -> None:
         if self.disk_full:
             raise OSError("no space")
         self.copy = data
 
-    def keep_vote(self, data: bytes) -> None:
+    def store_vote(self, data: bytes) -> None:
         if self.disk_full:
             raise OSError("no space")
         self.vote = data
@@ -159,7 +159,7 @@
 
 
 class VersionHistory:
-    def __init__(self, seed: int, wire: type[DistributionWire] = DistributionWire, nodes: int = 0, troubled: bool = True):
+    def __init__(self, seed: int, wire: type[DistributionProtocol] = DistributionProtocol, nodes: int = 0, troubled: bool = True):
         self.seed, self.rng, self.now, self.wire = seed, Random(f"versions {seed}"), 1000 * NS, wire
         rng = self.rng
         self.queue: list[tuple] = []
@@ -221,7 +221,7 @@
         while self.now < began + QUIET:
             self.run_to(self.now + EVERY)
             holder = next((store for store in self.stores if store.fence), None)
-            if not made and holder is not None and self.agreed() and holder.wire.writer.wanted is None:
+            if not made and holder is not None and self.agreed() and holder.wire.writer.pending_change is None:
                 self._put_at(holder, made, refusable=False)
             elif made and made[0] is not None and not made[0]["ok"]:
                 made.clear()
@@ -236,7 +236,7 @@
         newest = self.newest()
         text = newest.text if newest is not None else "file"
         return all(
-            process.wire.copy.held.text == text and (process.wire.version == text or process.wire.copy.why_refused)
+            process.wire.copy.held.text == text and (process.wire.version == text or process.wire.copy.refusal_reason)
             for process in self.processes.values()
         )
 
@@ -298,7 +298,7 @@
 
     def _in(self, process: Process, life: int) -> None:
         if process.alive and process.lives == life:
-            self.peers[process.name].there = True
+            self.peers[process.name].is_present = True
 
     def _kill(self, process: Process) -> None:
         process.alive, process.fence = False, 0
@@ -306,7 +306,7 @@
 
     def _gone(self, process: Process, life: int) -> None:
         if not process.alive and process.lives == life:
-            self.peers[process.name].there = False
+            self.peers[process.name].is_present = False
 
     def _grant(self, kind: str = "lease") -> None:
         """Who holds the lease: one, or two of them, or two with one number."""
@@ -488,14 +488,14 @@
 class NoMajority(Writer):
     """Tells as soon as one store has it."""
 
-    def _enough(self):
+    def _quorum(self):
         return 1
 
 
 class OldOverNew(Copy):
     """Takes whatever it hears last."""
 
-    def heard(self, version):
+    def version_announced(self, version):
         news, self.newest = version != self.newest, version
         return news
 
@@ -506,14 +506,14 @@
 class HalfInForce(Copy):
     """Takes the first half before the rest."""
 
-    def _take(self, version, content, kept_already=False):
+    def _take(self, version, content, already_stored=False):
         if self.content:
             half = len(content) // 2
-            self.driver.take_configuration(version.text, content[:half] + self.content[half:])
-        return super()._take(version, content, kept_already)
+            self.driver.apply_configuration(version.text, content[:half] + self.content[half:])
+        return super()._take(version, content, already_stored)
 
 
-class DigestUncheckedFetch(Fetch):
+class DigestUncheckedFetch(Fetcher):
     def _fits(self, content, version):
         return True
 
@@ -558,13 +558,13 @@
 
 class BaseUnchecked(Writer):
     def _make(self):
-        if self.wanted is not None and self.wanted.version is None:
-            self.wanted.base = self.tenure.value.text
+        if self.pending_change is not None and self.pending_change.version is None:
+            self.pending_change.base = self.tenure.value.text
         super()._make()
 
 
-def wire_of(**classes) -> type[DistributionWire]:
-    return type("Planted", (DistributionWire,), classes)
+def wire_of(**classes) -> type[DistributionProtocol]:
+    return type("Planted", (DistributionProtocol,), classes)
 
 
 FAULTS = {
@@ -579,5 +579,5 @@
 }
 
 
-def planted(fault: str) -> type[DistributionWire]:
+def planted(fault: str) -> type[DistributionProtocol]:
     return wire_of(**{f"{part}_class": kind for part, kind in FAULTS[fault].items()})
--- a/curlewshift/emulator/versions.py
+++ b/curlewshift/emulator/versions.py
@@ -8,12 +8,12 @@
 
 from random import Random
 
-from curlewshift.distribution.library import Library
+from curlewshift.distribution.library import ContentCache
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.distribution.versions import digest_of
 from curlewshift.emulator.peers import MS, NS, Links, PeerFleet, Post
 from curlewshift.membership.terms import default_membership_terms
-from curlewshift.peering.distributed import DistributionWire
+from curlewshift.peering.distributed import DistributionProtocol
 
 EVERY = 200 * MS
 
@@ -47,7 +47,7 @@
     ).encode()
 
 
-class OneMemory(Library):
+class SharedContentCache(ContentCache):
     """All nodes of an emulated fleet share what is the same: a content each would be gigabytes."""
 
     same: dict[bytes, bytes] = {}
@@ -56,8 +56,8 @@
         super().hold(self.same.setdefault(digest_of(content), content))
 
 
-class EmulatedWire(DistributionWire):
-    library_class = OneMemory
+class EmulatedWire(DistributionProtocol):
+    library_class = SharedContentCache
 
 
 class NoLog:
@@ -74,7 +74,7 @@
 class VersionPost(Post):
     """A node with its disk."""
 
-    wire: DistributionWire | None = None
+    wire: DistributionProtocol | None = None
     copy: bytes | None = None
     vote: bytes | None = None
     # bytes of whole datagrams; `own` are those of this kind, and what rides on others
@@ -105,7 +105,7 @@
             self.fleet.queue.at(self.fleet.queue.now + EVERY, self._round, life)
 
     def _count_own(self, channel) -> None:
-        say, rides = channel.say, channel.rides
+        say, register_piggyback = channel.send, channel.register_piggyback
 
         def counted(to, kind, body) -> bool:
             before = self.sent
@@ -119,9 +119,9 @@
                 self.own += len(body)
                 return body
 
-            rides(counted_rider, heard)
+            register_piggyback(counted_rider, heard)
 
-        channel.say, channel.rides = counted, ridden
+        channel.send, channel.register_piggyback = counted, ridden
 
     def post(self, address: tuple[str, int], data: bytes) -> None:
         self.sent += len(data)
@@ -135,15 +135,15 @@
     def check_configuration(self, content: bytes) -> str | None:
         return None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         self.fleet.taken(self, version)
         return None
 
-    def keep_configuration(self, data: bytes) -> None:
+    def store_configuration(self, data: bytes) -> None:
         # as equal as contents are
         self.copy = self.fleet.disks.setdefault(data, data)
 
-    def keep_vote(self, data: bytes) -> None:
+    def store_vote(self, data: bytes) -> None:
         self.vote = data
 
 
--- a/curlewshift/exchange/accepting.py
+++ b/curlewshift/exchange/accepting.py
@@ -7,11 +7,11 @@
 import anyio
 
 # What an accept says where there is no descriptor or memory left, and how long it is left alone then (s).
-NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+EXHAUSTED_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 FULL_PAUSE = 0.02
 
 
-class Patient:
+class PausingListener:
     """A listener that accepts while there is room, and for which no descriptor left is a pause and not the end.
 
     `gate` is a curlewshift.limits.descriptors.DescriptorGate, or None: what is not accepted waits in the kernel's queue.
@@ -46,7 +46,7 @@
             except anyio.ClosedResourceError:
                 return
             except OSError as wrong:
-                if wrong.errno not in NO_ROOM:
+                if wrong.errno not in EXHAUSTED_ERRNOS:
                     raise
                 if self.gate is not None:
                     self.gate.ran_out()
--- a/curlewshift/exchange/client.py
+++ b/curlewshift/exchange/client.py
@@ -40,7 +40,7 @@
         self.stream, self.host = stream, host
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
         # set before the first byte of a request goes out, as a cancelled write may have reached the peer
-        self.written = False
+        self.request_started = False
         # what was read along with the last answer has been handed on
         self.trailed = False
 
@@ -68,7 +68,7 @@
             data += self.http.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError as wrong:
             raise RequestNotSent(f"no request that can be written: {wrong}") from None
-        self.written = True
+        self.request_started = True
         try:
             await self.stream.send(data)
             while True:
@@ -106,14 +106,14 @@
         except h11.RemoteProtocolError as wrong:
             raise ConnectionBroken(f"no HTTP/1.1 answer: {wrong}") from None
 
-    def again(self) -> bool:
+    def prepare_next_request(self) -> bool:
         """True if another request may go out on this connection."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         if self.http.trailing_data[0] or self._readable():
             return False
         self.http.start_next_cycle()
-        self.written = self.trailed = False
+        self.request_started = self.trailed = False
         return True
 
     def _readable(self) -> bool:
@@ -125,7 +125,7 @@
         poll.register(number, select.POLLIN | select.POLLHUP)
         return bool(poll.poll(0))
 
-    async def more(self) -> bytes:
+    async def read_more(self) -> bytes:
         """What comes after an answer on this connection; empty once the peer has closed it."""
         data, closed = self.http.trailing_data
         if not self.trailed and (data or closed):
@@ -136,14 +136,14 @@
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             return b""
 
-    def say_no_more(self) -> None:
+    def shut_down_sending(self) -> None:
         """Close this side: the peer sees that nothing more comes, and what it has said already can still be read."""
         try:
             self.stream.extra(SocketAttribute.raw_socket).shutdown(socket.SHUT_WR)
         except OSError:
             pass
 
-    def cut(self) -> None:
+    def break_connection(self) -> None:
         """End the connection under whoever reads it: that finds it broken."""
         try:
             self.stream.extra(SocketAttribute.raw_socket).shutdown(socket.SHUT_RDWR)
--- a/curlewshift/exchange/server.py
+++ b/curlewshift/exchange/server.py
@@ -16,7 +16,7 @@
 from anyio.abc import SocketAttribute, SocketStream
 from anyio.streams.tls import TLSListener
 
-from curlewshift.exchange.accepting import Patient
+from curlewshift.exchange.accepting import PausingListener
 from curlewshift.signalling.bodies import PROBLEM_TYPE, Problem, encode
 
 # A head has to be there this long after its first byte, and a body this long after its head (s).
@@ -70,7 +70,7 @@
 class Exchange:
     """One request, and the means to answer it once."""
 
-    __slots__ = ("always", "answered", "body", "connection", "headers", "method", "path", "query", "target")
+    __slots__ = ("answered", "body", "common_headers", "connection", "headers", "method", "path", "query", "target")
 
     def __init__(self, connection: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes):
         self.connection, self.method, self.target, self.headers, self.body = connection, method, target, headers, body
@@ -79,12 +79,12 @@
         self.query = dict(part.partition("=")[::2] for part in query.split("&") if part)
         self.answered = False
         # headers of every answer
-        self.always: list[tuple[str, str]] = []
+        self.common_headers: list[tuple[str, str]] = []
 
     async def answer(self, status: int, headers: list[tuple[str, str]] = (), body: bytes = b"") -> None:
         """Raises `PeerDisconnected`."""
         self.answered = True
-        await self.connection.send_whole(status, [*self.always, *headers], body)
+        await self.connection.send_whole(status, [*self.common_headers, *headers], body)
 
     async def problem(
         self,
@@ -101,9 +101,9 @@
     async def start(self, status: int, headers: list[tuple[str, str]]) -> Callable[[bytes], Awaitable[None]]:
         """A body of no known length: returns what sends a piece of it. The connection ends with it."""
         self.answered = True
-        return await self.connection.send_open(status, [*self.always, *headers])
+        return await self.connection.send_open(status, [*self.common_headers, *headers])
 
-    def on_hang_up(self, call: Callable[[], None]) -> None:
+    def on_disconnect(self, call: Callable[[], None]) -> None:
         """`call` runs once the peer has closed or broken the connection, at once if it has."""
         self.connection.on_gone(call)
 
@@ -329,7 +329,7 @@
 
     `on_fault` hears of a handler that failed, which costs its own connection and no other. `tls` is an ssl context.
     """
-    listener = Patient(listener, gate)
+    listener = PausingListener(listener, gate)
     if tls is not None:
         listener = QuietListener(listener, tls, standard_compatible=False, handshake_timeout=HANDSHAKE_WITHIN)
 
--- a/curlewshift/fault_injection/flood.py
+++ b/curlewshift/fault_injection/flood.py
@@ -47,7 +47,7 @@
             extra = b""
             if answered.status == 201:
                 with anyio.move_on_after(0.02):
-                    extra = await call.more()
+                    extra = await call.read_more()
                 await call.close()
                 call = HttpClientConnection(await anyio.connect_tcp("127.0.0.1", port, local_host=address), f"127.0.0.1:{port}")
                 await call.ask("DELETE", answered.headers["location"])
--- a/curlewshift/fault_injection/joins.py
+++ b/curlewshift/fault_injection/joins.py
@@ -91,10 +91,10 @@
                 "POST", "/whep/p/t?layer=0&top=1", [("content-type", SDP), ("x-front", "direct"), ("x-request-id", "q")], offer
             )
             histogram.record_value(max(1, (time.perf_counter_ns() - began) // 1000))
-            if answered.status != 201 or not call.again():
+            if answered.status != 201 or not call.prepare_next_request():
                 raise RuntimeError(f"a join was answered {answered.status}: {answered.body[:200]!r}")
             ended = await call.ask("DELETE", answered.headers["location"])
-            if ended.status != 200 or not call.again():
+            if ended.status != 200 or not call.prepare_next_request():
                 raise RuntimeError(f"an end was answered {ended.status}")
             if pause:
                 await anyio.sleep(pause)
@@ -140,7 +140,9 @@
     try:
         for _ in range(count):
             offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
-            if (await call.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)).status != 201 or not call.again():
+            if (
+                await call.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
+            ).status != 201 or not call.prepare_next_request():
                 raise RuntimeError("a join was not answered well")
     finally:
         await call.close()
--- a/curlewshift/fault_injection/key_cost.py
+++ b/curlewshift/fault_injection/key_cost.py
@@ -27,7 +27,7 @@
         held = self.held.get(key)
         return None if held is None or (held[2] is not None and held[2] <= now) else held
 
-    def hold(self, key, mark, front_session):
+    def add(self, key, mark, front_session):
         self.held[key] = (mark, front_session, None)
         return key
 
--- a/curlewshift/fault_injection/limits_cost.py
+++ b/curlewshift/fault_injection/limits_cost.py
@@ -29,12 +29,12 @@
         offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
         answered = await call.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
         good += answered.status == wanted
-        if not call.again():
+        if not call.prepare_next_request():
             await call.close()
             call = await connect("127.0.0.1", port, 2.0)
         if answered.status == 201:
             await call.ask("DELETE", answered.headers["location"])
-            if not call.again():
+            if not call.prepare_next_request():
                 await call.close()
                 call = await connect("127.0.0.1", port, 2.0)
     await call.close()
--- a/curlewshift/front/begun.py
+++ b/curlewshift/front/begun.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 
 from curlewshift.distribution.copy import Copy
-from curlewshift.distribution.versions import NONE, Version
-from curlewshift.site.changes import RestartRequired, refusals, unalike
+from curlewshift.distribution.versions import NO_VERSION, Version
+from curlewshift.site.changes import RestartRequired, full_stop_changes, restart_required_changes
 from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.site.site import SCHEMA, Site, read_site, site_of
-from curlewshift.state.configured import RecordFile
+from curlewshift.state.record_file import RecordFile
 
 # A refusal is told over the channel and in tables: of more mistakes the first, and how many there are.
 MOST_TOLD = 5
@@ -34,7 +34,7 @@
 
     @property
     def version(self) -> str:
-        return (self.held or NONE).text
+        return (self.held or NO_VERSION).text
 
 
 class Reading:
@@ -53,13 +53,13 @@
             return told(self.path, wrong)
         return None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         return None
 
     def in_force(self, version: Version, before: Version) -> None:
         pass
 
-    def copy_lost(self, why: str) -> None:
+    def copy_unreadable(self, why: str) -> None:
         self.cause = f"what is on the disk cannot be used: {why}"
 
     def refuses(self, version: Version, why: str) -> None:
@@ -74,7 +74,7 @@
         return Begun(path, site)
     begun = [_from_record(path, site, record_class(state / name), copy_class) for name in (NOW, NEXT)]
     held, after = begun
-    if after.held is not None and (held.held is None or after.held.over(held.held)):
+    if after.held is not None and (held.held is None or after.held.newer_than(held.held)):
         return after
     return held
 
@@ -92,7 +92,7 @@
 
 def told(path: Path, mistakes: SiteErrors) -> str:
     """The mistakes of a site file in one line, the first few of them."""
-    lines = [f"{path.name}:{line}: {wrong}" for line, wrong in mistakes.found]
+    lines = [f"{path.name}:{line}: {wrong}" for line, wrong in mistakes.errors]
     more = [f"and {len(lines) - MOST_TOLD} more"] if len(lines) > MOST_TOLD else []
     return "; ".join(lines[:MOST_TOLD] + more)
 
@@ -101,7 +101,7 @@
     """The site of this content, fit to take the place of the running one. Raises `SiteErrors`."""
     root = read_xml(path, SCHEMA, content)
     site = site_of(path, root)
-    wrong = refusals(running, site, root)
+    wrong = restart_required_changes(running, site, root)
     if wrong:
-        raise (SiteErrors if unalike(running, site, root) else RestartRequired)(path, wrong)
+        raise (SiteErrors if full_stop_changes(running, site, root) else RestartRequired)(path, wrong)
     return site
--- a/curlewshift/front/configured.py
+++ b/curlewshift/front/configured.py
@@ -11,14 +11,14 @@
 import anyio
 import zstandard
 
-from curlewshift.distribution.copy import ENCODER, FORM, Kept
-from curlewshift.distribution.versions import NONE
+from curlewshift.distribution.copy import ENCODER, FORM, StoredCopy
+from curlewshift.distribution.versions import NO_VERSION
 from curlewshift.front.begun import NEXT, NOW, Begun, checked, told
 from curlewshift.front.in_service import Swap, in_service
-from curlewshift.site.changes import OF_PACKAGES, RestartRequired
+from curlewshift.site.changes import IN_SERVICE_PACKAGE_FIELDS, RestartRequired
 from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import Site
-from curlewshift.state.configured import RecordFile
+from curlewshift.state.record_file import RecordFile
 
 NS = 1_000_000_000
 
@@ -56,7 +56,7 @@
         if how != "disk":
             within = self.front.site.configuration.start_within / NS
             await self.wire.start_from_peers(within)
-            if self.version != NONE.text:
+            if self.version != NO_VERSION.text:
                 how = "peers"
             else:
                 cause += "; no peer had a version that could be taken"
@@ -77,13 +77,13 @@
     def _keep_for_next_start(self, content: bytes) -> None:
         if self.next_start is None or self.wire is None:
             return
-        kept = Kept(FORM, tuple(self.wire.copy.held), zstandard.ZstdCompressor().compress(content))
+        kept = StoredCopy(FORM, tuple(self.wire.copy.held), zstandard.ZstdCompressor().compress(content))
         try:
             self.next_start.write(ENCODER.encode(kept))
         except OSError as wrong:
             self.log.warning("configuration-not-kept", cause=str(wrong))
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         if version == self.version:
             # what the disk had, with which this front began
             return None
@@ -108,12 +108,12 @@
                 self.front.capture.stop(f"the settings changed to {version}, and a replay decides by those of the start")
         return wrong
 
-    def keep_configuration(self, data: bytes) -> None:
+    def store_configuration(self, data: bytes) -> None:
         if self.record is not None:
             self.record.write(data)
             self.written.set()
 
-    def keep_vote(self, data: bytes) -> None:
+    def store_vote(self, data: bytes) -> None:
         raise OSError("a front does not vote")
 
     # ---- for people
@@ -136,6 +136,7 @@
             "titles": len(session_core.server_list.titles),
             "limits": {name: [buckets.rate, buckets.burst] for name, buckets in admission.buckets.items()} if admission else None,
             "packages": {
-                package.name: {name: getattr(package, name) for name in OF_PACKAGES} for package in session_core.packages.values()
+                package.name: {name: getattr(package, name) for name in IN_SERVICE_PACKAGE_FIELDS}
+                for package in session_core.packages.values()
             },
         }
--- a/curlewshift/front/followers.py
+++ b/curlewshift/front/followers.py
@@ -12,7 +12,7 @@
 from curlewshift.session_core.server_list import ServerEntry
 from curlewshift.session_core.session_core import SessionCore
 from curlewshift.signalling.bodies import InvalidBody, ListNews, ListRow, Note, decode
-from curlewshift.signalling.events import Event, Reader, TooLong
+from curlewshift.signalling.events import Event, EventReader, EventTooLong
 from curlewshift.site.site import host_port
 
 MS = 1_000_000
@@ -53,7 +53,7 @@
                     await self.call.close()
             except RequestNotSent:
                 self.refused = True
-            except (ConnectionBroken, TooLong, TimeoutError):
+            except (ConnectionBroken, EventTooLong, TimeoutError):
                 self.refused = False
             if opened or self.refused:
                 yield None
@@ -64,7 +64,7 @@
         """Break off, and begin again without what was had."""
         self.last_id = None
         if self.call is not None:
-            self.call.cut()
+            self.call.break_connection()
 
     async def _read(self, call: HttpClientConnection):
         headers = [("accept", "text/event-stream")]
@@ -74,7 +74,7 @@
             answered = await call.begin("GET", self.target, headers)
         if answered.status != 200:
             raise ConnectionBroken(f"answered {answered.status}")
-        reader, pieces = Reader(), call.pieces()
+        reader, pieces = EventReader(), call.pieces()
         while True:
             with anyio.fail_after(QUIET_FOR):
                 try:
--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -27,22 +27,22 @@
 from curlewshift.limits.permits import InvalidKeySet, Permits, read_keys
 from curlewshift.model import Server
 from curlewshift.peaks.calendar import Calendar, InvalidPeak
-from curlewshift.peering.distributed import DistributionWire
-from curlewshift.peering.leased import LeaseWire
-from curlewshift.peering.overloaded import OverloadWire
-from curlewshift.peering.shared import SharedWire
-from curlewshift.peering.wire import PeerWire
+from curlewshift.peering.distributed import DistributionProtocol
+from curlewshift.peering.leased import LeaseTaskProtocol
+from curlewshift.peering.overloaded import OverloadProtocol
+from curlewshift.peering.shared import SharingProtocol
+from curlewshift.peering.wire import PeerSocket
 from curlewshift.recovery.recovery import InterruptedSetup, ListedSession, Recovery, recovery_of
 from curlewshift.retries.session_ends import SessionEnd
 from curlewshift.schedule.background import Background, Job
 from curlewshift.schedule.clock import Clock, SkewedClock
-from curlewshift.schedule.waking import WakeupTimer
+from curlewshift.schedule.wakeup_timer import WakeupTimer
 from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request, TuneIn
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.server_commands import ServerCommand
 from curlewshift.session_core.server_list import ServerList
 from curlewshift.session_core.session_core import SessionCore
-from curlewshift.site.places import distribution_of, places_of
+from curlewshift.site.places import distribution_of, locations_of
 from curlewshift.site.site import Site
 from curlewshift.state.intents import Intents
 from curlewshift.state.journal import Journal, Lock
@@ -70,12 +70,12 @@
     """Made for the number-th front of the site. `name` tells servers and list which life of which front speaks."""
 
     server_pool_class = ServerPool
-    peers_class = PeerWire
-    shared_class = SharedWire
-    leased_class = LeaseWire
-    overload_class = OverloadWire
+    peers_class = PeerSocket
+    shared_class = SharingProtocol
+    leased_class = LeaseTaskProtocol
+    overload_class = OverloadProtocol
     configured_class = Configured
-    distribution_class = DistributionWire
+    distribution_class = DistributionProtocol
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         self.gate = DescriptorGate(resource.getrlimit(resource.RLIMIT_NOFILE)[0], time.monotonic)
         if site.limits is not None:
             self.door.admission = Admission(site.limits, self.rng.getrandbits(32), self.clock.now(), self.door.ticket_told)
-        self.waking = WakeupTimer(self.clock, lambda: self.session_core.time())
+        self.wakeup_timer = WakeupTimer(self.clock, lambda: self.session_core.time())
         self.followed: dict[Server, anyio.CancelScope] = {}
         self.terms = site.terms(self.clock.now(), seed, number)
         self.calendar = Calendar(site.packages)
@@ -140,10 +140,10 @@
             self, self.terms, ServerList(site.uplinks, site.titles), most_waiting=site.most_waiting, calendar=self.calendar, **how
         )
         self.door.session_core = self.session_core
-        self.peers: PeerWire | None = None
+        self.peers: PeerSocket | None = None
         if site.peers is not None:
             self.peers = self.peers_class(site.name, self.door_at, site.peers, self.clock, log, Random(self.rng.random()))
-        self.shared: SharedWire | None = None
+        self.shared: SharingProtocol | None = None
         if self.peers is not None and site.sharing is not None:
             self.shared = self.shared_class(
                 self.peers.channel,
@@ -160,7 +160,7 @@
         self.kept_shared = None
         if self.shared is not None and state is not None:
             self.kept_shared = KeptShared(state / "shared.json", self.shared.sharing, self.wall, log)
-        self.leased: LeaseWire | None = None
+        self.leased: LeaseTaskProtocol | None = None
         if self.peers is not None and site.leases is not None:
             wants = site.leases
             self.leased = self.leased_class(
@@ -177,7 +177,7 @@
                 wants.tasks,
                 wants.orphans_after,
             )
-        self.sheds: OverloadWire | None = None
+        self.sheds: OverloadProtocol | None = None
         if site.overload is not None:
             self.sheds = self.door.sheds = self.overload_class(
                 self.peers.channel if self.peers is not None else None,
@@ -195,7 +195,7 @@
                 self.peers.channel,
                 self.configured,
                 self.door_at.name,
-                places_of(site),
+                locations_of(site),
                 distribution_of(site),
                 lambda: 0,
                 self.clock,
@@ -354,7 +354,7 @@
                 tasks.start_soon(self.sheds.run)
             listener = await anyio.create_tcp_listener(local_host=self.door_at.host, local_port=self.door_at.port, backlog=1024)
             tasks.start_soon(self._signals)
-            tasks.start_soon(self.waking.run)
+            tasks.start_soon(self.wakeup_timer.run)
             tasks.start_soon(self._work_behind)
             tasks.start_soon(self.lists.run)
             if self.kept is not None:
@@ -500,7 +500,7 @@
         return self.clock.wall()
 
     def wake(self, at: int) -> None:
-        self.waking.at(at)
+        self.wakeup_timer.at(at)
 
     def tune_in(self, tune_in: TuneIn) -> None:
         viewing = tune_in.front_session.viewing
--- a/curlewshift/front/http_listener.py
+++ b/curlewshift/front/http_listener.py
@@ -67,7 +67,7 @@
 
     async def serve(self, exchange: Exchange) -> None:
         self.busy += 1
-        exchange.always = CORS
+        exchange.common_headers = CORS
         try:
             await self._serve(exchange)
         except RequestError as wrong:
@@ -130,7 +130,7 @@
         )
         if ticket.state == "waiting":
             told = self.admitted[ticket] = anyio.Event()
-            exchange.on_hang_up(told.set)
+            exchange.on_disconnect(told.set)
             try:
                 await told.wait()
             finally:
@@ -226,7 +226,7 @@
                 self.session_core.hung_up(request)
                 self.answer(request, None)
 
-            exchange.on_hang_up(gone)
+            exchange.on_disconnect(gone)
             try:
                 await waiter.wait()
             finally:
--- a/curlewshift/front/in_service.py
+++ b/curlewshift/front/in_service.py
@@ -11,7 +11,7 @@
 from curlewshift.limits.buckets import Buckets
 from curlewshift.rules import MAX_RETRY_WAIT
 from curlewshift.session_core.server_list import ServerList, Title
-from curlewshift.site.changes import OF_PACKAGES
+from curlewshift.site.changes import IN_SERVICE_PACKAGE_FIELDS
 from curlewshift.site.site import Site
 
 # Fields of Site that stand for what is in force where nothing else holds them; the packages' objects stay what they are.
@@ -54,7 +54,7 @@
     """All that changes when `new` comes into force at the running front, as steps of the swap; nothing changes here."""
     site, session_core, rules, obligations = front.site, front.session_core, front.session_core.rules, new.obligations
     for before, after in zip(site.packages, new.packages):
-        for name in OF_PACKAGES:
+        for name in IN_SERVICE_PACKAGE_FIELDS:
             swap.set(before, name, getattr(after, name))
     swap.set(front.door, "way_back", obligations.way_back)
     swap.set(front.door, "ice_servers", new.ice_servers)
@@ -72,7 +72,7 @@
         _limits(front.door.admission, new.limits, front.now(), swap)
     if new.overload is not None:
         overload = front.sheds.overload
-        for held in (overload, overload.advice, overload.again):
+        for held in (overload, overload.advice, overload.retry_budget):
             swap.set(held, "terms", new.overload)
     swap.set(session_core.server_list, "uplinks", new.uplinks)
     for rack in session_core.server_list.racks.values():
--- a/curlewshift/front/planted_configuration_faults.py
+++ b/curlewshift/front/planted_configuration_faults.py
@@ -8,7 +8,7 @@
 from curlewshift.front.configured import Configured
 from curlewshift.front.front import Front
 from curlewshift.front.in_service import Swap
-from curlewshift.state.configured import RecordFile
+from curlewshift.state.record_file import RecordFile
 
 
 class HalfSwap(Swap):
--- a/curlewshift/front/planted_faults.py
+++ b/curlewshift/front/planted_faults.py
@@ -21,16 +21,16 @@
 from curlewshift.model import Outcome
 from curlewshift.model_checker.budget_checker import FAULTS
 from curlewshift.overload.overload import Overload
-from curlewshift.peering.leased import LeaseWire
-from curlewshift.peering.overloaded import OverloadWire
-from curlewshift.peering.shared import SharedWire
-from curlewshift.peering.wire import PeerWire
+from curlewshift.peering.leased import LeaseTaskProtocol
+from curlewshift.peering.overloaded import OverloadProtocol
+from curlewshift.peering.shared import SharingProtocol
+from curlewshift.peering.wire import PeerSocket
 from curlewshift.rules import NEVER_RAN, Rules
 from curlewshift.session_core.session_core import SessionCore
 from curlewshift.sharing.evidence import Evidence
 from curlewshift.sharing.loans import Loans
+from curlewshift.sharing.renewable_loans import RenewableLoans
 from curlewshift.sharing.sharing import Sharing
-from curlewshift.sharing.standing import StandingLoans
 
 EVERY = 8
 
@@ -201,16 +201,16 @@
 class DeafIncarnation(Membership):
     """Does not contradict who accuses it."""
 
-    def _own_name(self, claim):
+    def _refute_or_yield(self, claim):
         pass
 
 
 class OldLifeTaken(Membership):
     """Takes a datagram of an earlier life for one of the member's present one."""
 
-    def heard(self, claim):
+    def receive_from(self, claim):
         held = self.members.get(claim.name)
-        return super().heard(claim._replace(life=held.life) if held is not None else claim)
+        return super().receive_from(claim._replace(life=held.life) if held is not None else claim)
 
 
 class NeverForget(Membership):
@@ -221,7 +221,7 @@
 def wired(membership: type[Membership]) -> type[Front]:
     """A front with this membership."""
 
-    class Wire(PeerWire):
+    class Wire(PeerSocket):
         membership_class = membership
 
     class Spoilt(Front):
@@ -233,7 +233,7 @@
 def leasing(proposer: type[LeaseProposer] = LeaseProposer, acceptor: type[LeaseAcceptor] = LeaseAcceptor) -> type[Front]:
     """A front with this asker and this keeper of leases."""
 
-    class Wire(LeaseWire):
+    class Wire(LeaseTaskProtocol):
         proposer_class, acceptor_class = proposer, acceptor
 
     class Holder(Front):
@@ -248,21 +248,21 @@
     def doubts(self, now):
         self.doubted = {
             server: True
-            for server, words in self.words.items()
-            if any(word.bad > word.good for front, word in words.items() if front != self.me)
+            for server, words in self.observations.items()
+            if any(word.bad > word.good for front, word in words.items() if front != self.local_name)
         }
         return self.doubted
 
 
 def lending(
-    loans: type[Loans] = Loans, seats: type[StandingLoans] = StandingLoans, evidence: type[Evidence] = Evidence
+    loans: type[Loans] = Loans, seats: type[RenewableLoans] = RenewableLoans, evidence: type[Evidence] = Evidence
 ) -> type[Front]:
     """A front with these parts in sharing."""
 
     class Spoilt(Sharing):
         loans_class, seats_class, evidence_class = loans, seats, evidence
 
-    class Wire(SharedWire):
+    class Wire(SharingProtocol):
         sharing_class = Spoilt
 
     class Lender(Front):
@@ -274,7 +274,7 @@
 def shedding(overload: type[Overload]) -> type[Front]:
     """A front with this part in overload."""
 
-    class Wire(OverloadWire):
+    class Wire(OverloadProtocol):
         overload_class = overload
 
     class Shedder(Front):
--- a/curlewshift/front/server_pool.py
+++ b/curlewshift/front/server_pool.py
@@ -131,12 +131,12 @@
         out = self.out.get(tune_in)
         if out is None:
             return True
-        if out.call is None or not out.call.written:
+        if out.call is None or not out.call.request_started:
             out.scope.cancel()
             return False
         # The server sees that nobody waits; an answer that is on its way already is still read, as the session that
         # it tells of has to be ended.
-        out.call.say_no_more()
+        out.call.shut_down_sending()
         viewing = tune_in.front_session.viewing
         viewing.unconfirmed = {*viewing.unconfirmed, tune_in.server}
         out.scope.deadline = anyio.current_time() + LATE_ANSWER
@@ -189,7 +189,7 @@
         idle = self.idle.get(server)
         while idle and not fresh:
             call = idle.pop()
-            if call.again():
+            if call.prepare_next_request():
                 return call
             await self._drop(server, call)
         if self.connections.get(server, 0) >= self.most_connections:
--- a/curlewshift/front/sessions.py
+++ b/curlewshift/front/sessions.py
@@ -143,7 +143,7 @@
                 self.keeper.changed(held.token, etag=held.front_session.session.etag, ufrag=held.front_session.session.ufrag)
             ended.set()
 
-        exchange.on_hang_up(ended.set)
+        exchange.on_disconnect(ended.set)
         self.door.session_core.patched(held.front_session, Patch(exchange.body, fragment, exchange.headers.get("if-match")), told)
         with anyio.move_on_after(PATCH_WITHIN):
             await ended.wait()
--- a/curlewshift/leases/acceptor.py
+++ b/curlewshift/leases/acceptor.py
@@ -46,7 +46,7 @@
         self.driver, self.terms = driver, terms
         self.steady = SteadyClock(driver.now(), terms.every)
         self.steady.due = self.steady.last + terms.every
-        self.silent_until = self.steady.last + terms.kept
+        self.silent_until = self.steady.last + terms.hold_time
         self.leases: dict[str, AcceptedLease] = {}
 
     def time(self) -> None:
@@ -72,7 +72,7 @@
         if state is None:
             return
         state.promised = state.accepted = ballot
-        state.holder, state.until, state.fence = proposer, now + self.terms.kept, max(state.fence, fence)
+        state.holder, state.until, state.fence = proposer, now + self.terms.hold_time, max(state.fence, fence)
         self.driver.accept(proposer, lease, ballot)
 
     def released(self, proposer: int, lease: str, ballot: Ballot) -> None:
--- a/curlewshift/leases/terms.py
+++ b/curlewshift/leases/terms.py
@@ -14,7 +14,7 @@
     every: int
 
     @property
-    def kept(self) -> int:
+    def hold_time(self) -> int:
         """How long an acceptor keeps what it accepted. The holder counts the term from before its request, on a clock that may be
         the slowest, while the acceptor's may be the fastest. A step back smaller than the time between two readings of the clock
         goes unnoticed: two rounds are added."""
--- a/curlewshift/membership/member.py
+++ b/curlewshift/membership/member.py
@@ -43,8 +43,8 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """`since` is the steady time (ns) of the last change of rank, `by` the name of the member whose claim changed it, and `heard`
-    the steady time (ns) of the last datagram from the member itself (-1: none yet)."""
+    """`since` is the steady time (ns) of the last change of rank, `reported_by` the name of the member whose claim changed it,
+    and `last_seen_at` the steady time (ns) of the last datagram from the member itself (-1: none yet)."""
 
     name: str
     host: str
@@ -53,12 +53,12 @@
     incarnation: int
     rank: Rank
     since: int
-    by: str
-    heard: int = -1
+    reported_by: str
+    last_seen_at: int = -1
     accusers: dict[str, None] = field(default_factory=dict)
 
     @property
-    def there(self) -> bool:
+    def is_present(self) -> bool:
         return self.rank < Rank.GONE
 
     @property
--- a/curlewshift/membership/membership.py
+++ b/curlewshift/membership/membership.py
@@ -14,7 +14,7 @@
 
 from curlewshift.membership.member import Claim, Member, Rank
 from curlewshift.membership.terms import MembershipTerms
-from curlewshift.membership.updates import UpdateQueue, spread
+from curlewshift.membership.updates import UpdateQueue, sample_members
 from curlewshift.membership.views import BUCKETS, Views, bucket_of
 from curlewshift.schedule.steady_clock import SteadyClock
 
@@ -25,15 +25,15 @@
     def now(self) -> int: ...
     def wake(self, at: int) -> None: ...
     def ping(self, to: Member, number: int) -> None: ...
-    def ask(self, to: Member, number: int, target: Member) -> None: ...
+    def request_probe(self, to: Member, number: int, target: Member) -> None: ...
     def nack(self, to: Member, number: int) -> None: ...
     def ack_for(self, to: Member, number: int) -> None: ...
-    def tell(self, address: tuple[str, int], claims: list[Claim]) -> None: ...
-    def pass_on(self, to: Member) -> None: ...
-    def compare(self, address: tuple[str, int]) -> None: ...
-    def pieces(self, address: tuple[str, int], claims: list[Claim]) -> None: ...
+    def send_claims(self, address: tuple[str, int], claims: list[Claim]) -> None: ...
+    def send_updates(self, to: Member) -> None: ...
+    def send_buckets(self, address: tuple[str, int]) -> None: ...
+    def send_members(self, address: tuple[str, int], claims: list[Claim]) -> None: ...
     def changed(self, member: Member, before: Rank | None, cause: str) -> None: ...
-    def outlived(self, superseded: bool) -> None: ...
+    def superseded_changed(self, superseded: bool) -> None: ...
 
 
 class Probe:
@@ -64,13 +64,13 @@
         self.driver, self.membership_terms, self.rng, self.seeds = driver, membership_terms, rng, seeds
         self.steady = SteadyClock(driver.now(), membership_terms.period // 2)
         self.now = self.steady.last
-        self.me = Member(name, *address, life, 0, Rank.ALIVE, self.now, name)
+        self.local_member = Member(name, *address, life, 0, Rank.ALIVE, self.now, name)
         self.members: dict[str, Member] = {}
         # members that are alive or suspect, in the order in which they are probed (SWIM, section 4.3)
         self.ring: list[Member] = []
         self.ring_index = 0
-        self.views, self.news = Views(), UpdateQueue()
-        self.views.toggle(self.me.name, life, 0)
+        self.views, self.updates = Views(), UpdateQueue()
+        self.views.toggle(self.local_member.name, life, 0)
         self.health = 0
         # starts at a random number, so that an answer to a probe of an earlier life does not match a probe of this one
         self.numbers = count(rng.getrandbits(40))
@@ -110,9 +110,9 @@
         first."""
         self._read_clock()
         self.leaving = True
-        self.me.rank = Rank.LEFT
-        for member in spread(self.ring, 2 * self.membership_terms.update_fanout, self.rng):
-            self.driver.tell(member.address, [self.me.claim()])
+        self.local_member.rank = Rank.LEFT
+        for member in sample_members(self.ring, 2 * self.membership_terms.update_fanout, self.rng):
+            self.driver.send_claims(member.address, [self.local_member.claim()])
 
     def time(self) -> None:
         self._read_clock()
@@ -124,38 +124,38 @@
 
     # ---- received messages
 
-    def heard(self, claim: Claim) -> Member | None:
+    def receive_from(self, claim: Claim) -> Member | None:
         """A datagram was received from this member itself. Returns None if it is of an earlier life or the member is not
         admitted."""
         self._read_clock()
-        if claim.name == self.me.name:
-            if claim.life != self.me.life:
-                self._own_name(claim)
+        if claim.name == self.local_member.name:
+            if claim.life != self.local_member.life:
+                self._refute_or_yield(claim)
             return None
         member = self.members.get(claim.name)
         if member is not None and claim.life < member.life:
             self.stale_claims += 1
-            self.driver.tell((claim.host, claim.port), [member.claim()])
+            self.driver.send_claims((claim.host, claim.port), [member.claim()])
             return None
         self.joined = True
         self._apply_claim(claim, claim.name)
         member = self.members.get(claim.name)
         if member is None:
             return None
-        member.heard = self.now
+        member.last_seen_at = self.now
         if member.rank is not Rank.ALIVE and member.rank is not Rank.LEFT:
             # a member can refute only the claims that it has received (Lifeguard's buddy system)
-            self.driver.tell(member.address, [member.claim()])
+            self.driver.send_claims(member.address, [member.claim()])
         self._arm_wakeup()
         return member
 
-    def told(self, claims: list[Claim], by: str) -> None:
+    def receive_claims(self, claims: list[Claim], by: str) -> None:
         self._read_clock()
         for claim in claims:
             self._apply_claim(claim, by)
         self._arm_wakeup()
 
-    def acked(self, number: int, by: Member) -> None:
+    def receive_ack(self, number: int, by: Member) -> None:
         """`by` answered the probe of this number; a repeated answer has no effect."""
         self._read_clock()
         probe = self.probes.get(number)
@@ -169,11 +169,11 @@
             probe.answered = True
             self._adjust_health(-1)
 
-    def asked(self, requester: Member, number: int, target: str) -> None:
+    def receive_probe_request(self, requester: Member, number: int, target: str) -> None:
         """Another member could not reach `target` and requests an indirect probe."""
         self._read_clock()
         member = self.members.get(target)
-        if member is None or not member.there:
+        if member is None or not member.is_present:
             self.driver.nack(requester, number)
             return
         own_number = next(self.numbers)
@@ -182,15 +182,15 @@
         self._schedule(self.membership_terms.answer_within, self._indirect_probe_timed_out, own_number)
         self._arm_wakeup()
 
-    def nacked(self, number: int, by: Member) -> None:
+    def receive_nack(self, number: int, by: Member) -> None:
         self._read_clock()
         probe = self.probes.get(number)
         if probe is not None and probe.requester is None:
             probe.nacks[by.name] = None
 
-    def digest_seen(self, by: Member, whole: int) -> None:
+    def receive_digest(self, by: Member, digest: int) -> None:
         """Starts a comparison when a peer's digest has differed for a period: updates were lost, or there was a partition."""
-        if whole == self.views.whole or self.superseded:
+        if digest == self.views.digest or self.superseded:
             self.differs_since, self.mostly_differs = None, False
         elif self.differs_since is None:
             self.differs_since = self.now
@@ -200,17 +200,17 @@
     def _pull(self, by: Member) -> None:
         if self.now - self.last_pull_at >= self.membership_terms.period // (4 if self.mostly_differs else 1):
             self.last_pull_at = self.now
-            self.driver.compare(by.address)
+            self.driver.send_buckets(by.address)
 
-    def compared(self, by: Member, written: bytes) -> None:
+    def receive_buckets(self, by: Member, written: bytes) -> None:
         """Sends the members in the buckets that differ, and requests the peer's own."""
         self._read_clock()
         buckets = set(self.views.differing_buckets(written))
         if not buckets:
             return
-        self.driver.pieces(
+        self.driver.send_members(
             by.address,
-            [self.me.claim()] * (bucket_of(self.me.name) in buckets)
+            [self.local_member.claim()] * (bucket_of(self.local_member.name) in buckets)
             + [member.claim() for member in self.members.values() if bucket_of(member.name) in buckets],
         )
         self.mostly_differs = 2 * len(buckets) > BUCKETS
@@ -249,9 +249,9 @@
         probe = self.probes.get(number)
         if probe is None or probe.answered:
             return
-        for helper in spread(self.ring, self.membership_terms.indirect_probes, self.rng, exclude=probe.target):
+        for helper in sample_members(self.ring, self.membership_terms.indirect_probes, self.rng, exclude=probe.target):
             probe.helpers_asked += 1
-            self.driver.ask(helper, number, probe.target)
+            self.driver.request_probe(helper, number, probe.target)
 
     def _probe_timed_out(self, number: int) -> None:
         probe = self.probes.pop(number, None)
@@ -261,8 +261,12 @@
         self._adjust_health(max(1, probe.helpers_asked - len(probe.nacks)))
         target = probe.target
         # the target may have refuted since: a probe from before a partition healed says nothing about the time after
-        if target.there and self.members.get(target.name) is target and probe.target_version == (target.life, target.incarnation):
-            self._suspect(target, [self.me.name, *probe.nacks])
+        if (
+            target.is_present
+            and self.members.get(target.name) is target
+            and probe.target_version == (target.life, target.incarnation)
+        ):
+            self._suspect(target, [self.local_member.name, *probe.nacks])
 
     def _indirect_probe_timed_out(self, own_number: int) -> None:
         probe = self.probes.pop(own_number, None)
@@ -276,14 +280,14 @@
         claim = member.claim()._replace(
             rank=int(Rank.SUSPECT), accusers=tuple(accusers[: self.membership_terms.max_confirmations + 1])
         )
-        self._apply_claim(claim, self.me.name)
+        self._apply_claim(claim, self.local_member.name)
 
     # ---- claims
 
     def _apply_claim(self, claim: Claim, by: str) -> None:
         """All changes of the view go through here."""
-        if claim.name == self.me.name:
-            self._own_name(claim)
+        if claim.name == self.local_member.name:
+            self._refute_or_yield(claim)
             return
         member = self.members.get(claim.name)
         if member is None:
@@ -298,14 +302,14 @@
         # a claim that an unknown member is gone would bring back a member that has been forgotten
         if claim.rank >= Rank.GONE:
             return
-        if len(self.members) >= self.membership_terms.most_members and not self._make_room():
+        if len(self.members) >= self.membership_terms.max_members and not self._make_room():
             self.no_room += 1
             return
         member = Member(claim.name, claim.host, claim.port, claim.life, claim.incarnation, Rank(claim.rank), self.now, by)
         member.accusers = dict.fromkeys(claim.accusers[: self.membership_terms.max_confirmations + 1])
         self.members[member.name] = member
         self._join_ring(member)
-        self.news.put(member.claim())
+        self.updates.put(member.claim())
         self.driver.changed(member, None, f"reported by {by}" if by != member.name else "message received from it")
         if member.rank is Rank.SUSPECT:
             self._start_suspicion_timer(member)
@@ -313,8 +317,8 @@
     def _accepts(self, claim: Claim, member: Member, by: str) -> bool:
         """A report by another that a present member is gone makes it a suspect first. After a partition each side holds the other
         for gone, and would otherwise declare its own members gone on the other's reports."""
-        hearsay = claim.rank == Rank.GONE and by != self.me.name and claim.life == member.life
-        if not hearsay or not member.there:
+        hearsay = claim.rank == Rank.GONE and by != self.local_member.name and claim.life == member.life
+        if not hearsay or not member.is_present:
             return True
         if (
             member.rank is Rank.SUSPECT
@@ -326,13 +330,13 @@
         if accused.supersedes(member):
             self._update_member(member, accused, by)
             # lets the member refute at once, before others receive the same claim
-            self.driver.tell(member.address, [member.claim()])
+            self.driver.send_claims(member.address, [member.claim()])
         else:
             self._add_accusers(member, accused, by)
         return False
 
     def _update_member(self, member: Member, claim: Claim, by: str) -> None:
-        before, was_present = member.rank, member.there
+        before, was_present = member.rank, member.is_present
         if was_present:
             self.views.toggle(member.name, member.life, member.incarnation)
         new_life = claim.life != member.life
@@ -340,9 +344,9 @@
         member.host, member.port, member.life, member.incarnation = claim[1:5]
         member.rank = Rank(claim.rank)
         if member.rank is not before or new_life or accused_again:
-            member.since, member.by = self.now, by
+            member.since, member.reported_by = self.now, by
         member.accusers = dict.fromkeys(claim.accusers[: self.membership_terms.max_confirmations + 1])
-        if member.there:
+        if member.is_present:
             if was_present:
                 self.views.toggle(member.name, member.life, member.incarnation)
             else:
@@ -351,7 +355,7 @@
             self._leave_ring(member)
         if member.rank is Rank.SUSPECT:
             self._start_suspicion_timer(member)
-        self.news.put(member.claim())
+        self.updates.put(member.claim())
         if member.rank is not before or new_life:
             self.driver.changed(
                 member,
@@ -359,7 +363,7 @@
                 "message received from it"
                 if by == member.name
                 else f"reported by {by}"
-                if by != self.me.name
+                if by != self.local_member.name
                 else "no answer to probes by " + ", ".join(member.accusers or [by]),
             )
 
@@ -385,7 +389,7 @@
             if len(member.accusers) <= self.membership_terms.max_confirmations:
                 member.accusers[name] = None
         if len(member.accusers) > known:
-            self.news.put(member.claim())
+            self.updates.put(member.claim())
             self._suspicion_timed_out(member, member.incarnation, member.life)
 
     def _suspicion_timed_out(self, member: Member, incarnation: int, life: int) -> None:
@@ -397,13 +401,13 @@
             # the site has grown since the timer was set: more members could have confirmed the suspicion
             self._schedule(remaining, self._suspicion_timed_out, member, incarnation, life)
         else:
-            self._update_member(member, member.claim()._replace(rank=int(Rank.GONE)), self.me.name)
+            self._update_member(member, member.claim()._replace(rank=int(Rank.GONE)), self.local_member.name)
 
     # ---- claims about this member
 
-    def _own_name(self, claim: Claim) -> None:
+    def _refute_or_yield(self, claim: Claim) -> None:
         """Refutes by a higher incarnation, or by a higher life where claims about an earlier life are still in circulation."""
-        local = self.me
+        local = self.local_member
         if claim.life < local.life or self.leaving:
             return
         if claim.life > local.life:
@@ -423,28 +427,28 @@
             self._set_superseded(False)
 
     def _set_own_life(self, life: int, incarnation: int) -> None:
-        self.views.toggle(self.me.name, self.me.life, self.me.incarnation)
-        self.me.life, self.me.incarnation = life, incarnation
-        self.views.toggle(self.me.name, life, incarnation)
-        self.news.put(self.me.claim())
+        self.views.toggle(self.local_member.name, self.local_member.life, self.local_member.incarnation)
+        self.local_member.life, self.local_member.incarnation = life, incarnation
+        self.views.toggle(self.local_member.name, life, incarnation)
+        self.updates.put(self.local_member.claim())
 
     def _set_superseded(self, superseded: bool) -> None:
         if superseded is not self.superseded:
             self.superseded = superseded
-            self.driver.outlived(superseded)
+            self.driver.superseded_changed(superseded)
 
     # ---- updates, contact with absent members, expiry
 
-    def take_news(self, room: int) -> list[Claim]:
-        return [] if self.superseded else self.news.take(room, self.membership_terms.max_transmissions(self.size))
+    def take_updates(self, room: int) -> list[Claim]:
+        return [] if self.superseded else self.updates.take(room, self.membership_terms.max_transmissions(self.size))
 
     def _send_updates(self) -> None:
         self._schedule(self.membership_terms.update_interval, self._send_updates)
         if not self.superseded:
-            for member in spread(self.ring, self.membership_terms.update_fanout, self.rng):
-                if not len(self.news):
+            for member in sample_members(self.ring, self.membership_terms.update_fanout, self.rng):
+                if not len(self.updates):
                     break
-                self.driver.pass_on(member)
+                self.driver.send_updates(member)
 
     def _contact_absent(self) -> None:
         """Sends this member's buckets to one member that is gone or one seed that is not in the view, in turn; until this member
@@ -453,38 +457,38 @@
             self.membership_terms.period * (self.membership_terms.contact_periods if self.joined else 1), self._contact_absent
         )
         present = {member.address for member in self.ring}
-        seeds = [seed for seed in self.seeds if seed not in present and seed != self.me.address]
+        seeds = [seed for seed in self.seeds if seed not in present and seed != self.local_member.address]
         if not self.joined:
             for seed in seeds:
-                self.driver.compare(seed)
+                self.driver.send_buckets(seed)
             return
         gone = [member.address for member in self.members.values() if member.rank is Rank.GONE]
         targets = list(dict.fromkeys(gone + seeds))
         if self.superseded:
-            targets += [member.address for member in spread(self.ring, 1, self.rng)]
+            targets += [member.address for member in sample_members(self.ring, 1, self.rng)]
         if targets:
             self.contacts += 1
-            self.driver.compare(targets[self.contacts % len(targets)])
+            self.driver.send_buckets(targets[self.contacts % len(targets)])
 
     def _forget(self) -> None:
         expired = [
             member
             for member in self.members.values()
-            if not member.there and self.now - member.since > self.membership_terms.forget_after
+            if not member.is_present and self.now - member.since > self.membership_terms.forget_after
         ]
         for member in expired:
             self._drop(member)
 
     def _make_room(self) -> bool:
         """Drops the member that has been absent longest; a present member is never dropped."""
-        absent = [member for member in self.members.values() if not member.there]
+        absent = [member for member in self.members.values() if not member.is_present]
         if absent:
             self._drop(min(absent, key=lambda member: member.since))
         return bool(absent)
 
     def _drop(self, member: Member) -> None:
         del self.members[member.name]
-        self.news.drop(member.name)
+        self.updates.drop(member.name)
 
     # ---- clock and timers
 
--- a/curlewshift/membership/terms.py
+++ b/curlewshift/membership/terms.py
@@ -34,7 +34,7 @@
     # an absent member or seed is contacted every so many periods: otherwise a partition would never heal
     contact_periods: int = 3
     forget_after: int = 60_000_000_000
-    most_members: int = 4096
+    max_members: int = 4096
     # Lifeguard's three extensions; without them this is SWIM with suspicion as first published
     lifeguard: bool = True
 
--- a/curlewshift/membership/updates.py
+++ b/curlewshift/membership/updates.py
@@ -13,18 +13,18 @@
     def __init__(self):
         # claims by the number of times they have been sent
         self.by_transmissions: list[dict[str, Claim]] = [{}]
-        self.level: dict[str, int] = {}
+        self.transmissions: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self.level)
+        return len(self.transmissions)
 
     def put(self, claim: Claim) -> None:
         self.drop(claim.name)
         self.by_transmissions[0][claim.name] = claim
-        self.level[claim.name] = 0
+        self.transmissions[claim.name] = 0
 
     def drop(self, name: str) -> None:
-        transmissions = self.level.pop(name, None)
+        transmissions = self.transmissions.pop(name, None)
         if transmissions is not None:
             del self.by_transmissions[transmissions][name]
 
@@ -44,16 +44,16 @@
         for transmissions, claim in selected:
             del self.by_transmissions[transmissions][claim.name]
             if transmissions + 1 >= max_transmissions:
-                del self.level[claim.name]
+                del self.transmissions[claim.name]
                 continue
             if transmissions + 1 == len(self.by_transmissions):
                 self.by_transmissions.append({})
             self.by_transmissions[transmissions + 1][claim.name] = claim
-            self.level[claim.name] = transmissions + 1
+            self.transmissions[claim.name] = transmissions + 1
         return [claim for _, claim in selected]
 
 
-def spread(members: list, count: int, rng: Random, exclude=None) -> list:
+def sample_members(members: list, count: int, rng: Random, exclude=None) -> list:
     """`count` random members (all, if there are fewer) other than `exclude`; constant work for a long list."""
     if len(members) <= 2 * count + 1:
         candidates = [member for member in members if member is not exclude]
--- a/curlewshift/membership/views.py
+++ b/curlewshift/membership/views.py
@@ -23,16 +23,16 @@
 
     def __init__(self):
         self.buckets = [0] * BUCKETS
-        self.whole = 0
+        self.digest = 0
 
     def toggle(self, name: str, life: int, incarnation: int) -> None:
         """Adds a member with this life and incarnation to the digest, or removes it."""
         digest = blake2b(f"{name} {life} {incarnation}".encode(), digest_size=8).digest()
         number = int.from_bytes(digest, "big") >> 2
         self.buckets[bucket_of(name)] ^= number
-        self.whole ^= number
+        self.digest ^= number
 
-    def written(self) -> bytes:
+    def to_bytes(self) -> bytes:
         return b"".join(number.to_bytes(8, "big") for number in self.buckets)
 
     def differing_buckets(self, encoded: bytes) -> list[int]:
@@ -43,4 +43,4 @@
         return [bucket for bucket in range(BUCKETS) if other_buckets[bucket] != self.buckets[bucket]]
 
     def consistent(self) -> bool:
-        return reduce(xor, self.buckets) == self.whole
+        return reduce(xor, self.buckets) == self.digest
--- a/curlewshift/model_checker/budget_checker.py
+++ b/curlewshift/model_checker/budget_checker.py
@@ -15,7 +15,7 @@
 
 # A tick is four units of a true clock; a clock at the bound shows three or five.
 UNITS, DRIFT = 4, 0.25
-TERMS = SharingTerms(term=4, drift=DRIFT, window=4, every=4, most_asks=1)
+TERMS = SharingTerms(term=4, drift=DRIFT, window=4, every=4, max_requests=1)
 # A window by the fastest clock, in true units: what each counts by its own is no shorter.
 TRUE_WINDOW = TERMS.window / (1 + DRIFT)
 KEY = "k"
@@ -83,13 +83,13 @@
             twin.driver = End(other, number)
             twin.steady = copy(front.steady)
             twin.steady.due = front.steady.due
-            twin.lent, twin.wanted, twin.used, twin.out = (
+            twin.lent, twin.wanted, twin.used, twin.outstanding = (
                 dict(front.lent),
                 dict(front.wanted),
                 dict(front.used),
-                dict(front.out),
+                dict(front.outstanding),
             )
-            twin.done = dict(front.done)
+            twin.to_return = dict(front.to_return)
             twin.borrowed = {key: dict(held) for key, held in front.borrowed.items()}
             twin.numbers = copy(front.numbers)
             other.fronts.append(twin)
@@ -104,7 +104,7 @@
             until, *loan = front.lent.get(KEY, (0,))
             lends = (
                 (max(0, until - steady), tuple(loan) if until > steady else (), min(9, steady - front.used.get(KEY, -9)))
-                if front.me == LENDER
+                if front.local_index == LENDER
                 else ()
             )
             fronts.append(
@@ -118,8 +118,10 @@
                             if until > now
                         )
                     ),
-                    bool(front.done),
-                    tuple(sorted((now - ask[1], number) for number, ask in front.out.items() if now - ask[1] < TERMS.term)),
+                    bool(front.to_return),
+                    tuple(
+                        sorted((now - ask[1], number) for number, ask in front.outstanding.items() if now - ask[1] < TERMS.term)
+                    ),
                 )
             )
         recent = tuple(
@@ -170,11 +172,11 @@
         else:
             what, sender, to, number, _ = step[1]
             if what == "ask":
-                self.fronts[to].asked(sender, number, [KEY])
+                self.fronts[to].loan_requested(sender, number, [KEY])
             elif what == "lend":
-                self.fronts[to].lends(sender, number, [(KEY, RIGHTS)])
+                self.fronts[to].loan_received(sender, number, [(KEY, RIGHTS)])
             else:
-                self.fronts[to].given_back(sender, number, KEY)
+                self.fronts[to].loan_returned(sender, number, KEY)
 
     def restarted(self, number: int) -> Loans:
         # numbers of asks go on from another place in each life, as drawn ones do
@@ -212,16 +214,16 @@
 class RightGivenTwice(Loans):
     """Lends what it has lent already."""
 
-    def asked(self, borrower, number, keys, life=0):
+    def loan_requested(self, borrower, number, keys, life=0):
         self.lent.clear()
-        super().asked(borrower, number, keys, life)
+        super().loan_requested(borrower, number, keys, life)
 
 
 class NoTerm(Loans):
     """Keeps what it borrowed for ever."""
 
-    def lends(self, lender, number, rights):
-        super().lends(lender, number, rights)
+    def loan_received(self, lender, number, rights):
+        super().loan_received(lender, number, rights)
         for key, lent in rights:
             if lender in self.borrowed.get(key, {}):
                 self.borrowed[key][lender] = (2**62, lent, number)
--- a/curlewshift/model_checker/lease_checker.py
+++ b/curlewshift/model_checker/lease_checker.py
@@ -22,7 +22,7 @@
 TERMS = LeaseTerms(term=8, drift=DRIFT, every=4)
 LEASE, ACCEPTORS, PROPOSERS = "l", 3, 2
 # One step over as many ticks as a keeper on the slowest clock keeps what it accepted.
-LONG = -(-TERMS.kept // 3)
+LONG = -(-TERMS.hold_time // 3)
 # Answers that are kept back, and restarts of keepers or askers in one course.
 MOST_BACK, MOST_RESTARTS = 1, 1
 
@@ -102,7 +102,7 @@
 
     def _proposer(self, number: int) -> LeaseProposer:
         made = self.kinds[0](ProposerEnd(self, number), number, self.lives[number], list(range(self.size)), TERMS, Random(1))
-        made.tries[LEASE] = LeaseView()
+        made.views[LEASE] = LeaseView()
         return made
 
     def copied(self) -> LeaseWorld:
@@ -119,9 +119,9 @@
             twin = copy(proposer)
             twin.driver = ProposerEnd(other, number)
             # not into the dict that both still share: each state then went on with what its last neighbour had done
-            held = copy(proposer.tries[LEASE])
+            held = copy(proposer.views[LEASE])
             held.promised, held.accepted = dict(held.promised), set(held.accepted)
-            twin.tries = {LEASE: held}
+            twin.views = {LEASE: held}
             other.proposers.append(twin)
         for number, acceptor in enumerate(self.acceptors):
             twin = copy(acceptor)
@@ -133,7 +133,7 @@
     def state(self) -> tuple:
         ballots = {NONE}
         for proposer in self.proposers:
-            held = proposer.tries[LEASE]
+            held = proposer.views[LEASE]
             ballots |= {held.ballot, *(of for _, of in held.promised.values())}
         for acceptor in self.acceptors:
             for kept in acceptor.leases.values():
@@ -145,16 +145,16 @@
         proposers = tuple(
             (
                 rank[held.ballot],
-                held.asked_at >= 0,
+                held.attempt_began_at >= 0,
                 held.proposing,
-                held.renews,
+                held.is_renewal,
                 max(0, held.until - now),
                 held.proposed_at - now if held.proposing else 0,
                 held.fence - self.ticks if held.until > now or held.proposing else 0,
                 rank[self.stale[number][1]] if number in self.stale else (),
             )
             for number, (held, now) in enumerate(
-                (proposer.tries[LEASE], self.clocks[number]) for number, proposer in enumerate(self.proposers)
+                (proposer.views[LEASE], self.clocks[number]) for number, proposer in enumerate(self.proposers)
             )
         )
 
@@ -177,8 +177,8 @@
             )
             heard = []
             for number, proposer in enumerate(self.proposers):
-                held, ask = proposer.tries[LEASE], self.asks.get((number, acceptor))
-                told = held.promised.get(acceptor) if held.asked_at >= 0 and not held.proposing else None
+                held, ask = proposer.views[LEASE], self.asks.get((number, acceptor))
+                told = held.promised.get(acceptor) if held.attempt_began_at >= 0 and not held.proposing else None
                 heard.append(
                     (
                         (told[0], rank[told[1]]) if told else (),
@@ -231,7 +231,7 @@
         elif kind == "ask":
             proposer = self.proposers[step[1]]
             proposer.may_act(LEASE)
-            proposer._ask(LEASE, proposer.tries[LEASE], proposer._now())
+            proposer._prepare(LEASE, proposer.views[LEASE], proposer._now())
         elif kind in ("trip", "half"):
             self._to_acceptor(step[1], step[2], self.asks.pop(step[1:]), kept_back=kind == "half")
         elif kind == "stale":
@@ -303,7 +303,7 @@
         _, number, heard, taken = step
         proposer = self.proposers[number]
         proposer.may_act(LEASE)
-        proposer._ask(LEASE, proposer.tries[LEASE], proposer._now())
+        proposer._prepare(LEASE, proposer.views[LEASE], proposer._now())
         for hears in (heard, taken):
             for acceptor in hears:
                 ask = self.asks.pop((number, acceptor), None)
--- a/curlewshift/model_checker/version_checker.py
+++ b/curlewshift/model_checker/version_checker.py
@@ -21,7 +21,7 @@
 
 STORES, WRITERS, NODES = ("a", "b", "c"), 2, 2
 # Due at once, whenever the walk has it so: time is a choice here.
-TERMS = DistributionTerms(STORES, again=0)
+TERMS = DistributionTerms(STORES, resend_interval=0)
 # In one course: tenures, changes asked for, restarts of anyone, records lost (a majority of the stores keeps its own), answers
 # kept back.
 MOST_TENURES, MOST_PUTS, MOST_RESTARTS, MOST_LOST, MOST_BACK = 3, 3, 1, 1, 1
@@ -82,7 +82,7 @@
     def __init__(self, world: VersionWorld, name: str):
         self.world, self.name = world, name
 
-    def keep_vote(self, data: bytes) -> None:
+    def store_vote(self, data: bytes) -> None:
         self.world.kept(self.name, data)
 
     def content_of(self, version) -> bytes | None:
@@ -111,11 +111,11 @@
     def check_configuration(self, content) -> str | None:
         return None
 
-    def take_configuration(self, text, content) -> str | None:
+    def apply_configuration(self, text, content) -> str | None:
         self.world.in_force(self.number, text, content)
         return None
 
-    def keep_configuration(self, data) -> None:
+    def store_configuration(self, data) -> None:
         self.world.disks[self.number] = data
 
     def __getattr__(self, name: str):
@@ -157,7 +157,7 @@
         """As after a writer's first round in which nothing was made; from blank stores it is walked besides."""
         noted = {name: (0, 1, store.number) for name, store in self.stores.items()}
         for store in self.stores.values():
-            store._keep(blank=False, noted=noted)
+            store._persist(blank=False, noted=noted)
 
     def copied(self) -> VersionWorld:
         other = copy(self)
@@ -184,11 +184,11 @@
             twin.driver = WriterEnd(other, number)
             if writer.tenure is not None:
                 tenure = twin.tenure = copy(writer.tenure)
-                for name in ("stands", "answered", "votes", "letting"):
+                for name in ("stands", "answered", "votes", "admitting"):
                     setattr(tenure, name, copy(getattr(tenure, name)))
-            if writer.wanted is not None:
-                twin.wanted = copy(writer.wanted)
-                twin.wanted.done = other.done
+            if writer.pending_change is not None:
+                twin.pending_change = copy(writer.pending_change)
+                twin.pending_change.done = other.done
             other.writers.append(twin)
         other.stores = {}
         for name, store in self.stores.items():
@@ -216,7 +216,7 @@
                     writer.tenure.is_chosen,
                     tuple(sorted(writer.tenure.votes)),
                     writer.tenure.count,
-                    tuple(sorted(writer.tenure.letting.items())),
+                    tuple(sorted(writer.tenure.admitting.items())),
                     writer.tenure.outbid_by,
                 ),
             )
@@ -257,7 +257,7 @@
 
     @staticmethod
     def _put_state(writer: Writer) -> tuple:
-        put = writer.wanted
+        put = writer.pending_change
         return () if put is None else (put.content, put.base, put.version)
 
     # ---- what can happen
@@ -278,7 +278,7 @@
                 found.append(("tenure", number))
                 if self.latest_fence and self.fences[number] != self.latest_fence:
                     found.append(("same", number))
-            if self.puts < self.puts_most and self.fences[number] and self.writers[number].wanted is None:
+            if self.puts < self.puts_most and self.fences[number] and self.writers[number].pending_change is None:
                 found.append(("put", number))
             if self.restarts < self.restarts_most and self.fences[number]:
                 found.append(("writer", number))
@@ -310,8 +310,10 @@
         elif kind == "put":
             self._put(step[1])
         elif kind in ("tell", "spoilt"):
-            self.nodes[step[1]].heard(step[2])
-            self.nodes[step[1]].got(step[2], self.contents[step[2].digest] if kind == "tell" else b"spoilt on its way")
+            self.nodes[step[1]].version_announced(step[2])
+            self.nodes[step[1]].content_received(
+                step[2], self.contents[step[2].digest] if kind == "tell" else b"spoilt on its way"
+            )
         else:
             self._restart(kind, step[1])
         if self.wrong:
@@ -410,7 +412,7 @@
             goes_on = ["on"] if self.fences[number] else []
             if self.tenures < self.tenures_most:
                 goes_on += ["new"] + ["same"] * (0 < self.latest_fence != self.fences[number])
-            puts = (False, True) if self.puts < self.puts_most and self.writers[number].wanted is None else (False,)
+            puts = (False, True) if self.puts < self.puts_most and self.writers[number].pending_change is None else (False,)
             found += [
                 ("round", number, how, put, heard, most)
                 for how in goes_on
--- a/curlewshift/node/__main__.py
+++ b/curlewshift/node/__main__.py
@@ -9,18 +9,18 @@
 import sys
 
 from curlewshift.node import configuration
-from curlewshift.running import refuse, run
+from curlewshift.running import exit_with_errors, run
 
 
 def main() -> None:
     """Runs the front node described by the file that NODE_CONFIG names, until the node has shut down."""
     path = os.environ.get("NODE_CONFIG")
     if not path:
-        refuse("NODE_CONFIG names no configuration", 2)
+        exit_with_errors("NODE_CONFIG names no configuration", 2)
     try:
         config = configuration.read(path)
     except configuration.InvalidConfiguration as error:
-        refuse(f"{path} {error}", 2)
+        exit_with_errors(f"{path} {error}", 2)
     # structlog's terminal renderer would import rich, a third of the start-up work, for coloured output that is not used here
     sys.modules.setdefault("rich", None)
     from curlewshift.logs import make_log
--- a/curlewshift/node/client_listener.py
+++ b/curlewshift/node/client_listener.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from curlewshift.exchange.accepting import Patient
+from curlewshift.exchange.accepting import PausingListener
 from curlewshift.node import rtsp
 from curlewshift.node.buffered_connection import BufferedConnection, Listener, MessageInput, PendingWrite
 from curlewshift.node.trace import make_tracer
@@ -172,7 +172,7 @@
         """Accepts connections until the listener is closed."""
         self.tasks, self.listener = tasks, listener
         try:
-            await Patient(listener, self.gate).serve(self._run, task_group=tasks)
+            await PausingListener(listener, self.gate).serve(self._run, task_group=tasks)
         finally:
             listener.close()
 
--- a/curlewshift/node/node.py
+++ b/curlewshift/node/node.py
@@ -24,7 +24,7 @@
 from curlewshift.node.server_pool import ServerPool
 from curlewshift.retries.session_ends import SessionEnd
 from curlewshift.schedule.clock import Clock
-from curlewshift.schedule.waking import WakeupTimer
+from curlewshift.schedule.wakeup_timer import WakeupTimer
 from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request, TuneIn
 from curlewshift.session_core.server_commands import Result, ServerCommand
 from curlewshift.session_core.session_core import SessionCore
@@ -71,7 +71,7 @@
         self.ready = self.draining = False
         # counts by event since they were last logged
         self.counts: Counter[str] = Counter()
-        self.waking = WakeupTimer(self.clock, self._run_timers)
+        self.wakeup_timer = WakeupTimer(self.clock, self._run_timers)
         self.session_core = SessionCore(self, terms_of(settings, self.clock.now(), config.seed), self.fleet)
         extra = settings.get("extra") or {}
         server_descriptors = int(config.descriptors * SERVER_DESCRIPTOR_SHARE)
@@ -116,7 +116,7 @@
                 )
                 listener = Listener(self.config.listen)
                 self.tasks.start_soon(self._signals, signals)
-                self.tasks.start_soon(self.waking.run)
+                self.tasks.start_soon(self.wakeup_timer.run)
                 self.tasks.start_soon(self._sweep)
                 self.tasks.start_soon(self.follower.run)
                 self.tasks.start_soon(self.listener.serve, listener, self.tasks)
@@ -339,7 +339,7 @@
         return time.time_ns()
 
     def wake(self, at: int) -> None:
-        self.waking.at(at)
+        self.wakeup_timer.at(at)
 
     def tune_in(self, tune_in: TuneIn) -> None:
         self.listener.tracer.note(tune_in.front_session.offer.name, f"attempt {tune_in.number} at {tune_in.server.name}")
--- a/curlewshift/overload/overload.py
+++ b/curlewshift/overload/overload.py
@@ -20,7 +20,7 @@
 from curlewshift.overload.order import SheddingOrder
 from curlewshift.overload.retry_budget import RetryAdvice, RetryBudget
 from curlewshift.overload.terms import OverloadTerms
-from curlewshift.sharing.counts import picked
+from curlewshift.sharing.counts import pick_by_rendezvous
 
 # An announced level is followed where at least this part of the zone's room is used up by this front's own observation.
 MIN_FULL_SHARE = 0.5
@@ -40,11 +40,11 @@
         """Whether one more viewing, however small, would fit there as far as this front knows."""
 
     def members(self) -> list[str]: ...
-    def turned_off(self) -> int:
+    def connections_refused(self) -> int:
         """Connections refused for lack of a file descriptor since this process started."""
 
-    def tell_round(self, to: str, zone: str, asks: list[tuple[int, float]], begun: float, short: float) -> None: ...
-    def tell_level(self, to: str, zone: str, cut: int, why: str) -> None: ...
+    def send_round(self, to: str, zone: str, asks: list[tuple[int, float]], begun: float, short: float) -> None: ...
+    def send_level(self, to: str, zone: str, cut: int, why: str) -> None: ...
     def level_changed(self, zone: str, cut: int, before: int, why: str) -> None: ...
 
 
@@ -58,7 +58,7 @@
         self.order = self.order_class(packages, terms.floor)
         now = driver.now()
         self.advice = RetryAdvice(terms, now, rng)
-        self.again = RetryBudget(terms, now)
+        self.retry_budget = RetryBudget(terms, now)
         self.levels: dict[str, Level] = {}
         self.since: dict[str, int] = {}
         self.rounds: dict[str, Round] = {}
@@ -103,7 +103,7 @@
     def began(self, holders: Iterable[Server], who: str, late: bool) -> None:
         """The viewing plays; `late` if that took longer than its join target, which counts as a shortage."""
         now = self.driver.now()
-        self.again.succeeded(now)
+        self.retry_budget.succeeded(now)
         self.advice.began(now)
         self.recently_played.pop(who, None)
         self.recently_played[who] = now
@@ -128,8 +128,8 @@
     def time(self) -> None:
         now = self.driver.now()
         self._measure_room()
-        turned_off = self.driver.turned_off()
-        more, self.turned_off_seen = turned_off - self.turned_off_seen, turned_off
+        connections_refused = self.driver.connections_refused()
+        more, self.turned_off_seen = connections_refused - self.turned_off_seen, connections_refused
         candidates = [*self.driver.members(), self.local_name]
         for zone in sorted(self.full_share.keys() | self.rounds.keys()):
             seen = self.rounds.pop(zone, Round())
@@ -139,12 +139,12 @@
                 level = self.levels[zone] = self._new_level()
                 self.since[zone] = now
             before = level.cut
-            adder = picked(f"overload {zone}", candidates)
+            adder = pick_by_rendezvous(f"overload {zone}", candidates)
             if adder == self.local_name:
                 self._store_report(self.local_name, 0, now, zone, seen, now)
                 self.announced[zone] = now, *self._aggregate(zone, now)
             else:
-                self.driver.tell_round(adder, zone, self._compact(seen), round(seen.begun, 2), round(seen.short, 2))
+                self.driver.send_round(adder, zone, self._compact(seen), round(seen.begun, 2), round(seen.short, 2))
                 self.reports.pop(zone, None)
                 self.fleet.pop(zone, None)
             self._follow(zone, level, seen, now)
@@ -185,7 +185,7 @@
 
     # ---- as the front that adds up
 
-    def round_told(
+    def receive_round(
         self, by: str, life: int, number: int, zone: str, asks: list[tuple[int, float]], begun: float, short: float
     ) -> None:
         if zone not in self.full_share:
@@ -195,9 +195,9 @@
         seen = Round({rank: count for rank, count in asks if 0 <= rank < self.order.top}, begun, short)
         if self._store_report(by, life, number, zone, seen, now):
             cut, why = self._level_of(zone)
-            self.driver.tell_level(by, zone, cut, why)
+            self.driver.send_level(by, zone, cut, why)
 
-    def level_told(self, zone: str, cut: int, why: str) -> None:
+    def receive_level(self, zone: str, cut: int, why: str) -> None:
         """Moves toward the level at once, one step a round. When it waited for the next round, a front admitted viewings that the
         others already shed, and refused those they admitted."""
         if zone not in self.full_share:
@@ -297,6 +297,6 @@
             "zones": rows,
             "shed": dict(self.shed),
             "let_in": self.let_in,
-            "further_left": round(self.again.left, 1),
-            "further_spent": self.again.spent,
+            "further_left": round(self.retry_budget.left, 1),
+            "further_spent": self.retry_budget.spent,
         }
--- a/curlewshift/overload/retry_budget.py
+++ b/curlewshift/overload/retry_budget.py
@@ -39,12 +39,12 @@
         self._age(now)
         self.left = min(self.left + self.terms.again_share, self.max_left)
 
-    def spends(self, now: int) -> None:
+    def spend(self, now: int) -> None:
         self._age(now)
         self.left -= 1
         self.spent += 1
 
-    def may(self, now: int) -> bool:
+    def may_retry(self, now: int) -> bool:
         self._age(now)
         return self.left >= 1 - 1e-9
 
--- a/curlewshift/peering/channel.py
+++ b/curlewshift/peering/channel.py
@@ -1,8 +1,8 @@
 """A member's channel to its peers, free of I/O: membership, frames, sequence numbers and rate limits.
 
 The same object is used behind a socket (peering/wire.py), on virtual links (emulator/peers.py) and in tests. Other subsystems
-register a frame kind with `carries` and send with `say`. Probes and their answers take precedence; all other frames share one
-rate limit.
+register a frame kind with `register_handler` and send with `send`. Probes and their answers take precedence; all other frames
+share one rate limit.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from curlewshift.peering.rates import DecayingSum, TokenBucket
 
 # Maximum size of a frame without claims, including the overhead of an empty list of claims (bytes).
-PLAIN = 330
+FRAME_OVERHEAD_BYTES = 330
 # Datagrams beyond this rate are dropped undecoded, so that a flood does not take processor time from viewings.
 MAX_READ_BYTES_PER_SECOND = 4 * 1024 * 1024
 
@@ -76,7 +76,7 @@
         self.held_back = self.flooded = 0
         self.numbers = count(1)
         self.windows: dict[str, ReplayWindow] = {}
-        self.carried: dict[int, Callable[[Member, bytes], None]] = {}
+        self.handlers: dict[int, Callable[[Member, bytes], None]] = {}
         # source and handler of the data piggybacked on probes and their answers; without them these frames have no body
         self.piggyback: tuple[Callable[[], bytes], Callable[[Member, bytes], None]] | None = None
         self.membership = membership(self, name, address, life, seeds, membership_terms, rng)
@@ -92,13 +92,13 @@
     def leave(self) -> None:
         self.membership.leave()
 
-    def carries(self, kind: int, handler: Callable[[Member, bytes], None]) -> None:
+    def register_handler(self, kind: int, handler: Callable[[Member, bytes], None]) -> None:
         """Registers the handler for frames of this kind; it is called with the sender and the body."""
-        if kind < FIRST_SUBSYSTEM_KIND or kind in self.carried:
+        if kind < FIRST_SUBSYSTEM_KIND or kind in self.handlers:
             raise ValueError(f"frame kind {kind} is reserved or already registered")
-        self.carried[kind] = handler
+        self.handlers[kind] = handler
 
-    def rides(self, source: Callable[[], bytes], handler: Callable[[Member, bytes], None]) -> None:
+    def register_piggyback(self, source: Callable[[], bytes], handler: Callable[[Member, bytes], None]) -> None:
         """Piggybacks data on probes and their answers. `source` is called for each one sent and returns about 60 bytes at most;
         `handler` is called with what other members piggyback. This takes no extra datagram and is not rate limited."""
         if self.piggyback is not None:
@@ -127,12 +127,12 @@
         window = self.windows.get(frame.name)
         if window is not None and window.life == frame.life:
             window.take(frame.number)
-        sender = self.membership.heard(frame.sender())
+        sender = self.membership.receive_from(frame.sender())
         if sender is None:
             held = members.get(frame.name)
             raise DatagramRejected("old-life" if held is not None and frame.life < held.life else "unknown")
         if window is None or window.life != frame.life:
-            if len(self.windows) > 2 * self.membership.membership_terms.most_members:
+            if len(self.windows) > 2 * self.membership.membership_terms.max_members:
                 self.windows = {name: kept for name, kept in self.windows.items() if name in members}
             window = self.windows[frame.name] = ReplayWindow(frame.life)
             window.take(frame.number)
@@ -141,31 +141,31 @@
     def _dispatch(self, frame: Frame, sender: Member) -> None:
         membership = self.membership
         if frame.claims:
-            membership.told([Claim(*claim) for claim in frame.claims], sender.name)
+            membership.receive_claims([Claim(*claim) for claim in frame.claims], sender.name)
         if membership.superseded:
             # a later process has this name: this one answers nobody, and waits for that process to end
             return
         if frame.kind == PING:
             self._send(sender.address, ACK, probe=frame.probe, body=self._piggyback_body())
-            membership.digest_seen(sender, frame.view)
+            membership.receive_digest(sender, frame.view)
         elif frame.kind == ACK:
-            membership.acked(frame.probe, sender)
-            membership.digest_seen(sender, frame.view)
+            membership.receive_ack(frame.probe, sender)
+            membership.receive_digest(sender, frame.view)
         elif frame.kind == PING_REQUEST:
-            membership.asked(sender, frame.probe, frame.target)
+            membership.receive_probe_request(sender, frame.probe, frame.target)
         elif frame.kind == NACK:
-            membership.nacked(frame.probe, sender)
+            membership.receive_nack(frame.probe, sender)
         elif frame.kind == COMPARE:
-            membership.compared(sender, frame.body)
-        elif frame.kind in self.carried:
-            self.carried[frame.kind](sender, frame.body)
+            membership.receive_buckets(sender, frame.body)
+        elif frame.kind in self.handlers:
+            self.handlers[frame.kind](sender, frame.body)
         if frame.body and frame.kind in (PING, ACK) and self.piggyback is not None:
             self.piggyback[1](sender, frame.body)
 
     def _piggyback_body(self) -> bytes:
         return self.piggyback[0]() if self.piggyback is not None else b""
 
-    def say(self, to: Member, kind: int, body: bytes) -> bool:
+    def send(self, to: Member, kind: int, body: bytes) -> bool:
         """Sends a body of a registered kind. False if the rate limit is reached or the body is too large: it is dropped, not
         queued."""
         return self._send(to.address, kind, body=body, limited=True, with_updates=False)
@@ -183,7 +183,7 @@
         first = [to.claim()] if to.rank is Rank.SUSPECT else []
         self._send(to.address, PING, probe=number, claims=first, body=self._piggyback_body())
 
-    def ask(self, to: Member, number: int, target: Member) -> None:
+    def request_probe(self, to: Member, number: int, target: Member) -> None:
         self._send(to.address, PING_REQUEST, probe=number, target=target.name)
 
     def nack(self, to: Member, number: int) -> None:
@@ -192,25 +192,25 @@
     def ack_for(self, to: Member, number: int) -> None:
         self._send(to.address, ACK, probe=number, body=self._piggyback_body())
 
-    def tell(self, address: tuple[str, int], claims: list[Claim]) -> None:
+    def send_claims(self, address: tuple[str, int], claims: list[Claim]) -> None:
         self._send(address, UPDATES, claims=claims, limited=True, with_updates=False)
 
-    def pass_on(self, to: Member) -> None:
+    def send_updates(self, to: Member) -> None:
         self._send(to.address, UPDATES, limited=True)
 
-    def compare(self, address: tuple[str, int]) -> None:
-        self._send(address, COMPARE, body=self.membership.views.written(), limited=True, with_updates=False)
+    def send_buckets(self, address: tuple[str, int]) -> None:
+        self._send(address, COMPARE, body=self.membership.views.to_bytes(), limited=True, with_updates=False)
 
-    def pieces(self, address: tuple[str, int], claims: list[Claim]) -> None:
+    def send_members(self, address: tuple[str, int], claims: list[Claim]) -> None:
         """Sends all claims in full datagrams, from a random start. What the rate limit does not allow is left to the next
         comparison, which starts elsewhere."""
         start = self.membership.rng.randrange(len(claims)) if claims else 0
-        batch, space = [], MAX_DATAGRAM_BYTES - PLAIN
+        batch, space = [], MAX_DATAGRAM_BYTES - FRAME_OVERHEAD_BYTES
         for claim in claims[start:] + claims[:start]:
             if claim.size() > space:
                 if not self._send(address, MEMBER_LIST, claims=batch, limited=True, with_updates=False):
                     return
-                batch, space = [], MAX_DATAGRAM_BYTES - PLAIN
+                batch, space = [], MAX_DATAGRAM_BYTES - FRAME_OVERHEAD_BYTES
             batch.append(claim)
             space -= claim.size()
         if batch:
@@ -219,7 +219,7 @@
     def changed(self, member: Member, before: Rank | None, cause: str) -> None:
         self.host.member_changed(member, before, cause)
 
-    def outlived(self, superseded: bool) -> None:
+    def superseded_changed(self, superseded: bool) -> None:
         self.host.outlived(superseded)
 
     def _send(
@@ -233,11 +233,11 @@
         limited: bool = False,
         with_updates: bool = True,
     ) -> bool:
-        local = self.membership.me
+        local = self.membership.local_member
         sent_claims = list(claims)
         if with_updates:
-            sent_claims += self.membership.take_news(
-                MAX_DATAGRAM_BYTES - PLAIN - len(body) - sum(claim.size() for claim in sent_claims)
+            sent_claims += self.membership.take_updates(
+                MAX_DATAGRAM_BYTES - FRAME_OVERHEAD_BYTES - len(body) - sum(claim.size() for claim in sent_claims)
             )
         data = encode(
             Frame(
@@ -251,7 +251,7 @@
                 kind,
                 probe,
                 target,
-                self.membership.views.whole,
+                self.membership.views.digest,
                 sent_claims,
                 body,
             )
@@ -277,19 +277,19 @@
                 "life": member.life,
                 "incarnation": member.incarnation,
                 "rank": member.rank.name.lower(),
-                "by": member.by,
+                "by": member.reported_by,
                 "for_s": round((steady - member.since) / 1e9, 3),
                 "accusers": list(member.accusers),
-                "heard_s": round((steady - member.heard) / 1e9, 3) if member.heard >= 0 else None,
+                "heard_s": round((steady - member.last_seen_at) / 1e9, 3) if member.last_seen_at >= 0 else None,
             }
             for member in sorted(membership.members.values(), key=lambda member: member.name)
         ]
         return {
-            "me": membership.me.name,
-            "life": membership.me.life,
-            "incarnation": membership.me.incarnation,
+            "me": membership.local_member.name,
+            "life": membership.local_member.life,
+            "incarnation": membership.local_member.incarnation,
             "size": membership.size,
-            "view": f"{membership.views.whole:016x}",
+            "view": f"{membership.views.digest:016x}",
             "outlived": membership.superseded,
             "health": membership.health,
             "refuted": membership.refuted,
--- a/curlewshift/peering/distributed.py
+++ b/curlewshift/peering/distributed.py
@@ -17,16 +17,16 @@
 from msgspec import Meta
 
 from curlewshift.distribution.copy import AGE_UNKNOWN, Copy
-from curlewshift.distribution.fetching import Fetch
-from curlewshift.distribution.giving import Giver
-from curlewshift.distribution.library import Library
+from curlewshift.distribution.fetching import Fetcher
+from curlewshift.distribution.giving import ContentProvider
+from curlewshift.distribution.library import ContentCache
 from curlewshift.distribution.reports import FleetStatus, Report, Reporter, ZoneSummary
 from curlewshift.distribution.store import Store, StoreState
 from curlewshift.distribution.terms import DistributionTerms
-from curlewshift.distribution.versions import MAX_CONTENT_BYTES, NONE, Ballot, Version
+from curlewshift.distribution.versions import MAX_CONTENT_BYTES, NO_VERSION, Ballot, Version
 from curlewshift.distribution.writer import Writer, refusal
 from curlewshift.membership.member import Member
-from curlewshift.membership.updates import spread
+from curlewshift.membership.updates import sample_members
 from curlewshift.schedule.steady_clock import SteadyClock
 
 KIND = 20
@@ -183,21 +183,22 @@
 
 
 class Host(Protocol):
-    """Applies and stores configurations. `check_configuration` and `take_configuration` return the reason of a refusal, or None;
+    """Applies and stores configurations. `check_configuration` and `apply_configuration` return the reason of a refusal, or None;
     the others raise `OSError` if the write fails."""
 
     def check_configuration(self, content: bytes) -> str | None: ...
-    def take_configuration(self, version: str, content: bytes) -> str | None: ...
-    def keep_configuration(self, data: bytes) -> None: ...
-    def keep_vote(self, data: bytes) -> None: ...
+    def apply_configuration(self, version: str, content: bytes) -> str | None: ...
+    def store_configuration(self, data: bytes) -> None: ...
+    def store_vote(self, data: bytes) -> None: ...
 
 
-class DistributionWire:
+class DistributionProtocol:
     """`places` maps the name of each member to (region, zone). `fence` returns the lease's fencing token if this process may act
-    now, else 0. `copy` and `vote` are the records that `keep_configuration` and `keep_vote` last wrote, as read from the disk."""
+    now, else 0. `copy` and `vote` are the records that `store_configuration` and `store_vote` last wrote, as read from the
+    disk."""
 
-    store_class, writer_class, copy_class, fetch_class, giver_class = Store, Writer, Copy, Fetch, Giver
-    reporter_class, library_class = Reporter, Library
+    store_class, writer_class, copy_class, fetch_class, giver_class = Store, Writer, Copy, Fetcher, ContentProvider
+    reporter_class, library_class = Reporter, ContentCache
 
     def __init__(
         self,
@@ -227,13 +228,15 @@
         self.holders: dict[str, Version] = {}
         self.empty_peers: set[str] = set()
         self.startup_rounds = 0
-        self.target = NONE
+        self.target = NO_VERSION
         self.announcements_left = 0
         self.waiting: dict[Version, tuple[str, object]] = {}
         self.library = self.library_class()
         self.store = self.store_class(self, vote, rng) if local_name in terms.stores else None
         self.writer = (
-            self.writer_class(self, local_name, channel.membership.me.life, terms) if local_name in terms.stores else None
+            self.writer_class(self, local_name, channel.membership.local_member.life, terms)
+            if local_name in terms.stores
+            else None
         )
         self.giver = self.giver_class(self, self.library, terms, local_name in terms.stores)
         self.fetch = self.fetch_class(self, self.library, terms, rng)
@@ -243,11 +246,11 @@
             self.library.hold(self.store.content)
         self.copy = self.copy_class(self)
         self.copy.start(copy)
-        if self.copy.held != NONE:
+        if self.copy.held != NO_VERSION:
             self._held_changed(self.copy.held_content)
             self.announcements_left = 0
-        channel.carries(KIND, self.handle_message)
-        channel.rides(self._piggyback, self._handle_piggyback)
+        channel.register_handler(KIND, self.handle_message)
+        channel.register_piggyback(self._piggyback, self._handle_piggyback)
 
     # ---- running
 
@@ -266,16 +269,16 @@
                 self.writer.time()
                 if self.writer.confirms_newest():
                     self.copy.confirmed_newest(self.writer.tenure.value, 0)
-            if self.copy.held == NONE and self.startup_rounds < ZONE_ONLY_ROUNDS and self.channel.membership.ring:
+            if self.copy.held == NO_VERSION and self.startup_rounds < ZONE_ONLY_ROUNDS and self.channel.membership.ring:
                 self.startup_rounds += 1
                 self.ask_nearest()
             self._request_newest()
             self.fetch.time()
             self._announce_newest()
             if self.local_name not in self.terms.stores:
-                refused_now = self.copy.held if self.copy.why_refused else NONE
-                self.reporter.time(Report(self.copy.version, refused_now, self.copy.why_refused))
-            self._to_itself()
+                refused_now = self.copy.held if self.copy.refusal_reason else NO_VERSION
+                self.reporter.time(Report(self.copy.version, refused_now, self.copy.refusal_reason))
+            self._deliver_local()
         except Exception as error:
             self.log.error("fault", what="distribution", cause=repr(error), exc_info=error)
 
@@ -303,13 +306,13 @@
             done(refusal(f"a configuration has 1 to {MAX_CONTENT_BYTES} bytes, and this one has {len(content)}"))
             return
         self.writer.put(content, base, within, done)
-        self._to_itself()
+        self._deliver_local()
 
     async def start_from_peers(self, within: float) -> None:
         """Fetches a version from peers at start. Returns after `within` (s), or as soon as a version is held or
         `MIN_EMPTY_PEERS` peers report holding none."""
         with anyio.move_on_after(within):
-            while self.copy.held == NONE and len(self.empty_peers) < MIN_EMPTY_PEERS:
+            while self.copy.held == NO_VERSION and len(self.empty_peers) < MIN_EMPTY_PEERS:
                 if self.startup_rounds >= ZONE_ONLY_ROUNDS:
                     self.ask_nearest()
                 self.time()
@@ -326,7 +329,7 @@
             ]
         )
         if nearest:
-            self._send(self.rng.choice(nearest), Announce(tuple(NONE), True))
+            self._send(self.rng.choice(nearest), Announce(tuple(NO_VERSION), True))
 
     # ---- messages
 
@@ -338,16 +341,16 @@
             return
         if sender.name in self.places:
             self._dispatch(sender.name, message)
-            self._to_itself()
+            self._deliver_local()
 
     def _send(self, to: str, message) -> bool:
         if to == self.local_name:
             self.local_queue.append((to, message))
             return True
         member = self.channel.membership.members.get(to)
-        return member is not None and member.there and self.channel.say(member, KIND, ENCODER.encode(message))
+        return member is not None and member.is_present and self.channel.send(member, KIND, ENCODER.encode(message))
 
-    def _to_itself(self) -> None:
+    def _deliver_local(self) -> None:
         """Delivers the queued messages between this machine's writer and store; at most 64 a call, as each answer can cause
         another message."""
         if self.draining:
@@ -453,25 +456,25 @@
             self.copy.confirmed_newest(version, piggyback.age * NS // 10)
 
     def _handle_announcement(self, by: str, version: Version, asks: bool) -> None:
-        if asks or self.copy.held.over(version):
+        if asks or self.copy.held.newer_than(version):
             self._send(by, Announce(tuple(self.copy.held), False))
         if not asks:
             self._peer_holds(by, version)
 
     def _peer_holds(self, name: str, version: Version) -> None:
-        if version == NONE:
+        if version == NO_VERSION:
             self.empty_peers.add(name)
             return
         self.holders[name] = version
-        if self.copy.heard(version) or (version == self.copy.wanted_version and not self.fetch.pending):
+        if self.copy.version_announced(version) or (version == self.copy.wanted_version and not self.fetch.pending):
             self._request_newest()
 
     def _announce_newest(self) -> None:
-        if self.announcements_left > 0 and self.copy.held != NONE:
+        if self.announcements_left > 0 and self.copy.held != NO_VERSION:
             self.announcements_left -= 1
             body = ENCODER.encode(Announce(tuple(self.copy.held), False))
-            for member in spread(self.channel.membership.ring, self.terms.announce_fanout, self.rng):
-                self.channel.say(member, KIND, body)
+            for member in sample_members(self.channel.membership.ring, self.terms.announce_fanout, self.rng):
+                self.channel.send(member, KIND, body)
 
     # ---- contents
 
@@ -484,13 +487,13 @@
         available = [
             version
             for name, version in self.holders.items()
-            if self.copy.newer(version) and name in members and members[name].there
+            if self.copy.newer(version) and name in members and members[name].is_present
         ]
         target = max(available, key=lambda version: version.number, default=None)
         if target is None:
             return
         if (
-            self.copy.held == NONE
+            self.copy.held == NO_VERSION
             and self.startup_rounds < ZONE_ONLY_ROUNDS
             and not any(name in self.holders for name in self.neighbours)
         ):
@@ -506,7 +509,7 @@
         return [
             name
             for name, version in self.holders.items()
-            if version.number >= target.number and name in members and members[name].there
+            if version.number >= target.number and name in members and members[name].is_present
         ]
 
     def nearest(self, names: list[str]) -> list[str]:
@@ -519,7 +522,7 @@
         content = self.library.get(version.digest) or content
         if version in (self.target, self.copy.newest) and self.copy.newer(version):
             before = self.copy.held
-            self.copy.got(version, content)
+            self.copy.content_received(version, content)
             if self.copy.held != before:
                 self._held_changed(content)
                 self._announce_newest()
@@ -571,10 +574,10 @@
 
     def chosen(self, version: Version) -> None:
         """A majority of the stores has accepted the version: it is announced to all members."""
-        self.copy.heard(version)
+        self.copy.version_announced(version)
         content = self.library.get(version.digest)
         if content is not None and self.copy.newer(version):
-            self.copy.got(version, content)
+            self.copy.content_received(version, content)
             if self.copy.held == version:
                 self._held_changed(content)
                 self._announce_newest()
@@ -610,7 +613,7 @@
 
     def zone_members(self) -> list[str]:
         members = self.channel.membership.members
-        return [name for name in self.neighbours if name in members and members[name].there]
+        return [name for name in self.neighbours if name in members and members[name].is_present]
 
     def send_report(self, aggregator: str, report: Report) -> None:
         self._send(aggregator, InForce(tuple(report.version), tuple(report.refused), report.reason[:120]))
@@ -639,23 +642,23 @@
             self.log.error("fault", what="configuration check", cause=repr(error), exc_info=error)
             return f"its check failed: {error!r}"
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         try:
-            return self.host.take_configuration(version, content)
+            return self.host.apply_configuration(version, content)
         except Exception as error:
             self.log.error("fault", what="applying the configuration", cause=repr(error), exc_info=error)
             return f"it could not be taken: {error!r}"
 
-    def keep_configuration(self, data: bytes) -> None:
-        self.host.keep_configuration(data)
+    def store_configuration(self, data: bytes) -> None:
+        self.host.store_configuration(data)
 
-    def keep_vote(self, data: bytes) -> None:
-        self.host.keep_vote(data)
+    def store_vote(self, data: bytes) -> None:
+        self.host.store_vote(data)
 
     def write_failed(self, reason: str) -> None:
         self.log.error("configuration-not-kept", cause=reason)
 
-    def copy_lost(self, reason: str) -> None:
+    def copy_unreadable(self, reason: str) -> None:
         self.log.error("configuration-copy-lost", cause=reason)
 
     def vote_lost(self, what: str, reason: str) -> None:
@@ -721,7 +724,7 @@
             blank, taken = (
                 (self.store.blank, self.store.taken)
                 if name == self.local_name
-                else ((state.blank, state.taken) if state is not None else (None, NONE))
+                else ((state.blank, state.taken) if state is not None else (None, NO_VERSION))
             )
             rows.append(
                 {"store": name, "blank": blank, "votes": name in voters if tenure is not None else None, "taken": taken.text}
--- a/curlewshift/peering/leased.py
+++ b/curlewshift/peering/leased.py
@@ -13,7 +13,7 @@
 from curlewshift.membership.member import Member
 from curlewshift.peering.channel import Channel
 from curlewshift.peering.leasing import ENCODER, Count, LeaseMessages
-from curlewshift.sharing.counts import picked
+from curlewshift.sharing.counts import pick_by_rendezvous
 from curlewshift.signalling.bodies import ListNews
 from curlewshift.tasks.listing import ListReading
 from curlewshift.tasks.planning import LEASE as PLAN
@@ -44,7 +44,7 @@
 MAX_TASK_MESSAGE_BYTES = 850
 
 
-class LeaseWire(LeaseMessages):
+class LeaseTaskProtocol(LeaseMessages):
     """Driver of the tasks. `order` has the fronts' names as in the settings, `named` the tasks to run; `probe_each` and
     `orphans_after` are in ns."""
 
@@ -77,7 +77,7 @@
         }
         self.named = named
         self.tasks = Tasks(order[local_index], self.proposer, [tasks[name] for name in named], self.members)
-        channel.carries(TASK_KIND, self.handle_task_message)
+        channel.register_handler(TASK_KIND, self.handle_task_message)
         self.plan_due = 0
 
     async def run(self) -> None:
@@ -87,7 +87,7 @@
                 if self.acceptor is not None:
                     self.acceptor.time()
                 self.tasks.time()
-                self._to_itself()
+                self._deliver_local()
                 self._run_without_lease()
             except Exception as error:
                 self.log.error("fault", what="leases", cause=repr(error), exc_info=error)
@@ -99,11 +99,11 @@
             self.listing.time()
         if "peaks" in self.named and self.now() >= self.plan_due:
             self.plan_due = self.now() + NS
-            self.planning.tell(picked(PLAN, [*self.members(), self.order[self.local_index]]))
+            self.planning.report_demand(pick_by_rendezvous(PLAN, [*self.members(), self.order[self.local_index]]))
 
     def leave(self) -> None:
         self.tasks.drain()
-        self._to_itself()
+        self._deliver_local()
 
     def handle_task_message(self, sender: Member, data: bytes) -> None:
         try:
@@ -114,11 +114,11 @@
         if sender.name not in self.number_of:
             return
         if message.list_at is not None and "list" in self.named:
-            self.listing.told(message.number, *message.list_at, message.news)
+            self.listing.receive_announcement(message.number, *message.list_at, message.news)
         if message.asked is not None:
-            self.planning.asked_told(sender.name, message.asked)
+            self.planning.receive_demand(sender.name, message.asked)
         if message.package and message.package in self.front.session_core.packages:
-            self.planning.plan_told(message.number, message.package, message.parts)
+            self.planning.receive_plan(message.number, message.package, message.parts)
 
     def _broadcast(self, message: TaskMessage) -> bool:
         """Sends to all fronts that are in. False if the message is too large for a datagram."""
@@ -127,7 +127,7 @@
             return False
         for member in self.channel.membership.ring:
             if member.name in self.number_of:
-                self.channel.say(member, TASK_KIND, raw)
+                self.channel.send(member, TASK_KIND, raw)
         return True
 
     def begins(self, lease: str, fence: int) -> None:
@@ -151,7 +151,7 @@
 
     def _found(self, server, report: dict[str, float]) -> None:
         if self.front.shared is not None and "link" in report:
-            self.front.shared.sharing.found_for_all(server, report["link"])
+            self.front.shared.sharing.link_probed_for_all(server, report["link"])
 
     def look_for_orphans(self, server, away: int, lease: str, number: int) -> None:
         self.front.server_pool.end_orphans(server, away, f"{lease};{number}")
@@ -160,12 +160,12 @@
         server_list = self.front.session_core.server_list
         return server_list.epoch, server_list.generation
 
-    def tell_list(self, number: int, epoch: str, generation: int, news: ListNews | None) -> None:
+    def announce_list(self, number: int, epoch: str, generation: int, news: ListNews | None) -> None:
         if not self._broadcast(TaskMessage(number, list_at=(epoch, generation), news=news)):
             # too large for a datagram: fronts that learn of the new version read the list themselves
             self._broadcast(TaskMessage(number, list_at=(epoch, generation)))
 
-    def take_news(self, news: ListNews) -> None:
+    def apply_updates(self, news: ListNews) -> None:
         self.front.lists.take_news(news, full=False)
 
     def read_list(self, itself: bool) -> None:
@@ -184,12 +184,12 @@
     def request_rates(self) -> dict[str, float]:
         return self.front.session_core.peaks.request_rates(self.now())
 
-    def tell_asked(self, to: str, asked: dict[str, float]) -> None:
+    def send_demand(self, to: str, asked: dict[str, float]) -> None:
         member = self.channel.membership.members.get(to)
-        if member is not None and member.there:
-            self.channel.say(member, TASK_KIND, ENCODER.encode(TaskMessage(0, asked=asked)))
+        if member is not None and member.is_present:
+            self.channel.send(member, TASK_KIND, ENCODER.encode(TaskMessage(0, asked=asked)))
 
-    def tell_plan(self, number: int, package: str, parts: dict[str, float]) -> None:
+    def send_plan(self, number: int, package: str, parts: dict[str, float]) -> None:
         names = list(parts)
         for at in range(0, len(names), MAX_PLAN_PARTS):
             self._broadcast(
@@ -206,7 +206,7 @@
         for task in self.tasks.tasks.values():
             for shard in range(task.shards):
                 lease = f"{task.name}/{shard}"
-                held = self.proposer.tries.get(lease)
+                held = self.proposer.views.get(lease)
                 kept = self.acceptor.leases.get(lease) if self.acceptor is not None else None
                 mine = held is not None and held.until > now
                 why = ""
--- a/curlewshift/peering/leasing.py
+++ b/curlewshift/peering/leasing.py
@@ -64,8 +64,8 @@
         self.local_queue: list[Body] = []
         self.malformed = 0
         self.acceptor = self.acceptor_class(self, terms) if local_index in numbers else None
-        self.proposer = self.proposer_class(self, local_index, channel.membership.me.life, numbers, terms, rng)
-        channel.carries(KIND, self.handle_message)
+        self.proposer = self.proposer_class(self, local_index, channel.membership.local_member.life, numbers, terms, rng)
+        channel.register_handler(KIND, self.handle_message)
 
     def handle_message(self, sender: Member, data: bytes) -> None:
         number = self.number_of.get(sender.name)
@@ -76,7 +76,7 @@
             return
         if number is not None:
             self._dispatch(number, body)
-            self._to_itself()
+            self._deliver_local()
 
     def _dispatch(self, by: int, body: Body) -> None:
         ballot, other = Ballot(*body.ballot), Ballot(*body.other)
@@ -95,7 +95,7 @@
         else:
             self.acceptor.released(by, body.lease, ballot)
 
-    def _to_itself(self) -> None:
+    def _deliver_local(self) -> None:
         """Delivers the queued messages between the local proposer and acceptor."""
         while self.local_queue:
             self._dispatch(self.local_index, self.local_queue.pop(0))
@@ -105,8 +105,8 @@
             self.local_queue.append(body)
             return
         member = self.channel.membership.members.get(self.order[to]) if to < len(self.order) else None
-        if member is not None and member.there:
-            self.channel.say(member, KIND, ENCODER.encode(body))
+        if member is not None and member.is_present:
+            self.channel.send(member, KIND, ENCODER.encode(body))
 
     # ---- the proposer's driver
 
--- a/curlewshift/peering/overloaded.py
+++ b/curlewshift/peering/overloaded.py
@@ -41,7 +41,7 @@
 DECODER = msgspec.msgpack.Decoder(Body)
 
 
-class OverloadWire(Shedding):
+class OverloadProtocol(Shedding):
     """Driver of `Overload`. `channel` is None if the front has no peers."""
 
     overload_class = Overload
@@ -49,11 +49,11 @@
     def __init__(self, channel, front, local_name: str, names: frozenset[str], terms: OverloadTerms, log, rng: Random):
         super().__init__(lambda: front.session_core, front.site.packages)
         self.channel, self.front, self.names, self.log = channel, front, names, log
-        self.life = channel.membership.me.life if channel is not None else 0
+        self.life = channel.membership.local_member.life if channel is not None else 0
         self.message_count = self.malformed = 0
         self.overload = self.overload_class(self, local_name, front.site.packages, terms, rng)
         if channel is not None:
-            channel.carries(KIND, self.handle_message)
+            channel.register_handler(KIND, self.handle_message)
 
     async def run(self) -> None:
         every = self.overload.terms.every / NS
@@ -73,9 +73,9 @@
         if sender.name not in self.names:
             return
         if body.cut < 0:
-            self.overload.round_told(sender.name, sender.life, body.number, body.zone, body.asks, body.begun, body.short)
+            self.overload.receive_round(sender.name, sender.life, body.number, body.zone, body.asks, body.begun, body.short)
         else:
-            self.overload.level_told(body.zone, body.cut, body.why)
+            self.overload.receive_level(body.zone, body.cut, body.why)
 
     # ---- the driver of `Overload`
 
@@ -90,19 +90,19 @@
             return []
         return [member.name for member in self.channel.membership.ring if member.name in self.names]
 
-    def turned_off(self) -> int:
+    def connections_refused(self) -> int:
         return self.front.gate.none_left + self.front.gate.dropped
 
     def _send(self, to: str, body: Body) -> None:
         member = self.channel.membership.members.get(to)
-        if member is not None and member.there:
-            self.channel.say(member, KIND, ENCODER.encode(body))
+        if member is not None and member.is_present:
+            self.channel.send(member, KIND, ENCODER.encode(body))
 
-    def tell_round(self, to: str, zone: str, asks: list[tuple[int, float]], begun: float, short: float) -> None:
+    def send_round(self, to: str, zone: str, asks: list[tuple[int, float]], begun: float, short: float) -> None:
         self.message_count += 1
         self._send(to, Body(self.message_count, zone, asks=asks, begun=begun, short=short))
 
-    def tell_level(self, to: str, zone: str, cut: int, why: str) -> None:
+    def send_level(self, to: str, zone: str, cut: int, why: str) -> None:
         self.message_count += 1
         self._send(to, Body(self.message_count, zone, cut, why[:120]))
 
--- a/curlewshift/peering/shared.py
+++ b/curlewshift/peering/shared.py
@@ -49,7 +49,7 @@
 DECODER = msgspec.msgpack.Decoder(Body)
 
 
-class SharedWire:
+class SharingProtocol:
     """Driver of `Sharing`. `order` has the fronts' names as in the settings, `local_index` is this front's position there, and
     `warm_within` (ns) the time that a server takes to warm up."""
 
@@ -76,13 +76,13 @@
             self,
             order,
             local_index,
-            channel.membership.me.life,
+            channel.membership.local_member.life,
             terms,
             warm_within,
             rng,
             together.patient(lambda name: session_core.packages[name].patience),
         )
-        channel.carries(KIND, self.handle_message)
+        channel.register_handler(KIND, self.handle_message)
         session_core.share_rights()
 
     async def run(self) -> None:
@@ -101,24 +101,24 @@
             self.malformed += 1
             return
         sharing, name, life = self.sharing, sender.name, sender.life
-        sharing.clock_told(name, life, body.reading)
+        sharing.receive_clock(name, life, body.reading)
         if body.what == ASK:
-            sharing.asked(name, life, body.number, body.keys)
+            sharing.loan_requested(name, life, body.number, body.keys)
         elif body.what == LEND:
             sharing.lent(name, body.number, body.rights)
         elif body.what == GIVE_BACK:
             for key in body.keys:
-                sharing.given_back(name, body.number, key)
+                sharing.loan_returned(name, body.number, key)
         elif body.what == USE:
-            sharing.use_told(name, life, body.number, body.uses)
+            sharing.receive_use(name, life, body.number, body.uses)
         elif body.what == SUMS:
-            sharing.sums_told(name, life, body.number, body.sums)
+            sharing.receive_sums(name, life, body.number, body.sums)
         elif body.what == SEEN:
-            sharing.seen_told(name, life, body.number, body.seen)
+            sharing.receive_observations(name, life, body.number, body.seen)
         elif body.what == KNOWN:
-            sharing.known_asked(name)
+            sharing.send_known_observations(name)
         else:
-            sharing.report_told(name, body.uses)
+            sharing.receive_link_report(name, body.uses)
 
     async def learn(self, within: float) -> None:
         """Asks the peers for their state before the front accepts clients; returns when they have answered, or after `within`
@@ -127,14 +127,14 @@
             while not self.sharing.learned():
                 self.sharing.learn()
                 await anyio.sleep(POLL_INTERVAL_S)
-        self.log.info("learned", of=sorted(self.sharing.learned_of), asked=sorted(self.sharing.learning_of))
+        self.log.info("learned", of=sorted(self.sharing.answered_peers), asked=sorted(self.sharing.asked_peers))
 
     def _send(self, to: str, what: int, number: int | None = None, **more) -> None:
         member = self.channel.membership.members.get(to)
-        if member is None or not member.there:
+        if member is None or not member.is_present:
             return
         self.message_count += 1
-        self.channel.say(
+        self.channel.send(
             member, KIND, ENCODER.encode(Body(what, self.message_count if number is None else number, self.now(), **more))
         )
 
@@ -158,19 +158,19 @@
     def give_back_to(self, to: str, number: int, key: str) -> None:
         self._send(to, GIVE_BACK, number, keys=[key])
 
-    def tell_use(self, to: str, rows: list[tuple[str, float]]) -> None:
+    def send_use(self, to: str, rows: list[tuple[str, float]]) -> None:
         self._send(to, USE, uses=rows)
 
-    def tell_sums(self, to: str, rows: list[tuple[str, float, int, float, int]]) -> None:
+    def send_sums(self, to: str, rows: list[tuple[str, float, int, float, int]]) -> None:
         self._send(to, SUMS, sums=rows)
 
-    def tell_report(self, to: str, rows: list[tuple[str, float]]) -> None:
+    def send_link_report(self, to: str, rows: list[tuple[str, float]]) -> None:
         self._send(to, REPORT, uses=rows)
 
     def link_reported(self, server: Server, use: float) -> None:
         self.session_core.link_reported(server, use)
 
-    def tell_seen(self, to: str, rows: list[tuple[str, float, float, int]]) -> None:
+    def send_observations(self, to: str, rows: list[tuple[str, float, float, int]]) -> None:
         self._send(to, SEEN, seen=rows)
 
     def rights_held(self, server: Server, rights: list) -> None:
@@ -198,7 +198,7 @@
         )
         self.session_core.seen_warm(server)
 
-    def ask_what_is_known(self, to: str) -> None:
+    def request_observations(self, to: str) -> None:
         self._send(to, KNOWN)
 
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
@@ -279,15 +279,17 @@
                 "budget": name,
                 "given": pool.loans.given,
                 "got": pool.loans.got,
-                "in_hand": sum(count for key in pool.told for since, until, count in pool.told[key] if since <= reading < until),
+                "in_hand": sum(
+                    count for key in pool.announced for since, until, count in pool.announced[key] if since <= reading < until
+                ),
             }
             for name, pool in sharing.pools.items()
         ]
         return {
             "me": sharing.name,
             "together": pools,
-            "clock_off": round(sharing.clocks.off(), 5),
-            "out": sharing.out,
+            "clock_off": round(sharing.clocks.relative_rate(), 5),
+            "out": sharing.clock_off,
             "quiet_for_s": round(max(0, loans.quiet_until - now) / NS, 2),
             "given": loans.given,
             "got": loans.got,
--- a/curlewshift/peering/wire.py
+++ b/curlewshift/peering/wire.py
@@ -28,7 +28,7 @@
 LEAVE_FLUSH_S = 0.05
 
 
-class PeerWire:
+class PeerSocket:
     """The constructor raises `OSError` if the socket cannot be bound."""
 
     membership_class = Membership
--- a/curlewshift/running.py
+++ b/curlewshift/running.py
@@ -15,15 +15,15 @@
     except KeyboardInterrupt:
         sys.exit(1)
     except OSError as wrong:
-        refuse(wrong, 1)
+        exit_with_errors(wrong, 1)
     except ExceptionGroup as group:
         known, rest = group.split(OSError)
         if rest is not None:
             raise
-        refuse(known.exceptions, 1)
+        exit_with_errors(known.exceptions, 1)
 
 
-def refuse(why, code: int) -> None:
+def exit_with_errors(why, code: int) -> None:
     """Each of `why` in a line of its own on standard error, and the end."""
     for one in why if isinstance(why, tuple) else (why,):
         print(f"curlewshift: {one}", file=sys.stderr)
--- a/curlewshift/scale/node.py
+++ b/curlewshift/scale/node.py
@@ -15,10 +15,10 @@
 from curlewshift.control.machine import MachineLeases
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.model import Link, Rack, Server
-from curlewshift.peering.distributed import DistributionWire
-from curlewshift.peering.leased import LeaseWire
-from curlewshift.peering.shared import SharedWire
-from curlewshift.peering.wire import PeerWire
+from curlewshift.peering.distributed import DistributionProtocol
+from curlewshift.peering.leased import LeaseTaskProtocol
+from curlewshift.peering.shared import SharingProtocol
+from curlewshift.peering.wire import PeerSocket
 from curlewshift.scale.figures import part_of
 from curlewshift.scale.meter import Meter
 from curlewshift.scale.plan import Load, Place, Plan
@@ -48,7 +48,7 @@
             self.errors.append(f"{event}: {facts.get('what', '')} {facts.get('cause', '')}")
 
 
-class CountedWire(PeerWire):
+class CountedWire(PeerSocket):
     """A wire whose datagrams its node's meter counts."""
 
     meter: Meter
@@ -128,7 +128,7 @@
         machines = {machine.name: machine for machine in site.control.machines}
         machine = machines.get(place.name)
         self.door = (
-            site.front_addresses[site.door(place.name)]
+            site.front_addresses[site.front_index(place.name)]
             if machine is None
             else ListenAddress(machine.name, "", 0, machine.peers_listen, machine.peers_reach)
         )
@@ -156,7 +156,7 @@
         self.shared = self.leased = self.distributed = None
         order, rng = [door.name for door in self.site.front_addresses], Random(self.rng.random())
         if self.place.shares:
-            self.shared = SharedWire(
+            self.shared = SharingProtocol(
                 channel,
                 self.session_core,
                 order,
@@ -184,7 +184,7 @@
             self.fence = self.leased.fence
         elif self.place.leases:
             wants = self.site.leases
-            self.leased = LeaseWire(
+            self.leased = LeaseTaskProtocol(
                 channel,
                 self,
                 order,
@@ -201,12 +201,12 @@
         if self.leased is not None:
             # a control machine's has its own time, a front's that of its tasks
             rounds = self.leased if self.place.kind == "control" else self.leased.tasks
-            for owner, name in ((rounds, "time"), (self.leased.acceptor, "time"), (self.leased, "_to_itself")):
+            for owner, name in ((rounds, "time"), (self.leased.acceptor, "time"), (self.leased, "_deliver_local")):
                 if owner is not None:
                     setattr(owner, name, metered("leases", getattr(owner, name)))
         if "distribution" in self.plan.parts:
             terms = DistributionTerms(tuple(self.stores), self.site.configuration.give_bytes)
-            self.distributed = DistributionWire(
+            self.distributed = DistributionProtocol(
                 channel,
                 self,
                 self.place.name,
@@ -223,8 +223,8 @@
         for name in ("shared", "leased", "distributed"):
             if getattr(self, name) is not None:
                 self.parts[PARTS[name]] = getattr(self, name)
-        for kind, heard in channel.carried.items():
-            channel.carried[kind] = metered(part_of(kind), heard)
+        for kind, heard in channel.handlers.items():
+            channel.handlers[kind] = metered(part_of(kind), heard)
         channel.received = metered("membership", channel.received)
         channel.time = metered("membership", channel.time)
         channel.start = metered("membership", channel.start)
@@ -257,14 +257,14 @@
     def check_configuration(self, content: bytes) -> str | None:
         return None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         self.took.append((version, time.monotonic()))
         return None
 
-    def keep_configuration(self, data: bytes) -> None:
+    def store_configuration(self, data: bytes) -> None:
         self.disk["copy"] = data
 
-    def keep_vote(self, data: bytes) -> None:
+    def store_vote(self, data: bytes) -> None:
         self.disk["vote"] = data
 
     def stop(self) -> None:
--- a/curlewshift/scale/viewers.py
+++ b/curlewshift/scale/viewers.py
@@ -50,7 +50,7 @@
                 call = await connect("127.0.0.1", front.port, WITHIN)
                 try:
                     answered = await call.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
-                    if answered.status == 201 and call.again():
+                    if answered.status == 201 and call.prepare_next_request():
                         await call.ask("DELETE", answered.headers["location"])
                     return answered.status
                 finally:
--- a/curlewshift/session_core/shedding.py
+++ b/curlewshift/session_core/shedding.py
@@ -42,7 +42,7 @@
     def tune_in(self, tune_in: TuneIn) -> None:
         """A tune-in is sent; a further one is charged to the retry budget."""
         if tune_in.number > 1:
-            self.overload.again.spends(self.now())
+            self.overload.retry_budget.spend(self.now())
             self.budget()
 
     def answered(self, request: Request, answer: Answer) -> None:
@@ -78,7 +78,7 @@
 
     def budget(self) -> None:
         """Stops or allows further tune-ins, as the retry budget has it."""
-        stopped = self.bounds_further and not self.overload.again.may(self.now())
+        stopped = self.bounds_further and not self.overload.retry_budget.may_retry(self.now())
         if stopped is not self.session_core().rules.retries_stopped:
             self.session_core().again_stopped(stopped)
 
--- a/curlewshift/sharing/budgets.py
+++ b/curlewshift/sharing/budgets.py
@@ -11,8 +11,8 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from curlewshift.sharing.loans import Loans, dealt
-from curlewshift.sharing.standing import StandingLoans
+from curlewshift.sharing.loans import Loans, initial_share
+from curlewshift.sharing.renewable_loans import RenewableLoans
 from curlewshift.sharing.terms import SharingTerms
 
 FURTHER, SEAT = "further tune-ins", "seat "
@@ -25,9 +25,9 @@
     loans_class = Loans
 
     def __init__(self, sharing, terms: SharingTerms, loans_class: type[Loans] | None = None):
-        self.sharing, self.me, self.order = sharing, sharing.me, sharing.order
-        self.loans = (loans_class or self.loans_class)(self, self.me, terms, sharing.rng.getrandbits(40))
-        self.told: dict[str, list] = {}
+        self.sharing, self.local_index, self.order = sharing, sharing.local_index, sharing.order
+        self.loans = (loans_class or self.loans_class)(self, self.local_index, terms, sharing.rng.getrandbits(40))
+        self.announced: dict[str, list] = {}
         # Before anything can be started or restored: the rules take a budget they were told nothing of for entirely their own. A
         # restarted front restored sessions without a right, and kept them for as long as its viewers liked.
         self.write(self.keys())
@@ -47,14 +47,14 @@
         self.sharing.give_back(lender, number, key)
 
     def part(self, key: str) -> int:
-        return dealt(self.rights(key), self.me, len(self.order), _key_hash(key))
+        return initial_share(self.rights(key), self.local_index, len(self.order), _key_hash(key))
 
     # ---- rounds
 
     def owners(self, key: str, present: set[int], rotation: int) -> list[int]:
         """Present fronts with a share of this budget, rotated each round."""
         rights, fronts, key_hash = self.rights(key), len(self.order), _key_hash(key)
-        owners = [number for number in present if dealt(rights, number, fronts, key_hash)]
+        owners = [number for number in present if initial_share(rights, number, fronts, key_hash)]
         start = (rotation + key_hash) % len(owners) if owners else 0
         return owners[start:] + owners[:start]
 
@@ -68,8 +68,8 @@
         """Passes on to the rules what has changed."""
         for key in keys:
             rights = self.loans.in_hand(key)
-            if rights != self.told.get(key):
-                self.told[key] = rights
+            if rights != self.announced.get(key):
+                self.announced[key] = rights
                 self.notify_rules(key, rights)
 
     def rights(self, key: str) -> int:
@@ -112,7 +112,7 @@
 class Seats(Pool):
     """`seats` of each of the `titles` by package, over all fronts."""
 
-    loans_class = StandingLoans
+    loans_class = RenewableLoans
 
     def __init__(
         self, sharing, terms: SharingTerms, titles: list[str], seats: dict[str, int], loans_class: type[Loans] | None = None
--- a/curlewshift/sharing/clock_watch.py
+++ b/curlewshift/sharing/clock_watch.py
@@ -48,7 +48,7 @@
         self.spans = {front: history for front, history in self.spans.items() if front in names}
         self.paces = {front: pace for front, pace in self.paces.items() if front in names}
 
-    def off(self) -> float:
+    def relative_rate(self) -> float:
         """How much faster than its peers' this clock runs, as a fraction, in the median; 0 while too few peers have been
         compared."""
         paces = sorted(self.paces.values())
@@ -56,4 +56,4 @@
 
     def past_bound(self) -> bool:
         # both clocks may be off by the drift, in opposite directions
-        return abs(self.off()) > 2 * self.drift
+        return abs(self.relative_rate()) > 2 * self.drift
--- a/curlewshift/sharing/counts.py
+++ b/curlewshift/sharing/counts.py
@@ -22,7 +22,7 @@
 SAME_REPORT_NS = 100_000_000
 
 
-def picked(key: str, names: list[str]) -> str:
+def pick_by_rendezvous(key: str, names: list[str]) -> str:
     """The name that the key is assigned to by rendezvous hashing; the same at every front that knows the same names."""
     return max(names, key=lambda name: blake2b(f"{key} {name}".encode(), digest_size=8).digest())
 
--- a/curlewshift/sharing/evidence.py
+++ b/curlewshift/sharing/evidence.py
@@ -38,12 +38,12 @@
 
 
 class Evidence:
-    """The evidence that one front holds on all servers. Times are this front's steady ns. `me` is its own name, one witness among
-    the others."""
+    """The evidence that one front holds on all servers. Times are this front's steady ns. `local_name` is its own name, one
+    witness among the others."""
 
-    def __init__(self, me: str, terms: SharingTerms):
-        self.me, self.terms = me, terms
-        self.words: dict[str, dict[str, ServerObservation]] = {}
+    def __init__(self, local_name: str, terms: SharingTerms):
+        self.local_name, self.terms = local_name, terms
+        self.observations: dict[str, dict[str, ServerObservation]] = {}
         # servers doubted on others' evidence, with hysteresis: an unsteady server does not make all fronts swing
         self.doubted: dict[str, bool] = {}
 
@@ -51,11 +51,11 @@
         self, front: str, life: int, number: int, rows: list[tuple[str, float, float, int]], now: int
     ) -> None:
         for server, good, bad, unbroken_ns in rows:
-            observations = self.words.get(server)
+            observations = self.observations.get(server)
             if observations is None:
-                if len(self.words) >= MAX_SERVERS:
+                if len(self.observations) >= MAX_SERVERS:
                     continue
-                observations = self.words[server] = {}
+                observations = self.observations[server] = {}
             known = observations.get(front)
             if known is not None and (life, number) <= (known.life, known.number):
                 continue
@@ -72,7 +72,7 @@
 
     def faded_counts(self, server: str, front: str, now: int) -> tuple[float, float]:
         """Good and bad counts of one witness, faded to now."""
-        observation = self.words.get(server, {}).get(front)
+        observation = self.observations.get(server, {}).get(front)
         if observation is None:
             return 0.0, 0.0
         remaining = exp(-max(0, now - observation.at) / FADE_NS)
@@ -81,7 +81,7 @@
     def witness_weights(self, now: int) -> dict[str, float]:
         """The weight of each witness, up to 1: halved for each server that it alone finds bad while others find it good."""
         alone: dict[str, float] = {}
-        for server, observations in self.words.items():
+        for server, observations in self.observations.items():
             by_front = {front: self.faded_counts(server, front, now) for front in observations}
             for front, (good, bad) in by_front.items():
                 if bad <= good or bad < 0.5:
@@ -97,8 +97,8 @@
         weights = self.witness_weights(now) if weights is None else weights
         good = bad = 0.0
         accusers = 0
-        for front in self.words.get(server, {}):
-            if front == self.me:
+        for front in self.observations.get(server, {}):
+            if front == self.local_name:
                 continue
             faded_good, faded_bad = self.faded_counts(server, front, now)
             weight = weights.get(front, 1.0)
@@ -110,7 +110,7 @@
     def doubts(self, now: int) -> dict[str, bool]:
         """Servers doubted on others' evidence. Updated for all servers at once, each `every`."""
         weights = self.witness_weights(now)
-        for server in self.words:
+        for server in self.observations:
             good, bad, accusers = self.weighed_counts(server, now, weights)
             bad_share = bad / (good + bad) if good + bad > 0.5 else 0.0
             if bad_share >= DOUBT_FROM and accusers >= MIN_WITNESSES:
@@ -123,8 +123,8 @@
         """Whether enough others have seen it answer without a failure for longer than it takes to get warm, in reports received
         after `since`: an earlier report might be about a previous boot."""
         witnesses = 0
-        for front, observation in self.words.get(server, {}).items():
-            if front == self.me or observation.at < since:
+        for front, observation in self.observations.get(server, {}).items():
+            if front == self.local_name or observation.at < since:
                 continue
             good, bad = self.faded_counts(server, front, now)
             if bad > 0.1:
@@ -136,12 +136,15 @@
     def why(self, server: str, now: int) -> list[tuple[str, float, float, float]]:
         """Witnesses with their good and bad counts and weights, for display."""
         weights = self.witness_weights(now)
-        return [(front, *self.faded_counts(server, front, now), weights.get(front, 1.0)) for front in self.words.get(server, {})]
+        return [
+            (front, *self.faded_counts(server, front, now), weights.get(front, 1.0))
+            for front in self.observations.get(server, {})
+        ]
 
     def forget(self, now: int) -> None:
-        for server, observations in list(self.words.items()):
+        for server, observations in list(self.observations.items()):
             for front in [front for front, observation in observations.items() if now - observation.at > 4 * FADE_NS]:
                 del observations[front]
             if not observations:
-                del self.words[server]
+                del self.observations[server]
                 self.doubted.pop(server, None)
