--- a/curlewshift/sharing/loans.py
+++ b/curlewshift/sharing/loans.py
@@ -1,10 +1,10 @@
 """Rights in escrow: each front owns a share of every budget, and may lend it for a term to one that needs it more.
 
-The shares are an even split that each front computes by itself (`dealt`), so that no count has to be agreed on and none is ever
-lost: what is lent returns by the lender's own clock, after the borrower has stopped by its own. These are bounded counters with
-escrow (O'Neil 1986; Balegas et al. 2015), with a term in place of a return message. At any time at most one front may use a
-right, whatever is lost, duplicated, delayed or killed, as long as clocks keep within the stated drift. Membership plays no part
-in that.
+The shares are an even split that each front computes by itself (`initial_share`), so that no count has to be agreed on and none
+is ever lost: what is lent returns by the lender's own clock, after the borrower has stopped by its own. These are bounded
+counters with escrow (O'Neil 1986; Balegas et al. 2015), with a term in place of a return message. At any time at most one front
+may use a right, whatever is lost, duplicated, delayed or killed, as long as clocks keep within the stated drift. Membership
+plays no part in that.
 
 A key names what is budgeted, such as the set-ups at one cold server. There is one `Loans` for each life of a front (one run of
 its process; a restart is a new life).
@@ -34,18 +34,18 @@
     def part(self, key: str) -> int: ...
 
 
-def dealt(rights: int, number: int, fronts: int, key_hash: int) -> int:
+def initial_share(rights: int, number: int, fronts: int, key_hash: int) -> int:
     """The share of `rights` that belongs to the front with this index. Where fronts have different views of `rights`, all shares
     together are at most the highest of them: a greater number of rights only adds to more fronts."""
     return rights // fronts + ((number + key_hash) % fronts < rights % fronts)
 
 
 class Loans:
-    """`me` and all other fronts are indices, the same at every front. Safety relies on the result of `may_use` at the moment of
-    use, and on `back_after`; everything else only moves rights to where they are needed."""
+    """`local_index` and all other fronts are indices, the same at every front. Safety relies on the result of `may_use` at the
+    moment of use, and on `back_after`; everything else only moves rights to where they are needed."""
 
-    def __init__(self, driver: Driver, me: int, terms: SharingTerms, first_number: int = 0):
-        self.driver, self.me, self.terms = driver, me, terms
+    def __init__(self, driver: Driver, local_index: int, terms: SharingTerms, first_number: int = 0):
+        self.driver, self.local_index, self.terms = driver, local_index, terms
         now = driver.now()
         # a lender may count less time than has passed, never more: steady time only runs short
         self.steady = SteadyClock(now, min(terms.window, 4 * terms.every))
@@ -60,8 +60,8 @@
         self.wanted: dict[str, int] = {}
         self.used: dict[str, int] = {}
         # borrowed keys that have been used, to be given back
-        self.done: dict[str, None] = {}
-        self.out: dict[int, tuple[int, int, frozenset[str]]] = {}
+        self.to_return: dict[str, None] = {}
+        self.outstanding: dict[int, tuple[int, int, frozenset[str]]] = {}
         self.numbers = count(first_number)
         self.withdrawn = False
         self.given = self.got = self.late = self.refused = 0
@@ -107,9 +107,9 @@
         self.used[key] = self._read_clock()[0]
         self.wanted.pop(key, None)
         if key in self.borrowed:
-            self.done[key] = None
+            self.to_return[key] = None
 
-    def given_back(self, borrower: int, number: int, key: str) -> None:
+    def loan_returned(self, borrower: int, number: int, key: str) -> None:
         """A loan came back early. The borrower may have used it just now, so the right rests for as long as a use counts. A
         message about an earlier loan has no effect."""
         steady, _ = self._read_clock()
@@ -125,10 +125,10 @@
 
     # ---- received messages
 
-    def asked(self, borrower: int, number: int, keys: list[str], life: int = 0) -> None:
+    def loan_requested(self, borrower: int, number: int, keys: list[str], life: int = 0) -> None:
         """Another front requests this front's share: where it may be lent, it is lent entirely."""
         steady, now = self._read_clock()
-        if self.withdrawn or steady < self.quiet_until or borrower == self.me:
+        if self.withdrawn or steady < self.quiet_until or borrower == self.local_index:
             return
         given = []
         for key in keys[:MAX_KEYS_PER_MESSAGE]:
@@ -152,10 +152,10 @@
         just_used = key in self.used and steady < self.used[key] + self.terms.back_after
         return steady >= self.own_usable_from(key) and now >= self.wanted.get(key, 0) and not just_used
 
-    def lends(self, lender: int, number: int, rights: list[tuple[str, int]]) -> None:
+    def loan_received(self, lender: int, number: int, rights: list[tuple[str, int]]) -> None:
         """Rights arrived; a duplicate, late or unrequested message has no effect."""
         _, now = self._read_clock()
-        request = self.out.pop(number, None)
+        request = self.outstanding.pop(number, None)
         if request is None or request[0] != lender:
             self.late += request is None
             return
@@ -169,34 +169,36 @@
                 self.borrowed.setdefault(key, {})[lender] = (until, lent, number)
 
     def time(self, owners: Callable[[str], list[int]]) -> None:
-        """Called each `every`: requests the wanted rights from the first `most_asks` of `owners(key)`. There is one loan a key at
-        a time: a front that borrowed all there was kept unused rights from the others."""
+        """Called each `every`: requests the wanted rights from the first `max_requests` of `owners(key)`. There is one loan a
+        key at a time: a front that borrowed all there was kept unused rights from the others."""
         steady, now = self._read_clock()
         self.steady.due = steady + self.terms.every
         self.lent = {key: loan for key, loan in self.lent.items() if loan[0] > steady}
         self.used = {key: at for key, at in self.used.items() if at + self.terms.back_after > steady}
         self.wanted = {key: until for key, until in self.wanted.items() if until > now}
-        self.out = {number: request for number, request in self.out.items() if request[1] + self.terms.term > now}
-        for key in self.done:
+        self.outstanding = {number: request for number, request in self.outstanding.items() if request[1] + self.terms.term > now}
+        for key in self.to_return:
             # the right has been used and others wait for it: it goes back before the end of its term
             for lender, (_, _, number) in self.borrowed.pop(key, {}).items():
                 self.driver.give_back(lender, number, key)
-        self.done.clear()
+        self.to_return.clear()
         if not self.wanted or self.withdrawn:
             return
         requests: dict[int, list[str]] = {}
-        requested_keys = set().union(*(keys for _, since, keys in self.out.values() if now - since < 2 * self.terms.every))
+        requested_keys = set().union(
+            *(keys for _, since, keys in self.outstanding.values() if now - since < 2 * self.terms.every)
+        )
         for key in self.wanted:
             if key in requested_keys or any(until > now for until, _, _ in self.borrowed.get(key, {}).values()):
                 continue
-            for lender in [number for number in owners(key) if number != self.me][: self.terms.most_asks]:
+            for lender in [number for number in owners(key) if number != self.local_index][: self.terms.max_requests]:
                 if len(requests.setdefault(lender, [])) < MAX_KEYS_PER_MESSAGE:
                     requests[lender].append(key)
         for lender, keys in requests.items():
-            if len(self.out) >= MAX_OUTSTANDING_REQUESTS:
+            if len(self.outstanding) >= MAX_OUTSTANDING_REQUESTS:
                 break
             number = next(self.numbers)
-            self.out[number] = (lender, now, frozenset(keys))
+            self.outstanding[number] = (lender, now, frozenset(keys))
             self.driver.ask(lender, number, keys)
 
     def withdraw(self, out: bool) -> None:
@@ -205,7 +207,7 @@
         self.withdrawn = out
         if out:
             self.borrowed.clear()
-            self.out.clear()
+            self.outstanding.clear()
 
     # ---- clock
 
@@ -214,6 +216,6 @@
         if reading < self.latest:
             # the clock went back: how much time passed is unknown
             self.borrowed.clear()
-            self.out.clear()
+            self.outstanding.clear()
         self.latest = reading
         return self.steady.read(reading), reading
--- a/curlewshift/sharing/standing.py
+++ b/curlewshift/sharing/renewable_loans.py
@@ -3,7 +3,7 @@
 A borrower has to give up a right that is not renewed before its term is over: the sessions that use it end. They also end when
 the loan is lost otherwise, because the clock is doubted or was set back. The lender takes the right back only when that is
 certain, and when sessions left by a borrower that died have ended by themselves (`SharingTerms.window` is the longest time that
-takes). There is one `StandingLoans` for each life of a front.
+takes). There is one `RenewableLoans` for each life of a front.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     def end_uses(self, key: str, count: int) -> None: ...
 
 
-class StandingLoans(Loans):
+class RenewableLoans(Loans):
     """Loans of rights that stay in use until a viewing ends."""
 
     def __init__(self, *arguments, **more):
@@ -32,7 +32,7 @@
         self.lives: dict[str, int] = {}
         # keys borrowed in this life that may still be used by sessions without a right. They are checked until they are not,
         # whatever became of the loan: a set-up under way when the loan ends can be ended only once it plays.
-        self.stood_on: set[str] = set()
+        self.keys_to_check: set[str] = set()
 
     def may_lend(self, key: str, borrower: int, number: int, life: int, steady: int, now: int) -> bool:
         """Lends what is not in use here; the same life of the borrower keeps what it has for another term."""
@@ -67,9 +67,9 @@
         count = 0 if steady < self.own_usable_from(key) else self.driver.part(key)
         return count + sum(lent for until, lent, _ in self.borrowed.get(key, {}).values() if now < self.usable_until(until))
 
-    def lends(self, lender: int, number: int, rights: list[tuple[str, int]]) -> None:
-        super().lends(lender, number, rights)
-        self.stood_on.update(key for key, _ in rights if key in self.borrowed)
+    def loan_received(self, lender: int, number: int, rights: list[tuple[str, int]]) -> None:
+        super().loan_received(lender, number, rights)
+        self.keys_to_check.update(key for key, _ in rights if key in self.borrowed)
 
     def time(self, owners: Callable[[str], list[int]]) -> None:
         self.end_overdue()
@@ -85,12 +85,12 @@
                 del loans[lender]
             if not loans:
                 del self.borrowed[key]
-        for key in list(self.stood_on):
+        for key in list(self.keys_to_check):
             excess = self.driver.in_use(key) - self.may_use(key)
             if excess > 0:
                 self.driver.end_uses(key, excess)
             elif key not in self.borrowed:
-                self.stood_on.remove(key)
+                self.keys_to_check.remove(key)
 
     def _renew(self) -> None:
         """Renews the loans in use, from a third of their term on and each round until an answer comes; gives back those not in
@@ -109,7 +109,7 @@
                 del self.borrowed[key]
         for lender, keys in requests.items():
             for offset in range(0, len(keys), MAX_KEYS_PER_MESSAGE):
-                if len(self.out) < MAX_OUTSTANDING_REQUESTS:
+                if len(self.outstanding) < MAX_OUTSTANDING_REQUESTS:
                     number = next(self.numbers)
-                    self.out[number] = (lender, now, frozenset(keys[offset : offset + MAX_KEYS_PER_MESSAGE]))
+                    self.outstanding[number] = (lender, now, frozenset(keys[offset : offset + MAX_KEYS_PER_MESSAGE]))
                     self.driver.ask(lender, number, keys[offset : offset + MAX_KEYS_PER_MESSAGE])
--- a/curlewshift/sharing/sharing.py
+++ b/curlewshift/sharing/sharing.py
@@ -15,10 +15,10 @@
 from curlewshift.schedule.steady_clock import SteadyClock
 from curlewshift.sharing.budgets import FURTHER, SEAT, FurtherTuneIns, Pool, Seats
 from curlewshift.sharing.clock_watch import ClockWatch
-from curlewshift.sharing.counts import RESEND_ROUNDS, Counts, picked
+from curlewshift.sharing.counts import RESEND_ROUNDS, Counts, pick_by_rendezvous
 from curlewshift.sharing.evidence import FADE_NS, Evidence
-from curlewshift.sharing.loans import Loans, dealt
-from curlewshift.sharing.standing import StandingLoans
+from curlewshift.sharing.loans import Loans, initial_share
+from curlewshift.sharing.renewable_loans import RenewableLoans
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 
 # Maximum rows of one message; rows of use are fewer, as the answer has longer rows. Each round, observations go to so many random
@@ -42,11 +42,11 @@
     def ask(self, to: str, number: int, keys: list[str]) -> None: ...
     def lend(self, to: str, number: int, rights: list[tuple[str, int]]) -> None: ...
     def give_back_to(self, to: str, number: int, key: str) -> None: ...
-    def tell_use(self, to: str, rows: list[tuple[str, float]]) -> None: ...
-    def tell_sums(self, to: str, rows: list[tuple[str, float, int, float, int]]) -> None: ...
-    def tell_report(self, to: str, rows: list[tuple[str, float]]) -> None: ...
+    def send_use(self, to: str, rows: list[tuple[str, float]]) -> None: ...
+    def send_sums(self, to: str, rows: list[tuple[str, float, int, float, int]]) -> None: ...
+    def send_link_report(self, to: str, rows: list[tuple[str, float]]) -> None: ...
     def link_reported(self, server: Server, use: float) -> None: ...
-    def tell_seen(self, to: str, rows: list[tuple[str, float, float, int]]) -> None: ...
+    def send_observations(self, to: str, rows: list[tuple[str, float, float, int]]) -> None: ...
     def rights_held(self, server: Server, rights: list) -> None: ...
     def doubted(self, server: Server, doubted: bool) -> None: ...
     def counted(self, server: Server, use: float, age: int) -> None: ...
@@ -60,7 +60,7 @@
     def seats_ending(self, package: str, title: str) -> bool: ...
     def seats_held(self, package: str, title: str, rights: list) -> None: ...
     def seats_over(self, package: str, title: str, count: int) -> None: ...
-    def ask_what_is_known(self, to: str) -> None: ...
+    def request_observations(self, to: str) -> None: ...
 
 
 class OwnObservations:
@@ -76,28 +76,29 @@
 
 
 class Sharing:
-    """One front's part in sharing. `order` are the fronts' names as in the settings, the same at every front; `me` is this
-    front's index in it. `life` is the channel's (one run of a process, numbered; a restart is a new life). `warm_within` (ns) is
-    how long a server takes to get warm. `together` are the budgets shared by all fronts, besides those of cold servers."""
+    """One front's part in sharing. `order` are the fronts' names as in the settings, the same at every front; `local_index` is
+    this front's index in it. `life` is the channel's (one run of a process, numbered; a restart is a new life). `warm_within`
+    (ns) is how long a server takes to get warm. `together` are the budgets shared by all fronts, besides those of cold
+    servers."""
 
-    loans_class, seats_class, evidence_class = Loans, StandingLoans, Evidence
+    loans_class, seats_class, evidence_class = Loans, RenewableLoans, Evidence
 
     def __init__(
         self,
         driver: Driver,
         order: list[str],
-        me: int,
+        local_index: int,
         life: int,
         terms: SharingTerms,
         warm_within: int,
         rng: Random,
         together: SharedBudgets = SharedBudgets(),
     ):
-        self.driver, self.order, self.me, self.life, self.terms = driver, order, me, life, terms
+        self.driver, self.order, self.local_index, self.life, self.terms = driver, order, local_index, life, terms
         self.warm_within, self.rng = warm_within, rng
         self.number_of = {name: number for number, name in enumerate(order)}
-        self.name = order[me]
-        self.loans = self.loans_class(self, me, terms, rng.getrandbits(40))
+        self.name = order[local_index]
+        self.loans = self.loans_class(self, local_index, terms, rng.getrandbits(40))
         self.pools: dict[str, Pool] = {}
         if together.free is not None:
             self.pools[FURTHER] = FurtherTuneIns(self, together.further_terms(terms), together.free, self.loans_class)
@@ -112,10 +113,10 @@
         self.servers: dict[str, Server] = {}
         self.wanted_at: dict[Server, int] = {}
         self.rotation = rng.randrange(1 << 16)
-        self.out = False
+        self.clock_off = False
         self.reported_at: dict[str, int] = {}
-        self.learning_of: set[str] = set()
-        self.learned_of: set[str] = set()
+        self.asked_peers: set[str] = set()
+        self.answered_peers: set[str] = set()
 
     # ---- each `every`
 
@@ -137,11 +138,11 @@
 
     def _check_clock(self, peers: set[str]) -> None:
         self.clocks.forget(peers)
-        if self.clocks.past_bound() is not self.out:
-            self.out = not self.out
+        if self.clocks.past_bound() is not self.clock_off:
+            self.clock_off = not self.clock_off
             for loans in (self.loans, *(pool.loans for pool in self.pools.values())):
-                loans.withdraw(self.out)
-            self.driver.clock_off(self.clocks.off(), self.out)
+                loans.withdraw(self.clock_off)
+            self.driver.clock_off(self.clocks.relative_rate(), self.clock_off)
 
     # ---- rights
 
@@ -151,7 +152,7 @@
                 self.wanted_at[server] = server.rights_wanted_at
                 self.loans.wants(server.name)
         self.servers = servers
-        self.rotation += self.terms.most_asks
+        self.rotation += self.terms.max_requests
         present = {self.number_of[name] for name in peers}
         self.loans.time(lambda key: self._owners(key, present))
         for pool in self.pools.values():
@@ -168,13 +169,17 @@
         if server is None:
             return []
         rights = self.driver.rights_of(server)
-        owners = [number for number in present if dealt(rights, number, fronts, server.placement_hash)]
+        owners = [number for number in present if initial_share(rights, number, fronts, server.placement_hash)]
         start = (self.rotation + server.placement_hash) % len(owners) if owners else 0
         return owners[start:] + owners[:start]
 
     def part(self, key: str) -> int:
         server = self.servers.get(key)
-        return dealt(self.driver.rights_of(server), self.me, len(self.order), server.placement_hash) if server is not None else 0
+        return (
+            initial_share(self.driver.rights_of(server), self.local_index, len(self.order), server.placement_hash)
+            if server is not None
+            else 0
+        )
 
     def _update_rights(self, servers: Iterable[Server]) -> None:
         """Passes on to the rules how many rights this front has, from when and until when."""
@@ -202,24 +207,24 @@
     def give_back(self, lender: int, number: int, key: str) -> None:
         self.driver.give_back_to(self.order[lender], number, key)
 
-    def given_back(self, by: str, number: int, key: str) -> None:
+    def loan_returned(self, by: str, number: int, key: str) -> None:
         if by in self.number_of:
             pool = self._pool(key)
-            (pool.loans if pool is not None else self.loans).given_back(self.number_of[by], number, key)
+            (pool.loans if pool is not None else self.loans).loan_returned(self.number_of[by], number, key)
 
     def now(self) -> int:
         return self.driver.now()
 
-    def asked(self, by: str, life: int, number: int, keys: list[str]) -> None:
+    def loan_requested(self, by: str, life: int, number: int, keys: list[str]) -> None:
         """Handles a request for rights; all keys of one request belong to one budget."""
         if by not in self.number_of or not keys:
             return
         pool = self._pool(keys[0])
         if pool is not None:
-            pool.loans.asked(self.number_of[by], number, [key for key in keys if self._pool(key) is pool], life)
-            pool.write([key for key in keys if key in pool.told])
+            pool.loans.loan_requested(self.number_of[by], number, [key for key in keys if self._pool(key) is pool], life)
+            pool.write([key for key in keys if key in pool.announced])
             return
-        self.loans.asked(self.number_of[by], number, keys)
+        self.loans.loan_requested(self.number_of[by], number, keys)
         # the rights are lent from this moment on, not from the next round
         self._update_rights(self.servers[key] for key in keys if key in self.servers)
 
@@ -228,10 +233,10 @@
             return
         pool = self._pool(rights[0][0])
         if pool is not None:
-            pool.loans.lends(self.number_of[by], number, rights)
-            pool.write([key for key, _ in rights if key in pool.told])
+            pool.loans.loan_received(self.number_of[by], number, rights)
+            pool.write([key for key, _ in rights if key in pool.announced])
             return
-        self.loans.lends(self.number_of[by], number, rights)
+        self.loans.loan_received(self.number_of[by], number, rights)
         self._update_rights(self.servers[key] for key, _ in rights if key in self.servers)
 
     # ---- counts
@@ -252,7 +257,7 @@
         by_adder: dict[str, list[tuple[str, float]]] = {}
         candidates = [*peers, self.name]
         for key, value in counts.rows_due():
-            by_adder.setdefault(picked(key, candidates), []).append((key, value))
+            by_adder.setdefault(pick_by_rendezvous(key, candidates), []).append((key, value))
         for adder, rows in by_adder.items():
             for offset in range(0, len(rows), MAX_USE_ROWS):
                 batch = rows[offset : offset + MAX_USE_ROWS]
@@ -266,27 +271,27 @@
                         now,
                     )
                 else:
-                    self.driver.tell_use(adder, batch)
+                    self.driver.send_use(adder, batch)
 
-    def use_told(self, by: str, life: int, number: int, rows: list[tuple[str, float]]) -> None:
+    def receive_use(self, by: str, life: int, number: int, rows: list[tuple[str, float]]) -> None:
         """A peer reported its own use; it is answered with the use by all others."""
         now = self._now()
         self.counts.use_received(by, life, number, rows, now)
-        self.driver.tell_sums(by, self.counts.sums(by, [key for key, _ in rows], now))
+        self.driver.send_sums(by, self.counts.sums(by, [key for key, _ in rows], now))
 
-    def sums_told(self, by: str, life: int, number: int, rows: list[tuple[str, float, int, float, int]]) -> None:
+    def receive_sums(self, by: str, life: int, number: int, rows: list[tuple[str, float, int, float, int]]) -> None:
         self.counts.sums_received(by, life, number, rows, self._now())
 
-    def found_for_all(self, server: Server, use: float) -> None:
+    def link_probed_for_all(self, server: Server, use: float) -> None:
         """This front probes the server for all fronts and learned the use of its link; the report goes out with the sums."""
         names = [name for name in self.driver.members() if name in self.number_of]
-        adder = picked(server.name, [*{*names, self.name}])
+        adder = pick_by_rendezvous(server.name, [*{*names, self.name}])
         if adder == self.name:
             self.counts.link_use_reported(server.name, use, self._now())
         else:
-            self.driver.tell_report(adder, [(server.name, use)])
+            self.driver.send_link_report(adder, [(server.name, use)])
 
-    def report_told(self, by: str, rows: list[tuple[str, float]]) -> None:
+    def receive_link_report(self, by: str, rows: list[tuple[str, float]]) -> None:
         now = self._now()
         for key, use in rows:
             self.counts.link_use_reported(key, use, now)
@@ -326,7 +331,7 @@
             bad += (good[start:] + good[:start])[: MAX_ROWS - len(bad)]
         if bad and peers:
             for name in self.rng.sample(peers, min(EVIDENCE_FANOUT, len(peers))):
-                self.driver.tell_seen(name, bad)
+                self.driver.send_observations(name, bad)
 
     def _own_observation_rows(self, now: int) -> list[tuple[str, float, float, int]]:
         """This front's own observations; the start time in the server list is not included, as every front reads it there."""
@@ -336,8 +341,8 @@
             if own.good + own.bad > 0.2
         ]
 
-    def seen_told(self, by: str, life: int, number: int, rows: list[tuple[str, float, float, int]]) -> None:
-        self.learned_of.add(by)
+    def receive_observations(self, by: str, life: int, number: int, rows: list[tuple[str, float, float, int]]) -> None:
+        self.answered_peers.add(by)
         self.evidence.observations_received(by, life, number, rows, self._now())
 
     def _apply_evidence(self, servers: dict[str, Server], now: int) -> None:
@@ -360,7 +365,7 @@
             if server.unproven_until > reading and self.evidence.warm(server.name, self.warm_within, self.started_at, now):
                 self.driver.seen_warm(server)
 
-    def clock_told(self, by: str, life: int, reading: int) -> None:
+    def receive_clock(self, by: str, life: int, reading: int) -> None:
         self.clocks.add_reading(by, life, reading, self.driver.now())
 
     # ---- learning from peers at start
@@ -369,19 +374,19 @@
         """Asks some peers for all their observations, as a front that starts does before it accepts viewers."""
         peers = [name for name in self.driver.members() if name in self.number_of and name != self.name]
         for name in self.rng.sample(peers, min(LEARN_FANOUT, len(peers))):
-            if name not in self.learning_of:
-                self.learning_of.add(name)
-                self.driver.ask_what_is_known(name)
+            if name not in self.asked_peers:
+                self.asked_peers.add(name)
+                self.driver.request_observations(name)
 
     def learned(self) -> bool:
         """Whether all peers that were asked have answered."""
-        return bool(self.learning_of) and self.learning_of <= self.learned_of
+        return bool(self.asked_peers) and self.asked_peers <= self.answered_peers
 
-    def known_asked(self, by: str) -> None:
+    def send_known_observations(self, by: str) -> None:
         rows = sorted(self._own_observation_rows(self._now()), key=lambda row: row[2] < 0.5)[:MAX_LEARNED_ROWS]
         for offset in range(0, max(1, len(rows)), MAX_ROWS):
             # a front without observations answers with an empty message
-            self.driver.tell_seen(by, rows[offset : offset + MAX_ROWS])
+            self.driver.send_observations(by, rows[offset : offset + MAX_ROWS])
 
     def snapshot(self) -> dict:
         """State worth keeping over a restart, as plain data with ages (ns). Rights are left out: they belong to one life."""
@@ -390,7 +395,7 @@
             "counts": [[key, value, now - at] for key, (value, at) in self.counts.others.items()],
             "seen": [
                 [server, front, observation.life, observation.number, observation.good, observation.bad, now - observation.at]
-                for server, observations in self.evidence.words.items()
+                for server, observations in self.evidence.observations.items()
                 for front, observation in observations.items()
             ],
         }
--- a/curlewshift/sharing/terms.py
+++ b/curlewshift/sharing/terms.py
@@ -18,7 +18,7 @@
     drift: float
     window: int
     every: int
-    most_asks: int = 1
+    max_requests: int = 1
     # a count of this age still has its full weight, one of four times this age none
     ages: int = 2 * SECOND
 
--- a/curlewshift/signalling/events.py
+++ b/curlewshift/signalling/events.py
@@ -10,7 +10,7 @@
 MOST_BYTES = 16 * 1024 * 1024
 
 
-class TooLong(Exception):
+class EventTooLong(Exception):
     """An event that does not end."""
 
 
@@ -29,7 +29,7 @@
     return ("\n".join(lines) + "\n\n").encode()
 
 
-class Reader:
+class EventReader:
     """Bytes in, events out. `last_id` is what a resumed stream sends as `Last-Event-ID`."""
 
     def __init__(self):
@@ -53,7 +53,7 @@
             if event is not None:
                 events.append(event)
         if self.held > MOST_BYTES:
-            raise TooLong(f"an event of over {MOST_BYTES} bytes")
+            raise EventTooLong(f"an event of over {MOST_BYTES} bytes")
         return events
 
     def _event(self) -> Event | None:
--- a/curlewshift/site/changes.py
+++ b/curlewshift/site/changes.py
@@ -18,7 +18,7 @@
 Refusals = list[tuple[int, str]]
 # Fields of Site that a front takes, perhaps by conditions below. The machines are the list's to tell; a front does not use them.
 TAKEN = ("packages", "uplinks", "titles", "obligations", "most_waiting", "ice_servers", "limits", "machines")
-OF_PACKAGES = ("value", "join_target", "patience", "floor", "top", "seats")
+IN_SERVICE_PACKAGE_FIELDS = ("value", "join_target", "patience", "floor", "top", "seats")
 OF_OBLIGATIONS = ("way_back", "longest_wait", "most_tune_ins", "free_further", "further_share", "look_back", "grace")
 # What all members have to have alike, or sums and majorities are no sums and majorities: one after another is not enough.
 ALIKE = ("name", "front_addresses", "peers", "sharing", "together", "leases", "control", "configuration")
@@ -46,7 +46,7 @@
     """There is nothing wrong with the file but that it cannot be in force before a restart."""
 
 
-def refusals(running: Site, new: Site, root) -> Refusals:
+def restart_required_changes(running: Site, new: Site, root) -> Refusals:
     """What of `new` cannot be in force before a restart; `root` is its file's root element, for the lines."""
     wrong: Refusals = []
     for field in fields(Site):
@@ -75,7 +75,7 @@
     return sorted(set(wrong))
 
 
-def unalike(running: Site, new: Site, root) -> Refusals:
+def full_stop_changes(running: Site, new: Site, root) -> Refusals:
     """Of the same, what cannot be in force even by one restart after another: all have to be stopped."""
     wrong = {
         (_line(root, PLACES[name]), f"{PLACES[name].rpartition('/')[2].replace('.', 'site')}: needs all members stopped at once")
@@ -107,7 +107,7 @@
             said = name.replace("_", "-").replace("rates", "the ladder or scale")
             if was == now:
                 continue
-            if name not in OF_PACKAGES:
+            if name not in IN_SERVICE_PACKAGE_FIELDS:
                 yield line, f"package {before.name}: {said} needs a restart"
             elif name == "floor" and now > was:
                 # who waits now may have said that it takes no more than what would then be too little
--- a/curlewshift/site/places.py
+++ b/curlewshift/site/places.py
@@ -6,7 +6,7 @@
 from curlewshift.site.site import Site
 
 
-def places_of(site: Site) -> dict[str, tuple[str, str]]:
+def locations_of(site: Site) -> dict[str, tuple[str, str]]:
     """Region and zone of each front and control machine."""
     machines = site.control.machines if site.control is not None else []
     return {one.name: (one.region, one.zone) for one in (*site.front_addresses, *machines)}
--- a/curlewshift/site/reading.py
+++ b/curlewshift/site/reading.py
@@ -34,18 +34,18 @@
 class SiteErrors(Exception):
     """All that is wrong with a file: (line, what) pairs, in the order of the file."""
 
-    def __init__(self, path: Path | str, found: list[tuple[int, str]]):
-        self.path, self.found = path, sorted(set(found))
-        super().__init__("\n".join(f"{path}:{line}: {wrong}" for line, wrong in self.found))
+    def __init__(self, path: Path | str, errors: list[tuple[int, str]]):
+        self.path, self.errors = path, sorted(set(errors))
+        super().__init__("\n".join(f"{path}:{line}: {wrong}" for line, wrong in self.errors))
 
 
-def span(text: str) -> int:
+def parse_duration(text: str) -> int:
     """Nanoseconds."""
     number, unit = re.fullmatch(r"([0-9.]+)([a-z]+)", text).groups()
     return round(float(number) * SPANS[unit])
 
 
-def rate(text: str) -> float:
+def parse_rate(text: str) -> float:
     """kB a second."""
     number, unit = re.fullmatch(r"([0-9.]+)(.+)", text).groups()
     return float(number) * RATES[unit]
--- a/curlewshift/site/site.py
+++ b/curlewshift/site/site.py
@@ -12,7 +12,7 @@
 from curlewshift.model import Package, Terms
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
-from curlewshift.site.reading import SiteErrors, rate, read_xml, span
+from curlewshift.site.reading import SiteErrors, parse_duration, parse_rate, read_xml
 
 SECOND = 1_000_000_000
 # Titles times packages whose seats fronts have together: each is a fact for every front, looked at each round.
@@ -141,7 +141,7 @@
     # None: the settings are those of the file until the process ends
     configuration: Distributed | None = None
 
-    def door(self, name: str) -> int:
+    def front_index(self, name: str) -> int:
         """The number of the front of that name. Raises `KeyError`."""
         for number, door in enumerate(self.front_addresses):
             if door.name == name:
@@ -198,7 +198,7 @@
 def site_of(path: Path | str, root) -> Site:
     """From the root element of a file that fits the schema; what it names lies beside `path`. Raises `SiteErrors`."""
     wrong: list[tuple[int, str]] = []
-    ladder = [rate(rung.get("rate")) for rung in root.iterfind("ladder/rung")]
+    ladder = [parse_rate(rung.get("rate")) for rung in root.iterfind("ladder/rung")]
     for rung, lower, higher in zip(root.findall("ladder/rung")[1:], ladder, ladder[1:]):
         if higher <= lower:
             wrong.append((rung.sourceline, f"rung: rates have to rise, {higher:g} kB/s follows {lower:g} kB/s"))
@@ -209,7 +209,7 @@
             *host_port(element.get("listen")),
             rack.get("name"),
             rack.get("zone", ""),
-            rate(element.get("link")),
+            parse_rate(element.get("link")),
             int(element.get("streams")),
             int(element.get("cores", "2")),
         )
@@ -263,7 +263,7 @@
         machines=machines,
         titles=titles,
         obligations=obligations,
-        uplinks={rack.get("name"): rate(rack.get("uplink")) for rack in root.iterfind("racks/rack")},
+        uplinks={rack.get("name"): parse_rate(rack.get("uplink")) for rack in root.iterfind("racks/rack")},
         most_waiting=int(fronts.get("most-waiting", "2000")),
         most_connections=int(fronts.get("most-connections-to-a-server", "64")),
         published=frozenset(
@@ -329,7 +329,7 @@
         wrong.append((line, "configuration: there are no peers to have versions from"))
     if control is None:
         wrong.append((line, "configuration: there is no <control> with the machines that make and keep versions"))
-    give, within = int(rate(element.get("give-bytes", "1.5kB/s")) * 1000), span(element.get("start-within", "3s"))
+    give, within = int(parse_rate(element.get("give-bytes", "1.5kB/s")) * 1000), parse_duration(element.get("start-within", "3s"))
     if give < 1000:
         wrong.append((line, "configuration: give-bytes under 1kB/s takes minutes for one file"))
     if within > 60 * SECOND:
@@ -352,11 +352,11 @@
             wrong.append((line, f"peers: there is no front {name!r} to be a seed"))
     if not seeds:
         wrong.append((line, "peers: one seed at least is needed"))
-    period = span(element.get("period", "1s"))
+    period = parse_duration(element.get("period", "1s"))
     if not SHORTEST_PERIOD <= period <= LONGEST_PERIOD:
         wrong.append((line, "peers: period should be from 100ms to 1min"))
     more = {
-        name: span(element.get(said))
+        name: parse_duration(element.get(said))
         for name, said in (("answer_within", "answer-within"), ("forget_after", "forget-after"))
         if element.get(said)
     }
@@ -364,12 +364,12 @@
         wrong.append((line, "peers: answer-within is half a period at most, as others are asked in the other half"))
     if more.get("forget_after", 20 * period) < 20 * period:
         wrong.append((line, "peers: forget-after is shorter than 20 periods, and news of who is gone goes round so long"))
-    most_bytes = int(rate(element.get("most-bytes", "128kB/s")) * 1000)
+    most_bytes = int(parse_rate(element.get("most-bytes", "128kB/s")) * 1000)
     if most_bytes < 4000:
         wrong.append((line, "peers: most-bytes under 4kB/s leaves no room for news"))
     return Peers(
         [at[name] for name in seeds if at.get(name)],
-        default_membership_terms(period, most_members=int(element.get("most-members", "4096")), **more),
+        default_membership_terms(period, max_members=int(element.get("most-members", "4096")), **more),
         most_bytes,
     )
 
@@ -388,7 +388,7 @@
     line = element.sourceline
     if fronts.find("peers") is None:
         wrong.append((line, "sharing: there are no peers to share with"))
-    term, every = span(element.get("term", "1500ms")), span(element.get("every", "250ms"))
+    term, every = parse_duration(element.get("term", "1500ms")), parse_duration(element.get("every", "250ms"))
     drift = float(element.get("drift", "0.01"))
     _rounds("sharing", every, drift, line, wrong)
     if term < 2 * every:
@@ -416,7 +416,7 @@
         wrong.append((line, "sharing: no package has seats to have together"))
     if "seats" in named and len(seats) * len(titles) > MOST_SEATED:
         wrong.append((line, f"sharing: seats of {MOST_SEATED} titles and packages at most are had together"))
-    term, lingers = span(element.get("seat-term", "6s")), span(element.get("seats-linger", "10s"))
+    term, lingers = parse_duration(element.get("seat-term", "6s")), parse_duration(element.get("seats-linger", "10s"))
     if term < 8 * sharing.every:
         wrong.append((line, "sharing: a seat-term under eight rounds leaves no time to renew"))
     return SharedBudgets(
@@ -446,14 +446,21 @@
     shards = int(element.get("shards", "8"))
     if shards > 64:
         wrong.append((line, "leases: 64 shards at most"))
-    tasks, after = tuple(dict.fromkeys(element.get("tasks", "probe").split())), span(element.get("orphans-after", "15s"))
+    tasks, after = (
+        tuple(dict.fromkeys(element.get("tasks", "probe").split())),
+        parse_duration(element.get("orphans-after", "15s")),
+    )
     if after < terms.term:
         wrong.append((line, "leases: orphans-after is shorter than a term, and a front that is only stopped comes back by then"))
-    return Leases(keepers, terms, shards, span(element.get("probe-each", "1s")), tasks, after)
+    return Leases(keepers, terms, shards, parse_duration(element.get("probe-each", "1s")), tasks, after)
 
 
 def _lease_terms(what: str, element, wrong: list[tuple[int, str]]) -> LeaseTerms:
-    line, term, every = element.sourceline, span(element.get("term", "4s")), span(element.get("every", "250ms"))
+    line, term, every = (
+        element.sourceline,
+        parse_duration(element.get("term", "4s")),
+        parse_duration(element.get("every", "250ms")),
+    )
     drift = float(element.get("drift", "0.01"))
     _rounds(what, every, drift, line, wrong)
     if term < 8 * every:
@@ -467,7 +474,7 @@
     element = fronts.find("overload")
     if element is None:
         return None
-    line, every = element.sourceline, span(element.get("every", "1s"))
+    line, every = element.sourceline, parse_duration(element.get("every", "1s"))
     floor, share = float(element.get("floor", "0.05")), float(element.get("again-share", "0.2"))
     if not SHORTEST_PERIOD <= every <= 5 * SECOND:
         wrong.append((line, "overload: every should be from 100ms to 5s"))
@@ -508,7 +515,7 @@
         pace("from-holder"),
         pace("from-build"),
         pace("for-package"),
-        span(element.get("burst", "5s")) / SECOND,
+        parse_duration(element.get("burst", "5s")) / SECOND,
         obligations.longest_wait,
         # two tune-ins have to fit into what is left
         min(package.join_target for package in packages) // 4,
@@ -529,7 +536,7 @@
         wrong.append((line, f"package {name}: top is rung {top}, the ladder ends with rung {highest}"))
     if floor > min(top, highest):
         wrong.append((line, f"package {name}: floor is rung {floor}, above its top {min(top, highest)}"))
-    target, patience = span(element.get("join-target")), span(element.get("patience"))
+    target, patience = parse_duration(element.get("join-target")), parse_duration(element.get("patience"))
     if patience < target:
         wrong.append((line, f"package {name}: patience is shorter than the join target"))
     scale = float(element.get("scale", "1"))
@@ -550,19 +557,19 @@
     answers, drains, cold, news = (element.find(name) for name in ("answers", "drains", "cold-servers", "news"))
     further = element.find("further-tune-ins")
     obligations = Obligations(
-        way_back=span(answers.get("way-back")),
-        longest_wait=span(answers.get("longest-wait")),
+        way_back=parse_duration(answers.get("way-back")),
+        longest_wait=parse_duration(answers.get("longest-wait")),
         most_tune_ins=int(answers.get("most-tune-ins")),
-        grace=span(drains.get("grace")),
-        warm_within=span(cold.get("warm-within")),
+        grace=parse_duration(drains.get("grace")),
+        warm_within=parse_duration(cold.get("warm-within")),
         start_capacity=float(cold.get("start-capacity")),
         fall_multiple=float(cold.get("fall-multiple")),
-        fall_within=span(cold.get("fall-within")),
+        fall_within=parse_duration(cold.get("fall-within")),
         free_further=int(further.get("free")) if further is not None else None,
         further_share=float(further.get("share")) if further is not None else 0.0,
-        look_back=span(further.get("within")) if further is not None else 0,
-        told_late=span(news.get("told-late")),
-        told_every=span(news.get("told-every")),
+        look_back=parse_duration(further.get("within")) if further is not None else 0,
+        told_late=parse_duration(news.get("told-late")),
+        told_every=parse_duration(news.get("told-every")),
         probes=news.get("probes") in ("true", "1"),
         uplinks=news.get("uplinks") in ("true", "1"),
     )
--- a/curlewshift/standins/script.py
+++ b/curlewshift/standins/script.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from curlewshift.site.reading import SiteErrors, read_xml, span
+from curlewshift.site.reading import SiteErrors, parse_duration, read_xml
 from curlewshift.site.site import Site, read_site
 
 SCHEMA = Path(__file__).with_name("script.xsd")
@@ -162,12 +162,14 @@
             )
         planned_viewings.append(
             PlannedViewing(
-                planned_viewing.get("package"), float(planned_viewing.get("share")), span(planned_viewing.get("watches")) / NS
+                planned_viewing.get("package"),
+                float(planned_viewing.get("share")),
+                parse_duration(planned_viewing.get("watches")) / NS,
             )
         )
     if sum(planned_viewing.share for planned_viewing in planned_viewings) <= 0:
         wrong.append((viewers.sourceline, "viewers: the shares of what is wanted come to nothing"))
-    lasts = span(root.get("lasts"))
+    lasts = parse_duration(root.get("lasts"))
     if lasts > LONGEST_DAY:
         wrong.append((root.sourceline, f"rehearsal: a day lasts {LONGEST_DAY // NS} s at most"))
     each_second = float(viewers.get("each-second"))
@@ -175,8 +177,8 @@
         wrong.append((viewers.sourceline, f"viewers: {MOST_EACH_SECOND:g} come each second at most"))
     troubles = []
     for element in root.iterfind("trouble"):
-        trouble = usual(element.get("kind"), span(element.get("at")) / NS)
-        trouble.lasts = span(element.get("lasts")) / NS if element.get("lasts") else trouble.lasts
+        trouble = usual(element.get("kind"), parse_duration(element.get("at")) / NS)
+        trouble.lasts = parse_duration(element.get("lasts")) / NS if element.get("lasts") else trouble.lasts
         trouble.part = float(element.get("part", trouble.part))
         trouble.size = float(element.get("size", trouble.size))
         if trouble.at * NS >= lasts:
@@ -205,8 +207,8 @@
             Announced(
                 element.get("name"),
                 element.get("package"),
-                span(element.get("at")) / NS,
-                span(element.get("lasts")) / NS,
+                parse_duration(element.get("at")) / NS,
+                parse_duration(element.get("lasts")) / NS,
                 float(element.get("rate")),
                 float(element.get("most", "0.5")),
             )
--- a/curlewshift/standins/server.py
+++ b/curlewshift/standins/server.py
@@ -322,7 +322,7 @@
                 closed = True
                 self.traffic.seen("setup-over", how=how, **facts)
 
-        exchange.on_hang_up(lambda: over("gone"))
+        exchange.on_disconnect(lambda: over("gone"))
         try:
             await self._set_up(exchange, way, package, title, layer, facts, over)
         finally:
@@ -413,7 +413,7 @@
             exchange.abort()
             raise PeerDisconnected
         gone = anyio.Event()
-        exchange.on_hang_up(gone.set)
+        exchange.on_disconnect(gone.set)
         await gone.wait()
         raise PeerDisconnected
 
@@ -572,7 +572,7 @@
         listener.open = True
         piece = await exchange.start(200, [("content-type", CONTENT_TYPE)])
         self.traffic.seen("notes-open", server=self.name, boot=self.boot, front=front)
-        exchange.on_hang_up(listener.news.set)
+        exchange.on_disconnect(listener.news.set)
         try:
             await piece(_event("hello", Note(boot=self.boot)))
             await self._note_loop(exchange, listener, piece)
@@ -598,7 +598,7 @@
                     _, link, uplink, _ = self._then()
                     await piece(_event("load", Note(link=link, uplink=uplink if self.obligations.uplinks else None)))
             listener.news = anyio.Event()
-            exchange.on_hang_up(listener.news.set)
+            exchange.on_disconnect(listener.news.set)
             with anyio.move_on_after(max(0.01, min(next_short, next_load) - time.monotonic())):
                 await listener.news.wait()
 
--- a/curlewshift/standins/viewers.py
+++ b/curlewshift/standins/viewers.py
@@ -163,12 +163,12 @@
         except ConnectionBroken as wrong:
             self.traffic.seen("broke", cause=str(wrong), **facts)
         except anyio.get_cancelled_exc_class():
-            if hangs_up and call is not None and call.written:
+            if hangs_up and call is not None and call.request_started:
                 self.traffic.seen("hung-up", **facts)
             raise
         finally:
             if call is not None:
-                call.say_no_more()
+                call.shut_down_sending()
                 self.traffic.seen(
                     "left",
                     how="shut-down" if lingers else "closed",
@@ -184,7 +184,7 @@
     async def _listen_on(self, call: HttpClientConnection, facts: dict) -> None:
         with anyio.move_on_after(LISTENS_ON):
             for _ in range(MOST_HEARD):
-                data = await call.more()
+                data = await call.read_more()
                 if not data:
                     return
                 if data.startswith(b"HTTP/1.1 "):
--- a/curlewshift/tasks/listing.py
+++ b/curlewshift/tasks/listing.py
@@ -25,10 +25,10 @@
     def list_held(self) -> tuple[str, int]:
         """Epoch and generation of the list as this front has it."""
 
-    def tell_list(self, number: int, epoch: str, generation: int, news: object | None) -> None:
+    def announce_list(self, number: int, epoch: str, generation: int, news: object | None) -> None:
         """Announces this generation to all other fronts, with the updates that lead to it if they fit into a message."""
 
-    def take_news(self, news: object) -> None: ...
+    def apply_updates(self, news: object) -> None: ...
     def read_list(self, itself: bool) -> None:
         """Sets whether this front reads the list itself from now on."""
 
@@ -54,7 +54,7 @@
         now = self.driver.now()
         if now >= self.due:
             self.due = now + ANNOUNCE_INTERVAL_NS
-            self.driver.tell_list(number, *self.driver.list_held(), None)
+            self.driver.announce_list(number, *self.driver.list_held(), None)
 
     def stop(self, shard: int) -> None:
         self.number = 0
@@ -62,16 +62,16 @@
     def read(self, epoch: str, generation: int, news: object) -> None:
         """This front has read updates of the list itself."""
         if self.number:
-            self.driver.tell_list(self.number, epoch, generation, news)
+            self.driver.announce_list(self.number, epoch, generation, news)
 
     # ---- as any other front
 
-    def told(self, number: int, epoch: str, generation: int, news: object | None) -> None:
+    def receive_announcement(self, number: int, epoch: str, generation: int, news: object | None) -> None:
         if self.number or not self.fences.passes(LEASE, number):
             return
         self.heard_at = self.driver.now()
         if news is not None:
-            self.driver.take_news(news)
+            self.driver.apply_updates(news)
         # whether this front is behind, ahead or at another epoch of the list, reading it settles the difference
         self._read_itself(self.driver.list_held() != (epoch, generation))
 
--- a/curlewshift/tasks/planning.py
+++ b/curlewshift/tasks/planning.py
@@ -27,8 +27,8 @@
     def request_rates(self) -> dict[str, float]:
         """Requests a second at this front, by package with a peak on the calendar."""
 
-    def tell_asked(self, to: str, asked: dict[str, float]) -> None: ...
-    def tell_plan(self, number: int, package: str, parts: dict[str, float]) -> None: ...
+    def send_demand(self, to: str, asked: dict[str, float]) -> None: ...
+    def send_plan(self, number: int, package: str, parts: dict[str, float]) -> None: ...
     def planned(self, package: str, part: float, until: int) -> None: ...
 
 
@@ -58,24 +58,24 @@
             parts = shares_by_demand(
                 self.driver.front_names(), {name: asked.get(package, 0.0) for name, (_, asked) in self.demand.items()}
             )
-            self.driver.tell_plan(number, package, parts)
-            self.plan_told(number, package, parts)
+            self.driver.send_plan(number, package, parts)
+            self.receive_plan(number, package, parts)
 
     def stop(self, shard: int) -> None:
         pass
 
-    def asked_told(self, by: str, asked: dict[str, float]) -> None:
+    def receive_demand(self, by: str, asked: dict[str, float]) -> None:
         self.demand[by] = self.driver.now(), asked
 
     # ---- as any front
 
-    def tell(self, planner: str) -> None:
+    def report_demand(self, planner: str) -> None:
         """Called each second: reports this front's demand to the front that plans."""
         asked = self.driver.request_rates()
         if asked and planner != self.local_name:
-            self.driver.tell_asked(planner, asked)
+            self.driver.send_demand(planner, asked)
 
-    def plan_told(self, number: int, package: str, parts: dict[str, float]) -> None:
+    def receive_plan(self, number: int, package: str, parts: dict[str, float]) -> None:
         if self.local_name in parts and self.fences.passes(LEASE, number):
             self.driver.planned(package, parts[self.local_name], self.driver.now() + PLAN_TTL_NS)
 
--- a/curlewshift/tasks/tasks.py
+++ b/curlewshift/tasks/tasks.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from curlewshift.leases.proposer import LeaseProposer
-from curlewshift.sharing.counts import picked
+from curlewshift.sharing.counts import pick_by_rendezvous
 
 
 class Task(Protocol):
@@ -41,9 +41,9 @@
         for task in self.tasks.values():
             for shard in range(task.shards):
                 lease = f"{task.name}/{shard}"
-                if picked(lease, names) == self.local_name and lease not in self.released_until:
+                if pick_by_rendezvous(lease, names) == self.local_name and lease not in self.released_until:
                     self.proposer.want(lease)
-                elif lease in self.proposer.tries:
+                elif lease in self.proposer.views:
                     self.proposer.leave(lease)
         self.proposer.time()
         for task in self.tasks.values():
@@ -60,7 +60,7 @@
 
     def drain(self) -> None:
         """Releases all leases before this front stops: the others need not wait for the terms."""
-        for lease in list(self.proposer.tries):
+        for lease in list(self.proposer.views):
             self.proposer.leave(lease)
 
     def begins(self, lease: str, number: int) -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -181,7 +181,7 @@
 
     @async_test
     async def test_no_attempt_begins_for_who_closed_or_shut_down_while_its_connection_was_being_made(self):
-        for leaves in (lambda call: call.cut(), lambda call: call.say_no_more()):
+        for leaves in (lambda call: call.break_connection(), lambda call: call.shut_down_sending()):
             for package in ("clip", "paid"):
                 told, standing = await self.begun(self.dials, package, leaves)
                 self.assertEqual((told["left"], told["attempts"], standing), (1, 0, 0))
@@ -189,12 +189,12 @@
     @async_test
     async def test_nor_while_its_intent_was_being_written(self):
         with tempfile.TemporaryDirectory() as folder:
-            told, standing = await self.begun(self.disk, "paid", lambda call: call.say_no_more(), state=Path(folder))
+            told, standing = await self.begun(self.disk, "paid", lambda call: call.shut_down_sending(), state=Path(folder))
         self.assertEqual((told["left"], told["attempts"], standing), (1, 0, 0))
 
     @async_test
     async def test_a_front_that_does_not_hear_of_it_is_caught(self):
-        told, _ = await self.begun(self.dials, "clip", lambda call: call.say_no_more(), session_core=DeafSessionCore)
+        told, _ = await self.begun(self.dials, "clip", lambda call: call.shut_down_sending(), session_core=DeafSessionCore)
         self.assertEqual((told["late"], told["clean"]), (1, False), told)
         self.assertGreater(told["latest_ms"], 140)
 
@@ -212,7 +212,7 @@
                     tasks.start_soon(self.asks, call, "clip")
                     await until(lambda: site.front.server_pool.out)
                     await anyio.sleep(0.1)
-                    call.say_no_more()
+                    call.shut_down_sending()
                     site.traffic.seen("left", request="q", front="f", how="shut-down", answered=False)
                     await anyio.sleep(0.1)
                     server.accept_again()
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -13,7 +13,7 @@
 import zstandard
 
 from curlewshift.control.machine import Machine
-from curlewshift.distribution.copy import ENCODER, Kept
+from curlewshift.distribution.copy import ENCODER, StoredCopy
 from curlewshift.distribution.versions import Version, digest_of
 from curlewshift.fault_injection.configuring import marked
 from curlewshift.fault_injection.processes import free_ports
@@ -25,11 +25,11 @@
 from curlewshift.front.planted_configuration_faults import HalfSwap, spoilt_begin
 from curlewshift.peering.frames import Frame, encode
 from curlewshift.session_core.server_list import ServerEntry
-from curlewshift.site.changes import refusals
+from curlewshift.site.changes import restart_required_changes
 from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.site.site import SCHEMA, read_site, site_of
 from curlewshift.standins.script import read_script
-from curlewshift.state.configured import RecordFile
+from curlewshift.state.record_file import RecordFile
 from curlewshift.verdict.configuration import judge_configuration
 from tests.sockets import async_test, until
 
@@ -131,7 +131,7 @@
     def refused(self, *changes, before=FLEET_SITE):
         self.path.write_text(before)
         root = read_xml(self.path, SCHEMA, self.site(*changes, text=before))
-        return refusals(read_site(self.path), site_of(self.path, root), root)
+        return restart_required_changes(read_site(self.path), site_of(self.path, root), root)
 
     def test_values_patience_limits_titles_and_obligations_can_change(self):
         self.assertEqual(
@@ -233,7 +233,7 @@
 def stored_copy(content, number=7, of=None):
     """The stored record of this content; with `of`, under the digest of that other content."""
     return ENCODER.encode(
-        Kept(1, tuple(Version(number, 1, digest_of(of or content))), zstandard.ZstdCompressor().compress(content))
+        StoredCopy(1, tuple(Version(number, 1, digest_of(of or content))), zstandard.ZstdCompressor().compress(content))
     )
 
 
@@ -262,7 +262,7 @@
         )
 
     def take(self, *changes, version="7.1-abc", text=SMALL_SITE):
-        return self.configured.take_configuration(version, self.site(*changes, text=text))
+        return self.configured.apply_configuration(version, self.site(*changes, text=text))
 
     def state(self):
         session_core = self.front.session_core
@@ -386,7 +386,7 @@
         # the planted fault leaves a state that differs from both
         complete = self.state()
         self.configured.swap_class = HalfSwap
-        self.assertIsNone(self.configured.take_configuration("7.2-abc", SMALL_SITE.encode()))
+        self.assertIsNone(self.configured.apply_configuration("7.2-abc", SMALL_SITE.encode()))
         self.assertNotIn(self.state()[1:], (complete[1:], before[1:]))
 
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -7,14 +7,14 @@
 import anyio
 
 from curlewshift.distribution.copy import Copy
-from curlewshift.distribution.fetching import Fetch
-from curlewshift.distribution.giving import Giver
-from curlewshift.distribution.library import Library
+from curlewshift.distribution.fetching import Fetcher
+from curlewshift.distribution.giving import ContentProvider
+from curlewshift.distribution.library import ContentCache
 from curlewshift.distribution.pieces import (
     PIECE_BYTES,
     CorruptContent,
     packed_difference,
-    packed_whole,
+    packed_full,
     packing_id,
     piece_at,
     piece_count,
@@ -23,14 +23,14 @@
 from curlewshift.distribution.reports import Report, aggregator_of, summarize
 from curlewshift.distribution.store import Store
 from curlewshift.distribution.terms import DistributionTerms
-from curlewshift.distribution.versions import NONE, Ballot, Version, digest_of
+from curlewshift.distribution.versions import NO_VERSION, Ballot, Version, digest_of
 from curlewshift.emulator.peers import PeerFleet
 from curlewshift.emulator.version_figures import changes
 from curlewshift.emulator.version_histories import FAULTS, NS, VersionHistory, histories, planted
 from curlewshift.emulator.versions import VersionFleet, site_file
 from curlewshift.membership.terms import default_membership_terms
 from curlewshift.model_checker.version_checker import long_courses, walk_versions
-from curlewshift.peering.distributed import DistributionWire
+from curlewshift.peering.distributed import DistributionProtocol
 from curlewshift.peering.frames import ACK, PING, decode
 
 
@@ -75,11 +75,11 @@
 
 class VersionCreation(unittest.TestCase):
     def test_versions_are_ordered_by_fence_and_count_and_named_by_digest(self):
-        self.assertTrue(version(2, 1).over(version(1, 9)))
-        self.assertTrue(version(2, 2).over(version(2, 1)))
-        self.assertFalse(version(2, 1, b"a").over(version(2, 1, b"b")))
+        self.assertTrue(version(2, 1).newer_than(version(1, 9)))
+        self.assertTrue(version(2, 2).newer_than(version(2, 1)))
+        self.assertFalse(version(2, 1, b"a").newer_than(version(2, 1, b"b")))
         self.assertRegex(version(7, 3).text, r"^7\.3-[0-9a-f]{12}$")
-        self.assertEqual(NONE.text, "file")
+        self.assertEqual(NO_VERSION.text, "file")
 
     def test_change_comes_into_force_everywhere_and_the_next_builds_on_it(self):
         history = FaultFreeHistory()
@@ -163,7 +163,7 @@
 
     # ---- the store's driver
 
-    def keep_vote(self, data):
+    def store_vote(self, data):
         if self.full:
             raise OSError("no space")
         self.kept = data
@@ -186,7 +186,7 @@
     def founded_store(self):
         store = Store(self, self.kept, Random(1))
         if store.blank:
-            store.enter("w", Ballot(1, "w", 1), store.number, {"s": (1, 1, store.number)}, NONE, True)
+            store.enter("w", Ballot(1, "w", 1), store.number, {"s": (1, 1, store.number)}, NO_VERSION, True)
         self.sent.clear()
         return store
 
@@ -199,12 +199,12 @@
         store.prepare("v", Ballot(4, "v", 1))
         self.assertEqual([message[0] for message in self.sent], ["outbid"] * 3)
         store.take("v", Ballot(5, "v", 1), store.number, version(5))
-        self.assertEqual((self.sent[-1][0], store.taken), ("outbid", NONE))
+        self.assertEqual((self.sent[-1][0], store.taken), ("outbid", NO_VERSION))
 
     def test_takes_only_under_the_promised_ballot_and_never_an_older_version(self):
         store, ballot = self.founded_store(), Ballot(5, "w", 1)
         store.take("w", ballot, store.number, version(5))
-        self.assertEqual(store.taken, NONE, "no ballot is promised yet")
+        self.assertEqual(store.taken, NO_VERSION, "no ballot is promised yet")
         store.prepare("w", ballot)
         store.take("w", ballot, store.number, version(5, 2))
         store.take("w", ballot, store.number, version(5, 1, b"a"))
@@ -228,20 +228,20 @@
             store.prepare("w", Ballot(6, "w", 1))
             store.take("w", Ballot(6, "w", 1), store.number, version(6))
             stands = [message[2] for message in self.sent if message[0] == "stands"]
-            self.assertEqual([(stand.blank, stand.taken) for stand in stands], [(True, NONE)] * 2, kept)
+            self.assertEqual([(stand.blank, stand.taken) for stand in stands], [(True, NO_VERSION)] * 2, kept)
 
     def test_content_that_does_not_match_its_version_is_not_taken(self):
         store, ballot = self.founded_store(), Ballot(5, "w", 1)
         store.prepare("w", ballot)
         self.contents[digest_of(b"content")] = b"spoilt"
         store.take("w", ballot, store.number, version(5))
-        self.assertEqual(store.taken, NONE)
+        self.assertEqual(store.taken, NO_VERSION)
 
     def test_founding_is_refused_by_a_store_that_has_taken_a_version(self):
         store, ballot = self.founded_store(), Ballot(5, "w", 1)
         store.prepare("w", ballot)
         store.take("w", ballot, store.number, version(5))
-        store.enter("v", Ballot(6, "v", 1), store.number, {}, NONE, True)
+        store.enter("v", Ballot(6, "v", 1), store.number, {}, NO_VERSION, True)
         self.assertEqual((store.taken, store.promised), (version(5), ballot))
 
 
@@ -294,45 +294,47 @@
     def check_configuration(self, content):
         return "site.xml:3: wrong" if b"wrong" in content else None
 
-    def take_configuration(self, text, content):
+    def apply_configuration(self, text, content):
         self.taken.append((text, content))
 
-    def keep_configuration(self, data):
+    def store_configuration(self, data):
         if self.full:
             raise OSError("no space")
         self.kept = data
 
     def __getattr__(self, name):
-        if name in ("write_failed", "copy_lost", "in_force", "refuses", "forked"):
+        if name in ("write_failed", "copy_unreadable", "in_force", "refuses", "forked"):
             return getattr(self.log, name)
         raise AttributeError(name)
 
     def copy(self, *contents):
         copy = Copy(self)
         for number, content in enumerate(contents, 1):
-            copy.heard(version(number, content=content))
-            copy.got(version(number, content=content), content)
+            copy.version_announced(version(number, content=content))
+            copy.content_received(version(number, content=content), content)
         return copy
 
     def test_never_goes_back_within_a_life_or_across_a_restart(self):
         copy = self.copy(b"one", b"two")
-        self.assertFalse(copy.heard(version(1, content=b"one")) or copy.got(version(1, content=b"one"), b"one"))
+        self.assertFalse(
+            copy.version_announced(version(1, content=b"one")) or copy.content_received(version(1, content=b"one"), b"one")
+        )
         again = Copy(self)
         self.assertTrue(again.start(self.kept))
         self.assertEqual((again.version.text, again.content), (copy.version.text, b"two"))
-        self.assertFalse(again.got(version(1, content=b"one"), b"one"))
+        self.assertFalse(again.content_received(version(1, content=b"one"), b"one"))
 
     def test_refusal_is_reported_and_the_last_good_version_stays_until_a_newer_one(self):
         copy = self.copy(b"one", b"wrong")
-        self.assertEqual((copy.content, copy.why_refused), (b"one", "site.xml:3: wrong"))
+        self.assertEqual((copy.content, copy.refusal_reason), (b"one", "site.xml:3: wrong"))
         self.log.refuses.assert_called_once()
-        copy.got(version(3, content=b"three"), b"three")
-        self.assertEqual((copy.content, copy.why_refused), (b"three", ""))
+        copy.content_received(version(3, content=b"three"), b"three")
+        self.assertEqual((copy.content, copy.refusal_reason), (b"three", ""))
 
     def test_content_that_does_not_match_its_digest_is_not_applied(self):
         copy = self.copy(b"one")
-        copy.heard(version(2, content=b"two"))
-        self.assertFalse(copy.got(version(2, content=b"two"), b"tw0"))
+        copy.version_announced(version(2, content=b"two"))
+        self.assertFalse(copy.content_received(version(2, content=b"two"), b"tw0"))
         self.assertEqual(copy.content, b"one")
 
     def test_corrupt_copy_on_disk_is_ignored(self):
@@ -341,7 +343,7 @@
         for kept in (b"", good[:-3], good[:12] + b"\xff" + good[13:], good.replace(good[8:20], bytes(12))):
             copy = Copy(self)
             self.assertFalse(copy.start(kept), kept)
-            self.assertEqual((copy.held, copy.content), (NONE, None))
+            self.assertEqual((copy.held, copy.content), (NO_VERSION, None))
 
     def test_full_disk_is_reported_and_the_newest_version_is_applied(self):
         self.full = True
@@ -350,7 +352,7 @@
 
     def test_two_contents_with_one_number_are_a_fork_and_neither_replaces_the_other(self):
         copy = self.copy(b"one")
-        self.assertFalse(copy.heard(version(1, content=b"other")))
+        self.assertFalse(copy.version_announced(version(1, content=b"other")))
         self.assertEqual((copy.forks, copy.content), (1, b"one"))
 
     def test_age_grows_with_the_clock_until_the_version_is_confirmed(self):
@@ -384,9 +386,9 @@
         self.turned_away.append((to, 0))
 
     def test_rate_limit_holds_and_further_requesters_are_told_when_to_retry(self):
-        library, terms = Library(), DistributionTerms(("c",))
+        library, terms = ContentCache(), DistributionTerms(("c",))
         library.hold(self.content)
-        provider = Giver(self, library, terms)
+        provider = ContentProvider(self, library, terms)
         for at in range(600):
             self.clock = at * NS // 10
             for requester in "abcd":
@@ -402,10 +404,10 @@
         one, two = site_file(60, 1), site_file(60, 2)
         difference = packed_difference(two, one)
         self.assertLess(len(difference), 200)
-        self.assertLess(len(difference), len(packed_whole(two)) // 5)
+        self.assertLess(len(difference), len(packed_full(two)) // 5)
         self.assertEqual(unpacked(difference, one), two)
-        self.assertEqual(unpacked(packed_whole(two), b""), two)
-        for corrupt in (b"", b"nothing", packed_whole(two)[:-5]):
+        self.assertEqual(unpacked(packed_full(two), b""), two)
+        for corrupt in (b"", b"nothing", packed_full(two)[:-5]):
             with self.assertRaises(CorruptContent):
                 unpacked(corrupt, b"")
 
@@ -418,8 +420,8 @@
         self.terms = DistributionTerms(("c",))
         self.content = Random(1).randbytes(3 * PIECE_BYTES - 100)
         self.version = version(1, content=self.content)
-        self.packed = packed_whole(self.content)
-        self.fetch = Fetch(self, Library(), self.terms, Random(1))
+        self.packed = packed_full(self.content)
+        self.fetch = Fetcher(self, ContentCache(), self.terms, Random(1))
 
     def now(self):
         return self.clock
@@ -470,7 +472,7 @@
     def test_pieces_of_another_content_are_dropped_and_another_provider_is_asked(self):
         self.fetch.request(self.version, lambda: ["a", "b"])
         corrupt_provider = self.requests[-1][0]
-        other = packed_whole(self.content[:-1] + b"!")
+        other = packed_full(self.content[:-1] + b"!")
         self.give(corrupt_provider, 0, 1, 2, packed=other)
         self.assertEqual((self.got, self.corrupt_providers), ([], [corrupt_provider]))
         self.assertNotEqual(self.requests[-1][0], corrupt_provider)
@@ -498,7 +500,7 @@
         heard = []
         if piggyback:
             for post in fleet.posts[:2]:
-                post.channel.rides(lambda: b"x" * 50, lambda sender, body: heard.append((sender.name, body)))
+                post.channel.register_piggyback(lambda: b"x" * 50, lambda sender, body: heard.append((sender.name, body)))
         fleet.run(4)
         return seen, heard
 
@@ -524,7 +526,7 @@
         self.assertEqual(wire.version, "file")
 
     def test_malformed_messages_are_counted_and_dropped(self):
-        wire: DistributionWire = VersionHistory(3, nodes=3, troubled=False).processes["n0"].wire
+        wire: DistributionProtocol = VersionHistory(3, nodes=3, troubled=False).processes["n0"].wire
         member, rng = wire.channel.members["n1"], Random(1)
         for _ in range(200):
             wire.handle_message(member, rng.randbytes(rng.randrange(60)))
@@ -559,9 +561,9 @@
 class StatusReports(unittest.TestCase):
     def test_zone_summary_names_lowest_late_and_refusing(self):
         reports = {
-            "a": Report(version(2), NONE, ""),
+            "a": Report(version(2), NO_VERSION, ""),
             "b": Report(version(1), version(2), "line 3"),
-            "c": Report(version(2), NONE, ""),
+            "c": Report(version(2), NO_VERSION, ""),
         }
         result = summarize("z", reports, 4)
         self.assertEqual(
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -47,7 +47,7 @@
 
     def test_acceptors_are_silent_after_start_until_earlier_leases_expire(self):
         history = UntroubledHistory()
-        history.run(int(TERMS.kept * 0.9))
+        history.run(int(TERMS.hold_time * 0.9))
         self.assertEqual(history.tenures, 0)
         history.until(lambda: history.holder() is not None, 4)
 
@@ -62,7 +62,7 @@
         holder.alive = False
         before = history.now
         history.until(lambda: history.holder() is not None, 10)
-        self.assertLess(history.now - before, TERMS.kept + TERMS.term // 2)
+        self.assertLess(history.now - before, TERMS.hold_time + TERMS.term // 2)
 
     def test_suspended_holder_finds_its_term_over_before_it_acts(self):
         history, holder = self.held()
@@ -77,11 +77,11 @@
         history = UntroubledHistory()
         sent, proposer = [], history.fronts[4].proposer
         history.say = lambda sender, to, part, what, arguments: sent.append((to, what, arguments))
-        proposer._ask("l0", proposer.tries["l0"], proposer._now())
-        ballot = proposer.tries["l0"].ballot
+        proposer._prepare("l0", proposer.views["l0"], proposer._now())
+        ballot = proposer.views["l0"].ballot
         for acceptor in (0, 1):
             proposer.promise(acceptor, "l0", ballot, -1, NONE, 0)
-        self.assertTrue(proposer.tries["l0"].proposing)
+        self.assertTrue(proposer.views["l0"].proposing)
         sent.clear()
         proposer.outbid(2, "l0", ballot, Ballot(99, 3, 1))
         self.assertEqual([(to, what) for to, what, _ in sent], [(acceptor, "released") for acceptor in range(3)])
@@ -216,19 +216,19 @@
 
     class GrantingProposer:
         def __init__(self):
-            self.tries, self.terms, self.clock, self.driver = {}, TERMS, 0, self
+            self.views, self.terms, self.clock, self.driver = {}, TERMS, 0, self
 
         def now(self):
             return self.clock
 
         def want(self, lease):
-            self.tries[lease] = 5
+            self.views[lease] = 5
 
         def leave(self, lease):
-            self.tries.pop(lease, None)
+            self.views.pop(lease, None)
 
         def may_act(self, lease):
-            return self.tries.get(lease, 0)
+            return self.views.get(lease, 0)
 
         def time(self):
             pass
@@ -250,9 +250,9 @@
 
     def test_each_shard_is_requested_by_one_front_and_few_move(self):
         names = [f"f{n}" for n in range(8)]
-        before = {name: set(self.front(name, names).proposer.tries) for name in names}
+        before = {name: set(self.front(name, names).proposer.views) for name in names}
         self.assertEqual(sorted(lease for held in before.values() for lease in held), sorted(f"probe/{n}" for n in range(16)))
-        after = {name: set(self.front(name, names[:-1]).proposer.tries) for name in names[:-1]}
+        after = {name: set(self.front(name, names[:-1]).proposer.views) for name in names[:-1]}
         for name in names[:-1]:
             self.assertTrue(before[name] <= after[name])
 
@@ -260,12 +260,12 @@
         tasks = self.front("f0", ["f0"])
         tasks.release("probe/3")
         tasks.time()
-        self.assertNotIn("probe/3", tasks.proposer.tries)
+        self.assertNotIn("probe/3", tasks.proposer.views)
         tasks.proposer.clock = 2 * TERMS.term + 1
         tasks.time()
-        self.assertIn("probe/3", tasks.proposer.tries)
+        self.assertIn("probe/3", tasks.proposer.views)
         tasks.drain()
-        self.assertEqual(tasks.proposer.tries, {})
+        self.assertEqual(tasks.proposer.views, {})
 
 
 class LeaseVerdict(unittest.TestCase):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -332,7 +332,7 @@
             for _ in range(count):
                 answered = await call.ask("POST", "/whep/clip/t", [SDP], an_offer())
                 statuses[answered.status] += 1
-                if not call.again():
+                if not call.prepare_next_request():
                     await call.close()
                     call = await connect("127.0.0.1", site.port, 2.0)
             await call.close()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -174,19 +174,19 @@
     def members(self):
         return [f"f{n}" for n in range(len(self.fleet.ends)) if n != self.number and self.reaches(n)]
 
-    def turned_off(self):
+    def connections_refused(self):
         return 0
 
-    def tell_round(self, to, zone, asks, begun, short):
+    def send_round(self, to, zone, asks, begun, short):
         self.messages_sent += 1
         if self.reaches(int(to[1:])):
-            self.fleet.ends[int(to[1:])].overload.round_told(
+            self.fleet.ends[int(to[1:])].overload.receive_round(
                 f"f{self.number}", self.life, self.messages_sent, zone, asks, begun, short
             )
 
-    def tell_level(self, to, zone, cut, why):
+    def send_level(self, to, zone, cut, why):
         if self.reaches(int(to[1:])):
-            self.fleet.ends[int(to[1:])].overload.level_told(zone, cut, why)
+            self.fleet.ends[int(to[1:])].overload.receive_level(zone, cut, why)
 
     def level_changed(self, zone, cut, before, why):
         self.changes.append((zone, cut))
@@ -292,10 +292,10 @@
         fleet = Fleet()
         for _ in range(5):
             for end in fleet.ends:
-                end.overload.level_told("a", 150, "so they say")
+                end.overload.receive_level("a", 150, "so they say")
             fleet.second([(0, CHEAP, fleet.zone("a"), "w")], 10)
             for end in fleet.ends:
-                end.overload.level_told("a", 150, "so they say")
+                end.overload.receive_level("a", 150, "so they say")
         self.assertEqual(self.levels(fleet), [0] * 4)
 
     def test_announced_level_is_followed_at_once_one_step_a_round(self):
@@ -303,21 +303,21 @@
         fleet.full("a")
         one = fleet.ends[0].overload
         half = one.order.top // 2
-        one.level_told("a", 200, "so they say")
+        one.receive_level("a", 200, "so they say")
         self.assertEqual(one.levels, {})
         fleet.second([], 0)
         one.levels["a"].adopt_rounds_left = 0
-        one.level_told("a", 200, "so they say")
+        one.receive_level("a", 200, "so they say")
         self.assertEqual((one.levels["a"].cut, fleet.ends[0].changes), (half, [("a", half)]))
         # a duplicate and a later announcement in the same round: no further step
-        one.level_told("a", 200, "so they say")
-        one.level_told("a", 0, "or so")
+        one.receive_level("a", 200, "so they say")
+        one.receive_level("a", 0, "or so")
         self.assertEqual(one.levels["a"].cut, half)
         # the round itself takes no further step; the next announcement does
         fleet.sides = {0}
         one.time()
         self.assertEqual(one.levels["a"].cut, half)
-        one.level_told("a", 0, "or so")
+        one.receive_level("a", 0, "or so")
         self.assertEqual(one.levels["a"].cut, half - one.order.top // 10)
 
     def test_restarted_front_has_the_level_after_one_round(self):
@@ -350,22 +350,22 @@
     def test_further_tune_ins_are_paid_for_by_successes(self):
         budget = RetryBudget(OverloadTerms(again_share=0.2, again_free=2.0), 0)
         for _ in range(2):
-            self.assertTrue(budget.may(0))
-            budget.spends(0)
-        self.assertFalse(budget.may(0))
+            self.assertTrue(budget.may_retry(0))
+            budget.spend(0)
+        self.assertFalse(budget.may_retry(0))
         for _ in range(5):
             budget.succeeded(0)
-        self.assertTrue(budget.may(0))
-        budget.spends(0)
-        self.assertFalse(budget.may(0))
-        self.assertTrue(budget.may(10 * SECOND))
+        self.assertTrue(budget.may_retry(0))
+        budget.spend(0)
+        self.assertFalse(budget.may_retry(0))
+        self.assertTrue(budget.may_retry(10 * SECOND))
 
     def test_free_retries_are_divided_among_fronts(self):
         def free_retries(fronts):
             budget = RetryBudget(OverloadTerms(again_free=8.0, fronts=fronts), 0)
             made = 0
-            while budget.may(0):
-                budget.spends(0)
+            while budget.may_retry(0):
+                budget.spend(0)
                 made += 1
             return made
 
@@ -476,9 +476,9 @@
             for server in site.servers.values():
                 server.draining = True
             await site.ask()
-            spent = site.front.sheds.overload.again.spent
+            spent = site.front.sheds.overload.retry_budget.spent
             await site.ask()
-            self.assertEqual((spent, site.front.sheds.overload.again.spent), (1, 1))
+            self.assertEqual((spent, site.front.sheds.overload.retry_budget.spent), (1, 1))
             self.assertTrue(site.front.session_core.rules.retries_stopped)
 
 
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -15,7 +15,7 @@
 from curlewshift.fault_injection.processes import free_ports
 from curlewshift.membership.member import Rank
 from curlewshift.membership.terms import default_membership_terms
-from curlewshift.peering.wire import PeerWire
+from curlewshift.peering.wire import PeerSocket
 from curlewshift.schedule.clock import SkewedClock
 from curlewshift.site.site import ListenAddress, Peers
 from tests.fake import MS, SECOND
@@ -33,7 +33,7 @@
         small = SmallSite(site={"peers": peers})
         small.site.front_addresses[0].peers_listen = small.site.front_addresses[0].peers_reach = ("127.0.0.1", ports[0])
         async with small.up() as site:
-            other = PeerWire(
+            other = PeerSocket(
                 "test",
                 ListenAddress("g", "", 0, ("127.0.0.1", ports[1]), ("127.0.0.1", ports[1])),
                 peers,
@@ -59,7 +59,10 @@
             other.clock.skew(1.0, -600 * SECOND)
             await until(lambda: other.channel.membership.steady.stalls == 1)
             await until(
-                lambda: membership.members["g"].rank is Rank.ALIVE and membership.members["g"].heard > membership.now - 600 * MS
+                lambda: (
+                    membership.members["g"].rank is Rank.ALIVE
+                    and membership.members["g"].last_seen_at > membership.now - 600 * MS
+                )
             )
             await other.leave()
             await until(lambda: membership.members["g"].rank is Rank.LEFT)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -79,11 +79,11 @@
             fleet = PeerFleet(1, 1, membership_terms())
             fleet.start()
             known = fleet.posts[0].channel.membership
-            known.told([first], "x")
+            known.receive_claims([first], "x")
             # as its own claims: reports by others that it is gone would first make it a suspect
-            known.told(order, known.me.name)
+            known.receive_claims(order, known.local_member.name)
             member = known.members["x"]
-            results.add((member.life, member.incarnation, member.rank, known.views.whole))
+            results.add((member.life, member.incarnation, member.rank, known.views.digest))
         self.assertEqual(len(results), 1)
         highest = max([first, *claims], key=lambda claim: claim[3:6])
         self.assertEqual(results.pop()[:3], highest[3:6])
@@ -176,12 +176,12 @@
 
     def test_restart_with_the_clock_set_back_gets_a_greater_life(self):
         fleet = started_fleet(4)
-        before = fleet.posts[2].channel.membership.me.life
+        before = fleet.posts[2].channel.membership.local_member.life
         fleet.posts[2].kill()
         fleet.posts[2].set_clock(-600 * SECOND)
         fleet.posts[2].start()
         self.assertLess(fleet.until(fleet.agreed, 10), 5)
-        self.assertGreater(fleet.posts[2].channel.membership.me.life, before)
+        self.assertGreater(fleet.posts[2].channel.membership.local_member.life, before)
 
     def test_earlier_of_two_processes_of_one_name_is_silent_until_the_later_is_gone(self):
         fleet = started_fleet(4)
@@ -196,7 +196,7 @@
         self.assertTrue(earlier.membership.superseded)
         self.assertEqual(
             {post.channel.membership.members["f2"].life for post in fleet.posts if post.number != 2},
-            {twin.channel.membership.me.life},
+            {twin.channel.membership.local_member.life},
         )
         twin.kill()
         self.assertIsNotNone(fleet.until(lambda: not earlier.membership.superseded, 30))
@@ -212,22 +212,22 @@
     def test_datagram_of_an_earlier_life_has_no_effect_and_no_answer(self):
         fleet = started_fleet(3)
         stale = encode(
-            Frame("emulated", "f1", *fleet.posts[1].address, fleet.posts[1].channel.membership.me.life, 9, 5_000, 1, 77)
+            Frame("emulated", "f1", *fleet.posts[1].address, fleet.posts[1].channel.membership.local_member.life, 9, 5_000, 1, 77)
         )
         fleet.posts[1].kill()
         fleet.posts[1].start()
         fleet.until(fleet.agreed, 5)
-        receiver, before = fleet.posts[0].channel, fleet.posts[0].channel.membership.views.whole
+        receiver, before = fleet.posts[0].channel, fleet.posts[0].channel.membership.views.digest
         sent_kinds = []
         fleet.posts[0].post = lambda address, data: sent_kinds.append(decode(data, "emulated").kind)
         receiver.received(stale)
-        self.assertEqual((receiver.refused["old-life"], receiver.membership.views.whole, 2 in sent_kinds), (1, before, False))
+        self.assertEqual((receiver.refused["old-life"], receiver.membership.views.digest, 2 in sent_kinds), (1, before, False))
 
     def test_unknown_names_are_bounded_and_displace_no_member(self):
-        fleet = started_fleet(4, most_members=64)
+        fleet = started_fleet(4, max_members=64)
         known = fleet.posts[0].channel.membership
         for number in range(5_000):
-            known.told([Claim(f"once{number}", "10.8.0.1", 9, 1, 0, 0)], "f1")
+            known.receive_claims([Claim(f"once{number}", "10.8.0.1", 9, 1, 0, 0)], "f1")
         self.assertLessEqual(len(known.members), 64)
         self.assertGreater(known.no_room, 4_000)
         self.assertTrue({"f1", "f2", "f3"} <= set(known.members))
@@ -243,7 +243,7 @@
         fleet = started_fleet(4)
         known = fleet.posts[0].channel.membership
         claim = known.members["f2"].claim()
-        known.told([claim._replace(rank=int(Rank.SUSPECT)), Claim("new", "10.8.0.1", 9, 1, 0, int(Rank.SUSPECT))], "f1")
+        known.receive_claims([claim._replace(rank=int(Rank.SUSPECT)), Claim("new", "10.8.0.1", 9, 1, 0, int(Rank.SUSPECT))], "f1")
         self.assertEqual({known.members[name].rank for name in ("f2", "new")}, {Rank.SUSPECT})
         fleet.run(20)
         self.assertEqual((known.members["f2"].rank, known.members["new"].rank), (Rank.ALIVE, Rank.GONE))
@@ -255,7 +255,7 @@
         for contradicted, rank in ((True, Rank.ALIVE), (False, Rank.SUSPECT)):
             known.probes[1] = Probe(target)
             if contradicted:
-                known.told([target.claim()._replace(incarnation=target.incarnation + 1)], "f2")
+                known.receive_claims([target.claim()._replace(incarnation=target.incarnation + 1)], "f2")
             known._probe_timed_out(1)
             self.assertIs(target.rank, rank)
 
@@ -284,10 +284,10 @@
         for number in range(50):
             one.toggle(f"f{number}", 1, 0)
             other.toggle(f"f{49 - number}", 1, 0)
-        self.assertEqual((one.whole, one.differing_buckets(other.written())), (other.whole, []))
+        self.assertEqual((one.digest, one.differing_buckets(other.to_bytes())), (other.digest, []))
         other.toggle("f7", 1, 0)
         other.toggle("f7", 1, 1)
-        self.assertEqual(len(one.differing_buckets(other.written())), 1)
+        self.assertEqual(len(one.differing_buckets(other.to_bytes())), 1)
         self.assertEqual(len(one.differing_buckets(b"short")), 32)
         self.assertTrue(other.consistent())
 
@@ -378,12 +378,12 @@
         fleet = started_fleet(2)
         one, other = (post.channel for post in fleet.posts)
         received = []
-        other.carries(20, lambda sender, body: received.append((sender.name, body)))
+        other.register_handler(20, lambda sender, body: received.append((sender.name, body)))
         with self.assertRaises(ValueError):
-            other.carries(20, print)
+            other.register_handler(20, print)
         to = one.membership.members["f1"]
-        self.assertTrue(one.say(to, 20, b"hello"))
-        self.assertFalse(one.say(to, 20, b"x" * MAX_DATAGRAM_BYTES))
+        self.assertTrue(one.send(to, 20, b"hello"))
+        self.assertFalse(one.send(to, 20, b"x" * MAX_DATAGRAM_BYTES))
         fleet.run(0.1)
         self.assertEqual(received, [("f0", b"hello")])
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -19,7 +19,7 @@
 from curlewshift.exchange.server import serve
 from curlewshift.exchange.tls import client_context
 from curlewshift.limits.permits import InvalidKeySet, PermitDenied, Permits, allow, read_keys
-from curlewshift.signalling.events import Reader
+from curlewshift.signalling.events import EventReader
 from curlewshift.signalling.fragments import CONTENT_TYPE as FRAGMENT
 from curlewshift.signalling.fragments import fragment_text
 from curlewshift.signalling.sdp import PUBLISHES, offer_text
@@ -146,7 +146,7 @@
             made = await session.ask("POST", "/events", [], b'["layers","inactive"]')
             self.assertEqual(made.status, 201)
             self.assertEqual((await session.ask("POST", "/events", [], b'{"a":1}')).status, 400)
-            call, reader, events = await connect("127.0.0.1", site.port, 1.0), Reader(), []
+            call, reader, events = await connect("127.0.0.1", site.port, 1.0), EventReader(), []
             self.assertEqual((await call.begin("GET", made.headers["location"])).status, 200)
 
             async def listen():
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -16,11 +16,11 @@
 from curlewshift.experiments.one_run import measured
 from curlewshift.membership.terms import default_membership_terms
 from curlewshift.model_checker.budget_checker import FAULTS, walk_budgets
-from curlewshift.peering.shared import KIND, SharedWire
+from curlewshift.peering.shared import KIND, SharingProtocol
 from curlewshift.sharing.clock_watch import MIN_SPACING_NS, ClockWatch
-from curlewshift.sharing.counts import Counts, picked
+from curlewshift.sharing.counts import Counts, pick_by_rendezvous
 from curlewshift.sharing.evidence import Evidence
-from curlewshift.sharing.loans import Loans, dealt
+from curlewshift.sharing.loans import Loans, initial_share
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 from curlewshift.standins.script import Trouble
 from curlewshift.verdict.bounds import judge_bounds
@@ -75,13 +75,13 @@
         return int(self.number == 0)
 
     def ask(self, lender, number, keys):
-        self.net.messages.append((lender, "asked", (self.number, number, keys)))
+        self.net.messages.append((lender, "loan_requested", (self.number, number, keys)))
 
     def lend(self, borrower, number, rights):
-        self.net.messages.append((borrower, "lends", (self.number, number, rights)))
+        self.net.messages.append((borrower, "loan_received", (self.number, number, rights)))
 
     def give_back(self, lender, number, key):
-        self.net.messages.append((lender, "given_back", (self.number, number, key)))
+        self.net.messages.append((lender, "loan_returned", (self.number, number, key)))
 
 
 class LoanedRights(unittest.TestCase):
@@ -199,10 +199,10 @@
         self.assertEqual((net.messages, net.rights()), ([], [1, 0, 0]))
 
     def test_three_rights_among_200_fronts(self):
-        parts = [dealt(3, number, 200, 777) for number in range(200)]
+        parts = [initial_share(3, number, 200, 777) for number in range(200)]
         self.assertEqual((sum(parts), max(parts)), (3, 1))
         # views of different versions: together no more rights than the highest view
-        views = [dealt(rights, number, 200, 777) for number, rights in enumerate([2, 3, 5] * 66 + [5, 5])]
+        views = [initial_share(rights, number, 200, 777) for number, rights in enumerate([2, 3, 5] * 66 + [5, 5])]
         self.assertLessEqual(sum(views), 5)
         lending, alone = LoanHistory(0, fronts=200), LoanHistory(0, kind=NoLoans, fronts=200)
         for history in (lending, alone):
@@ -305,8 +305,8 @@
 
     def test_member_that_leaves_moves_only_its_own_keys(self):
         names, keys = [f"f{n}" for n in range(10)], [f"s{n}" for n in range(1000)]
-        before = {key: picked(key, names) for key in keys}
-        moved = [key for key in keys if picked(key, names[:-1]) != before[key]]
+        before = {key: pick_by_rendezvous(key, names) for key in keys}
+        moved = [key for key in keys if pick_by_rendezvous(key, names[:-1]) != before[key]]
         self.assertEqual({before[key] for key in moved}, {"f9"})
 
 
@@ -374,7 +374,7 @@
                 tuple(
                     sorted(
                         (front, observation.life, observation.number, observation.good)
-                        for front, observation in evidence.words["s"].items()
+                        for front, observation in evidence.observations["s"].items()
                     )
                 )
             )
@@ -435,7 +435,7 @@
         for post in fleet.posts:
             session_core = FakeDriver(servers=1, fronts=2).session_core
             ends.append(
-                SharedWire(
+                SharingProtocol(
                     post.channel,
                     session_core,
                     ["f0", "f1"],
@@ -488,7 +488,7 @@
             msgspec.msgpack.encode([4, 1, 1, [], [], [["s", -1.0]]]),
             msgspec.msgpack.encode([4, 1, 1, [], [], [["s", float("nan")]]]),
         ):
-            one.channel.say(to, KIND, body)
+            one.channel.send(to, KIND, body)
         self.rounds(fleet, (one, other), 1)
         self.assertEqual((other.malformed, other.channel.membership.size), (5, 2))
 
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from curlewshift.signalling.bodies import InvalidBody, ListNews, Note, decode, encode
-from curlewshift.signalling.events import Event, Reader, TooLong, encode_event
+from curlewshift.signalling.events import Event, EventReader, EventTooLong, encode_event
 from curlewshift.signalling.loads import decode_load, encode_load
 from curlewshift.signalling.sdp import InvalidDescription, answer_text, candidate_of, checked_offer, identity, offer_text, parse
 
@@ -70,7 +70,7 @@
     @STEADY
     @given(st.lists(st.integers(1, 9), max_size=60))
     def test_events_come_whole_whatever_the_cuts(self, cuts):
-        raw, reader, got = b":\n\n" + b"".join(encode_event(event) for event in self.EVENTS), Reader(), []
+        raw, reader, got = b":\n\n" + b"".join(encode_event(event) for event in self.EVENTS), EventReader(), []
         for cut in cuts:
             got += reader.feed(raw[:cut])
             raw = raw[cut:]
@@ -79,8 +79,8 @@
         self.assertEqual(reader.last_id, "8")
 
     def test_an_event_without_end_ends_the_stream(self):
-        reader = Reader()
-        with self.assertRaises(TooLong):
+        reader = EventReader()
+        with self.assertRaises(EventTooLong):
             for _ in range(40):
                 reader.feed(b"data: " + b"x" * 500_000 + b"\n")
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -72,10 +72,10 @@
     def list_held(self):
         return self.held
 
-    def tell_list(self, number, epoch, generation, news):
+    def announce_list(self, number, epoch, generation, news):
         self.fleet.sent.append((number, epoch, generation, news))
 
-    def take_news(self, news):
+    def apply_updates(self, news):
         self.taken.append(news)
         if news == self.held[1]:
             self.held = ("e", news + 1)
@@ -97,7 +97,7 @@
     def deliver(self):
         sent, self.sent = self.sent, []
         for message in sent:
-            self.other.task.told(*message)
+            self.other.task.receive_announcement(*message)
 
     def round(self):
         self.holder.task.act(0, 5)
@@ -135,15 +135,15 @@
 
     def test_reader_of_an_earlier_tenure_is_ignored(self):
         self.round()
-        self.other.task.told(6, "e", 1, None)
-        self.other.task.told(5, "e", 1, 1)
+        self.other.task.receive_announcement(6, "e", 1, None)
+        self.other.task.receive_announcement(5, "e", 1, 1)
         self.assertEqual((self.other.held, self.other.taken), (("e", 1), []))
 
     def test_new_reader_reads_itself_and_ignores_others(self):
         self.round()
         self.other.task.begin(0, 9)
         self.assertTrue(self.other.itself)
-        self.other.task.told(10, "e", 1, None)
+        self.other.task.receive_announcement(10, "e", 1, None)
         self.assertTrue(self.other.itself)
 
 
@@ -157,10 +157,10 @@
     def request_rates(self):
         return {"clip": 6.0}
 
-    def tell_asked(self, to, asked):
+    def send_demand(self, to, asked):
         self.sent.append((to, asked))
 
-    def tell_plan(self, number, package, parts):
+    def send_plan(self, number, package, parts):
         self.sent.append((number, package, parts))
 
     def planned(self, package, part, until):
@@ -171,7 +171,7 @@
         self.planning = Planning(self, "a")
 
     def test_shares_follow_demand_and_add_up(self):
-        self.planning.asked_told("b", {"clip": 2.0})
+        self.planning.receive_demand("b", {"clip": 2.0})
         self.planning.act(0, 3)
         number, name, parts = self.sent[0]
         self.assertEqual((number, name), (3, "clip"))
@@ -180,15 +180,15 @@
         self.assertEqual(self.plans, [("clip", parts["a"], self.clock + PLAN_TTL_NS)])
 
     def test_old_reports_expire_and_without_demand_shares_are_even(self):
-        self.planning.asked_told("b", {"clip": 50.0})
+        self.planning.receive_demand("b", {"clip": 50.0})
         self.clock += PLAN_TTL_NS + 1
         self.planning.act(0, 3)
         self.assertGreater(self.sent[0][2]["a"], 0.5)
         self.assertEqual(shares_by_demand(["a", "b"], {}), {"a": 0.5, "b": 0.5})
 
     def test_plan_of_an_earlier_tenure_is_ignored(self):
-        self.planning.plan_told(4, "clip", {"a": 0.5})
-        self.planning.plan_told(3, "clip", {"a": 0.9})
+        self.planning.receive_plan(4, "clip", {"a": 0.5})
+        self.planning.receive_plan(3, "clip", {"a": 0.9})
         self.assertEqual([part for _, part, _ in self.plans], [0.5])
 
     def test_front_reserves_its_share_while_the_plan_is_valid(self):
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -9,8 +9,8 @@
 from curlewshift.emulator.seat_histories import FAULTS, SeatHistory, UntoldHistory
 from curlewshift.session_core.session_core import InvalidRequest
 from curlewshift.sharing.budgets import FURTHER, SEAT
+from curlewshift.sharing.renewable_loans import RenewableLoans
 from curlewshift.sharing.sharing import Sharing
-from curlewshift.sharing.standing import StandingLoans
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 from curlewshift.verdict.bounds import judge_bounds
 from curlewshift.verdict.verdict import Figures
@@ -32,7 +32,7 @@
         self.clock, self.messages, self.sessions, self.ended = 100 * SECOND, [], [0, 0], []
         self.ending, self.out = False, [False, False]
         self.fronts = [
-            StandingLoans(SeatEndpoint(self, number), number, TOGETHER.seat_terms(TERMS), 1000 * number) for number in range(2)
+            RenewableLoans(SeatEndpoint(self, number), number, TOGETHER.seat_terms(TERMS), 1000 * number) for number in range(2)
         ]
         for front in self.fronts:
             front.quiet_until = 0
@@ -82,13 +82,13 @@
         self.net.sessions[self.number] -= count
 
     def ask(self, lender, number, keys):
-        self.net.messages.append((lender, "asked", (self.number, number, keys, self.life)))
+        self.net.messages.append((lender, "loan_requested", (self.number, number, keys, self.life)))
 
     def lend(self, borrower, number, rights):
-        self.net.messages.append((borrower, "lends", (self.number, number, rights)))
+        self.net.messages.append((borrower, "loan_received", (self.number, number, rights)))
 
     def give_back(self, lender, number, key):
-        self.net.messages.append((lender, "given_back", (self.number, number, key)))
+        self.net.messages.append((lender, "loan_returned", (self.number, number, key)))
 
 
 class Seats(unittest.TestCase):
@@ -115,7 +115,7 @@
 
     def test_later_life_of_the_borrower_does_not_get_a_seat_in_use(self):
         net = SeatNetwork().with_seat_lent()
-        net.fronts[1] = StandingLoans(SeatEndpoint(net, 1, life=2), 1, TOGETHER.seat_terms(TERMS), 5000)
+        net.fronts[1] = RenewableLoans(SeatEndpoint(net, 1, life=2), 1, TOGETHER.seat_terms(TERMS), 5000)
         net.fronts[1].quiet_until, net.sessions[1] = 0, 0
         net.fronts[1].wants("k")
         net.advance(2)
@@ -154,8 +154,8 @@
     def test_request_older_than_the_loan_does_not_renumber_it(self):
         net = SeatNetwork().with_seat_lent()
         lender, (_, borrower, number) = net.fronts[0], net.fronts[0].lent["k"]
-        lender.asked(borrower, number - 1, ["k"], 1)
-        lender.given_back(borrower, number - 1, "k")
+        lender.loan_requested(borrower, number - 1, ["k"], 1)
+        lender.loan_returned(borrower, number - 1, "k")
         until, *named = lender.lent["k"]
         self.assertEqual((named, until > lender.steady.last + lender.terms.rest), ([borrower, number], True))
 
@@ -170,12 +170,12 @@
         self.assertEqual([front.may_use("k") for front in net.fronts], [0, 1])
 
     def test_histories_never_use_more_seats_than_there_are(self):
-        self.assertEqual(overdrawn(range(40), StandingLoans, SeatHistory), [])
+        self.assertEqual(overdrawn(range(40), RenewableLoans, SeatHistory), [])
 
     def test_each_planted_fault_is_found(self):
         for name, fault in FAULTS.items():
             self.assertTrue(any(overdrawn(range(seed, seed + 1), fault, SeatHistory) for seed in range(60)), name)
-        self.assertTrue(any(overdrawn(range(seed, seed + 1), StandingLoans, UntoldHistory) for seed in range(60)))
+        self.assertTrue(any(overdrawn(range(seed, seed + 1), RenewableLoans, UntoldHistory) for seed in range(60)))
 
 
 class Fleet:
@@ -224,32 +224,32 @@
         return [f"f{n}" for n in range(self.fleet.size)]
 
     def ask(self, to, number, keys):
-        self.send(to, "asked", self.life, number, keys)
+        self.send(to, "loan_requested", self.life, number, keys)
 
     def lend(self, to, number, rights):
         self.send(to, "lent", number, rights)
 
     def give_back_to(self, to, number, key):
-        self.send(to, "given_back", number, key)
+        self.send(to, "loan_returned", number, key)
 
     def send_rows(self, to, what, rows):
         self.messages_sent += 1
         self.send(to, what, self.life, self.messages_sent, rows)
 
-    def tell_use(self, to, rows):
-        self.send_rows(to, "use_told", rows)
+    def send_use(self, to, rows):
+        self.send_rows(to, "receive_use", rows)
 
-    def tell_sums(self, to, rows):
-        self.send_rows(to, "sums_told", rows)
+    def send_sums(self, to, rows):
+        self.send_rows(to, "receive_sums", rows)
 
-    def tell_seen(self, to, rows):
-        self.send_rows(to, "seen_told", rows)
+    def send_observations(self, to, rows):
+        self.send_rows(to, "receive_observations", rows)
 
-    def tell_report(self, to, rows):
-        self.send(to, "report_told", rows)
+    def send_link_report(self, to, rows):
+        self.send(to, "receive_link_report", rows)
 
-    def ask_what_is_known(self, to):
-        self.send(to, "known_asked")
+    def request_observations(self, to):
+        self.send(to, "send_known_observations")
 
     def further_wanted_at(self):
         return self.session_core.rules.further_wanted_at
@@ -342,7 +342,7 @@
             for server in end.servers():
                 server.link.own = 10.0
         one = fleet.ends[0]
-        one.sharing.found_for_all(one.servers()[0], 0.75)
+        one.sharing.link_probed_for_all(one.servers()[0], 0.75)
         fleet.advance(1.5)
         others = [end.servers()[0] for end in fleet.ends]
         self.assertEqual([server.link.reported for server in others], [True] * 3)
@@ -424,7 +424,7 @@
         self.assertFalse(any(again.sharing.evidence.warm(server.name, 8 * SECOND, 0, fleet.clock) for server in again.servers()))
         empty = End(fleet, 0, life=3)
         empty.sharing.restore(kept, 1000 * SECOND)
-        self.assertEqual((empty.sharing.evidence.words, empty.sharing.counts.others), ({}, {}))
+        self.assertEqual((empty.sharing.evidence.observations, empty.sharing.counts.others), ({}, {}))
 
 
 FIGURES = Figures(
