--- a/curlewshift/capture/against.py
+++ b/curlewshift/capture/against.py
@@ -74,7 +74,7 @@
         def _place(self, viewing):
             rng, self.chance = self.chance, Random(len(compared.kinds) + compared.placings)
             state = {name: getattr(self, name) for name in ("unproven_left", "unproven_at")}
-            decided, sent = (viewing.rung, viewing.over), [(server, list(server.sent)) for server in viewing.holders]
+            decided, sent = (viewing.rung, viewing.ended), [(server, list(server.sent)) for server in viewing.holders]
             self.__class__, self.shadow_placing = Shadow, None
             try:
                 other._place(self, viewing)
@@ -84,7 +84,7 @@
                 raise NoSuchPolicy(f"the rules of {revision} use names that this version no longer has: {error}") from error
             finally:
                 self.__class__, self.chance = Asked, rng
-                viewing.rung, viewing.over = decided
+                viewing.rung, viewing.ended = decided
                 for name, value in state.items():
                     setattr(self, name, value)
                 for server, times in sent:
@@ -96,7 +96,7 @@
             compared.kinds[kind] += 1
             if kind != "the same" and len(compared.examples) < MAX_EXAMPLES:
                 compared.examples.append(
-                    f"at {(self.host.now() - self.born) / 1e9:.3f} s viewing {viewing.name} of "
+                    f"at {(self.host.now() - self.started_at) / 1e9:.3f} s viewing {viewing.name} of "
                     f"{viewing.title!r}: {describe(self.own_placing)} here, {describe(shadow_placing)} there"
                 )
 
--- a/curlewshift/commands/configuration.py
+++ b/curlewshift/commands/configuration.py
@@ -61,7 +61,7 @@
 )
 def configuration_put(file, state, why, base, restarts):
     """Put FILE in force at all fronts. It is validated first; errors are reported before anything is distributed."""
-    from curlewshift.control.commands import PUT_WITHIN
+    from curlewshift.control.commands import PUT_TIMEOUT_S
 
     try:
         content = file.read_text()
@@ -73,7 +73,7 @@
     answer = send_to_front(
         state,
         {"do": "put", "content": content, "base": base, "name": str(file), "why": why, "restarts": restarts},
-        PUT_WITHIN + 10,
+        PUT_TIMEOUT_S + 10,
     )
     click.echo(f"{answer['version']} is stored by a majority of the control machines, and is being distributed to all")
     if answer["needs_restart"]:
--- a/curlewshift/exchange/accepting.py
+++ b/curlewshift/exchange/accepting.py
@@ -7,11 +7,11 @@
 import anyio
 
 # Errors of accept() when descriptors or memory are exhausted, and the pause before the next try (s).
-NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+EXHAUSTED_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 EXHAUSTED_PAUSE_S = 0.02
 
 
-class Patient:
+class PausingListener:
     """Wraps a listener: it pauses accepting when descriptors or memory are exhausted, instead of failing.
 
     `gate` is a curlewshift.limits.descriptors.DescriptorGate that limits open connections, or None. Connections that are not
@@ -47,7 +47,7 @@
             except anyio.ClosedResourceError:
                 return
             except OSError as error:
-                if error.errno not in NO_ROOM:
+                if error.errno not in EXHAUSTED_ERRNOS:
                     raise
                 if self.gate is not None:
                     self.gate.ran_out()
--- a/curlewshift/exchange/client.py
+++ b/curlewshift/exchange/client.py
@@ -42,8 +42,8 @@
         self.stream, self.host = stream, host
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         # set before the first byte of a request is sent, as a cancelled write may have reached the peer
-        self.written = False
-        # the bytes read along with the last answer have been returned by `more`
+        self.request_started = False
+        # the bytes read along with the last answer have been returned by `read_more`
         self.trailing_data_returned = False
 
     async def ask(self, method: str, target: str, headers: list[tuple[str, str]] = (), body: bytes = b"") -> HttpResponse:
@@ -71,7 +71,7 @@
             data += self.http.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError as error:
             raise RequestNotSent(f"the request is not valid HTTP/1.1: {error}") from None
-        self.written = True
+        self.request_started = True
         try:
             await self.stream.send(data)
             while True:
@@ -109,14 +109,14 @@
         except h11.RemoteProtocolError as error:
             raise ConnectionBroken(f"the answer is not valid HTTP/1.1: {error}") from None
 
-    def again(self) -> bool:
+    def prepare_next_request(self) -> bool:
         """Prepares the connection for another request; False if it cannot be used again."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         if self.http.trailing_data[0] or self._has_unread_input():
             return False
         self.http.start_next_cycle()
-        self.written = self.trailing_data_returned = False
+        self.request_started = self.trailing_data_returned = False
         return True
 
     def _has_unread_input(self) -> bool:
@@ -128,7 +128,7 @@
         poll.register(number, select.POLLIN | select.POLLHUP)
         return bool(poll.poll(0))
 
-    async def more(self) -> bytes:
+    async def read_more(self) -> bytes:
         """Bytes received after an answer; empty once the peer has closed the connection."""
         data, closed = self.http.trailing_data
         if not self.trailing_data_returned and (data or closed):
@@ -139,14 +139,14 @@
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             return b""
 
-    def say_no_more(self) -> None:
+    def shut_down_sending(self) -> None:
         """Shuts down the sending direction; what the peer has sent can still be read."""
         try:
             self.stream.extra(SocketAttribute.raw_socket).shutdown(socket.SHUT_WR)
         except OSError:
             pass
 
-    def cut(self) -> None:
+    def break_connection(self) -> None:
         """Shuts down both directions; a task that reads the connection finds it broken."""
         try:
             self.stream.extra(SocketAttribute.raw_socket).shutdown(socket.SHUT_RDWR)
--- a/curlewshift/exchange/server.py
+++ b/curlewshift/exchange/server.py
@@ -16,7 +16,7 @@
 from anyio.abc import SocketAttribute, SocketStream
 from anyio.streams.tls import TLSListener
 
-from curlewshift.exchange.accepting import Patient
+from curlewshift.exchange.accepting import PausingListener
 from curlewshift.signalling.bodies import PROBLEM_TYPE, Problem, encode
 
 # The head must be complete this long after its first byte, and the body this long after the head.
@@ -70,7 +70,7 @@
 class Exchange:
     """One request, which the handler answers exactly once."""
 
-    __slots__ = ("always", "answered", "body", "connection", "headers", "method", "path", "query", "target")
+    __slots__ = ("answered", "body", "common_headers", "connection", "headers", "method", "path", "query", "target")
 
     def __init__(self, connection: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes):
         self.connection, self.method, self.target, self.headers, self.body = connection, method, target, headers, body
@@ -79,12 +79,12 @@
         self.query = dict(part.partition("=")[::2] for part in query.split("&") if part)
         self.answered = False
         # headers added to every answer
-        self.always: list[tuple[str, str]] = []
+        self.common_headers: list[tuple[str, str]] = []
 
     async def answer(self, status: int, headers: list[tuple[str, str]] = (), body: bytes = b"") -> None:
         """Sends a complete answer. Raises `PeerDisconnected`."""
         self.answered = True
-        await self.connection.send_response(status, [*self.always, *headers], body)
+        await self.connection.send_response(status, [*self.common_headers, *headers], body)
 
     async def problem(
         self,
@@ -102,9 +102,9 @@
         """Starts an answer of unknown length; returns a function that sends a piece of its body. The connection closes after
         it. Both raise `PeerDisconnected`."""
         self.answered = True
-        return await self.connection.start_response(status, [*self.always, *headers])
+        return await self.connection.start_response(status, [*self.common_headers, *headers])
 
-    def on_hang_up(self, callback: Callable[[], None]) -> None:
+    def on_disconnect(self, callback: Callable[[], None]) -> None:
         """Calls `callback` when the peer closes or resets the connection; at once if that has happened."""
         self.connection.on_disconnect(callback)
 
@@ -126,9 +126,9 @@
         self.read_ahead, self.data_arrived, self.space_freed = bytearray(), anyio.Event(), anyio.Event()
         self.gone = False
         self.disconnect_callbacks: list[Callable[[], None]] = []
-        self.is_head_request = self.at_work = False
+        self.is_head_request = self.is_busy = False
         # when the connection became idle, by time.monotonic()
-        self.rested_at = time.monotonic()
+        self.idle_since_s = time.monotonic()
         self.peer = stream.extra(SocketAttribute.remote_address)[0]
 
     async def run(self) -> None:
@@ -216,12 +216,12 @@
             return False
         if exchange is None:
             return False
-        self.at_work = True
+        self.is_busy = True
         try:
             await self.handler(exchange)
         finally:
-            self.at_work = False
-            self.rested_at = time.monotonic()
+            self.is_busy = False
+            self.idle_since_s = time.monotonic()
         self.clear_disconnect_callbacks()
         if not exchange.answered:
             raise AssertionError(f"the handler did not answer {exchange.method} {exchange.target}")
@@ -332,7 +332,7 @@
     An exception of a handler ends its own connection only and is passed to `on_fault`. `tls` is an ssl context, `gate` a
     DescriptorGate that limits the number of connections.
     """
-    listener = Patient(listener, gate)
+    listener = PausingListener(listener, gate)
     if tls is not None:
         listener = SilentTlsListener(listener, tls, standard_compatible=False, handshake_timeout=HANDSHAKE_TIMEOUT_S)
 
--- a/curlewshift/fault_injection/key_cost.py
+++ b/curlewshift/fault_injection/key_cost.py
@@ -27,7 +27,7 @@
         held = self.held.get(key)
         return None if held is None or (held[2] is not None and held[2] <= now) else held
 
-    def hold(self, key, mark, front_session):
+    def add(self, key, mark, front_session):
         self.held[key] = (mark, front_session, None)
         return key
 
@@ -45,7 +45,7 @@
         key = f"key {number} {rng.random()}"
         began = time.perf_counter_ns()
         if table.find(key, now) is None:
-            table.ended(table.hold(key, "mark", None), now + RETENTION_NS)
+            table.ended(table.add(key, "mark", None), now + RETENTION_NS)
         took.append(time.perf_counter_ns() - began)
     took.sort()
     return {
--- a/curlewshift/front/begun.py
+++ b/curlewshift/front/begun.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 
 from curlewshift.distribution.copy import Copy
-from curlewshift.distribution.versions import NONE, Version
-from curlewshift.site.changes import RestartRequired, refusals, unalike
+from curlewshift.distribution.versions import NO_VERSION, Version
+from curlewshift.site.changes import RestartRequired, full_stop_changes, restart_required_changes
 from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.site.site import SCHEMA, Site, read_site, site_of
-from curlewshift.state.configured import Record
+from curlewshift.state.record_file import RecordFile
 
 # A refusal is sent over the peer channel and shown in tables, so only the first errors are listed, with the number of the rest.
 MAX_REPORTED_ERRORS = 5
@@ -39,7 +39,7 @@
 
     @property
     def version(self) -> str:
-        return (self.held_version or NONE).text
+        return (self.held_version or NO_VERSION).text
 
 
 class StoredCopyReader:
@@ -58,13 +58,13 @@
             return told(self.path, error)
         return None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         return None
 
     def in_force(self, version: Version, before: Version) -> None:
         pass
 
-    def copy_lost(self, why: str) -> None:
+    def copy_unreadable(self, why: str) -> None:
         self.cause = f"what is on the disk cannot be used: {why}"
 
     def refuses(self, version: Version, why: str) -> None:
@@ -72,7 +72,7 @@
 
 
 def begin(
-    path: Path, site: Site, state: Path | None, record_class: type[Record] = Record, copy_class: type[Copy] = Copy
+    path: Path, site: Site, state: Path | None, record_class: type[RecordFile] = RecordFile, copy_class: type[Copy] = Copy
 ) -> StartupConfiguration:
     """The newer intact record of the state folder, or the site file (`site`, as read) if neither is usable."""
     if state is None or site.configuration is None:
@@ -88,7 +88,7 @@
     return in_force
 
 
-def _from_record(path: Path, site: Site, record: Record, copy_class: type[Copy]) -> StartupConfiguration:
+def _from_record(path: Path, site: Site, record: RecordFile, copy_class: type[Copy]) -> StartupConfiguration:
     raw = record.read()
     if raw is None:
         return StartupConfiguration(path, site, cause=record.damage or "nothing is on the disk")
@@ -113,7 +113,7 @@
     """
     root = read_xml(path, SCHEMA, content)
     site = site_of(path, root)
-    errors = refusals(running, site, root)
+    errors = restart_required_changes(running, site, root)
     if errors:
-        raise (SiteErrors if unalike(running, site, root) else RestartRequired)(path, errors)
+        raise (SiteErrors if full_stop_changes(running, site, root) else RestartRequired)(path, errors)
     return site
--- a/curlewshift/front/configuration_changes.py
+++ b/curlewshift/front/configuration_changes.py
@@ -9,9 +9,9 @@
 from math import inf
 
 from curlewshift.limits.buckets import Buckets
-from curlewshift.rules import COME_BACK
+from curlewshift.rules import MAX_RETRY_WAIT
 from curlewshift.session_core.server_list import ServerList, Title
-from curlewshift.site.changes import OF_PACKAGES
+from curlewshift.site.changes import IN_SERVICE_PACKAGE_FIELDS
 from curlewshift.site.site import Site
 
 # Fields of Site that are replaced by those of the new site. Package objects stay the same and are changed in place.
@@ -54,14 +54,14 @@
     """Adds to `changes` all steps that put `new` in force at the running front; modifies nothing itself."""
     site, session_core, rules, obligations = front.site, front.session_core, front.session_core.rules, new.obligations
     for package, new_package in zip(site.packages, new.packages):
-        for name in OF_PACKAGES:
+        for name in IN_SERVICE_PACKAGE_FIELDS:
             changes.set(package, name, getattr(new_package, name))
     changes.set(front.http_listener, "way_back", obligations.way_back)
     changes.set(front.http_listener, "ice_servers", new.ice_servers)
     changes.set(session_core, "longest_wait", obligations.longest_wait)
     changes.set(session_core, "most_waiting", new.most_waiting)
     for name, value in (
-        ("wait", min(COME_BACK, obligations.longest_wait)),
+        ("retry_wait", min(MAX_RETRY_WAIT, obligations.longest_wait)),
         ("max_tune_ins", obligations.most_tune_ins),
         ("free_further", inf if obligations.free_further is None else obligations.free_further),
         ("further_share", obligations.further_share),
@@ -72,7 +72,7 @@
         _plan_limits(front.http_listener.admission, new.limits, front.now(), changes)
     if new.overload is not None:
         overload = front.shedding.overload
-        for target in (overload, overload.advice, overload.again):
+        for target in (overload, overload.advice, overload.retry_budget):
             changes.set(target, "terms", new.overload)
     changes.set(session_core.server_list, "uplinks", new.uplinks)
     for rack in session_core.server_list.racks.values():
@@ -99,11 +99,11 @@
             changes.set(buckets[name], "burst", max(1.0, rate * bounds.burst))
     changes.set(admission, "buckets", buckets)
     changes.set(admission, "bounds", bounds)
-    changes.set(admission.prefixes, "usual", bounds.source or 10.0)
-    changes.set(admission.lines, "longest", bounds.in_line)
-    max_concurrency = float(bounds.most)
-    changes.set(admission.concurrency, "least", min(8.0, max_concurrency))
-    changes.set(admission.concurrency, "most", max_concurrency)
+    changes.set(admission.prefixes, "default_rate", bounds.source or 10.0)
+    changes.set(admission.queues, "timeout", bounds.queue_timeout)
+    max_concurrency = float(bounds.max_concurrency)
+    changes.set(admission.concurrency, "min_limit", min(8.0, max_concurrency))
+    changes.set(admission.concurrency, "max_limit", max_concurrency)
     changes.set(admission.concurrency, "limit", min(admission.concurrency.limit, max_concurrency))
 
 
--- a/curlewshift/front/configuration_host.py
+++ b/curlewshift/front/configuration_host.py
@@ -12,14 +12,14 @@
 import anyio
 import zstandard
 
-from curlewshift.distribution.copy import ENCODER, FORM, Kept
-from curlewshift.distribution.versions import NONE
+from curlewshift.distribution.copy import ENCODER, FORM, StoredCopy
+from curlewshift.distribution.versions import NO_VERSION
 from curlewshift.front.begun import IN_FORCE_RECORD, NEXT_START_RECORD, StartupConfiguration, checked, told
 from curlewshift.front.configuration_changes import ChangeSet, plan_changes
-from curlewshift.site.changes import OF_PACKAGES, RestartRequired
+from curlewshift.site.changes import IN_SERVICE_PACKAGE_FIELDS, RestartRequired
 from curlewshift.site.reading import SiteErrors
 from curlewshift.site.site import Site
-from curlewshift.state.configured import Record
+from curlewshift.state.record_file import RecordFile
 
 NS = 1_000_000_000
 
@@ -28,7 +28,7 @@
     """The front's side of the distribution of settings: checks, applies and stores versions."""
 
     change_set_class = ChangeSet
-    record_class = Record
+    record_class = RecordFile
     checked = staticmethod(checked)
 
     def __init__(self, front, startup: StartupConfiguration, state: Path | None):
@@ -58,7 +58,7 @@
         if source != "disk":
             timeout_s = self.front.site.configuration.start_within / NS
             await self.wire.start_from_peers(timeout_s)
-            if self.version != NONE.text:
+            if self.version != NO_VERSION.text:
                 source = "peers"
             else:
                 cause += "; no peer had a version that could be applied"
@@ -79,13 +79,13 @@
     def _keep_for_next_start(self, content: bytes) -> None:
         if self.next_start_record is None or self.wire is None:
             return
-        kept = Kept(FORM, tuple(self.wire.copy.held), zstandard.ZstdCompressor().compress(content))
+        kept = StoredCopy(FORM, tuple(self.wire.copy.held), zstandard.ZstdCompressor().compress(content))
         try:
             self.next_start_record.write(ENCODER.encode(kept))
         except OSError as error:
             self.log.warning("configuration-not-kept", cause=str(error))
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         if version == self.version:
             # the stored version, with which this front started
             return None
@@ -110,12 +110,12 @@
                 self.front.capture.stop(f"the settings changed to {version}, and a replay decides by those of the start")
         return error
 
-    def keep_configuration(self, data: bytes) -> None:
+    def store_configuration(self, data: bytes) -> None:
         if self.record is not None:
             self.record.write(data)
             self.write_pending.set()
 
-    def keep_vote(self, data: bytes) -> None:
+    def store_vote(self, data: bytes) -> None:
         raise OSError("a front does not vote")
 
     # ---- for operators
@@ -138,6 +138,7 @@
             "titles": len(session_core.server_list.titles),
             "limits": {name: [buckets.rate, buckets.burst] for name, buckets in admission.buckets.items()} if admission else None,
             "packages": {
-                package.name: {name: getattr(package, name) for name in OF_PACKAGES} for package in session_core.packages.values()
+                package.name: {name: getattr(package, name) for name in IN_SERVICE_PACKAGE_FIELDS}
+                for package in session_core.packages.values()
             },
         }
--- a/curlewshift/front/followers.py
+++ b/curlewshift/front/followers.py
@@ -12,7 +12,7 @@
 from curlewshift.session_core.server_list import ServerEntry
 from curlewshift.session_core.session_core import SessionCore
 from curlewshift.signalling.bodies import InvalidBody, ListNews, ListRow, Note, decode
-from curlewshift.signalling.events import Event, Reader, TooLong
+from curlewshift.signalling.events import Event, EventReader, EventTooLong
 from curlewshift.site.site import host_port
 
 MS = 1_000_000
@@ -54,7 +54,7 @@
                     await self.connection.close()
             except RequestNotSent:
                 self.refused = True
-            except (ConnectionBroken, TooLong, TimeoutError):
+            except (ConnectionBroken, EventTooLong, TimeoutError):
                 self.refused = False
             if opened or self.refused:
                 yield None
@@ -75,7 +75,7 @@
             response = await connection.begin("GET", self.target, headers)
         if response.status != 200:
             raise ConnectionBroken(f"answered {response.status}")
-        reader, chunks = Reader(), connection.pieces()
+        reader, chunks = EventReader(), connection.pieces()
         while True:
             with anyio.fail_after(SILENCE_TIMEOUT_S):
                 try:
--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -30,22 +30,22 @@
 from curlewshift.limits.permits import InvalidKeySet, Permits, read_keys
 from curlewshift.model import Server
 from curlewshift.peaks.calendar import Calendar, InvalidPeak
-from curlewshift.peering.distributed import DistributionWire
-from curlewshift.peering.leased import LeaseWire
-from curlewshift.peering.overloaded import OverloadWire
-from curlewshift.peering.shared import SharedWire
-from curlewshift.peering.wire import PeerWire
+from curlewshift.peering.distributed import DistributionProtocol
+from curlewshift.peering.leased import LeaseTaskProtocol
+from curlewshift.peering.overloaded import OverloadProtocol
+from curlewshift.peering.shared import SharingProtocol
+from curlewshift.peering.wire import PeerSocket
 from curlewshift.recovery.recovery import InterruptedSetup, ListedSession, Recovery, recovery_of
 from curlewshift.retries.session_ends import SessionEnd
 from curlewshift.schedule.background import Background, Job
 from curlewshift.schedule.clock import Clock, SkewedClock
-from curlewshift.schedule.waking import WakeupTimer
-from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request, TuneIn
+from curlewshift.schedule.wakeup_timer import WakeupTimer
+from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request, TuneIn
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.server_commands import ServerCommand
 from curlewshift.session_core.server_list import ServerList
 from curlewshift.session_core.session_core import SessionCore
-from curlewshift.site.places import distribution_of, places_of
+from curlewshift.site.places import distribution_of, locations_of
 from curlewshift.site.site import Site
 from curlewshift.state.intents import Intents
 from curlewshift.state.journal import Journal, Lock
@@ -79,12 +79,12 @@
     """
 
     server_pool_class = ServerPool
-    peers_class = PeerWire
-    shared_class = SharedWire
-    leased_class = LeaseWire
-    overload_class = OverloadWire
+    peers_class = PeerSocket
+    shared_class = SharingProtocol
+    leased_class = LeaseTaskProtocol
+    overload_class = OverloadProtocol
     configuration_host_class = ConfigurationHost
-    distribution_class = DistributionWire
+    distribution_class = DistributionProtocol
 
     def __init__(
         self,
@@ -156,10 +156,10 @@
             **core_options,
         )
         self.http_listener.session_core = self.session_core
-        self.peers: PeerWire | None = None
+        self.peers: PeerSocket | None = None
         if site.peers is not None:
             self.peers = self.peers_class(site.name, self.address, site.peers, self.clock, log, Random(self.rng.random()))
-        self.shared: SharedWire | None = None
+        self.shared: SharingProtocol | None = None
         if self.peers is not None and site.sharing is not None:
             self.shared = self.shared_class(
                 self.peers.channel,
@@ -176,7 +176,7 @@
         self.stored_sharing = None
         if self.shared is not None and state is not None:
             self.stored_sharing = StoredSharing(state / "shared.json", self.shared.sharing, self.wall, log)
-        self.leased: LeaseWire | None = None
+        self.leased: LeaseTaskProtocol | None = None
         if self.peers is not None and site.leases is not None:
             lease_settings = site.leases
             self.leased = self.leased_class(
@@ -193,7 +193,7 @@
                 lease_settings.tasks,
                 lease_settings.orphans_after,
             )
-        self.shedding: OverloadWire | None = None
+        self.shedding: OverloadProtocol | None = None
         if site.overload is not None:
             self.shedding = self.http_listener.shedding = self.overload_class(
                 self.peers.channel if self.peers is not None else None,
@@ -211,7 +211,7 @@
                 self.peers.channel,
                 self.configured,
                 self.address.name,
-                places_of(site),
+                locations_of(site),
                 distribution_of(site),
                 lambda: 0,
                 self.clock,
@@ -255,7 +255,7 @@
             )
         self.recovery = recovery_of(self, self.session_core, self.name, self.session_writer.registry, intents, key_digest)
         self.recovery.begin()
-        if not self.recovery.over:
+        if not self.recovery.finished:
             self.recovering = self.background.add(
                 "recover", self._continue_recovery, self.now(), every=int(RECOVERY_INTERVAL_S * NS)
             )
@@ -263,7 +263,7 @@
     def _continue_recovery(self) -> None:
         recovery = self.recovery
         recovery.time()
-        if recovery.over:
+        if recovery.finished:
             self.background.cancel(self.recovering)
             self.log.info(
                 "recovered",
@@ -489,7 +489,7 @@
 
     def _follow_servers(self) -> None:
         if self.recovery is not None:
-            self.recovery.list_told()
+            self.recovery.list_changed()
         listed_servers = self.session_core.server_list.shelf_of
         for server in listed_servers:
             if server not in self.notes_scopes:
@@ -582,7 +582,7 @@
         viewing = request.front_session.viewing.name if request.front_session is not None else 0
         server_field = (
             {"server": answer.front_session.viewing.server.name}
-            if answer.kind is Kind.PLAYS and answer.front_session.viewing.server
+            if answer.kind is AnswerKind.PLAYS and answer.front_session.viewing.server
             else {}
         )
         self.log.info(
--- a/curlewshift/front/http_listener.py
+++ b/curlewshift/front/http_listener.py
@@ -22,7 +22,7 @@
 from curlewshift.limits.admission import Admission
 from curlewshift.limits.permits import Permit, PermitDenied, Permits, allow
 from curlewshift.limits.queue import Ticket
-from curlewshift.session_core.front_session import Answer, FrontSession, Kind, Request
+from curlewshift.session_core.front_session import Answer, AnswerKind, FrontSession, Request
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.session_core import InvalidRequest, SessionCore, UnknownResource
 from curlewshift.signalling.sdp import PLAYS, PUBLISHES, InvalidDescription, checked_offer, identity
@@ -74,7 +74,7 @@
 
     async def serve(self, exchange: Exchange) -> None:
         self.busy += 1
-        exchange.always = CORS_HEADERS
+        exchange.common_headers = CORS_HEADERS
         try:
             await self._serve(exchange)
         except RequestError as error:
@@ -128,7 +128,7 @@
 
     async def _admit(self, exchange: Exchange, permit: Permit | None, package: str) -> Ticket:
         """Waits for admission of the request. Raises `RequestError` with a time to retry if it is refused."""
-        ticket = self.admission.asked(
+        ticket = self.admission.request(
             exchange.connection.peer,
             permit.holder if permit else None,
             exchange.headers.get("user-agent", "").partition(" ")[0][:64],
@@ -137,13 +137,13 @@
         )
         if ticket.state == "waiting":
             decided = self.admission_events[ticket] = anyio.Event()
-            exchange.on_hang_up(decided.set)
+            exchange.on_disconnect(decided.set)
             try:
                 await decided.wait()
             finally:
                 self.admission_events.pop(ticket, None)
                 if ticket.state == "waiting" or exchange.connection.gone:
-                    self.admission.gave_up(ticket, self.now())
+                    self.admission.disconnected(ticket, self.now())
             if exchange.connection.gone:
                 raise PeerDisconnected
         if ticket.state == "no":
@@ -187,7 +187,7 @@
         if viewer:
             self.shedding.taken(request, viewer)
         await self._await_answer(exchange, request, permit)
-        return request.answer.kind is Kind.PLAYS
+        return request.answer.kind is AnswerKind.PLAYS
 
     def _viewer_name(self, exchange: Exchange, package: str, title: str, permit: Permit | None, key: str) -> str:
         """The name by which all fronts know the viewer under overload control: the client's own, with the permit's holder. Empty
@@ -241,7 +241,7 @@
                 self.session_core.hung_up(request)
                 self.answer(request, None)
 
-            exchange.on_hang_up(peer_hung_up)
+            exchange.on_disconnect(peer_hung_up)
             try:
                 await waiter.wait()
             finally:
@@ -253,9 +253,9 @@
         await self.write(exchange, request.answer, permit)
 
     async def write(self, exchange: Exchange, answer: Answer, permit: Permit | None = None) -> None:
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             await self._write_plays(exchange, answer.front_session, permit)
-        elif answer.kind is Kind.REFUSED:
+        elif answer.kind is AnswerKind.REFUSED:
             # Retry-After is in whole seconds, rounded up so that no client returns sooner than advised
             wait = [("retry-after", str(-(-answer.wait // NS)))] if answer.wait else []
             await exchange.problem(503, answer.cause, headers=wait, retry_after_ms=answer.wait // MS or None)
--- a/curlewshift/front/planted_configuration_faults.py
+++ b/curlewshift/front/planted_configuration_faults.py
@@ -8,7 +8,7 @@
 from curlewshift.front.configuration_changes import ChangeSet
 from curlewshift.front.configuration_host import ConfigurationHost
 from curlewshift.front.front import Front
-from curlewshift.state.configured import Record
+from curlewshift.state.record_file import RecordFile
 
 
 class HalfChangeSet(ChangeSet):
@@ -31,10 +31,10 @@
     configuration_host_class = HalfConfigurationHost
 
 
-class RecordWithoutDigestCheck(Record):
+class RecordWithoutDigestCheck(RecordFile):
     """Accepts a stored record whatever its digest."""
 
-    def holds(self, head, data):
+    def digest_matches(self, head, data):
         return True
 
 
--- a/curlewshift/front/planted_faults.py
+++ b/curlewshift/front/planted_faults.py
@@ -21,16 +21,16 @@
 from curlewshift.model import Outcome
 from curlewshift.model_checker.budget_checker import FAULTS
 from curlewshift.overload.overload import Overload
-from curlewshift.peering.leased import LeaseWire
-from curlewshift.peering.overloaded import OverloadWire
-from curlewshift.peering.shared import SharedWire
-from curlewshift.peering.wire import PeerWire
+from curlewshift.peering.leased import LeaseTaskProtocol
+from curlewshift.peering.overloaded import OverloadProtocol
+from curlewshift.peering.shared import SharingProtocol
+from curlewshift.peering.wire import PeerSocket
 from curlewshift.rules import NEVER_RAN, Rules
 from curlewshift.session_core.session_core import SessionCore
 from curlewshift.sharing.evidence import Evidence
 from curlewshift.sharing.loans import Loans
+from curlewshift.sharing.renewable_loans import RenewableLoans
 from curlewshift.sharing.sharing import Sharing
-from curlewshift.sharing.standing import StandingLoans
 
 # A fault that is not to hit everything hits one in this many.
 FAULT_INTERVAL = 8
@@ -71,7 +71,7 @@
     """Treats every failed set-up as one that never ran."""
 
     def ended(self, viewing, outcome, closed):
-        if not closed and not viewing.playing and not viewing.over and outcome not in NEVER_RAN:
+        if not closed and not viewing.playing and not viewing.ended and outcome not in NEVER_RAN:
             outcome = Outcome.UNREACHED
         super().ended(viewing, outcome, closed)
 
@@ -179,7 +179,7 @@
                 self._send_request,
                 other_holders[0],
                 "POST",
-                f"/{offer.way}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
+                f"/{offer.protocol}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
                 [("content-type", "application/sdp"), ("x-request-id", request), ("x-tune-in", str(tune_in.number + 1))],
                 offer.text.encode(),
             )
@@ -210,16 +210,16 @@
 class MembershipWithoutRefutation(Membership):
     """Does not refute a suspicion of itself."""
 
-    def _own_name(self, claim):
+    def _refute_or_yield(self, claim):
         pass
 
 
 class MembershipAcceptingOldLives(Membership):
     """Treats a datagram of a member's earlier life as one of its current life."""
 
-    def heard(self, claim):
+    def receive_from(self, claim):
         held = self.members.get(claim.name)
-        return super().heard(claim._replace(life=held.life) if held is not None else claim)
+        return super().receive_from(claim._replace(life=held.life) if held is not None else claim)
 
 
 class MembershipKeepingGoneMembers(Membership):
@@ -232,7 +232,7 @@
 def front_with_membership(membership: type[Membership]) -> type[Front]:
     """A front class that uses this membership class."""
 
-    class Wire(PeerWire):
+    class Wire(PeerSocket):
         membership_class = membership
 
     class FrontWithMembership(Front):
@@ -246,7 +246,7 @@
 ) -> type[Front]:
     """A front class that uses these lease proposer and acceptor classes."""
 
-    class Wire(LeaseWire):
+    class Wire(LeaseTaskProtocol):
         proposer_class, acceptor_class = proposer, acceptor
 
     class FrontWithLeases(Front):
@@ -261,21 +261,21 @@
     def doubts(self, now):
         self.doubted = {
             server: True
-            for server, words in self.words.items()
-            if any(word.bad > word.good for front, word in words.items() if front != self.me)
+            for server, words in self.observations.items()
+            if any(word.bad > word.good for front, word in words.items() if front != self.local_name)
         }
         return self.doubted
 
 
 def front_with_sharing(
-    loans: type[Loans] = Loans, seats: type[StandingLoans] = StandingLoans, evidence: type[Evidence] = Evidence
+    loans: type[Loans] = Loans, seats: type[RenewableLoans] = RenewableLoans, evidence: type[Evidence] = Evidence
 ) -> type[Front]:
     """A front class that uses these classes for sharing."""
 
     class SharingWithFault(Sharing):
         loans_class, seats_class, evidence_class = loans, seats, evidence
 
-    class Wire(SharedWire):
+    class Wire(SharingProtocol):
         sharing_class = SharingWithFault
 
     class FrontWithSharing(Front):
@@ -287,7 +287,7 @@
 def front_with_overload(overload: type[Overload]) -> type[Front]:
     """A front class that uses this overload class."""
 
-    class Wire(OverloadWire):
+    class Wire(OverloadProtocol):
         overload_class = overload
 
     class FrontWithOverload(Front):
--- a/curlewshift/front/server_pool.py
+++ b/curlewshift/front/server_pool.py
@@ -141,7 +141,7 @@
             return False
         # The server sees that nobody waits any more. An answer that is already on its way is still read, because the
         # session that it reports must be ended.
-        outgoing.connection.say_no_more()
+        outgoing.connection.shut_down_sending()
         viewing = tune_in.front_session.viewing
         viewing.unconfirmed = {*viewing.unconfirmed, tune_in.server}
         outgoing.scope.deadline = anyio.current_time() + LATE_ANSWER_TIMEOUT_S
@@ -218,7 +218,7 @@
         viewing_header = [("x-viewing", key_digest(held.key))] if held is not None and viewing.package.paid_at_setup else []
         return await connection.ask(
             "POST",
-            f"/{offer.way}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
+            f"/{offer.protocol}/{viewing.package.name}/{viewing.title}?layer={tune_in.rung}",
             [
                 ("content-type", SDP),
                 ("x-request-id", request),
@@ -284,7 +284,7 @@
                 async with self.disk_limiter:
                     # collected while holding the limiter, so that an intent waiting for it is included
                     self.intents.forget(self.wall())
-                    await anyio.to_thread.run_sync(self.journal.begin_anew, self.intents.anew())
+                    await anyio.to_thread.run_sync(self.journal.rewrite, self.intents.snapshot())
         except WriteFailed as error:
             self.log.warning("end-not-kept", cause=str(error))
 
--- a/curlewshift/front/session_writer.py
+++ b/curlewshift/front/session_writer.py
@@ -9,7 +9,7 @@
 from curlewshift.session_core.front_session import FrontSession
 from curlewshift.state.background_writer import BackgroundWriter
 from curlewshift.state.journal import Journal, WriteFailed
-from curlewshift.state.session_registry import SessionRegistry, remembered
+from curlewshift.state.session_registry import SessionRegistry, to_stored_session
 
 # Records that may be queued while the disk stalls.
 MAX_QUEUED_RECORDS = 100_000
@@ -31,7 +31,7 @@
         session = front_session.session
         self._enqueue(
             self.registry.began(
-                remembered(front_session, token, holder, session.path, session.etag, session.ufrag, session.answer)
+                to_stored_session(front_session, token, holder, session.path, session.etag, session.ufrag, session.answer)
             )
         )
 
@@ -70,7 +70,7 @@
         try:
             for is_snapshot, records in batch:
                 if is_snapshot:
-                    self.journal.begin_anew(records)
+                    self.journal.rewrite(records)
                 elif not self.stopped:
                     self.journal.add(records, False)
         except WriteFailed as error:
--- a/curlewshift/front/sessions.py
+++ b/curlewshift/front/sessions.py
@@ -152,7 +152,7 @@
                 )
             finished.set()
 
-        exchange.on_hang_up(finished.set)
+        exchange.on_disconnect(finished.set)
         self.http_listener.session_core.patched(
             client_session.front_session, Patch(exchange.body, fragment, exchange.headers.get("if-match")), on_finished
         )
@@ -165,9 +165,9 @@
     async def _patched(self, exchange: Exchange, command: ServerCommand | None) -> None:
         if command is not None and command.reply is not None:
             await exchange.answer(command.reply.status, command.reply.headers, command.reply.body)
-        elif command is not None and command.result is Result.OVER:
+        elif command is not None and command.result is Result.ENDED:
             raise RequestError(404, "the session has ended")
-        elif command is not None and command.result is Result.CROWDED:
+        elif command is not None and command.result is Result.QUEUE_FULL:
             raise RequestError(503, "too many changes of this session wait", [("retry-after", "1")])
         else:
             raise RequestError(504, "the server of this session did not answer; the change may have been taken all the same")
--- a/curlewshift/model_checker/budget_checker.py
+++ b/curlewshift/model_checker/budget_checker.py
@@ -16,7 +16,7 @@
 
 # A tick is four units of true time; a clock at the bounds of its drift advances by three or five units.
 UNITS, DRIFT = 4, 0.25
-TERMS = SharingTerms(term=4, drift=DRIFT, window=4, every=4, most_asks=1)
+TERMS = SharingTerms(term=4, drift=DRIFT, window=4, every=4, max_requests=1)
 # A window by the fastest clock, in true units. No front counts over a shorter window by its own clock.
 TRUE_WINDOW = TERMS.window / (1 + DRIFT)
 KEY = "k"
@@ -88,9 +88,9 @@
                 dict(front.lent),
                 dict(front.wanted),
                 dict(front.used),
-                dict(front.out),
+                dict(front.outstanding),
             )
-            front_copy.done = dict(front.done)
+            front_copy.done = dict(front.to_return)
             front_copy.borrowed = {key: dict(held) for key, held in front.borrowed.items()}
             front_copy.numbers = copy(front.numbers)
             other.fronts.append(front_copy)
@@ -105,7 +105,7 @@
             until, *loan = front.lent.get(KEY, (0,))
             lender_state = (
                 (max(0, until - steady), tuple(loan) if until > steady else (), min(9, steady - front.used.get(KEY, -9)))
-                if front.me == LENDER
+                if front.local_index == LENDER
                 else ()
             )
             fronts.append(
@@ -119,10 +119,12 @@
                             if until > now
                         )
                     ),
-                    bool(front.done),
+                    bool(front.to_return),
                     tuple(
                         sorted(
-                            (now - request[1], number) for number, request in front.out.items() if now - request[1] < TERMS.term
+                            (now - request[1], number)
+                            for number, request in front.outstanding.items()
+                            if now - request[1] < TERMS.term
                         )
                     ),
                 )
@@ -179,7 +181,7 @@
             elif message_kind == "lend":
                 self.fronts[receiver].lends(sender, number, [(KEY, RIGHTS)])
             else:
-                self.fronts[receiver].given_back(sender, number, KEY)
+                self.fronts[receiver].loan_returned(sender, number, KEY)
 
     def restarted(self, number: int) -> Loans:
         # Each life (run of a process) numbers its requests from another start, as random first numbers do.
@@ -221,16 +223,16 @@
 class RightGivenTwice(Loans):
     """Lends rights that are lent already."""
 
-    def asked(self, borrower, number, keys, life=0):
+    def loan_requested(self, borrower, number, keys, life=0):
         self.lent.clear()
-        super().asked(borrower, number, keys, life)
+        super().loan_requested(borrower, number, keys, life)
 
 
 class NoTerm(Loans):
     """Never returns borrowed rights: their term does not end."""
 
-    def lends(self, lender, number, rights):
-        super().lends(lender, number, rights)
+    def loan_received(self, lender, number, rights):
+        super().loan_received(lender, number, rights)
         for key, lent in rights:
             if lender in self.borrowed.get(key, {}):
                 self.borrowed[key][lender] = (2**62, lent, number)
--- a/curlewshift/model_checker/lease_checker.py
+++ b/curlewshift/model_checker/lease_checker.py
@@ -23,7 +23,7 @@
 TERMS = LeaseTerms(term=8, drift=DRIFT, every=4)
 LEASE, ACCEPTORS, PROPOSERS = "l", 3, 2
 # Ticks for which an acceptor keeps what it accepted, by the slowest clock; one step covers them all.
-LONG_STEP_TICKS = -(-TERMS.kept // 3)
+LONG_STEP_TICKS = -(-TERMS.hold_time // 3)
 # Answers delayed at a time, and restarts of acceptors or proposers in one trace.
 MAX_DELAYED_ANSWERS, MAX_RESTARTS = 1, 1
 
@@ -109,7 +109,7 @@
         proposer = self.classes[0](
             ProposerEnd(self, number), number, self.lives[number], list(range(self.size)), TERMS, Random(1)
         )
-        proposer.tries[LEASE] = LeaseView()
+        proposer.views[LEASE] = LeaseView()
         return proposer
 
     def clone(self) -> LeaseModel:
@@ -126,7 +126,7 @@
             proposer_copy = copy(proposer)
             proposer_copy.driver = ProposerEnd(other, number)
             # a new dict: if both copies shared it, a state would go on with what a sibling state had done
-            view = copy(proposer.tries[LEASE])
+            view = copy(proposer.views[LEASE])
             view.promised, view.accepted = dict(view.promised), set(view.accepted)
             proposer_copy.tries = {LEASE: view}
             other.proposers.append(proposer_copy)
@@ -140,7 +140,7 @@
     def state(self) -> tuple:
         ballots = {NONE}
         for proposer in self.proposers:
-            view = proposer.tries[LEASE]
+            view = proposer.views[LEASE]
             ballots |= {view.ballot, *(ballot for _, ballot in view.promised.values())}
         for acceptor in self.acceptors:
             for accepted in acceptor.leases.values():
@@ -152,16 +152,16 @@
         proposers = tuple(
             (
                 rank[view.ballot],
-                view.asked_at >= 0,
+                view.attempt_began_at >= 0,
                 view.proposing,
-                view.renews,
+                view.is_renewal,
                 max(0, view.until - now),
                 view.proposed_at - now if view.proposing else 0,
                 view.fence - self.ticks if view.until > now or view.proposing else 0,
                 rank[self.stale[number][1]] if number in self.stale else (),
             )
             for number, (view, now) in enumerate(
-                (proposer.tries[LEASE], self.clocks[number]) for number, proposer in enumerate(self.proposers)
+                (proposer.views[LEASE], self.clocks[number]) for number, proposer in enumerate(self.proposers)
             )
         )
 
@@ -184,8 +184,8 @@
             )
             exchanged = []
             for number, proposer in enumerate(self.proposers):
-                view, request = proposer.tries[LEASE], self.requests.get((number, index))
-                promise = view.promised.get(index) if view.asked_at >= 0 and not view.proposing else None
+                view, request = proposer.views[LEASE], self.requests.get((number, index))
+                promise = view.promised.get(index) if view.attempt_began_at >= 0 and not view.proposing else None
                 exchanged.append(
                     (
                         (promise[0], rank[promise[1]]) if promise else (),
@@ -242,7 +242,7 @@
         elif kind == "ask":
             proposer = self.proposers[step[1]]
             proposer.may_act(LEASE)
-            proposer._ask(LEASE, proposer.tries[LEASE], proposer._now())
+            proposer._prepare(LEASE, proposer.views[LEASE], proposer._now())
         elif kind in ("trip", "half"):
             self._to_acceptor(step[1], step[2], self.requests.pop(step[1:]), delay=kind == "half")
         elif kind == "stale":
@@ -317,7 +317,7 @@
         _, number, prepared, proposed = step
         proposer = self.proposers[number]
         proposer.may_act(LEASE)
-        proposer._ask(LEASE, proposer.tries[LEASE], proposer._now())
+        proposer._prepare(LEASE, proposer.views[LEASE], proposer._now())
         for reached in (prepared, proposed):
             for acceptor in reached:
                 request = self.requests.pop((number, acceptor), None)
--- a/curlewshift/model_checker/version_checker.py
+++ b/curlewshift/model_checker/version_checker.py
@@ -21,7 +21,7 @@
 
 STORES, WRITERS, NODES = ("a", "b", "c"), 2, 2
 # Resends are due at once: when they happen is a step that the checker chooses, and no clock decides it.
-TERMS = DistributionTerms(STORES, again=0)
+TERMS = DistributionTerms(STORES, resend_interval=0)
 # In one trace: tenures, changes requested, restarts of any process, records lost (a majority of the stores keeps its own);
 # and answers delayed at a time.
 MAX_TENURES, MAX_PUTS, MAX_RESTARTS, MAX_LOST, MAX_DELAYED_ANSWERS = 3, 3, 1, 1, 1
@@ -86,7 +86,7 @@
     def __init__(self, model: VersionModel, name: str):
         self.model, self.name = model, name
 
-    def keep_vote(self, data: bytes) -> None:
+    def store_vote(self, data: bytes) -> None:
         self.model.record_written(self.name, data)
 
     def content_of(self, version) -> bytes | None:
@@ -117,11 +117,11 @@
     def check_configuration(self, content) -> str | None:
         return None
 
-    def take_configuration(self, text, content) -> str | None:
+    def apply_configuration(self, text, content) -> str | None:
         self.model.in_force(self.number, text, content)
         return None
 
-    def keep_configuration(self, data) -> None:
+    def store_configuration(self, data) -> None:
         self.model.disks[self.number] = data
 
     def __getattr__(self, name: str):
@@ -167,7 +167,7 @@
         stores."""
         noted = {name: (0, 1, store.number) for name, store in self.stores.items()}
         for store in self.stores.values():
-            store._keep(blank=False, noted=noted)
+            store._persist(blank=False, noted=noted)
 
     def clone(self) -> VersionModel:
         other = copy(self)
@@ -194,10 +194,10 @@
             writer_copy.driver = WriterEnd(other, number)
             if writer.tenure is not None:
                 tenure = writer_copy.tenure = copy(writer.tenure)
-                for name in ("stands", "answered", "votes", "letting"):
+                for name in ("stands", "answered", "votes", "admitting"):
                     setattr(tenure, name, copy(getattr(tenure, name)))
-            if writer.wanted is not None:
-                writer_copy.wanted = copy(writer.wanted)
+            if writer.pending_change is not None:
+                writer_copy.wanted = copy(writer.pending_change)
                 writer_copy.wanted.done = other.put_answered
             other.writers.append(writer_copy)
         other.stores = {}
@@ -226,7 +226,7 @@
                     writer.tenure.is_chosen,
                     tuple(sorted(writer.tenure.votes)),
                     writer.tenure.count,
-                    tuple(sorted(writer.tenure.letting.items())),
+                    tuple(sorted(writer.tenure.admitting.items())),
                     writer.tenure.outbid_by,
                 ),
             )
@@ -267,7 +267,7 @@
 
     @staticmethod
     def _put_state(writer: Writer) -> tuple:
-        put = writer.wanted
+        put = writer.pending_change
         return () if put is None else (put.content, put.base, put.version)
 
     # ---- possible steps
@@ -293,7 +293,7 @@
                 steps.append(("tenure", number))
                 if self.latest_fence and self.fences[number] != self.latest_fence:
                     steps.append(("same", number))
-            if self.puts < self.max_puts and self.fences[number] and self.writers[number].wanted is None:
+            if self.puts < self.max_puts and self.fences[number] and self.writers[number].pending_change is None:
                 steps.append(("put", number))
             if self.restarts < self.max_restarts and self.fences[number]:
                 steps.append(("writer", number))
@@ -325,8 +325,10 @@
         elif kind == "put":
             self._put(step[1])
         elif kind in ("tell", "spoilt"):
-            self.nodes[step[1]].heard(step[2])
-            self.nodes[step[1]].got(step[2], self.contents[step[2].digest] if kind == "tell" else b"spoilt on its way")
+            self.nodes[step[1]].version_announced(step[2])
+            self.nodes[step[1]].content_received(
+                step[2], self.contents[step[2].digest] if kind == "tell" else b"spoilt on its way"
+            )
         else:
             self._restart(kind, step[1])
         if self.violation:
@@ -425,7 +427,7 @@
             tenures = ["on"] if self.fences[number] else []
             if self.tenures < self.max_tenures:
                 tenures += ["new"] + ["same"] * (0 < self.latest_fence != self.fences[number])
-            puts = (False, True) if self.puts < self.max_puts and self.writers[number].wanted is None else (False,)
+            puts = (False, True) if self.puts < self.max_puts and self.writers[number].pending_change is None else (False,)
             steps += [
                 ("round", number, tenure, put, reached, limit)
                 for tenure in tenures
--- a/curlewshift/model_checker/world.py
+++ b/curlewshift/model_checker/world.py
@@ -11,13 +11,13 @@
 
 from curlewshift.model import Outcome, Package, Terms
 from curlewshift.recovery.recovery import InterruptedSetup, ListedSession, recovery_of
-from curlewshift.session_core.front_session import Answer, Kind, Request, TuneIn
+from curlewshift.session_core.front_session import Answer, AnswerKind, Request, TuneIn
 from curlewshift.session_core.offer import Offer
 from curlewshift.session_core.server_commands import Result
 from curlewshift.session_core.server_list import ServerEntry, ServerList
 from curlewshift.session_core.session_core import SessionCore
 from curlewshift.state.intents import Intents, intent_of
-from curlewshift.state.session_registry import SessionRegistry, StoredSession, remembered
+from curlewshift.state.session_registry import SessionRegistry, StoredSession, to_stored_session
 from curlewshift.state.setting_up import SEND, setting_up
 
 SECOND = 1_000_000_000
@@ -314,16 +314,16 @@
         self.answers[request] = answer
         client = next(client for client in self.clients if request.name.startswith(client.name))
         if (
-            answer.kind is Kind.REFUSED
+            answer.kind is AnswerKind.REFUSED
             and self.package.paid_at_setup
             and any(
                 attempt.client == client.name and attempt.stage != "write" and not attempt.never_ran for attempt in self.attempts
             )
         ):
             raise RuleViolated(f"2: {request.name} is refused though it may have run")
-        if answer.kind is Kind.FAILED:
+        if answer.kind is AnswerKind.FAILED:
             self.reported_failed.add((client.name, front.name))
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             front_session = answer.front_session
             # Only within one life: a later one may have found the session, as a failed set-up may have run all the same.
             if self.package.paid_at_setup and (client.name, front.name) in self.reported_failed:
@@ -331,7 +331,8 @@
             if front_session not in front.tokens:
                 front.tokens[front_session] = f"t {front_session.session}"
                 self.write(
-                    "book", front.book.began(remembered(front_session, front.tokens[front_session], None, front_session.session))
+                    "book",
+                    front.book.began(to_stored_session(front_session, front.tokens[front_session], None, front_session.session)),
                 )
 
     def _report_failure(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -439,7 +440,7 @@
         if waiting and same_life and self.limits.hang_ups:
             choices.append(("a client hangs up", number))
         disconnected = (waiting and not same_life) or last.gone
-        if self.limits.retries and (disconnected or (last.answer is not None and last.answer.kind is not Kind.PLAYS)):
+        if self.limits.retries and (disconnected or (last.answer is not None and last.answer.kind is not AnswerKind.PLAYS)):
             choices.append(("a client comes again", number))
         if self._front_session(client) is not None:
             choices.append(("a client leaves", number))
@@ -729,7 +730,7 @@
                         (
                             front_session.viewing.title,
                             front_session.viewing.playing,
-                            front_session.viewing.over,
+                            front_session.viewing.ended,
                             front_session.viewing.tune_ins,
                             front_session.viewing.server and front_session.viewing.server.name,
                             front_session.viewing.rung,
@@ -741,22 +742,22 @@
                     ],
                     [
                         (key, held.until, held.front_session.answer and held.front_session.answer.kind.value)
-                        for key, held in front.session_core.keys.held.items()
+                        for key, held in front.session_core.keys.entries.items()
                     ],
                     sorted(front.session_core.doubts),
-                    front.recovery.over,
+                    front.recovery.finished,
                     [
                         (task.server.name, task.out, task.done, task.tries, task.adopting is not None)
-                        for task in front.recovery.at.values()
+                        for task in front.recovery.by_server.values()
                     ],
                     [
                         (
                             server.name,
                             server.open,
-                            server.out,
+                            server.outstanding,
                             server.failed,
-                            round(server.trouble, 3),
-                            server.trouble_at,
+                            round(server.fault_score, 3),
+                            server.fault_at,
                             server.full_until,
                             server.cold_until,
                             len(server.sent),
--- a/curlewshift/peering/wire.py
+++ b/curlewshift/peering/wire.py
@@ -28,7 +28,7 @@
 LEAVE_FLUSH_S = 0.05
 
 
-class PeerWire:
+class PeerSocket:
     """The constructor raises `OSError` if the socket cannot be bound."""
 
     membership_class = Membership
@@ -79,7 +79,7 @@
     # ---- the channel's host
 
     def now(self) -> int:
-        return self.clock.hard()
+        return self.clock.steppable_now()
 
     def wake(self, at: int) -> None:
         """Converts the time to a delay at once: if the clock is set later, the wait does not get longer."""
--- a/curlewshift/running.py
+++ b/curlewshift/running.py
@@ -17,15 +17,15 @@
     except KeyboardInterrupt:
         sys.exit(1)
     except OSError as error:
-        refuse(error, 1)
+        exit_with_errors(error, 1)
     except ExceptionGroup as group:
         known, rest = group.split(OSError)
         if rest is not None:
             raise
-        refuse(known.exceptions, 1)
+        exit_with_errors(known.exceptions, 1)
 
 
-def refuse(errors, code: int) -> None:
+def exit_with_errors(errors, code: int) -> None:
     """Prints the error, or each of a tuple of errors, on a line of standard error, and exits with `code`."""
     for error in errors if isinstance(errors, tuple) else (errors,):
         print(f"curlewshift: {error}", file=sys.stderr)
--- a/curlewshift/signalling/events.py
+++ b/curlewshift/signalling/events.py
@@ -10,7 +10,7 @@
 MAX_EVENT_BYTES = 16 * 1024 * 1024
 
 
-class TooLong(Exception):
+class EventTooLong(Exception):
     """An event exceeds `MAX_EVENT_BYTES`."""
 
 
@@ -29,7 +29,7 @@
     return ("\n".join(lines) + "\n\n").encode()
 
 
-class Reader:
+class EventReader:
     """Incremental parser. `last_id` is the value to send as `Last-Event-ID` when a stream is resumed."""
 
     def __init__(self):
@@ -39,7 +39,7 @@
         self.event_bytes = 0
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that `data` completes. Raises `TooLong`."""
+        """The events that `data` completes. Raises `EventTooLong`."""
         events = []
         self.unparsed += data
         *lines, self.unparsed = self.unparsed.split(b"\n")
@@ -54,7 +54,7 @@
             if event is not None:
                 events.append(event)
         if self.event_bytes > MAX_EVENT_BYTES:
-            raise TooLong(f"event exceeds {MAX_EVENT_BYTES} bytes")
+            raise EventTooLong(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
     def _finish_event(self) -> Event | None:
--- a/curlewshift/site/changes.py
+++ b/curlewshift/site/changes.py
@@ -19,7 +19,7 @@
 # Fields of Site that a front changes in service, some under the conditions below. `machines` is among them as fronts do not use
 # it: they learn the media servers from the server list.
 IN_SERVICE_FIELDS = ("packages", "uplinks", "titles", "obligations", "most_waiting", "ice_servers", "limits", "machines")
-OF_PACKAGES = ("value", "join_target", "patience", "floor", "top", "seats")
+IN_SERVICE_PACKAGE_FIELDS = ("value", "join_target", "patience", "floor", "top", "seats")
 IN_SERVICE_OBLIGATIONS = ("way_back", "longest_wait", "most_tune_ins", "free_further", "further_share", "look_back", "grace")
 # Fields that must be equal at all members, as shared budgets and majorities are computed from them: restarting one member after
 # another would leave them unequal for a time.
@@ -48,7 +48,7 @@
     """The file is valid, but changes settings that only apply after a restart."""
 
 
-def refusals(running: Site, new: Site, root) -> Refusals:
+def restart_required_changes(running: Site, new: Site, root) -> Refusals:
     """The changes from `running` to `new` that need a restart; `root` is the root element of the new file, for line numbers."""
     refused: Refusals = []
     for field in fields(Site):
@@ -79,7 +79,7 @@
     return sorted(set(refused))
 
 
-def unalike(running: Site, new: Site, root) -> Refusals:
+def full_stop_changes(running: Site, new: Site, root) -> Refusals:
     """The changes that cannot be made by restarting members one after another: all must be stopped at once."""
     refused = {
         (
@@ -114,7 +114,7 @@
             attribute = name.replace("_", "-").replace("rates", "the ladder or scale")
             if old_value == new_value:
                 continue
-            if name not in OF_PACKAGES:
+            if name not in IN_SERVICE_PACKAGE_FIELDS:
                 yield line, f"package {before.name}: {attribute} needs a restart"
             elif name == "floor" and new_value > old_value:
                 # a waiting viewer may have sent a ceiling that is below the new floor
--- a/curlewshift/site/reading.py
+++ b/curlewshift/site/reading.py
@@ -32,20 +32,20 @@
 
 
 class SiteErrors(Exception):
-    """All errors of a file: `found` has (line, text) pairs, ordered by line."""
+    """All errors of a file: `errors` has (line, text) pairs, ordered by line."""
 
-    def __init__(self, path: Path | str, found: list[tuple[int, str]]):
-        self.path, self.found = path, sorted(set(found))
-        super().__init__("\n".join(f"{path}:{line}: {error}" for line, error in self.found))
+    def __init__(self, path: Path | str, errors: list[tuple[int, str]]):
+        self.path, self.errors = path, sorted(set(errors))
+        super().__init__("\n".join(f"{path}:{line}: {error}" for line, error in self.errors))
 
 
-def span(text: str) -> int:
+def parse_duration(text: str) -> int:
     """Converts a duration with its unit to nanoseconds."""
     number, unit = re.fullmatch(r"([0-9.]+)([a-z]+)", text).groups()
     return round(float(number) * DURATION_UNITS[unit])
 
 
-def rate(text: str) -> float:
+def parse_rate(text: str) -> float:
     """Converts a rate with its unit to kB/s."""
     number, unit = re.fullmatch(r"([0-9.]+)(.+)", text).groups()
     return float(number) * RATE_UNITS[unit]
--- a/curlewshift/site/site.py
+++ b/curlewshift/site/site.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 from curlewshift.leases.terms import LeaseTerms
-from curlewshift.limits.admission import Bounds
+from curlewshift.limits.admission import AdmissionLimits
 from curlewshift.membership.terms import MembershipTerms, default_membership_terms
 from curlewshift.model import Package, Terms
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
-from curlewshift.site.reading import SiteErrors, rate, read_xml, span
+from curlewshift.site.reading import SiteErrors, parse_duration, parse_rate, read_xml
 
 NS_PER_SECOND = 1_000_000_000
 # Titles times packages with shared seats. Each pair is an entry of state at every front that is visited in each round.
@@ -135,7 +135,7 @@
     # Link header values for ICE servers (RFC 9725, 4.6)
     ice_servers: tuple[str, ...] = ()
     # rate limits of requests; None: only the number of waiting requests is limited
-    limits: Bounds | None = None
+    limits: AdmissionLimits | None = None
     # None: the fronts do not know each other
     peers: Peers | None = None
     # None: nothing is shared between fronts
@@ -151,7 +151,7 @@
     # None: the settings stay as read from the file until the process ends
     configuration: DistributionSettings | None = None
 
-    def door(self, name: str) -> int:
+    def front_index(self, name: str) -> int:
         """The index of the front of that name. Raises `KeyError`."""
         for index, front in enumerate(self.front_addresses):
             if front.name == name:
@@ -210,7 +210,7 @@
     """Builds a site from the root element of a validated file; names of files are relative to the folder of `path`. Raises
     `SiteErrors`."""
     errors: list[tuple[int, str]] = []
-    ladder = [rate(rung.get("rate")) for rung in root.iterfind("ladder/rung")]
+    ladder = [parse_rate(rung.get("rate")) for rung in root.iterfind("ladder/rung")]
     for rung, lower, higher in zip(root.findall("ladder/rung")[1:], ladder, ladder[1:]):
         if higher <= lower:
             errors.append((rung.sourceline, f"rung: rates have to rise, {higher:g} kB/s follows {lower:g} kB/s"))
@@ -221,7 +221,7 @@
             *host_port(element.get("listen")),
             rack.get("name"),
             rack.get("zone", ""),
-            rate(element.get("link")),
+            parse_rate(element.get("link")),
             int(element.get("streams")),
             int(element.get("cores", "2")),
         )
@@ -275,7 +275,7 @@
         machines=machines,
         titles=titles,
         obligations=obligations,
-        uplinks={rack.get("name"): rate(rack.get("uplink")) for rack in root.iterfind("racks/rack")},
+        uplinks={rack.get("name"): parse_rate(rack.get("uplink")) for rack in root.iterfind("racks/rack")},
         most_waiting=int(fronts.get("most-waiting", "2000")),
         most_connections=int(fronts.get("most-connections-to-a-server", "64")),
         published=frozenset(
@@ -344,7 +344,10 @@
         errors.append((line, "configuration: there are no peers to have versions from"))
     if control is None:
         errors.append((line, "configuration: there is no <control> with the machines that make and keep versions"))
-    give_bytes, start_within = int(rate(element.get("give-bytes", "1.5kB/s")) * 1000), span(element.get("start-within", "3s"))
+    give_bytes, start_within = (
+        int(parse_rate(element.get("give-bytes", "1.5kB/s")) * 1000),
+        parse_duration(element.get("start-within", "3s")),
+    )
     if give_bytes < 1000:
         errors.append((line, "configuration: give-bytes under 1kB/s takes minutes for one file"))
     if start_within > 60 * NS_PER_SECOND:
@@ -367,11 +370,11 @@
             errors.append((line, f"peers: there is no front {name!r} to be a seed"))
     if not seeds:
         errors.append((line, "peers: one seed at least is needed"))
-    period = span(element.get("period", "1s"))
+    period = parse_duration(element.get("period", "1s"))
     if not MIN_PERIOD_NS <= period <= MAX_PERIOD_NS:
         errors.append((line, "peers: period should be from 100ms to 1min"))
     optional = {
-        name: span(element.get(attribute))
+        name: parse_duration(element.get(attribute))
         for name, attribute in (("answer_within", "answer-within"), ("forget_after", "forget-after"))
         if element.get(attribute)
     }
@@ -379,12 +382,12 @@
         errors.append((line, "peers: answer-within is half a period at most, as others are asked in the other half"))
     if optional.get("forget_after", 20 * period) < 20 * period:
         errors.append((line, "peers: forget-after is shorter than 20 periods, and news of who is gone goes round so long"))
-    most_bytes = int(rate(element.get("most-bytes", "128kB/s")) * 1000)
+    most_bytes = int(parse_rate(element.get("most-bytes", "128kB/s")) * 1000)
     if most_bytes < 4000:
         errors.append((line, "peers: most-bytes under 4kB/s leaves no room for news"))
     return Peers(
         [reach_of[name] for name in seeds if reach_of.get(name)],
-        default_membership_terms(period, most_members=int(element.get("most-members", "4096")), **optional),
+        default_membership_terms(period, max_members=int(element.get("most-members", "4096")), **optional),
         most_bytes,
     )
 
@@ -403,7 +406,7 @@
     line = element.sourceline
     if fronts.find("peers") is None:
         errors.append((line, "sharing: there are no peers to share with"))
-    term, every = span(element.get("term", "1500ms")), span(element.get("every", "250ms"))
+    term, every = parse_duration(element.get("term", "1500ms")), parse_duration(element.get("every", "250ms"))
     drift = float(element.get("drift", "0.01"))
     _check_rounds("sharing", every, drift, line, errors)
     if term < 2 * every:
@@ -431,7 +434,7 @@
         errors.append((line, "sharing: no package has seats to have together"))
     if "seats" in named and len(seats) * len(titles) > MAX_SHARED_SEATS:
         errors.append((line, f"sharing: seats of {MAX_SHARED_SEATS} titles and packages at most are had together"))
-    term, linger = span(element.get("seat-term", "6s")), span(element.get("seats-linger", "10s"))
+    term, linger = parse_duration(element.get("seat-term", "6s")), parse_duration(element.get("seats-linger", "10s"))
     if term < 8 * sharing.every:
         errors.append((line, "sharing: a seat-term under eight rounds leaves no time to renew"))
     return SharedBudgets(
@@ -461,14 +464,21 @@
     shards = int(element.get("shards", "8"))
     if shards > 64:
         errors.append((line, "leases: 64 shards at most"))
-    tasks, after = tuple(dict.fromkeys(element.get("tasks", "probe").split())), span(element.get("orphans-after", "15s"))
+    tasks, after = (
+        tuple(dict.fromkeys(element.get("tasks", "probe").split())),
+        parse_duration(element.get("orphans-after", "15s")),
+    )
     if after < terms.term:
         errors.append((line, "leases: orphans-after is shorter than a term, and a front that is only stopped comes back by then"))
-    return Leases(keepers, terms, shards, span(element.get("probe-each", "1s")), tasks, after)
+    return Leases(keepers, terms, shards, parse_duration(element.get("probe-each", "1s")), tasks, after)
 
 
 def _lease_terms(element_name: str, element, errors: list[tuple[int, str]]) -> LeaseTerms:
-    line, term, every = element.sourceline, span(element.get("term", "4s")), span(element.get("every", "250ms"))
+    line, term, every = (
+        element.sourceline,
+        parse_duration(element.get("term", "4s")),
+        parse_duration(element.get("every", "250ms")),
+    )
     drift = float(element.get("drift", "0.01"))
     _check_rounds(element_name, every, drift, line, errors)
     if term < 8 * every:
@@ -482,7 +492,7 @@
     element = fronts.find("overload")
     if element is None:
         return None
-    line, every = element.sourceline, span(element.get("every", "1s"))
+    line, every = element.sourceline, parse_duration(element.get("every", "1s"))
     floor, share = float(element.get("floor", "0.05")), float(element.get("again-share", "0.2"))
     if not MIN_PERIOD_NS <= every <= 5 * NS_PER_SECOND:
         errors.append((line, "overload: every should be from 100ms to 5s"))
@@ -510,7 +520,7 @@
     }
 
 
-def _limits(fronts, packages: list[Package], obligations: Obligations, errors: list[tuple[int, str]]) -> Bounds | None:
+def _limits(fronts, packages: list[Package], obligations: Obligations, errors: list[tuple[int, str]]) -> AdmissionLimits | None:
     element = fronts.find("limits")
     if element is None:
         return None
@@ -518,12 +528,12 @@
     def requests_per_second(name: str) -> float:
         return float(element.get(name, "0/s").removesuffix("/s"))
 
-    return Bounds(
+    return AdmissionLimits(
         requests_per_second("from-source"),
         requests_per_second("from-holder"),
         requests_per_second("from-build"),
         requests_per_second("for-package"),
-        span(element.get("burst", "5s")) / NS_PER_SECOND,
+        parse_duration(element.get("burst", "5s")) / NS_PER_SECOND,
         obligations.longest_wait,
         # the remaining time must suffice for two tune-ins (set-up attempts)
         min(package.join_target for package in packages) // 4,
@@ -544,7 +554,7 @@
         errors.append((line, f"package {name}: top is rung {top}, the ladder ends with rung {highest}"))
     if floor > min(top, highest):
         errors.append((line, f"package {name}: floor is rung {floor}, above its top {min(top, highest)}"))
-    target, patience = span(element.get("join-target")), span(element.get("patience"))
+    target, patience = parse_duration(element.get("join-target")), parse_duration(element.get("patience"))
     if patience < target:
         errors.append((line, f"package {name}: patience is shorter than the join target"))
     scale = float(element.get("scale", "1"))
@@ -565,19 +575,19 @@
     answers, drains, cold, news = (element.find(name) for name in ("answers", "drains", "cold-servers", "news"))
     further = element.find("further-tune-ins")
     obligations = Obligations(
-        way_back=span(answers.get("way-back")),
-        longest_wait=span(answers.get("longest-wait")),
+        way_back=parse_duration(answers.get("way-back")),
+        longest_wait=parse_duration(answers.get("longest-wait")),
         most_tune_ins=int(answers.get("most-tune-ins")),
-        grace=span(drains.get("grace")),
-        warm_within=span(cold.get("warm-within")),
+        grace=parse_duration(drains.get("grace")),
+        warm_within=parse_duration(cold.get("warm-within")),
         start_capacity=float(cold.get("start-capacity")),
         fall_multiple=float(cold.get("fall-multiple")),
-        fall_within=span(cold.get("fall-within")),
+        fall_within=parse_duration(cold.get("fall-within")),
         free_further=int(further.get("free")) if further is not None else None,
         further_share=float(further.get("share")) if further is not None else 0.0,
-        look_back=span(further.get("within")) if further is not None else 0,
-        told_late=span(news.get("told-late")),
-        told_every=span(news.get("told-every")),
+        look_back=parse_duration(further.get("within")) if further is not None else 0,
+        told_late=parse_duration(news.get("told-late")),
+        told_every=parse_duration(news.get("told-every")),
         probes=news.get("probes") in ("true", "1"),
         uplinks=news.get("uplinks") in ("true", "1"),
     )
--- a/curlewshift/soak/plants.py
+++ b/curlewshift/soak/plants.py
@@ -20,16 +20,16 @@
 class WaitsForNoRelease(PendingReleases):
     """Lets a further attempt follow at once on another connection, before the release of the previous one has been sent."""
 
-    def before(self, server, id):
+    def blocker(self, server, id):
         return None
 
 
 class ReleasesOnAnotherConnection(teardowns.Teardowns):
     """Releases an abandoned attempt on another connection than its own, and does not wait for it to be sent."""
 
-    def attempt_given_up(self, connection, attempt):
+    def attempt_abandoned(self, connection, attempt):
         other = next((other for other in connection.endpoint.connections if other is not connection and other.up), None)
-        (other or self.server_pool.open_connection(connection.endpoint)).send(isup.release(attempt.id, isup.OVER))
+        (other or self.server_pool.open_connection(connection.endpoint)).send(isup.release(attempt.id, isup.ENDED))
 
 
 class SendsReleasesOnce(teardowns.Teardowns):
@@ -37,10 +37,10 @@
 
     def connection_up(self, connection):
         for record in self.pending.of(connection.endpoint.server):
-            if not record.times_said:
+            if not record.times_sent:
                 self._write(connection, record)
 
-    def look_after(self, endpoint):
+    def run_due_steps(self, endpoint):
         pass
 
 
@@ -51,32 +51,32 @@
         if record is self.pending.of(record.server)[0]:
             super()._write(connection, record)
 
-    def look_after(self, endpoint):
+    def run_due_steps(self, endpoint):
         head = self.pending.of(endpoint.server)[0]
         if head.next_at <= self.now():
-            self._say_again(endpoint, [head])
+            self._send_again(endpoint, [head])
 
 
 class AnswersTwice(ClientListener):
     """Follows the answer to one id in 50 with an error response."""
 
-    def answer(self, asked, answer, description=b""):
-        connection = asked.connection
-        known = self.asked.get(asked.name) is asked
-        super().answer(asked, answer, description)
-        if known and int(asked.name, 16) % 50 == 0:
-            connection.wire.send(rtsp.answer(500, "1", asked.name))
+    def answer(self, client_session, answer, description=b""):
+        connection = client_session.connection
+        known = self.sessions.get(client_session.name) is client_session
+        super().answer(client_session, answer, description)
+        if known and int(client_session.name, 16) % 50 == 0:
+            connection.transport.send(rtsp.answer(500, "1", client_session.name))
 
 
 class HalfAnswers(ClientListener):
     """Truncates the body of the answer to one id in 50 and keeps the connection open."""
 
-    def answer(self, asked, answer, description=b""):
+    def answer(self, client_session, answer, description=b""):
         original_answer = rtsp.answer
-        if int(asked.name, 16) % 50 == 0 and description:
+        if int(client_session.name, 16) % 50 == 0 and description:
             client_listener.rtsp.answer = lambda *arguments, **options: original_answer(*arguments, **options)[:-7]
         try:
-            super().answer(asked, answer, description)
+            super().answer(client_session, answer, description)
         finally:
             client_listener.rtsp.answer = original_answer
 
@@ -86,20 +86,20 @@
 
     previous_description = b""
 
-    def answer(self, asked, answer, description=b""):
+    def answer(self, client_session, answer, description=b""):
         sent_description = (
             self.previous_description
-            if int(asked.name, 16) % 50 == 0 and self.previous_description and description
+            if int(client_session.name, 16) % 50 == 0 and self.previous_description and description
             else description
         )
         AnswersWithPreviousDescription.previous_description = description or self.previous_description
-        super().answer(asked, answer, sent_description)
+        super().answer(client_session, answer, sent_description)
 
 
 class DropsOnDrain(node.Node):
     """Exits at once on SIGTERM and drops the requests in progress."""
 
-    async def _end(self):
+    async def _shut_down(self):
         self.draining, self.ready = True, False
         self.tasks.cancel_scope.cancel()
 
@@ -114,7 +114,7 @@
 class ServesAfterLeaving(node.Node):
     """Does not notify the session core that a client has left."""
 
-    def gave_up(self, request):
+    def cancel_request(self, request):
         pass
 
     def read_first(self, tune_in, then):
@@ -124,7 +124,7 @@
 class ColdBurst(Rules):
     """Sends a cold server (recently started) as many set-ups as it has room for, without the limit of its warm-up."""
 
-    def _own_part_left(self, server, now):
+    def _own_share_left(self, server, now):
         return True
 
     def _may_send(self, server):
@@ -135,7 +135,7 @@
     """Sends a paid set-up (one that must not run twice) again though it may have run."""
 
     def ended(self, viewing, outcome, closed):
-        if not viewing.package.paid_at_setup or closed or viewing.playing or viewing.over:
+        if not viewing.package.paid_at_setup or closed or viewing.playing or viewing.ended:
             super().ended(viewing, outcome, closed)
             return
         viewing.package.paid_at_setup = False
@@ -148,11 +148,11 @@
 class IgnoresDrains(node.Node):
     """Ignores the states `draining` and `gone` in the server list."""
 
-    def _listed(self, rows, full, version, stale=False):
+    def _apply_server_list(self, rows, full, version, stale=False):
         def ready(apply_row):
             rows(lambda name, address, state, *rest: apply_row(name, address, 0, *rest))
 
-        super()._listed(ready, False, version, stale)
+        super()._apply_server_list(ready, False, version, stale)
 
 
 def _use_rules(rules: type[Rules]) -> None:
--- a/curlewshift/standins/script.py
+++ b/curlewshift/standins/script.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from curlewshift.site.reading import SiteErrors, read_xml, span
+from curlewshift.site.reading import SiteErrors, parse_duration, read_xml
 from curlewshift.site.site import Site, read_site
 
 SCHEMA = Path(__file__).with_name("script.xsd")
@@ -178,12 +178,14 @@
             )
         planned_viewings.append(
             PlannedViewing(
-                planned_viewing.get("package"), float(planned_viewing.get("share")), span(planned_viewing.get("watches")) / NS
+                planned_viewing.get("package"),
+                float(planned_viewing.get("share")),
+                parse_duration(planned_viewing.get("watches")) / NS,
             )
         )
     if sum(planned_viewing.share for planned_viewing in planned_viewings) <= 0:
         errors.append((viewers.sourceline, "viewers: the shares of all <wants> add up to 0"))
-    lasts = span(root.get("lasts"))
+    lasts = parse_duration(root.get("lasts"))
     if lasts > MAX_RUN_NS:
         errors.append((root.sourceline, f"rehearsal: lasts may be {MAX_RUN_NS // NS} s at most"))
     each_second = float(viewers.get("each-second"))
@@ -191,8 +193,8 @@
         errors.append((viewers.sourceline, f"viewers: each-second may be {MAX_ARRIVALS_PER_S:g} at most"))
     troubles = []
     for element in root.iterfind("trouble"):
-        trouble = usual(element.get("kind"), span(element.get("at")) / NS)
-        trouble.lasts = span(element.get("lasts")) / NS if element.get("lasts") else trouble.lasts
+        trouble = usual(element.get("kind"), parse_duration(element.get("at")) / NS)
+        trouble.lasts = parse_duration(element.get("lasts")) / NS if element.get("lasts") else trouble.lasts
         trouble.part = float(element.get("part", trouble.part))
         trouble.size = float(element.get("size", trouble.size))
         if trouble.at * NS >= lasts:
@@ -221,8 +223,8 @@
             Announced(
                 element.get("name"),
                 element.get("package"),
-                span(element.get("at")) / NS,
-                span(element.get("lasts")) / NS,
+                parse_duration(element.get("at")) / NS,
+                parse_duration(element.get("lasts")) / NS,
                 float(element.get("rate")),
                 float(element.get("most", "0.5")),
             )
--- a/curlewshift/standins/server.py
+++ b/curlewshift/standins/server.py
@@ -329,7 +329,7 @@
                 recorded = True
                 self.traffic.seen("setup-over", how=how, **fields)
 
-        exchange.on_hang_up(lambda: record_end("gone"))
+        exchange.on_disconnect(lambda: record_end("gone"))
         try:
             await self._set_up(exchange, protocol, package, title, layer, fields, record_end)
         finally:
@@ -420,7 +420,7 @@
             exchange.abort()
             raise PeerDisconnected
         gone = anyio.Event()
-        exchange.on_hang_up(gone.set)
+        exchange.on_disconnect(gone.set)
         await gone.wait()
         raise PeerDisconnected
 
@@ -581,7 +581,7 @@
         subscriber.open = True
         send_chunk = await exchange.start(200, [("content-type", CONTENT_TYPE)])
         self.traffic.seen("notes-open", server=self.name, boot=self.boot, front=front)
-        exchange.on_hang_up(subscriber.wakeup.set)
+        exchange.on_disconnect(subscriber.wakeup.set)
         try:
             await send_chunk(_event("hello", Note(boot=self.boot)))
             await self._note_loop(exchange, subscriber, send_chunk)
@@ -607,7 +607,7 @@
                     _, link, uplink, _ = self._delayed_state()
                     await send_chunk(_event("load", Note(link=link, uplink=uplink if self.obligations.uplinks else None)))
             subscriber.wakeup = anyio.Event()
-            exchange.on_hang_up(subscriber.wakeup.set)
+            exchange.on_disconnect(subscriber.wakeup.set)
             with anyio.move_on_after(max(0.01, min(next_short, next_load) - time.monotonic())):
                 await subscriber.wakeup.wait()
 
--- a/curlewshift/standins/viewers.py
+++ b/curlewshift/standins/viewers.py
@@ -177,7 +177,7 @@
             raise
         finally:
             if connection is not None:
-                connection.say_no_more()
+                connection.shut_down_sending()
                 self.traffic.seen(
                     "left",
                     how="shut-down" if linger_s else "closed",
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -172,7 +172,7 @@
                 return received
 
 
-def story(test):
+def async_test(test):
     """Decorator that runs an async test method as an ordinary one."""
 
     def run(self):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -21,7 +21,7 @@
 from curlewshift.standins.traffic import COARSE_CLOCK_TICK_NS, arrived_at
 from curlewshift.state.journal import Journal
 from curlewshift.verdict.attempts import judge_attempts
-from tests.sockets import SDP, SmallSite, an_offer, story, until
+from tests.sockets import SDP, SmallSite, an_offer, async_test, until
 
 MS = 1_000_000
 ROOT = Path(__file__).resolve().parents[1]
@@ -179,30 +179,33 @@
         with mock.patch.object(Journal, "add", held):
             yield
 
-    @story
+    @async_test
     async def test_no_attempt_begins_if_the_client_leaves_while_the_server_connection_is_being_made(self):
-        for leaves in (lambda connection: connection.cut(), lambda connection: connection.say_no_more()):
+        for leaves in (lambda connection: connection.cut(), lambda connection: connection.shut_down_sending()):
             for package in ("clip", "paid"):
                 result, standing = await self.run_viewer(self.hold_connecting, package, leaves)
                 self.assertEqual((result["left"], result["attempts"], standing), (1, 0, 0))
 
-    @story
+    @async_test
     async def test_no_attempt_begins_if_the_client_leaves_while_the_journal_is_being_written(self):
         with tempfile.TemporaryDirectory() as folder:
             result, standing = await self.run_viewer(
-                self.hold_journal_write, "paid", lambda connection: connection.say_no_more(), state=Path(folder)
+                self.hold_journal_write, "paid", lambda connection: connection.shut_down_sending(), state=Path(folder)
             )
         self.assertEqual((result["left"], result["attempts"], standing), (1, 0, 0))
 
-    @story
+    @async_test
     async def test_front_that_ignores_leaving_clients_is_detected(self):
         result, _ = await self.run_viewer(
-            self.hold_connecting, "clip", lambda connection: connection.say_no_more(), session_core=SessionCoreIgnoringHangUps
+            self.hold_connecting,
+            "clip",
+            lambda connection: connection.shut_down_sending(),
+            session_core=SessionCoreIgnoringHangUps,
         )
         self.assertEqual((result["late"], result["clean"]), (1, False), result)
         self.assertGreater(result["latest_ms"], 140)
 
-    @story
+    @async_test
     async def test_server_that_accepts_late_gets_no_attempt_of_a_client_that_left_unless_the_front_ignores_leaving(self):
         for session_core, attempts in ((None, 0), (SessionCoreIgnoringHangUps, 1)):
             async with SmallSite(servers=1, patience=4 * 1000 * MS).up() as site:
@@ -216,7 +219,7 @@
                     tasks.start_soon(self.send_request, connection, "clip")
                     await until(lambda: site.front.server_pool.in_flight)
                     await anyio.sleep(0.1)
-                    connection.say_no_more()
+                    connection.shut_down_sending()
                     site.traffic.seen("left", request="q", front="f", how="shut-down", answered=False)
                     await anyio.sleep(0.1)
                     server.resume_accepting()
--- a/tests/test_configured.py
+++ b/tests/test_configured.py
@@ -13,7 +13,7 @@
 import zstandard
 
 from curlewshift.control.machine import Machine
-from curlewshift.distribution.copy import ENCODER, Kept
+from curlewshift.distribution.copy import ENCODER, StoredCopy
 from curlewshift.distribution.versions import Version, digest_of
 from curlewshift.fault_injection.configuration_operator import with_marker
 from curlewshift.fault_injection.processes import free_ports
@@ -25,13 +25,13 @@
 from curlewshift.front.planted_configuration_faults import HalfChangeSet, spoilt_begin
 from curlewshift.peering.frames import Frame, encode
 from curlewshift.session_core.server_list import ServerEntry
-from curlewshift.site.changes import refusals
+from curlewshift.site.changes import restart_required_changes
 from curlewshift.site.reading import SiteErrors, read_xml
 from curlewshift.site.site import SCHEMA, read_site, site_of
 from curlewshift.standins.script import read_script
-from curlewshift.state.configured import Record
+from curlewshift.state.record_file import RecordFile
 from curlewshift.verdict.configuration import judge_configuration
-from tests.sockets import story, until
+from tests.sockets import async_test, until
 
 EXAMPLES = Path(__file__).resolve().parents[1] / "examples"
 CONTROL_XML = """  <control term="2s" every="200ms">
@@ -131,7 +131,7 @@
     def refused(self, *changes, before=FLEET_SITE):
         self.path.write_text(before)
         root = read_xml(self.path, SCHEMA, self.site(*changes, text=before))
-        return refusals(read_site(self.path), site_of(self.path, root), root)
+        return restart_required_changes(read_site(self.path), site_of(self.path, root), root)
 
     def test_values_patience_limits_titles_and_obligations_can_change(self):
         self.assertEqual(
@@ -191,24 +191,24 @@
 
 class DiskRecord(WithSiteFolder):
     def test_record_is_complete_or_absent(self):
-        record = Record(self.folder / "vote")
+        record = RecordFile(self.folder / "vote")
         self.assertEqual((record.read(), record.damage), (None, ""))
         record.write_durable(b"one")
         record.write(b"two\nlines")
         record.flush()
-        self.assertEqual(Record(self.folder / "vote").read(), b"two\nlines")
+        self.assertEqual(RecordFile(self.folder / "vote").read(), b"two\nlines")
         # a kill during the next write leaves the earlier record
         (self.folder / "vote.new").write_bytes(b"curlewshift rec")
         self.assertEqual(record.read(), b"two\nlines")
 
     def test_any_corrupt_byte_is_detected_and_the_file_is_set_aside(self):
-        record = Record(self.folder / "vote")
+        record = RecordFile(self.folder / "vote")
         record.write(b"content")
         data = record.path.read_bytes()
         for at in range(len(data)):
             record.path.write_bytes(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :])
             self.assertIsNone(record.read(), at)
-            self.assertIn("spoilt", record.damage)
+            self.assertIn("corrupt", record.damage)
             self.assertFalse(record.path.exists())
             self.assertTrue((self.folder / "vote.damaged").exists())
         for length in range(len(data)):
@@ -216,7 +216,7 @@
             self.assertIsNone(record.read(), length)
 
     def test_failed_write_leaves_the_earlier_record(self):
-        record = Record(self.folder / "vote")
+        record = RecordFile(self.folder / "vote")
         record.write_durable(b"one")
         with mock.patch("os.fsync", side_effect=OSError(28, "No space left on device")), self.assertRaises(OSError):
             record.write_durable(b"two")
@@ -233,7 +233,7 @@
 def stored_copy(content, number=7, of=None):
     """The stored record of this content; with `of`, under the digest of that other content."""
     return ENCODER.encode(
-        Kept(1, tuple(Version(number, 1, digest_of(of or content))), zstandard.ZstdCompressor().compress(content))
+        StoredCopy(1, tuple(Version(number, 1, digest_of(of or content))), zstandard.ZstdCompressor().compress(content))
     )
 
 
@@ -264,7 +264,7 @@
         )
 
     def take(self, *changes, version="7.1-abc", text=SMALL_SITE):
-        return self.configured.take_configuration(version, self.site(*changes, text=text))
+        return self.configured.apply_configuration(version, self.site(*changes, text=text))
 
     def state(self):
         session_core = self.front.session_core
@@ -276,7 +276,7 @@
             },
             {shelf: [title.name for title in titles] for shelf, titles in session_core.server_list.on_shelf.items()},
             [rack.link.size for rack in session_core.server_list.racks.values()],
-            session_core.rules.wait,
+            session_core.rules.retry_wait,
             session_core.rules.free_further,
             self.front.http_listener.admission.bounds,
             self.front.site.obligations,
@@ -306,7 +306,7 @@
         self.assertEqual(live["packages"]["receipt"]["patience"], 6 * SECOND)
         self.assertEqual((live["longest_wait"], live["most_tune_ins"], live["version"]), (SECOND // 2, 7, "7.1-abc"))
         self.assertEqual(live["limits"], {"source": [10.0, 30.0], "package": [40.0, 120.0]})
-        self.assertEqual((front.session_core.rules.wait, front.session_core.rules.free_further), (SECOND // 2, 9))
+        self.assertEqual((front.session_core.rules.retry_wait, front.session_core.rules.free_further), (SECOND // 2, 9))
         self.assertEqual(front.session_core.server_list.racks["r1"].link.size, 11_000.0)
         # identity matters: seats are counted by the package object, and waiting viewings refer to the list of holders
         self.assertEqual([id(package) for package in front.session_core.packages.values()], [id(package) for package in packages])
@@ -388,14 +388,14 @@
         # the planted fault leaves a state that differs from both
         complete = self.state()
         self.configured.change_set_class = HalfChangeSet
-        self.assertIsNone(self.configured.take_configuration("7.2-abc", SMALL_SITE.encode()))
+        self.assertIsNone(self.configured.apply_configuration("7.2-abc", SMALL_SITE.encode()))
         self.assertNotIn(self.state()[1:], (complete[1:], before[1:]))
 
 
 class FrontStart(WithSiteFolder):
     def begun(self, data, begin=begin):
         self.path.write_bytes(self.site())
-        record = Record(self.folder / "configuration")
+        record = RecordFile(self.folder / "configuration")
         if data is not None:
             record.write(data)
         return begin(self.path, read_site(self.path), self.folder)
@@ -421,7 +421,7 @@
         path = self.folder / "configuration"
         self.begun(stored_copy(newer))
         path.write_bytes(path.read_bytes()[:-1] + b"?")
-        self.assertIn("spoilt", begin(self.path, read_site(self.path), self.folder).cause)
+        self.assertIn("corrupt", begin(self.path, read_site(self.path), self.folder).cause)
         # with the planted fault `digest-unchecked` a front starts from a content that was never a version
         self.assertEqual(
             self.begun(stored_copy(newer, of=b"other"), lambda *args: spoilt_begin("digest-unchecked", *args)).how, "disk"
@@ -467,7 +467,7 @@
         tasks.start_soon(run)
         return scope
 
-    @story
+    @async_test
     async def test_put_reaches_the_front_and_an_invalid_one_reaches_none(self):
         with anyio.fail_after(25):
             async with anyio.create_task_group() as tasks:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -14,13 +14,13 @@
 from curlewshift.exchange import server as exchange_server
 from curlewshift.exchange.client import ConnectionBroken, RequestNotSent, connect
 from curlewshift.signalling.bodies import LayerChoice, encode
-from tests.sockets import SmallSite, an_offer, story, until
+from tests.sockets import SmallSite, an_offer, async_test, until
 
 
 class ViewingThroughAFront(unittest.TestCase):
     """Requests for viewings at a running front, on loopback sockets."""
 
-    @story
+    @async_test
     async def test_viewing_from_offer_to_end(self):
         async with SmallSite().up() as site:
             response = await site.ask()
@@ -44,7 +44,7 @@
             self.assertFalse(site.front.session_core.front_sessions)
             await connection.close()
 
-    @story
+    @async_test
     async def test_invalid_requests_are_explained_and_cause_no_tune_in(self):
         async with SmallSite().up() as site:
             for status, text, options in (
@@ -65,7 +65,7 @@
             await connection.close()
             self.assertEqual(site.traffic.all("setup"), [])
 
-    @story
+    @async_test
     async def test_retry_joins_the_pending_request_without_a_second_tune_in(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
@@ -86,7 +86,7 @@
             other = await site.ask("paid", [("idempotency-key", "k")])
             self.assertEqual(other.status, 422)
 
-    @story
+    @async_test
     async def test_viewer_that_disconnects_leaves_no_session(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
@@ -96,9 +96,9 @@
             site.servers["s0"].unfreeze()
             await until(lambda: site.traffic.all("setup-over"))
             await until(lambda: not site.servers["s0"].sessions and not site.front.session_core.front_sessions)
-            self.assertEqual(site.front.session_core.server_list.servers[site.servers["s0"].name].out, 0)
+            self.assertEqual(site.front.session_core.server_list.servers[site.servers["s0"].name].outstanding, 0)
 
-    @story
+    @async_test
     async def test_reset_after_the_request_was_written_fails_paid_viewings_only(self):
         async with SmallSite(servers=2).up() as site:
             for server in site.servers.values():
@@ -110,7 +110,7 @@
             statuses = [(await site.ask()).status for _ in range(4)]
             self.assertEqual(statuses, [201] * 4)
 
-    @story
+    @async_test
     async def test_refused_connection_moves_a_paid_viewing_to_another_server(self):
         async with SmallSite(servers=2).up() as site:
             with (
@@ -122,7 +122,7 @@
                 statuses = [(await site.ask("paid")).status for _ in range(6)]
             self.assertEqual(statuses, [201] * 6)
 
-    @story
+    @async_test
     async def test_server_that_never_answers_delays_viewings_but_fails_none(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].freeze()
@@ -132,7 +132,7 @@
             self.assertLess(time.monotonic() - started_at, 3)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
-    @story
+    @async_test
     async def test_request_is_answered_within_its_patience_if_no_server_is_left(self):
         for pack, status in (("clip", 503), ("paid", 502)):
             async with SmallSite(servers=1).up() as site:
@@ -142,7 +142,7 @@
                 self.assertEqual(response.status, status)
                 self.assertLess(time.monotonic() - started_at, 2.0)
 
-    @story
+    @async_test
     async def test_refusal_says_when_to_retry(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].draining = True
@@ -153,7 +153,7 @@
 
 
 class ServerListAndNotes(unittest.TestCase):
-    @story
+    @async_test
     async def test_server_that_the_list_reports_as_draining_is_not_used(self):
         async with SmallSite(servers=2).up() as site:
             first = site.site.machines[0]
@@ -164,7 +164,7 @@
                 self.assertEqual((await site.ask()).status, 201)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
-    @story
+    @async_test
     async def test_unannounced_restart_is_detected_by_the_notes(self):
         async with SmallSite(servers=1).up() as site:
             self.assertEqual((await site.ask()).status, 201)
@@ -176,7 +176,7 @@
             server = site.front.session_core.server_list.servers[site.servers["s0"].name]
             self.assertGreater(server.cold_until, site.front.now())
 
-    @story
+    @async_test
     async def test_broken_list_stream_resumes_and_a_gap_requests_the_full_list(self):
         async with SmallSite(servers=2).up() as site:
             rows = list(site.list.rows.values())
@@ -191,7 +191,7 @@
             await until(lambda: site.front.session_core.server_list.generation == 4)
             await until(lambda: len(site.traffic.all("told-all")) == 2)
 
-    @story
+    @async_test
     async def test_stored_list_is_restored_after_a_restart_as_stale(self):
         with tempfile.TemporaryDirectory() as folder:
             async with SmallSite(servers=2).up(Path(folder)) as site:
@@ -204,7 +204,7 @@
                 self.assertLessEqual(names, set(servers))
                 self.assertTrue(all(server.unproven_until for server in servers.values() if server.name in names))
 
-    @story
+    @async_test
     async def test_session_ended_by_its_server_ends_at_the_front(self):
         async with SmallSite(servers=1).up() as site:
             await site.ask()
@@ -214,7 +214,7 @@
 
 
 class Shutdown(unittest.TestCase):
-    @story
+    @async_test
     async def test_sigterm_answers_pending_requests_and_refuses_new_ones(self):
         async with SmallSite(servers=1).up() as site:
             site.servers["s0"].freeze()
@@ -246,7 +246,7 @@
         b"content-length: %d\r\nconnection: close\r\n\r\n"
     )
 
-    @story
+    @async_test
     async def test_request_sent_byte_by_byte_is_served_and_incomplete_ones_time_out(self):
         async with SmallSite(servers=1).up() as site:
             offer = an_offer()
@@ -263,7 +263,7 @@
             self.assertTrue(timed_out.startswith(b"HTTP/1.1 408 "), timed_out)
             self.assertEqual((await site.ask()).status, 201)
 
-    @story
+    @async_test
     async def test_oversized_and_malformed_requests_get_an_error_status(self):
         async with SmallSite(servers=1).up() as site:
             for status, data in (
@@ -279,7 +279,7 @@
             self.assertEqual((await site.ask()).status, 201)
             self.assertEqual(len(site.traffic.all("setup")), 1)
 
-    @story
+    @async_test
     async def test_pipelined_requests_are_answered_in_order(self):
         async with SmallSite(servers=1).up() as site:
             request = b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n"
@@ -287,7 +287,7 @@
             received = await site.raw(request * 20 + last)
             self.assertEqual((received.count(b"HTTP/1.1 404 "), received.count(b"HTTP/1.1 204 ")), (20, 1))
 
-    @story
+    @async_test
     async def test_truncated_response_is_broken_and_a_closed_port_is_not_sent(self):
         async def send_truncated_response(stream):
             await stream.receive()
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -19,13 +19,13 @@
 from curlewshift.exchange.server import serve
 from curlewshift.exchange.tls import client_context
 from curlewshift.limits.permits import InvalidKeySet, PermitDenied, Permits, allow, read_keys
-from curlewshift.signalling.events import Reader
+from curlewshift.signalling.events import EventReader
 from curlewshift.signalling.fragments import CONTENT_TYPE as FRAGMENT
 from curlewshift.signalling.fragments import fragment_text
 from curlewshift.signalling.sdp import PUBLISHES, offer_text
 from curlewshift.site.authority import AuthorityError, issue, make_authority
 from tests.fake import SECOND
-from tests.sockets import FINGERPRINT, SDP, SmallSite, an_offer, story, until
+from tests.sockets import FINGERPRINT, SDP, SmallSite, an_offer, async_test, until
 
 HOST_CANDIDATE = "1 1 udp 2113929471 192.0.2.1 50000 typ host"
 
@@ -54,7 +54,7 @@
 
 
 class SessionPatches(unittest.TestCase):
-    @story
+    @async_test
     async def test_candidates_are_passed_to_the_session_s_server_if_the_etag_matches(self):
         async with SmallSite(servers=2).up() as site:
             session = await ClientSession.of(site)
@@ -75,7 +75,7 @@
                 self.assertEqual(response.headers["content-type"], "application/problem+json")
             self.assertEqual(len(site.traffic.all("patch")), 1)
 
-    @story
+    @async_test
     async def test_ice_restart_changes_the_etag_and_the_session_address_survives_rung_changes(self):
         async with SmallSite(servers=1).up() as site:
             session = await ClientSession.of(site)
@@ -91,7 +91,7 @@
             new = await session.patch(restarted.headers["etag"], fragment_text(ufrag, pwd, [HOST_CANDIDATE], ended=True))
             self.assertEqual(new.status, 204)
 
-    @story
+    @async_test
     async def test_patch_of_a_session_whose_server_died_gets_404_or_504(self):
         async with SmallSite(servers=1).up() as site:
             session = await ClientSession.of(site)
@@ -101,7 +101,7 @@
             await until(lambda: not site.front.session_core.front_sessions)
             self.assertEqual((await session.patch(session.etag)).status, 404)
 
-    @story
+    @async_test
     async def test_patches_queued_at_a_hanging_server_are_answered_when_the_session_ends(self):
         async with SmallSite(servers=1).up() as site:
             session = await ClientSession.of(site)
@@ -121,7 +121,7 @@
             self.assertEqual(sorted(statuses)[1:], [404, 404])
             await until(lambda: not site.servers["s0"].sessions)
 
-    @story
+    @async_test
     async def test_options_headers_and_unsupported_methods_follow_the_specifications(self):
         async with SmallSite(servers=1, site={"ice_servers": ('<stun:192.0.2.9>; rel="ice-server"',)}).up() as site:
             session = await ClientSession.of(site)
@@ -139,14 +139,14 @@
             self.assertIn("PATCH", endpoint.headers["access-control-allow-methods"])
             self.assertEqual((await ask("127.0.0.1", site.port, "GET", "/whep/clip/t")).status, 405)
 
-    @story
+    @async_test
     async def test_event_stream_reports_the_rung_and_the_end(self):
         async with SmallSite(servers=1).up() as site:
             session = await ClientSession.of(site)
             subscribed = await session.ask("POST", "/events", [], b'["layers","inactive"]')
             self.assertEqual(subscribed.status, 201)
             self.assertEqual((await session.ask("POST", "/events", [], b'{"a":1}')).status, 400)
-            connection, reader, events = await connect("127.0.0.1", site.port, 1.0), Reader(), []
+            connection, reader, events = await connect("127.0.0.1", site.port, 1.0), EventReader(), []
             self.assertEqual((await connection.begin("GET", subscribed.headers["location"])).status, 200)
 
             async def listen():
@@ -165,7 +165,7 @@
 
 
 class Publishing(unittest.TestCase):
-    @story
+    @async_test
     async def test_publishing_is_counted_like_viewing_and_limited_by_seats(self):
         async with SmallSite(servers=1).up() as site:
             caller = Caller([f"http://127.0.0.1:{site.port}"])
@@ -189,7 +189,7 @@
 
 
 class Retries(unittest.TestCase):
-    @story
+    @async_test
     async def test_same_offer_without_a_key_joins_the_first_request_and_another_does_not(self):
         async with SmallSite(servers=1).up() as site:
             offer = an_offer()
@@ -198,7 +198,7 @@
             self.assertNotEqual(first.headers["location"], other.headers["location"])
             self.assertEqual(len(site.traffic.all("setup")), 2)
 
-    @story
+    @async_test
     async def test_late_answer_to_a_withdrawn_tune_in_is_read_and_its_session_ended(self):
         async with SmallSite(servers=1).up() as site:
             server = site.servers["s0"]
@@ -210,7 +210,7 @@
             self.assertEqual(site.traffic.all("session-end")[0]["why"], "deleted")
             self.assertEqual(len(site.traffic.all("setup")), 1)
 
-    @story
+    @async_test
     async def test_session_end_at_a_hanging_server_is_retried_until_it_answers(self):
         async with SmallSite(servers=1).up() as site:
             session = await ClientSession.of(site)
@@ -222,7 +222,7 @@
             await until(lambda: not site.servers["s0"].sessions)
             await until(lambda: not len(site.front.session_core.session_ends))
 
-    @story
+    @async_test
     async def test_redirect_counts_as_not_run_and_is_not_followed(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].redirects = True
@@ -230,7 +230,7 @@
             self.assertEqual(statuses, [201] * 4)
             self.assertEqual({event["server"] for event in site.traffic.all("session")}, {site.servers["s1"].name})
 
-    @story
+    @async_test
     async def test_server_that_drains_during_the_request_moves_it_to_another(self):
         async with SmallSite(servers=2).up() as site:
             site.servers["s0"].freeze()
@@ -251,7 +251,7 @@
             self.assertEqual(answers, [201])
             self.assertNotEqual(site.traffic.all("session")[0]["server"], name)
 
-    @story
+    @async_test
     async def test_client_that_leaves_while_the_answer_arrives_ends_the_session(self):
         async with SmallSite(servers=1).up() as site:
             for _ in range(20):
@@ -266,7 +266,7 @@
 
 
 class ConcurrentRequests(unittest.TestCase):
-    @story
+    @async_test
     async def test_2001_requests_under_faults_get_one_answer_and_at_most_one_paid_set_up_each(self):
         site = SmallSite(servers=3, patience=SECOND)
         for machine in site.site.machines:
@@ -324,7 +324,7 @@
 
 
 class ClientLibrary(unittest.TestCase):
-    @story
+    @async_test
     async def test_caller_reuses_its_key_after_a_lost_answer_and_follows_a_redirect(self):
         async with SmallSite(servers=1).up() as site:
             seen, mode = [], ["cut"]
@@ -350,7 +350,7 @@
             await session.close()
             await until(lambda: not site.servers["s0"].sessions)
 
-    @story
+    @async_test
     async def test_caller_retries_after_a_refusal_and_gives_up_on_a_failure(self):
         async with SmallSite(servers=1).up() as site:
             caller = Caller(["http://127.0.0.1:1", f"http://127.0.0.1:{site.port}"], seed=1)
@@ -371,7 +371,7 @@
     def test_example_scripts_run_against_the_stand_ins(self):
         root = Path(__file__).resolve().parents[1]
 
-        async def story():
+        async def async_test():
             async with SmallSite(servers=1).up() as site:
                 for script, arguments in (("watch.py", ("clip", "t")), ("publish.py", ("camera", "t"))):
                     ran = await anyio.run_process(
@@ -382,7 +382,7 @@
                     )
                     self.assertEqual(ran.returncode, 0, ran.stderr.decode())
 
-        anyio.run(story)
+        anyio.run(async_test)
 
     def test_synchronous_caller(self):
         with self.assertRaises(Failed):
@@ -460,7 +460,7 @@
             with self.assertRaises(InvalidKeySet):
                 read_keys(raw)
 
-    @story
+    @async_test
     async def test_refused_token_causes_no_tune_in_and_keys_are_reloaded_while_running(self):
         with tempfile.TemporaryDirectory() as folder:
             keys = Path(folder) / "keys.json"
@@ -487,7 +487,7 @@
 
 
 class Tls(unittest.TestCase):
-    @story
+    @async_test
     async def test_tls_with_a_private_authority_rejects_wrong_names_and_reloads_certificates(self):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -28,7 +28,7 @@
     ServerAttempt,
     Signal,
 )
-from tests.sockets import story
+from tests.sockets import async_test
 
 ROOT = Path(__file__).resolve().parents[1]
 REQUEST, BODY = "00000000000000a1", b"plays"
@@ -50,7 +50,7 @@
 
 
 class ProxyOrderTests(unittest.TestCase):
-    @story
+    @async_test
     async def test_delayed_connection_keeps_its_byte_order_while_another_connection_overtakes_it(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
