--- a/curlewshift/commands/front.py
+++ b/curlewshift/commands/front.py
@@ -44,7 +44,7 @@
             options["begun"] = begin(site, loaded, state)
         loaded = options["begun"].site
     try:
-        index = loaded.door(name) if name else 0
+        index = loaded.front_index(name) if name else 0
     except KeyError:
         source = f"{site}, stored version {options['begun'].version}" if options and options["begun"].how == "disk" else site
         click.echo(
--- a/curlewshift/fault_injection/flood.py
+++ b/curlewshift/fault_injection/flood.py
@@ -47,7 +47,7 @@
             extra = b""
             if response.status == 201:
                 with anyio.move_on_after(0.02):
-                    extra = await connection.more()
+                    extra = await connection.read_more()
                 await connection.close()
                 connection = HttpClientConnection(
                     await anyio.connect_tcp("127.0.0.1", port, local_host=address), f"127.0.0.1:{port}"
--- a/curlewshift/fault_injection/joins.py
+++ b/curlewshift/fault_injection/joins.py
@@ -92,10 +92,10 @@
                 "POST", "/whep/p/t?layer=0&top=1", [("content-type", SDP), ("x-front", "direct"), ("x-request-id", "q")], offer
             )
             histogram.record_value(max(1, (time.perf_counter_ns() - began) // 1000))
-            if response.status != 201 or not connection.again():
+            if response.status != 201 or not connection.prepare_next_request():
                 raise RuntimeError(f"a join was answered with status {response.status}: {response.body[:200]!r}")
             end_response = await connection.ask("DELETE", response.headers["location"])
-            if end_response.status != 200 or not connection.again():
+            if end_response.status != 200 or not connection.prepare_next_request():
                 raise RuntimeError(f"the end of a session was answered with status {end_response.status}")
             if pause:
                 await anyio.sleep(pause)
@@ -143,7 +143,7 @@
             offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
             if (
                 await connection.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
-            ).status != 201 or not connection.again():
+            ).status != 201 or not connection.prepare_next_request():
                 raise RuntimeError("a join failed or its connection cannot be used again")
     finally:
         await connection.close()
--- a/curlewshift/fault_injection/limits_cost.py
+++ b/curlewshift/fault_injection/limits_cost.py
@@ -29,12 +29,12 @@
         offer = offer_text(secrets.token_hex(4), secrets.token_hex(12), FINGERPRINT).encode()
         response = await connection.ask("POST", "/whep/p/t", [("content-type", SDP)], offer)
         as_expected += response.status == expected
-        if not connection.again():
+        if not connection.prepare_next_request():
             await connection.close()
             connection = await connect("127.0.0.1", port, 2.0)
         if response.status == 201:
             await connection.ask("DELETE", response.headers["location"])
-            if not connection.again():
+            if not connection.prepare_next_request():
                 await connection.close()
                 connection = await connect("127.0.0.1", port, 2.0)
     await connection.close()
--- a/curlewshift/front/begun.py
+++ b/curlewshift/front/begun.py
@@ -82,7 +82,7 @@
     ]
     in_force, next_start = candidates
     if next_start.held_version is not None and (
-        in_force.held_version is None or next_start.held_version.over(in_force.held_version)
+        in_force.held_version is None or next_start.held_version.newer_than(in_force.held_version)
     ):
         return next_start
     return in_force
@@ -101,7 +101,7 @@
 
 def told(path: Path, errors: SiteErrors) -> str:
     """The errors of a site file in one line: the first `MAX_REPORTED_ERRORS` of them, and how many more there are."""
-    lines = [f"{path.name}:{line}: {error}" for line, error in errors.found]
+    lines = [f"{path.name}:{line}: {error}" for line, error in errors.errors]
     more = [f"and {len(lines) - MAX_REPORTED_ERRORS} more"] if len(lines) > MAX_REPORTED_ERRORS else []
     return "; ".join(lines[:MAX_REPORTED_ERRORS] + more)
 
--- a/curlewshift/front/followers.py
+++ b/curlewshift/front/followers.py
@@ -65,7 +65,7 @@
         """Closes the connection and requests the stream from its beginning, without a last event id."""
         self.last_id = None
         if self.connection is not None:
-            self.connection.cut()
+            self.connection.break_connection()
 
     async def _read(self, connection: HttpClientConnection):
         headers = [("accept", "text/event-stream")]
--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -294,7 +294,7 @@
             session,
             stored.rung,
             stored.key,
-            Offer(stored.offer, way=stored.way, ufrag=stored.ufrag),
+            Offer(stored.offer, protocol=stored.protocol, ufrag=stored.ufrag),
         )
         self.http_listener.sessions.restore(front_session, stored.token, stored.holder)
         return front_session
--- a/curlewshift/front/http_listener.py
+++ b/curlewshift/front/http_listener.py
@@ -185,7 +185,7 @@
             offer,
         )
         if viewer:
-            self.shedding.taken(request, viewer)
+            self.shedding.request_accepted(request, viewer)
         await self._await_answer(exchange, request, permit)
         return request.answer.kind is AnswerKind.PLAYS
 
@@ -198,7 +198,7 @@
         client_name = exchange.headers.get("x-viewing", "")[:MAX_NAME_LENGTH]
         viewer = f"{permit.holder if permit else ''} {client_name or ('' if permit else key)}"
         if not self.session_core.draining and not self.session_core.knows(key):
-            wait = self.shedding.asked(package, title, viewer)
+            wait = self.shedding.admission_wait(package, title, viewer)
             if wait:
                 raise RequestError(
                     503, "more is asked for than there is room", [("retry-after", str(-(-wait // NS)))], wait // MS
--- a/curlewshift/front/server_pool.py
+++ b/curlewshift/front/server_pool.py
@@ -136,7 +136,7 @@
         outgoing = self.in_flight.get(tune_in)
         if outgoing is None:
             return True
-        if outgoing.connection is None or not outgoing.connection.written:
+        if outgoing.connection is None or not outgoing.connection.request_started:
             outgoing.scope.cancel()
             return False
         # The server sees that nobody waits any more. An answer that is already on its way is still read, because the
@@ -198,7 +198,7 @@
         idle = self.idle.get(server)
         while idle and not fresh:
             connection = idle.pop()
-            if connection.again():
+            if connection.prepare_next_request():
                 return connection
             await self._close_connection(server, connection)
         if self.connection_counts.get(server, 0) >= self.max_connections:
--- a/curlewshift/model_checker/budget_checker.py
+++ b/curlewshift/model_checker/budget_checker.py
@@ -84,13 +84,13 @@
             front_copy.driver = LoansEnd(other, number)
             front_copy.steady = copy(front.steady)
             front_copy.steady.due = front.steady.due
-            front_copy.lent, front_copy.wanted, front_copy.used, front_copy.out = (
+            front_copy.lent, front_copy.wanted, front_copy.used, front_copy.outstanding = (
                 dict(front.lent),
                 dict(front.wanted),
                 dict(front.used),
                 dict(front.outstanding),
             )
-            front_copy.done = dict(front.to_return)
+            front_copy.to_return = dict(front.to_return)
             front_copy.borrowed = {key: dict(held) for key, held in front.borrowed.items()}
             front_copy.numbers = copy(front.numbers)
             other.fronts.append(front_copy)
@@ -177,9 +177,9 @@
         else:
             message_kind, sender, receiver, number, _ = step[1]
             if message_kind == "ask":
-                self.fronts[receiver].asked(sender, number, [KEY])
+                self.fronts[receiver].loan_requested(sender, number, [KEY])
             elif message_kind == "lend":
-                self.fronts[receiver].lends(sender, number, [(KEY, RIGHTS)])
+                self.fronts[receiver].loan_received(sender, number, [(KEY, RIGHTS)])
             else:
                 self.fronts[receiver].loan_returned(sender, number, KEY)
 
--- a/curlewshift/model_checker/lease_checker.py
+++ b/curlewshift/model_checker/lease_checker.py
@@ -128,7 +128,7 @@
             # a new dict: if both copies shared it, a state would go on with what a sibling state had done
             view = copy(proposer.views[LEASE])
             view.promised, view.accepted = dict(view.promised), set(view.accepted)
-            proposer_copy.tries = {LEASE: view}
+            proposer_copy.views = {LEASE: view}
             other.proposers.append(proposer_copy)
         for number, acceptor in enumerate(self.acceptors):
             acceptor_copy = copy(acceptor)
--- a/curlewshift/model_checker/version_checker.py
+++ b/curlewshift/model_checker/version_checker.py
@@ -197,8 +197,8 @@
                 for name in ("stands", "answered", "votes", "admitting"):
                     setattr(tenure, name, copy(getattr(tenure, name)))
             if writer.pending_change is not None:
-                writer_copy.wanted = copy(writer.pending_change)
-                writer_copy.wanted.done = other.put_answered
+                writer_copy.pending_change = copy(writer.pending_change)
+                writer_copy.pending_change.done = other.put_answered
             other.writers.append(writer_copy)
         other.stores = {}
         for name, store in self.stores.items():
--- a/curlewshift/model_checker/world.py
+++ b/curlewshift/model_checker/world.py
@@ -747,7 +747,7 @@
                     sorted(front.session_core.doubts),
                     front.recovery.finished,
                     [
-                        (task.server.name, task.out, task.done, task.tries, task.adopting is not None)
+                        (task.server.name, task.in_flight, task.done, task.tries, task.adopting is not None)
                         for task in front.recovery.by_server.values()
                     ],
                     [
--- a/curlewshift/standins/viewers.py
+++ b/curlewshift/standins/viewers.py
@@ -172,7 +172,7 @@
         except ConnectionBroken as error:
             self.traffic.seen("broke", cause=str(error), **fields)
         except anyio.get_cancelled_exc_class():
-            if hangs_up and connection is not None and connection.written:
+            if hangs_up and connection is not None and connection.request_started:
                 self.traffic.seen("hung-up", **fields)
             raise
         finally:
@@ -194,7 +194,7 @@
         """Records answers beyond the first one."""
         with anyio.move_on_after(EXTRA_ANSWER_WAIT_S):
             for _ in range(MAX_EXTRA_READS):
-                data = await connection.more()
+                data = await connection.read_more()
                 if not data:
                     return
                 if data.startswith(b"HTTP/1.1 "):
