--- a/curlewshift/emulator/goodput.py
+++ b/curlewshift/emulator/goodput.py
@@ -1,7 +1,8 @@
-"""Goodput against offered load: with a level for all fronts, with each front's own, and with none. Called by `measure goodput`.
+"""Goodput against offered load: with one admission level for all fronts, with one per front, and without shedding.
 
-All figures are simulated. A load of 1 asks for what the links of the deployment give at the mean rung; at the floor they bear
-some 2.8 times as much. Goodput is value a second that was answered in time and not left again for a bad picture.
+Called by `measure goodput`; all figures are simulated. At a load of 1 the demand at the mean rung equals the capacity of the
+links; at the floor the links carry about 2.8 times as many viewings. Goodput is the value per second of viewings that started
+in time and did not end early because of poor delivery.
 """
 
 from __future__ import annotations
@@ -22,38 +23,50 @@
 from curlewshift.verdict.verdict import judge
 
 NS = 1_000_000_000
+# Length of a run (LASTS) in s, longest wait in ns.
 SERVERS, VIEWINGS, LASTS, LONGEST_WAIT = 24, 1200, 40.0, 30 * NS
 LOADS, SEEDS = (0.5, 1.0, 2.0, 3.0, 5.0, 10.0), 6
-# Fronts, loads and seeds of what takes longer.
+# (fronts, loads, number of seeds) of the larger deployments, which take longer to run.
 LARGER = ((64, (0.5, 3.0, 10.0), 3), (400, (3.0,), 1))
-WAYS = ("none", "alone", "one")
+# No shedding, a level per front, one level for all fronts.
+MODES = ("none", "alone", "one")
+# The crash of half the servers: start and duration in s.
 LOST_AT, LOST_FOR = 14.0, 5.0
 
 
 def one_run(task: tuple) -> dict:
-    way, load, fronts, seed, storm = task
+    mode, load, fronts, seed, storm = task
     troubles = [Trouble("crash", LOST_AT, LOST_FOR, 0.5, 1.0)] if storm else []
-    script = made_up(fronts, SERVERS, VIEWINGS, LASTS, 1.0, seed, troubles=troubles, come_again=1.0 if storm else 0.8)
+    script = made_up(
+        fronts,  # Length of a run (LASTS) in s, longest wait in ns.
+        SERVERS,
+        VIEWINGS,
+        LASTS,
+        1.0,
+        seed,
+        troubles=troubles,
+        come_again=1.0 if storm else 0.8,
+    )
     script.each_second *= load
     script.site.obligations.longest_wait = LONGEST_WAIT
     terms = OverloadTerms(longest_wait=LONGEST_WAIT, fronts=fronts)
-    shedding = None if way in ("none", "oracle") else Shedding(terms, together=way == "one")
+    shedding = None if mode in ("none", "oracle") else Shedding(terms, together=mode == "one")
     traffic: list[dict] = []
-    world = World(script, seed, traffic, Oracle if way == "oracle" else Rules, shedding=shedding)
+    world = World(script, seed, traffic, Oracle if mode == "oracle" else Rules, shedding=shedding)
     world.run()
     tally, figures = world.viewers.tally, figures_of(script.site)
-    worth = {package.name: package.value / package.rates[package.floor] for package in script.site.packages}
+    value_per_rate = {package.name: package.value / package.rates[package.floor] for package in script.site.packages}
     begins = world.begins
     shed = judge_shed(
         traffic,
         figures,
-        worth,
+        value_per_rate,
         terms.floor,
         [(begins + int(LOST_AT * NS), begins + int((LOST_AT + LOST_FOR) * NS))] if storm else [],
     )
     further = sum(event["ev"] == "setup" and event["number"] > 1 for event in traffic)
     return {
-        "way": way,
+        "way": mode,
         "load": load,
         "fronts": fronts,
         "seed": seed,
@@ -71,9 +84,9 @@
     }
 
 
-def together(runs: list[dict]) -> dict:
-    """Medians over seeds; what was broken is listed and never averaged."""
-    told = {
+def summary(runs: list[dict]) -> dict:
+    """Medians over the seeds. Rules that were broken in any run are listed, not averaged."""
+    medians = {
         name: round(median(run[name] for run in runs), 4)
         for name in (
             "goodput",
@@ -88,7 +101,7 @@
         )
     }
     return {
-        **told,
+        **medians,
         "seeds": len(runs),
         "shed_in": sum(run["shed_at_all"] for run in runs),
         "broken": sorted({rule for run in runs for rule in run["broken"]}),
@@ -96,36 +109,36 @@
 
 
 def measure_goodput(workers: int = 0) -> dict:
-    tasks = [(way, load, 8, seed, False) for way in WAYS for load in LOADS for seed in range(1, SEEDS + 1)]
+    tasks = [(mode, load, 8, seed, False) for mode in MODES for load in LOADS for seed in range(1, SEEDS + 1)]
     tasks += [("oracle", 2.0, 8, seed, False) for seed in range(1, SEEDS + 1)]
-    tasks += [(way, 2.0, 8, seed, True) for way in WAYS for seed in range(1, SEEDS + 1)]
+    tasks += [(mode, 2.0, 8, seed, True) for mode in MODES for seed in range(1, SEEDS + 1)]
     tasks += [
-        (way, load, fronts, seed, False)
+        (mode, load, fronts, seed, False)
         for fronts, loads, seeds in LARGER
-        for way in WAYS
+        for mode in MODES
         for load in loads
         for seed in range(1, seeds + 1)
     ]
     with ProcessPoolExecutor(workers or max(1, (os.cpu_count() or 2) - 1)) as pool:
-        # the longest first
+        # longest runs first, so that the workers finish at about the same time
         runs = list(pool.map(one_run, sorted(tasks, key=lambda task: -task[1] * task[2])))
-    kinds: dict[tuple, list[dict]] = {}
+    runs_by_case: dict[tuple, list[dict]] = {}
     for task, run in zip(sorted(tasks, key=lambda task: -task[1] * task[2]), runs):
-        kinds.setdefault((task[2], task[4], task[1], task[0]), []).append(run)
+        runs_by_case.setdefault((task[2], task[4], task[1], task[0]), []).append(run)
     return {
         "simulated": True,
         "servers": SERVERS,
         "lasts_s": LASTS,
         "longest_wait_s": LONGEST_WAIT // NS,
         "runs": [
-            {"fronts": fronts, "half_the_servers_lost": storm, "load": load, "way": way, **together(found)}
-            for (fronts, storm, load, way), found in sorted(kinds.items())
+            {"fronts": fronts, "half_the_servers_lost": storm, "load": load, "way": mode, **summary(mode_runs)}
+            for (fronts, storm, load, mode), mode_runs in sorted(runs_by_case.items())
         ],
     }
 
 
 def chart(figures: dict) -> str:
-    """Goodput over load at 8 fronts, as SVG text."""
+    """Chart of goodput over offered load at 8 fronts, as SVG text."""
     import io
 
     import matplotlib
@@ -134,14 +147,14 @@
     from matplotlib import pyplot
 
     matplotlib.rcParams["svg.hashsalt"] = "goodput"
-    picture, panel = pyplot.subplots(figsize=(8, 4))
-    for way in WAYS:
-        rows = [run for run in figures["runs"] if run["fronts"] == 8 and run["way"] == way and not run["half_the_servers_lost"]]
-        panel.plot([run["load"] for run in rows], [run["goodput"] for run in rows], marker="o", label=way)
+    figure, panel = pyplot.subplots(figsize=(8, 4))
+    for mode in MODES:
+        rows = [run for run in figures["runs"] if run["fronts"] == 8 and run["way"] == mode and not run["half_the_servers_lost"]]
+        panel.plot([run["load"] for run in rows], [run["goodput"] for run in rows], marker="o", label=mode)
     panel.set_xlabel("offered load")
     panel.set_ylabel("value a second, in time and kept")
     panel.legend()
     text = io.StringIO()
-    picture.savefig(text, format="svg", metadata={"Date": None})
-    pyplot.close(picture)
+    figure.savefig(text, format="svg", metadata={"Date": None})
+    pyplot.close(figure)
     return text.getvalue()
--- a/curlewshift/emulator/machine.py
+++ b/curlewshift/emulator/machine.py
@@ -1,7 +1,7 @@
-"""A media server in virtual time: what curlewshift/standins/server.py is on sockets, with the same figures.
+"""A media server in virtual time: the counterpart of curlewshift/standins/server.py, with the same parameters and faults.
 
-Set-ups take a core for their work, longer while the machine is cold; links and uplinks are shared as in
-curlewshift/standins/physics.py; reports are late and noisy; and it goes wrong in the same ways.
+A set-up occupies a core, for longer while the machine is cold. Links and uplinks are shared as in
+curlewshift/standins/physics.py; load reports are delayed and noisy. Times are in ns. A life is one run of a front's process.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 NS = 1_000_000_000
 MS = 1_000_000
-# Reports are kept so long, to be told late.
+# Number of measurements kept, from which delayed reports are taken.
 HISTORY = 12
 
 
@@ -27,19 +27,19 @@
     title: str
     rung: int
     rate: float
-    truth: float
+    rate_factor: float
     mark: str = ""
     server: object = None
     watcher: object = None
     unwatched_since: int = 0
-    short: int = 0
-    over: bool = False
+    short_count: int = 0
+    ended: bool = False
 
 
 @dataclass(eq=False, slots=True)
 class SetUp:
-    """One tune-in as its server sees it. `answer(how, session)` goes back over the network; `gone` is set once the
-    server sees that nobody waits."""
+    """A tune-in as seen by its server. `answer(status, session)` replies over the network; `gone` is set once the server has
+    noticed that the front closed the connection."""
 
     life: str
     request: str
@@ -50,50 +50,50 @@
     mark: str
     answer: object
     gone: bool = False
-    over: bool = False
+    ended: bool = False
     session: Session | None = None
-    facts: dict = field(default_factory=dict)
+    event_fields: dict = field(default_factory=dict)
 
 
 class Machine:
-    """One life of one server."""
+    """One boot of a server."""
 
-    def __init__(self, world, machine, name: str, link: LinkModel, born: int, rng):
-        self.world, self.machine, self.name, self.link, self.born, self.rng = world, machine, name, link, born, rng
+    def __init__(self, world, machine, name: str, link: LinkModel, started_at: int, rng):
+        self.world, self.machine, self.name, self.link, self.started_at, self.rng = world, machine, name, link, started_at, rng
         self.obligations = world.site.obligations
         self.boot = f"{rng.getrandbits(32):08x}"
         self.sessions: dict[str, Session] = {}
         self.by_life: Counter = Counter()
         self.free_cores = machine.cores
         self.waiting: deque[SetUp] = deque()
-        self.at_work: set[SetUp] = set()
+        self.in_progress: set[SetUp] = set()
         self.arrivals: deque[int] = deque()
         self.report = (0.0, 0.0)
         self.history: deque[tuple[int, float, float, float]] = deque(maxlen=HISTORY)
         self.draining = self.fails_fast = self.frozen = self.dead = False
         self.loses_answers = ""
         self.notes_late = 0.0
-        self.held: list = []
-        # lives that were told of short delivery and not yet of its end
-        self.told_short: set[str] = set()
-        self.names = 0
-        world.seen("boot", server=name, boot=self.boot, streams=machine.streams, born=born)
+        self.deferred: list = []
+        # lives notified of short delivery and not yet of its end
+        self.notified_short: set[str] = set()
+        self.last_session_number = 0
+        world.record_event("boot", server=name, boot=self.boot, streams=machine.streams, born=started_at)
 
-    # ---- its life
+    # ---- start and failure
 
     def die(self) -> None:
-        """At once, with a reset to everyone."""
+        """Stops at once; all connections are reset."""
         if self.dead:
             return
         self.dead = True
-        self.world.seen("dead", server=self.name, boot=self.boot, playing=len(self.sessions))
-        for setup in [*self.at_work, *self.waiting, *(held for held in self.held if isinstance(held, SetUp))]:
-            self._over(setup, "dropped")
+        self.world.record_event("dead", server=self.name, boot=self.boot, playing=len(self.sessions))
+        for setup in [*self.in_progress, *self.waiting, *(entry for entry in self.deferred if isinstance(entry, SetUp))]:
+            self._setup_ended(setup, "dropped")
             setup.answer("broken", None)
         self.waiting.clear()
-        self.held = []
+        self.deferred = []
         for session in list(self.sessions.values()):
-            session.over = True
+            session.ended = True
             self.world.media_broke(session)
         self.sessions.clear()
         self.by_life.clear()
@@ -101,63 +101,63 @@
 
     def freeze(self) -> None:
         self.frozen = True
-        self.world.seen("froze", server=self.name, boot=self.boot)
+        self.world.record_event("froze", server=self.name, boot=self.boot)
 
     def thaw(self) -> None:
         self.frozen = False
-        self.world.seen("thawed", server=self.name, boot=self.boot)
-        held, self.held = self.held, []
-        for one in held:
-            if isinstance(one, SetUp):
-                self._begin(one)
+        self.world.record_event("thawed", server=self.name, boot=self.boot)
+        entries, self.deferred = self.deferred, []
+        for entry in entries:
+            if isinstance(entry, SetUp):
+                self._begin(entry)
             else:
-                call, args = one
+                call, args = entry
                 call(*args)
 
     def when_thawed(self, call, *args) -> None:
-        """Now, or once it goes on; never, if it dies first."""
+        """Runs `call` now, or after the end of a freeze; never if the server dies first."""
         if self.frozen:
-            self.held.append((call, args))
+            self.deferred.append((call, args))
         elif not self.dead:
             call(*args)
 
     # ---- set-ups
 
-    def asked(self, setup: SetUp) -> None:
-        setup.facts = dict(server=self.name, boot=self.boot, front=setup.life, request=setup.request, number=setup.number)
-        self.world.seen("setup", package=setup.package, title=setup.title, rung=setup.rung, **setup.facts)
-        if falls_over(self.arrivals, self.world.queue.now, self.born, self.machine.streams, self.obligations):
-            # it falls over, and what is in work with it
-            self.held.append(setup)
-            self.world.seen("fell-over", server=self.name, boot=self.boot)
+    def receive(self, setup: SetUp) -> None:
+        setup.event_fields = dict(server=self.name, boot=self.boot, front=setup.life, request=setup.request, number=setup.number)
+        self.world.record_event("setup", package=setup.package, title=setup.title, rung=setup.rung, **setup.event_fields)
+        if falls_over(self.arrivals, self.world.queue.now, self.started_at, self.machine.streams, self.obligations):
+            # too many set-ups: the server crashes, with all set-ups in progress
+            self.deferred.append(setup)
+            self.world.record_event("fell-over", server=self.name, boot=self.boot)
             self.world.fell(self)
         elif self.frozen:
-            self.held.append(setup)
+            self.deferred.append(setup)
         else:
             self._begin(setup)
 
     def hung_up(self, setup: SetUp) -> None:
-        """It sees that nobody waits for the answer."""
+        """The connection was closed; nobody waits for the answer any more."""
         setup.gone = True
-        self._over(setup, "gone")
+        self._setup_ended(setup, "gone")
 
-    def _over(self, setup: SetUp, how: str) -> None:
-        if not setup.over:
-            setup.over = True
-            self.world.seen("setup-over", how=how, **setup.facts)
+    def _setup_ended(self, setup: SetUp, outcome: str) -> None:
+        if not setup.ended:
+            setup.ended = True
+            self.world.record_event("setup-over", how=outcome, **setup.event_fields)
 
     def _begin(self, setup: SetUp) -> None:
         if setup.gone:
             return
         if (
             self.draining
-            or len(self.sessions) + len(self.at_work) + len(self.waiting) >= self.machine.streams
-            or (len(self.at_work) + len(self.waiting) >= MOST_QUEUED)
+            or len(self.sessions) + len(self.in_progress) + len(self.waiting) >= self.machine.streams
+            or (len(self.in_progress) + len(self.waiting) >= MOST_QUEUED)
         ):
-            self._over(setup, "turned-away")
+            self._setup_ended(setup, "turned-away")
             setup.answer("full", None)
         elif self.fails_fast:
-            self._over(setup, "error")
+            self._setup_ended(setup, "error")
             setup.answer("error", None)
         else:
             self.waiting.append(setup)
@@ -167,33 +167,33 @@
         while self.free_cores and self.waiting:
             setup = self.waiting.popleft()
             self.free_cores -= 1
-            self.at_work.add(setup)
-            self.world.seen("ran", **setup.facts)
-            age = self.world.queue.now - self.born
+            self.in_progress.add(setup)
+            self.world.record_event("ran", **setup.event_fields)
+            age = self.world.queue.now - self.started_at
             pace = warmth(age, self.obligations.warm_within, self.obligations.start_capacity)
-            self.world.queue.at(self.world.queue.now + int(self.world.setup_work * NS / pace), self._worked, setup)
+            self.world.queue.at(self.world.queue.now + int(self.world.setup_work * NS / pace), self._work_done, setup)
 
-    def _worked(self, setup: SetUp) -> None:
+    def _work_done(self, setup: SetUp) -> None:
         if self.dead:
             return
         self.free_cores += 1
-        self.at_work.discard(setup)
+        self.in_progress.discard(setup)
         self._work()
-        self.when_thawed(self._made, setup)
+        self.when_thawed(self._finish, setup)
 
-    def _made(self, setup: SetUp) -> None:
+    def _finish(self, setup: SetUp) -> None:
         if self.loses_answers:
             if self.loses_answers == "reset":
-                self._over(setup, "dropped")
+                self._setup_ended(setup, "dropped")
                 setup.answer("broken", None)
-            # or by silence, until the other side has enough
+            # otherwise the answer is lost silently, until the front's time-out
             return
         if setup.gone:
             return
-        self.names += 1
+        self.last_session_number += 1
         rate = self.world.ladder[setup.package][setup.rung]
         session = setup.session = Session(
-            f"/session/{self.boot}{self.names}",
+            f"/session/{self.boot}{self.last_session_number}",
             setup.life,
             setup.request,
             setup.package,
@@ -207,9 +207,11 @@
         )
         self.sessions[session.path] = session
         self.by_life[setup.life] += 1
-        self.link.asked += rate * session.truth
-        self.world.seen("session", session=session.path, package=setup.package, title=setup.title, rung=setup.rung, **setup.facts)
-        self._over(setup, "answered")
+        self.link.asked += rate * session.rate_factor
+        self.world.record_event(
+            "session", session=session.path, package=setup.package, title=setup.title, rung=setup.rung, **setup.event_fields
+        )
+        self._setup_ended(setup, "answered")
         setup.answer("plays", session)
 
     # ---- sessions
@@ -219,31 +221,31 @@
         if session is None:
             return False
         rate = self.world.ladder[session.package][rung]
-        self.link.asked += (rate - session.rate) * session.truth
+        self.link.asked += (rate - session.rate) * session.rate_factor
         session.rung, session.rate = rung, rate
-        self.world.seen("layer", server=self.name, session=path, rung=rung, front=session.life, package=session.package)
+        self.world.record_event("layer", server=self.name, session=path, rung=rung, front=session.life, package=session.package)
         return True
 
     def end(self, path: str, why: str, tell: bool = True) -> None:
         session = self.sessions.pop(path, None)
         if session is None:
             return
-        session.over = True
+        session.ended = True
         self.by_life[session.life] -= 1
         if not self.by_life[session.life]:
             del self.by_life[session.life]
-        self.link.asked = max(0.0, self.link.asked - session.rate * session.truth)
-        self.world.seen("session-end", server=self.name, boot=self.boot, session=path, why=why)
+        self.link.asked = max(0.0, self.link.asked - session.rate * session.rate_factor)
+        self.world.record_event("session-end", server=self.name, boot=self.boot, session=path, why=why)
         if tell:
             self.world.ended_note(self, session)
         self.world.media_broke(session)
 
     def adopt(self, paths: list[str], life: str) -> list[str]:
-        taken = []
+        adopted = []
         for path in paths:
             session = self.sessions.get(path)
             if session is not None and front_of(session.life) == front_of(life):
-                self.world.seen(
+                self.world.record_event(
                     "adopted",
                     server=self.name,
                     boot=self.boot,
@@ -256,12 +258,13 @@
                 self.by_life[session.life] -= 1
                 session.life = life
                 self.by_life[life] += 1
-                taken.append(path)
-        return taken
+                adopted.append(path)
+        return adopted
 
-    # ---- what it measures
+    # ---- measurements
 
     def measure(self) -> None:
+        """Takes a measurement for later reports, and ends sessions without a viewer or without a front."""
         now = self.world.queue.now
         uplink = self.link.uplink.asked() / self.link.uplink.size
         self.history.append((now, self.link.use(), uplink, self.link.share()))
@@ -269,15 +272,15 @@
         self.report = (self.link.use() * noise, uplink * noise)
         if self.frozen:
             return
-        for session in list(self.sessions.values()) if self.names else ():
+        for session in list(self.sessions.values()) if self.last_session_number else ():
             if session.watcher is None and now - session.unwatched_since > WATCHED_WITHIN * NS:
                 self.end(session.path, "nobody watches")
-            elif now - self.world.heard_of(session.life) > FRONT_WITHIN * NS:
+            elif now - self.world.last_seen_at(session.life) > FRONT_WITHIN * NS:
                 self.end(session.path, "its front is gone")
 
-    def then(self) -> tuple[int, float, float, float]:
-        """How it was as long ago as notes are late."""
+    def delayed_measurement(self) -> tuple[int, float, float, float]:
+        """The measurement (time, link use, uplink use, delivered share) as old as the delay of the notifications."""
         return as_of(self.history, self.world.queue.now - self.obligations.told_late - int(self.notes_late * NS))
 
-    def short(self) -> bool:
-        return self.then()[3] < SHORT_UNDER
+    def is_short(self) -> bool:
+        return self.delayed_measurement()[3] < SHORT_UNDER
--- a/curlewshift/emulator/oracle.py
+++ b/curlewshift/emulator/oracle.py
@@ -1,7 +1,7 @@
-"""A policy that sees the true state of every machine: how far from the best possible a day was, and no more.
+"""A policy that reads the true state of every machine; used only to estimate how far a run was from the optimum.
 
-It places on the living machine that truly has most room, at the highest rung that truly fits there; it knows of deaths
-and hangs at once. Duties bind it as they bind the rules: it sends nothing to a cold server beyond its part.
+It places each viewing on the running server with the most free bandwidth, at the highest rung that fits there, and knows of
+crashes and hangs at once. The obligations apply to it as to the rules: a cold server gets no more than its share of tune-ins.
 """
 
 from __future__ import annotations
@@ -11,37 +11,37 @@
 
 
 class Oracle(Rules):
-    """`sees` is the world, set by the front that has it."""
+    """`sees` is the emulated world; the front that uses this policy sets it."""
 
     sees = None
 
     def _place(self, viewing: Viewing) -> None:
         seats_left = not viewing.package.seats or self.seats[viewing.title, viewing.package] < viewing.package.seats
         late = viewing.tune_ins >= self.max_tune_ins or self.host.now() >= viewing.expires
-        able = [server for server in self._open_to(viewing) if self._able(server)]
-        if late or not seats_left or not self._budget_left(viewing) or not able:
+        available = [server for server in self._open_to(viewing) if self._available(server)]
+        if late or not seats_left or not self._budget_left(viewing) or not available:
             self._block(viewing)
             return
-        best = max(able, key=lambda server: (self._true_room(server), server.mark))
-        room = self._true_room(best)
-        fits = [
+        best = max(available, key=lambda server: (self._free_bandwidth(server), server.mark))
+        free_bandwidth = self._free_bandwidth(best)
+        fitting_rungs = [
             rung
             for rung in range(viewing.package.floor, min(viewing.ceiling, viewing.package.top) + 1)
-            if viewing.package.rates[rung] <= room
+            if viewing.package.rates[rung] <= free_bandwidth
         ]
-        if fits:
-            self._tune_in(viewing, best, max(fits))
-        elif room > -0.05 * best.link.size:
+        if fitting_rungs:
+            self._tune_in(viewing, best, max(fitting_rungs))
+        elif free_bandwidth > -0.05 * best.link.size:
             self._tune_in(viewing, best, viewing.package.floor)
         else:
             self._block(viewing)
 
-    def _able(self, server: Server) -> bool:
+    def _available(self, server: Server) -> bool:
         machine = self.sees.machines.get(server.name)
         return machine is not None and not (
             machine.dead or machine.frozen or machine.draining or machine.fails_fast or machine.loses_answers
         )
 
-    def _true_room(self, server: Server) -> float:
+    def _free_bandwidth(self, server: Server) -> float:
         link = self.sees.machines[server.name].link
         return min(link.gives() - link.asked, link.uplink.size - link.uplink.asked())
--- a/curlewshift/emulator/overloaded.py
+++ b/curlewshift/emulator/overloaded.py
@@ -1,23 +1,25 @@
-"""Fronts of an emulated deployment that shed as one: the program's own overload, on links that lose."""
+"""Load shedding of emulated fronts: the real overload control, with messages over links that may lose them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from random import Random
 
-from curlewshift.emulator.shared import next_front
+from curlewshift.emulator.shared import running_front
 from curlewshift.overload.overload import Overload
 from curlewshift.overload.terms import OverloadTerms
 from curlewshift.session_core import shedding
 
 MS = 1_000_000
-WAY = (0.4 * MS, 2 * MS)
+# Range of the one-way delay of a message between fronts, in ns.
+MESSAGE_DELAY = (0.4 * MS, 2 * MS)
 
 
 @dataclass
 class Shedding:
-    """How fronts shed in a run. `together`: with a level for all; else each by what it sees. `overload` may be a planted
-    fault's; `further` bounds tune-ins beyond the first by successes."""
+    """How fronts shed in a run. With `together` they agree on one level; otherwise each uses its own observations. `overload`
+    may be the class of a planted fault. `further` bounds further tune-ins by the number of successes; `loss` is the fraction
+    of messages lost."""
 
     terms: OverloadTerms
     together: bool = True
@@ -27,23 +29,23 @@
 
 
 class EmulatedOverload(shedding.Shedding):
-    """Overload's outside for one life of one emulated front."""
+    """The driver of the overload control for one life (one run of the process) of an emulated front."""
 
     def __init__(self, front, seed: int):
-        self.front, self.world, self.how = front, front.world, front.world.shedding
-        self.rng, self.life, self.spoken = Random(f"{seed} sheds"), front.now(), 0
+        self.front, self.world, self.settings = front, front.world, front.world.shedding
+        self.rng, self.life, self.sequence = Random(f"{seed} sheds"), front.now(), 0
         packages = self.world.site.packages
         super().__init__(lambda: front.session_core, packages)
-        self.bounds_further = self.how.further
-        self.overload = self.how.overload(self, front.door, packages, self.how.terms, self.rng)
-        self.world.queue.at(front.now() + self.rng.randrange(self.how.terms.every), self._round)
+        self.bounds_further = self.settings.further
+        self.overload = self.settings.overload(self, front.door, packages, self.settings.terms, self.rng)
+        self.world.queue.at(front.now() + self.rng.randrange(self.settings.terms.every), self._round)
 
     def _round(self) -> None:
         if self.front.alive:
             self.round()
-            self.world.queue.at(self.now() + self.how.terms.every, self._round)
+            self.world.queue.at(self.now() + self.settings.terms.every, self._round)
 
-    # ---- overload's outside
+    # ---- driver of the overload control
 
     def now(self) -> int:
         return self.front.now()
@@ -52,27 +54,27 @@
         return self.front.wall()
 
     def members(self) -> list[str]:
-        return [name for name in self.world.doors_up if name != self.front.door] if self.how.together else []
+        return [name for name in self.world.running_fronts if name != self.front.door] if self.settings.together else []
 
     def turned_off(self) -> int:
         return 0
 
-    def _say(self, to: str, what: str, *words) -> None:
-        other = next_front(self.world, to)
-        if other is not None and self.rng.random() >= self.how.loss:
-            self.world.queue.at(self.now() + int(self.rng.uniform(*WAY)), self._arrives, other, what, words)
+    def _send(self, to: str, message: str, *fields) -> None:
+        other = running_front(self.world, to)
+        if other is not None and self.rng.random() >= self.settings.loss:
+            self.world.queue.at(self.now() + int(self.rng.uniform(*MESSAGE_DELAY)), self._arrive, other, message, fields)
 
     @staticmethod
-    def _arrives(front, what: str, words: tuple) -> None:
+    def _arrive(front, message: str, fields: tuple) -> None:
         if front.alive:
-            getattr(front.sheds.overload, what)(*words)
+            getattr(front.sheds.overload, message)(*fields)
 
     def tell_round(self, to: str, zone: str, asks: list, begun: float, short: float) -> None:
-        self.spoken += 1
-        self._say(to, "round_told", self.front.door, self.life, self.spoken, zone, asks, begun, short)
+        self.sequence += 1
+        self._send(to, "round_told", self.front.door, self.life, self.sequence, zone, asks, begun, short)
 
     def tell_level(self, to: str, zone: str, cut: int, why: str) -> None:
-        self._say(to, "level_told", zone, cut, why)
+        self._send(to, "level_told", zone, cut, why)
 
     def level_changed(self, zone: str, cut: int, before: int, why: str) -> None:
         self.world.levels.append((self.now(), self.front.door, zone, cut))
--- a/curlewshift/emulator/planted_faults.py
+++ b/curlewshift/emulator/planted_faults.py
@@ -1,4 +1,7 @@
-"""The rehearsal's spoilt fronts once more, as far as they are not the emulated front's own business."""
+"""Planted faults of emulated fronts that change the session core, the rules or the terms.
+
+The names are those of the planted faults of a fault injection run. The other faults are built into `EmulatedFront`.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +27,13 @@
 )
 
 
-def wronged(wrong: str, terms: Terms, rules: type[Rules]) -> tuple[type[SessionCore], type[Rules], Terms]:
-    """Desk, rules and terms of a front that has this fault."""
-    session_core = {"ignore-drain": SessionCoreIgnoringLeavers, "lost-teardown": LostTeardown}.get(wrong, SessionCore)
-    rules = {"resend-paid": ResendPaid, "ignore-drain": IgnoreDrain, "push-cold": PushCold}.get(wrong, rules)
-    changed = {"under-floor": {"floor": 0}, "over-seats": {"seats": 0}}.get(wrong)
-    if changed:
-        terms = replace(terms, packages=[replace(package, **changed) for package in terms.packages])
-    if wrong == "overspend-budget":
+def with_fault(fault: str, terms: Terms, rules: type[Rules]) -> tuple[type[SessionCore], type[Rules], Terms]:
+    """Session core class, rules and terms of a front that has this fault."""
+    session_core = {"ignore-drain": SessionCoreIgnoringLeavers, "lost-teardown": LostTeardown}.get(fault, SessionCore)
+    rules = {"resend-paid": ResendPaid, "ignore-drain": IgnoreDrain, "push-cold": PushCold}.get(fault, rules)
+    replaced_fields = {"under-floor": {"floor": 0}, "over-seats": {"seats": 0}}.get(fault)
+    if replaced_fields:
+        terms = replace(terms, packages=[replace(package, **replaced_fields) for package in terms.packages])
+    if fault == "overspend-budget":
         terms = replace(terms, free_further=None, max_tune_ins=50)
     return session_core, rules, terms
--- a/curlewshift/emulator/planted_shedding_faults.py
+++ b/curlewshift/emulator/planted_shedding_faults.py
@@ -1,4 +1,4 @@
-"""Planted faults of shedding: each has to be caught on a day of processes, and shows in the emulator."""
+"""Planted faults of load shedding. A fault injection run on processes has to detect each; the emulator shows them too."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class ShedAtRandom(Overload):
-    """As many as ever, and whoever it hits."""
+    """Sheds the usual fraction of requests, but picks them at random instead of by rank."""
 
     def _sheds(self, rank, cut, floored):
         return self.advice.rng.random() < cut / self.order.top
 
 
 class OwnLevelOnly(Overload):
-    """Sheds as if it were alone, by a hash that nobody else has."""
+    """Ignores the other fronts' levels, and ranks viewers by a hash that differs from front to front."""
 
-    def __init__(self, driver, me, *arguments):
-        super().__init__(driver, me, *arguments)
+    def __init__(self, driver, local_name, *arguments):
+        super().__init__(driver, local_name, *arguments)
         order, rank = self.order, self.order.rank
-        order.rank = lambda package, who, wall, came_back=False: rank(package, f"{me} {who}", wall, came_back)
+        order.rank = lambda package, who, wall, came_back=False: rank(package, f"{local_name} {who}", wall, came_back)
 
     def time(self):
         members, self.driver.members = self.driver.members, lambda: []
@@ -30,26 +30,32 @@
             self.driver.members = members
 
 
-class OneReturn(RetryAdvice):
+class SameReturnTimeAdvice(RetryAdvice):
     def wait(self, who, now, behind=0.0, lasts=0):
         super().wait(who, now, behind, lasts)
-        # all who are refused within a while are told one and the same time
-        whole = min(self.terms.longest_wait, 8_000_000_000)
-        return whole - now % (whole // 2)
+        # all viewers refused within half a period (at most 4 s) are given the same time to return at
+        period = min(self.terms.longest_wait, 8_000_000_000)
+        return period - now % (period // 2)
 
 
 class SynchronisedReturn(Overload):
+    """Asks all refused viewers to return at the same instant, instead of spreading their retries."""
+
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.advice.__class__ = OneReturn
+        self.advice.__class__ = SameReturnTimeAdvice
 
 
 class NoFloorSheddingOrder(SheddingOrder):
+    """No rank is exempt from shedding."""
+
     def floored(self, rank):
         return False
 
 
 class NoFloor(Overload):
+    """Sheds without the minimum share that every package keeps."""
+
     order_class = NoFloorSheddingOrder
 
 
--- a/curlewshift/emulator/queue.py
+++ b/curlewshift/emulator/queue.py
@@ -1,8 +1,8 @@
-"""What happens when, in virtual time. Events of one instant come in the order in which they were set.
+"""Event queues for discrete-event simulation in virtual time. Events of the same instant run in the order of scheduling.
 
-Most events lie within milliseconds or seconds of now and none is taken back, so they are put into buckets of a
-millisecond: to set one is to append to a list, and a bucket is sorted once, when its time has come. A plain heap is
-beside it, to be measured against (`curlewshift measure events`).
+Most events are due within milliseconds or seconds and none is cancelled, so they are kept in buckets of one millisecond:
+scheduling appends to a list, and a bucket is sorted once, when it becomes due. A plain binary heap serves as the reference
+for `curlewshift measure events`.
 """
 
 from __future__ import annotations
@@ -10,19 +10,22 @@
 import heapq
 from collections.abc import Callable
 
+# Width of a bucket in ns.
 BUCKET = 1_000_000
 
 
 class EventLimitExceeded(Exception):
-    """More events came than a run may have: it would not have ended."""
+    """A run exceeded its maximum number of events, so it would probably not have ended."""
 
 
 class Buckets:
+    """Event queue with buckets of one millisecond; times in ns."""
+
     def __init__(self, now: int = 0):
         self.now = now
         self.buckets: dict[int, list[tuple]] = {}
         self.keys: list[int] = []
-        # the bucket that is being emptied, as a heap: what is set for its time meanwhile goes into it
+        # the bucket being processed, as a heap: events that are scheduled into it meanwhile are pushed onto it
         self.current: list[tuple] = []
         self.current_key = -1
         self.count = 0
@@ -31,7 +34,7 @@
         return len(self.current) + sum(len(bucket) for bucket in self.buckets.values())
 
     def at(self, when: int, call: Callable, *args: object) -> None:
-        """A time that is over is now."""
+        """Schedules a call; a time in the past counts as now."""
         when = max(when, self.now)
         self.count += 1
         key = when // BUCKET
@@ -43,8 +46,8 @@
             self.buckets[key] = [(when, self.count, call, args)]
             heapq.heappush(self.keys, key)
 
-    def run(self, until: int, most: int = 10**9) -> int:
-        """All that happens up to `until`; returns how many events those were. Raises `EventLimitExceeded` beyond `most`."""
+    def run(self, until: int, max_events: int = 10**9) -> int:
+        """Runs the events due up to `until` and returns their number. Raises `EventLimitExceeded` at `max_events`."""
         done = 0
         while True:
             if not self.current:
@@ -60,14 +63,14 @@
             self.now = when
             call(*args)
             done += 1
-            if done >= most:
-                raise EventLimitExceeded(f"{most} events came before {until / 1e9:.1f} s were over")
+            if done >= max_events:
+                raise EventLimitExceeded(f"{max_events} events came before {until / 1e9:.1f} s were over")
         self.now = max(self.now, until)
         return done
 
 
 class Heap:
-    """The plain one."""
+    """Event queue on one binary heap."""
 
     def __init__(self, now: int = 0):
         self.now, self.heap, self.count = now, [], 0
@@ -79,13 +82,13 @@
         self.count += 1
         heapq.heappush(self.heap, (max(when, self.now), self.count, call, args))
 
-    def run(self, until: int, most: int = 10**9) -> int:
+    def run(self, until: int, max_events: int = 10**9) -> int:
         done = 0
         while self.heap and self.heap[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self.heap)
             call(*args)
             done += 1
-            if done >= most:
-                raise EventLimitExceeded(f"{most} events came before {until / 1e9:.1f} s were over")
+            if done >= max_events:
+                raise EventLimitExceeded(f"{max_events} events came before {until / 1e9:.1f} s were over")
         self.now = max(self.now, until)
         return done
--- a/curlewshift/emulator/shared.py
+++ b/curlewshift/emulator/shared.py
@@ -1,6 +1,6 @@
-"""Fronts of an emulated deployment that share: the program's own sharing, on links that lose and with fronts that are deaf.
+"""Sharing between emulated fronts: the real implementation, over links that may lose messages and with isolated fronts.
 
-Who is in is known at once here; that it is found out late is measured elsewhere (emulator/peers.py).
+Membership changes are known at once here; the delay of their detection is measured in emulator/peers.py.
 """
 
 from __future__ import annotations
@@ -14,13 +14,15 @@
 
 NS = 1_000_000_000
 MS = 1_000_000
-WAY = (0.4 * MS, 2 * MS)
+# Range of the one-way delay of a message between fronts, in ns.
+MESSAGE_DELAY = (0.4 * MS, 2 * MS)
 
 
 @dataclass
 class Shares:
-    """How fronts share in a run: the part of words that is lost, and which fronts hear and are heard by nobody. `counts`,
-    `rights` and `seen` leave a part of it out, to see what it is worth."""
+    """How fronts share in a run. `loss` is the fraction of messages lost; `deaf` holds the indices of fronts whose messages are
+    lost in both directions. `counts`, `rights` and `seen` switch off a part of the sharing each, to measure its benefit.
+    `words` counts the messages sent."""
 
     terms: SharingTerms
     loss: float = 0.0
@@ -32,22 +34,23 @@
 
 
 def usual_terms(window: int, term: int = 2 * NS) -> SharingTerms:
+    """Default terms of sharing; `window` and `term` in ns."""
     return SharingTerms(term=term, drift=0.001, window=max(window, MS), every=NS // 4)
 
 
 class EmulatedSharing:
-    """Sharing's outside for one life of one emulated front."""
+    """The driver of the sharing for one life (one run of the process) of an emulated front."""
 
     def __init__(self, front, seed: int):
         self.front, self.world, self.shares = front, front.world, front.world.shared
-        self.rng, self.spoken = Random(f"{seed} shares"), 0
-        order = [door.name for door in self.world.site.front_addresses]
-        me = order.index(front.door)
+        self.rng, self.sequence = Random(f"{seed} shares"), 0
+        names = [address.name for address in self.world.site.front_addresses]
+        local_index = names.index(front.door)
         self.life = front.now()
         self.sharing = Sharing(
             self,
-            order,
-            me,
+            names,
+            local_index,
             self.life,
             self.shares.terms,
             self.world.site.obligations.warm_within,
@@ -64,20 +67,20 @@
             self.sharing.time()
             self.world.queue.at(self.now() + self.shares.terms.every, self._round)
 
-    def _say(self, to: str, what: str, *words) -> None:
-        other = next_front(self.world, to)
+    def _send(self, to: str, message: str, *fields) -> None:
+        other = running_front(self.world, to)
         shares, rng = self.shares, self.rng
         shares.words += 1
         if other is None or {self.sharing.me, self.sharing.number_of[to]} & shares.deaf or rng.random() < shares.loss:
             return
-        self.world.queue.at(self.now() + int(rng.uniform(*WAY)), self._arrives, other, what, words)
+        self.world.queue.at(self.now() + int(rng.uniform(*MESSAGE_DELAY)), self._arrive, other, message, fields)
 
     @staticmethod
-    def _arrives(front, what: str, words: tuple) -> None:
+    def _arrive(front, message: str, fields: tuple) -> None:
         if front.alive:
-            getattr(front.shared.sharing, what)(*words)
+            getattr(front.shared.sharing, message)(*fields)
 
-    # ---- sharing's outside
+    # ---- driver of the sharing
 
     def now(self) -> int:
         return self.front.now()
@@ -89,37 +92,37 @@
         return self.front.session_core.rules.rights_of(server)
 
     def members(self) -> list[str]:
-        return self.world.doors_up
+        return self.world.running_fronts
 
     def ask(self, to: str, number: int, keys: list[str]) -> None:
         if self.shares.rights:
-            self._say(to, "asked", self.sharing.name, self.life, number, keys)
+            self._send(to, "asked", self.sharing.name, self.life, number, keys)
 
     def lend(self, to: str, number: int, rights: list) -> None:
-        self._say(to, "lent", self.sharing.name, number, rights)
+        self._send(to, "lent", self.sharing.name, number, rights)
 
     def give_back_to(self, to: str, number: int, key: str) -> None:
-        self._say(to, "given_back", self.sharing.name, number, key)
+        self._send(to, "given_back", self.sharing.name, number, key)
 
     def tell_use(self, to: str, rows: list) -> None:
         if self.shares.counts:
-            self.spoken += 1
-            self._say(to, "use_told", self.sharing.name, self.life, self.spoken, rows)
+            self.sequence += 1
+            self._send(to, "use_told", self.sharing.name, self.life, self.sequence, rows)
 
     def tell_sums(self, to: str, rows: list) -> None:
-        self.spoken += 1
-        self._say(to, "sums_told", self.sharing.name, self.life, self.spoken, rows)
+        self.sequence += 1
+        self._send(to, "sums_told", self.sharing.name, self.life, self.sequence, rows)
 
     def tell_report(self, to: str, rows: list) -> None:
-        self._say(to, "report_told", self.sharing.name, rows)
+        self._send(to, "report_told", self.sharing.name, rows)
 
     def link_reported(self, server: Server, use: float) -> None:
         self.front.session_core.link_reported(server, use)
 
     def tell_seen(self, to: str, rows: list) -> None:
         if self.shares.seen:
-            self.spoken += 1
-            self._say(to, "seen_told", self.sharing.name, self.life, self.spoken, rows)
+            self.sequence += 1
+            self._send(to, "seen_told", self.sharing.name, self.life, self.sequence, rows)
 
     def rights_held(self, server: Server, rights: list) -> None:
         self.front.session_core.rights_held(server, rights)
@@ -137,7 +140,7 @@
             self.front.session_core.seen_warm(server)
 
     def ask_what_is_known(self, to: str) -> None:
-        self._say(to, "known_asked", self.sharing.name)
+        self._send(to, "known_asked", self.sharing.name)
 
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
         if self.shares.counts:
@@ -158,8 +161,8 @@
 
     def seats_ending(self, package: str, title: str) -> bool:
         session_core = self.front.session_core
-        held = session_core.server_list.titles.get(title)
-        return held is not None and any(server in session_core.session_ends.servers for server in held.holders)
+        listed_title = session_core.server_list.titles.get(title)
+        return listed_title is not None and any(server in session_core.session_ends.servers for server in listed_title.holders)
 
     def seats_held(self, package: str, title: str, rights: list) -> None:
         self.front.session_core.seats_held(package, title, rights)
@@ -171,7 +174,7 @@
         pass
 
 
-def next_front(world, name: str):
-    """The life of that front that runs now; None if none does."""
-    front = world.fronts[world.number_of_door[name]]
+def running_front(world, name: str):
+    """The life of the front that is running now; None if there is none."""
+    front = world.fronts[world.front_numbers[name]]
     return front if front is not None and front.alive else None
--- a/curlewshift/emulator/sharing_bytes.py
+++ b/curlewshift/emulator/sharing_bytes.py
@@ -1,7 +1,7 @@
-"""What one front of many sends to its peers for sharing, in bytes of real frames. Called by `measure shared`; simulated.
+"""Bytes that one of many fronts sends to its peers for sharing, in encoded frames. Called by `measure shared`; simulated.
 
-One front's own sharing is run among peers that are only names. What it is asked as the one that adds up is what it asks of
-others, in the mean over all fronts: each word of use is one of another front's, and has one answer.
+The sharing of one front runs among peers that exist by name only. Averaged over all fronts, a front that sums up the use of
+servers receives as many use reports as it sends, and each is answered once; so an answer is counted for each report sent.
 """
 
 from __future__ import annotations
@@ -17,13 +17,14 @@
 
 NS = 1_000_000_000
 TERMS = SharingTerms(term=3 * NS // 2, drift=0.01, window=NS, every=NS // 4)
-# (fronts, servers); a front plays on so many of them.
+# (fronts, servers)
 SIZES = ((8, 24), (64, 200), (200, 2000), (1000, 2000))
+# Servers on which the front has sessions, servers per rack, length of a run in s.
 PLAYS_ON, RACK, SECONDS = 40, 20, 20
 
 
 class Among:
-    """Sharing's outside: words are counted by what they would weigh."""
+    """Driver of one front's sharing that encodes each message and counts its bytes instead of sending it."""
 
     def __init__(self, fronts: int, servers: int):
         self.clock, self.names = 1000 * NS, [f"front-{n}" for n in range(fronts)]
@@ -44,14 +45,14 @@
             self.clock += TERMS.every
             for server in self.fleet:
                 if server.link.own:
-                    # it is heard of, and what is used there moves
+                    # a report arrives, and the use of the server changes
                     server.heard_at = self.clock
                     server.link.own = 700.0 * self.rng.uniform(0.9, 1.1)
             self.sharing.time()
         return self
 
-    def _weighs(self, what: int, **more) -> None:
-        body = ENCODER.encode(Body(what, 10_000, self.clock, **more))
+    def _count(self, kind: int, **more) -> None:
+        body = ENCODER.encode(Body(kind, 10_000, self.clock, **more))
         frame = encode(
             Frame("site", "front-0", "10.1.0.1", 8181, 1_800_000_000_000_000, 3, 100_000, KIND, 0, "", 2**63, [], body)
         )
@@ -71,31 +72,31 @@
         return self.names[1:]
 
     def tell_use(self, to: str, rows: list) -> None:
-        self._weighs(USE, uses=rows)
-        # as many are told to it, and answered
-        self._weighs(SUMS, sums=[(key, value, 100_000_000, 0.5, 200_000_000) for key, value in rows])
+        self._count(USE, uses=rows)
+        # as many reports of other fronts are received and answered
+        self._count(SUMS, sums=[(key, value, 100_000_000, 0.5, 200_000_000) for key, value in rows])
 
     def tell_seen(self, to: str, rows: list) -> None:
-        self._weighs(SEEN, seen=rows)
+        self._count(SEEN, seen=rows)
 
-    def nothing(self, *words, **more) -> None:
-        """Asks of rights are few: only cold servers have any."""
+    def ignore(self, *arguments, **more) -> None:
+        """Not counted. Requests for rights are rare, since only cold servers have rights."""
 
-    ask = lend = give_back_to = tell_sums = tell_report = ask_what_is_known = nothing
-    rights_held = doubted = counted = uplink_counted = link_reported = seen_warm = clock_off = nothing
+    ask = lend = give_back_to = tell_sums = tell_report = ask_what_is_known = ignore
+    rights_held = doubted = counted = uplink_counted = link_reported = seen_warm = clock_off = ignore
 
 
 def measure_shared() -> dict:
     rows = []
     for fronts, servers in SIZES:
-        done = Among(fronts, servers).run()
+        driver = Among(fronts, servers).run()
         rows.append(
             {
                 "fronts": fronts,
                 "servers": servers,
                 "plays_on": min(PLAYS_ON, servers),
-                "bytes_a_second": round(done.bytes / SECONDS),
-                "datagrams_a_second": round(done.datagrams / SECONDS),
+                "bytes_a_second": round(driver.bytes / SECONDS),
+                "datagrams_a_second": round(driver.datagrams / SECONDS),
             }
         )
     return {"simulated": True, "largest_body": 1200 - PLAIN, "sizes": rows}
--- a/curlewshift/emulator/sizes.py
+++ b/curlewshift/emulator/sizes.py
@@ -1,4 +1,4 @@
-"""Deployments of any size, made up: for questions that no site file here asks. Nothing in it is anyone's."""
+"""Synthetic deployments of any size, for experiments that no site file covers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 
 NS = 1_000_000_000
 MS = 1_000_000
+# Rates of the quality layers, in the unit of link capacities.
 LADDER = (120.0, 210.0, 370.0, 650.0)
+# Servers per rack.
 RACK = 20
 
 
@@ -30,10 +32,11 @@
     told_late: float = 0.5,
     copies: int = 4,
 ) -> Script:
-    """`viewings` come over `lasts` (s). Links are as large as it takes for the mean rung's rate of all of them to ask
-    for `load` of what there is; a title lies on `copies` servers. Raises `ValueError` for sizes that are none."""
+    """A script with `viewings` arrivals over `lasts` (s), each watched for `watches` (s) on average. Link capacities are such
+    that all viewings at the mean rung's rate would use the fraction `load` of the total. A title is on `copies` servers.
+    Raises `ValueError` if a size is not positive."""
     if min(fronts, servers, viewings, lasts, load, watches) <= 0:
-        raise ValueError("sizes have to be more than nothing")
+        raise ValueError("fronts, servers, viewings, lasts, load and watches must be positive")
     rng = Random(seed)
     each_second = viewings / lasts
     playing = each_second * watches
--- a/curlewshift/emulator/viewers.py
+++ b/curlewshift/emulator/viewers.py
@@ -128,7 +128,7 @@
         self.tally.viewings += 1
         self.tally.value += pack.value
         self.tally.second((now - self.world.begins) // NS)[3] += pack.value
-        self.world.seen("viewing", viewing=viewer.name, package=pack.name, title=title)
+        self.world.record_event("viewing", viewing=viewer.name, package=pack.name, title=title)
         self._visit(viewer)
         self._next(now)
 
@@ -147,7 +147,7 @@
         front = self.world.fronts[visit.door]
         if front is None or not front.alive:
             self.tally.unreached += 1
-            self.world.seen(
+            self.world.record_event(
                 "unreached",
                 request=visit.request + visit.tail,
                 viewing=visit.viewer.name,
@@ -160,7 +160,7 @@
         self.tally.second((visit.asked_at - self.world.begins) // NS)[0] += 1
         name, package = visit.request + visit.tail, visit.viewer.package
         self.waiting[name] = visit
-        self.world.seen(
+        self.world.record_event(
             "ask",
             request=name,
             viewing=visit.viewer.name,
@@ -190,7 +190,7 @@
             self._stop(visit, name)
         elif visit.leaves:
             return
-        self.world.seen("hung-up", request=name, viewing=visit.viewer.name, front=visit.front.door)
+        self.world.record_event("hung-up", request=name, viewing=visit.viewer.name, front=visit.front.door)
         if visit.leaves:
             visit.over = True
             return
@@ -201,7 +201,7 @@
     def _gives_up(self, visit: Visit, name: str) -> None:
         if self.waiting.get(name) is visit and visit.waits:
             self._stop(visit, name)
-            self.world.seen("gave-up", request=name, viewing=visit.viewer.name, front=visit.front.door)
+            self.world.record_event("gave-up", request=name, viewing=visit.viewer.name, front=visit.front.door)
             self._nobody(visit)
 
     def _stop(self, visit: Visit, name: str) -> None:
@@ -223,7 +223,7 @@
             if visit.front is front and visit.waits:
                 visit.waits = False
                 del self.waiting[name]
-                self.world.seen("broke", request=name, viewing=visit.viewer.name, front=front.door)
+                self.world.record_event("broke", request=name, viewing=visit.viewer.name, front=front.door)
                 self.world.queue.at(self.world.queue.now + self.world.way(), self._nobody, visit)
 
     def _nobody(self, visit: Visit) -> None:
@@ -247,7 +247,7 @@
         if visit is None or visit.front is not front:
             return
         package, now = visit.viewer.package, self.world.queue.now
-        self.world.seen("answer", request=name, viewing=visit.viewer.name, front=front.door, status=STATUS[answer.kind])
+        self.world.record_event("answer", request=name, viewing=visit.viewer.name, front=front.door, status=STATUS[answer.kind])
         if not visit.waits:
             # one answer too many
             return
@@ -277,7 +277,7 @@
     def _watch(self, visit: Visit, front_session, front) -> None:
         machine = self.world.machines.get(front_session.viewing.server.name) if front_session.viewing.server else None
         session = machine.sessions.get(front_session.session) if machine is not None else None
-        if session is None or session.over:
+        if session is None or session.ended:
             self._ended(visit, "broke", 0)
             return
         visit.session, visit.front_session = session, front_session
@@ -306,12 +306,12 @@
         front = visit.front
         if front is not None and front.alive and visit.front_session is not None and visit.front_session.viewing.playing:
             front.closed(visit.front_session)
-            self.world.seen("closed", requests=[visit.request, visit.request + "h", visit.request + "b"])
+            self.world.record_event("closed", requests=[visit.request, visit.request + "h", visit.request + "b"])
 
     def short_of(self, session) -> None:
         """One more line of media that came with too little."""
-        session.short += 1
-        if session.short >= FOR_LINES and session.watcher is not None:
+        session.short_count += 1
+        if session.short_count >= FOR_LINES and session.watcher is not None:
             self._spoils(session.watcher.viewer)
             self._leaves(session.watcher)
 
--- a/curlewshift/emulator/world.py
+++ b/curlewshift/emulator/world.py
@@ -87,7 +87,7 @@
         if not front.alive or front.generation < 0:
             return
         for row in rows:
-            self.world.seen("told", front=front.name, server=row.server, state=row.state, started=row.started // MS)
+            self.world.record_event("told", front=front.name, server=row.server, state=row.state, started=row.started // MS)
         front.disk.rows = list(self.rows.values())
         if generation > front.generation:
             since, front.generation = front.generation, generation
@@ -102,8 +102,8 @@
         if front.alive:
             rows = list(self.rows.values())
             for row in rows if self.world.traffic is not None else ():
-                self.world.seen("told", front=front.name, server=row.server, state=row.state, started=row.started // MS)
-            self.world.seen("told-all", front=front.name, servers=[row.server for row in rows])
+                self.world.record_event("told", front=front.name, server=row.server, state=row.state, started=row.started // MS)
+            self.world.record_event("told-all", front=front.name, servers=[row.server for row in rows])
             front.generation, front.disk.rows = self.generation, rows
             front.session_core.list_full("e", self.generation, rows)
             front.recovery.list_told()
@@ -156,9 +156,9 @@
         self.disks = [Disk() for _ in self.site.front_addresses]
         self.lives = [0] * len(self.site.front_addresses)
         self.fronts: list[EmulatedFront | None] = [None] * len(self.site.front_addresses)
-        self.number_of_door = {door.name: number for number, door in enumerate(self.site.front_addresses)}
+        self.front_numbers = {door.name: number for number, door in enumerate(self.site.front_addresses)}
         # names of those that run, as fronts that know each other have them
-        self.doors_up: list[str] = []
+        self.running_fronts: list[str] = []
         self.last_heard: dict[str, int] = {}
         self.viewers = Viewers(self, seed)
         self.events = 0
@@ -168,7 +168,7 @@
 
     # ---- the network, and what is seen
 
-    def seen(self, ev: str, **facts) -> None:
+    def record_event(self, ev: str, **facts) -> None:
         if self.traffic is not None:
             self.traffic.append({"ev": ev, "at": self.queue.now, **facts})
 
@@ -208,10 +208,10 @@
         self.events = self.queue.run(ends, int(MOST_EVENTS * expected) + 10_000_000)
         for front in self.fronts:
             if front is not None and front.alive:
-                self.seen("front-down", front=front.door, life=front.name, how="ended")
+                self.record_event("front-down", front=front.door, life=front.name, how="ended")
 
     def _begin(self) -> None:
-        self.seen("day", begins=self.begins, lasts=int(self.script.lasts * NS))
+        self.record_event("day", begins=self.begins, lasts=int(self.script.lasts * NS))
         self.viewers.begin()
         for announced in self.script.announced:
             self._announce(announced)
@@ -222,7 +222,7 @@
             if trouble.kind in OF_VIEWERS:
                 self.queue.at(
                     at,
-                    lambda trouble=trouble: self.seen(
+                    lambda trouble=trouble: self.record_event(
                         "trouble", kind=trouble.kind, lasts=trouble.lasts, size=trouble.size, servers=[]
                     ),
                 )
@@ -266,19 +266,19 @@
             self.wrong,
         )
         self.fronts[number] = front
-        if front.door not in self.doors_up:
-            self.doors_up.append(front.door)
-        self.seen("front-up", front=front.door, life=front.name)
+        if front.door not in self.running_fronts:
+            self.running_fronts.append(front.door)
+        self.record_event("front-up", front=front.door, life=front.name)
         self.listing.whole(front)
         for name, machine in self.machines.items():
             front.boots[name] = machine.boot
-            self.seen("notes-open", server=name, boot=machine.boot, front=front.name)
+            self.record_event("notes-open", server=name, boot=machine.boot, front=front.name)
 
     def kill_front(self, front: EmulatedFront) -> None:
         self.last_heard[front.name] = self.queue.now
-        self.seen("front-down", front=front.door, life=front.name, how="killed")
+        self.record_event("front-down", front=front.door, life=front.name, how="killed")
         self._notes_end(front)
-        self.doors_up.remove(front.door)
+        self.running_fronts.remove(front.door)
         front.kill()
         self.viewers.front_died(front)
 
@@ -297,7 +297,7 @@
 
     def _gone(self, front: EmulatedFront, then) -> None:
         self.last_heard[front.name] = self.queue.now
-        self.seen("front-down", front=front.door, life=front.name, how="ended")
+        self.record_event("front-down", front=front.door, life=front.name, how="ended")
         self._notes_end(front)
         front.alive = False
         self.viewers.front_died(front)
@@ -305,9 +305,9 @@
 
     def _notes_end(self, front: EmulatedFront) -> None:
         for name, machine in self.machines.items() if self.traffic is not None else ():
-            self.seen("notes-end", server=name, boot=machine.boot, front=front.name)
+            self.record_event("notes-end", server=name, boot=machine.boot, front=front.name)
 
-    def heard_of(self, life: str) -> int:
+    def last_seen_at(self, life: str) -> int:
         return self.last_heard.get(life, self.queue.now)
 
     # ---- servers
@@ -330,17 +330,17 @@
         """Its notes say which life of it speaks."""
         if not front.alive or server.dead:
             return
-        self.seen("notes-open", server=server.name, boot=server.boot, front=front.name)
+        self.record_event("notes-open", server=server.name, boot=server.boot, front=front.name)
         known, front.boots[server.name] = front.boots.get(server.name), server.boot
         held = front.session_core.server_list.servers.get(server.name)
-        front._note(front.book.boot(server.name, server.boot))
+        front._append_record(front.book.boot(server.name, server.boot))
         if known is not None and known != server.boot and held is not None:
             front.session_core.restarted(held)
 
     def _row(self, server: Machine, state: str) -> ServerEntry:
         machine = server.machine
         return ServerEntry(
-            server.name, state, server.born, machine.zone, machine.rack, machine.link, machine.streams, machine.shelf
+            server.name, state, server.started_at, machine.zone, machine.rack, machine.link, machine.streams, machine.shelf
         )
 
     def die(self, server: Machine) -> None:
@@ -351,7 +351,7 @@
             del self.machines[server.name]
         for front in self.fronts:
             if front is not None and front.alive:
-                self.seen("notes-end", server=server.name, boot=server.boot, front=front.name)
+                self.record_event("notes-end", server=server.name, boot=server.boot, front=front.name)
                 self.queue.at(self.queue.now + self.way(front, server), self._notes_broke, front, server.name)
 
     def _notes_broke(self, front, name: str) -> None:
@@ -390,7 +390,7 @@
         for server in self.machines.values():
             if not server.by_life or server.frozen:
                 continue
-            _, link, uplink, _ = server.then()
+            _, link, uplink, _ = server.delayed_measurement()
             report = {"link": link, "uplink": uplink} if uplinks else {"link": link}
             for life in server.by_life:
                 front = lives.get(life)
@@ -407,14 +407,14 @@
     def _tell_short(self) -> None:
         lives = self._lives()
         for server in self.machines.values():
-            if server.frozen or not (server.by_life or server.told_short):
+            if server.frozen or not (server.by_life or server.notified_short):
                 continue
-            short, share = server.short(), server.then()[3]
-            for life in {*(server.by_life if short else ()), *server.told_short}:
+            short, share = server.is_short(), server.delayed_measurement()[3]
+            for life in {*(server.by_life if short else ()), *server.notified_short}:
                 front = lives.get(life)
                 if front is not None:
                     self.queue.at(self.queue.now + self.way(front, server), self._delivered, front, server.name, share)
-            server.told_short = set(server.by_life) if short else set()
+            server.notified_short = set(server.by_life) if short else set()
         self.queue.at(self._next(SHORT_EVERY), self._tell_short)
         self._sample()
 
@@ -446,7 +446,7 @@
                     float(short),
                 )
             )
-            self.seen(
+            self.record_event(
                 "use",
                 asked=round(asked),
                 gives=round(gives),
@@ -464,9 +464,9 @@
             if server.link.share() < TOO_LITTLE:
                 for session in list(server.sessions.values()):
                     self.viewers.short_of(session)
-            elif server.told_short:
+            elif server.notified_short:
                 for session in server.sessions.values():
-                    session.short = 0
+                    session.short_count = 0
         self.queue.at(self.queue.now + int(MEDIA_EVERY * NS), self._media)
 
     def media_broke(self, session: Session) -> None:
@@ -505,7 +505,7 @@
 
     def _befall(self, trouble: Trouble, rng: Random) -> None:
         affected = self._affected(trouble, rng)
-        self.seen(
+        self.record_event(
             "trouble",
             kind=trouble.kind,
             lasts=trouble.lasts,
@@ -611,7 +611,7 @@
         ends = self.queue.now + int(drain_for * NS)
 
         def look() -> None:
-            if (old.sessions or old.waiting or old.at_work) and self.queue.now < ends and not old.dead:
+            if (old.sessions or old.waiting or old.in_progress) and self.queue.now < ends and not old.dead:
                 self._later(0.1, look)
                 return
             self.die(old)
@@ -654,7 +654,7 @@
     def _front_trouble(self, trouble: Trouble, rng: Random) -> None:
         count = max(1, round(trouble.part * len(self.fronts)))
         affected = rng.sample(range(len(self.fronts)), count)
-        self.seen(
+        self.record_event(
             "trouble",
             kind=trouble.kind,
             lasts=trouble.lasts,
