--- a/curlewshift/emulator/front.py
+++ b/curlewshift/emulator/front.py
@@ -52,6 +52,8 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
+    """A tune-in in progress, and what has been sent for it."""
+
     setup: SetUp | None = None
     machine: Machine | None = None
     sent: bool = False
@@ -59,10 +61,12 @@
 
 
 class EmulatedFront:
+    """One life of one front: driver of its session core and of its recovery."""
+
     def __init__(self, world, number: int, life: int, disk: Disk, seed: int, rules: type[Rules], fault: str = ""):
         self.world, self.number, self.disk, self.fault = world, number, disk, fault
-        self.door = world.site.front_addresses[number].name
-        self.name = f"{self.door}.{life}"
+        self.address_name = world.site.front_addresses[number].name
+        self.name = f"{self.address_name}.{life}"
         self.zone = world.zone_of_front(number)
         # the generation of the server list received last, and when its latest update arrives
         self.alive, self.generation, self.list_at = True, -1, 0
@@ -157,7 +161,7 @@
         self.world.to_server(self, self.world.machines.get(tune_in.server.name), self._connected, tune_in, attempt, intent)
 
     def _connected(self, machine: Machine | None, tune_in: TuneIn, attempt: Attempt, intent: Intent | None) -> None:
-        delay = self.world.way(self, machine)
+        delay = self.world.message_delay(self, machine)
         self.world.queue.at(self.now() + delay, self._ready, machine, tune_in, attempt, intent)
 
     def _ready(self, machine: Machine | None, tune_in: TuneIn, attempt: Attempt, intent: Intent | None) -> None:
@@ -275,7 +279,7 @@
                     on_result(result)
 
         if machine is None or machine.dead:
-            self.world.queue.at(self.now() + 2 * self.world.way(self, machine), answered, None)
+            self.world.queue.at(self.now() + 2 * self.world.message_delay(self, machine), answered, None)
             return
         self.world.queue.at(self.now() + CALL_TIMEOUT, answered, None)
         self.world.to_server(
@@ -326,7 +330,7 @@
         return sum(request.name.encode())
 
     def whole_list(self) -> None:
-        self.world.listing.whole(self)
+        self.world.listing.send_full(self)
 
     # ---- stored sessions
 
@@ -364,7 +368,7 @@
                 [
                     ListedSession(session.path, session.life, session.rung, session.mark)
                     for session in machine.sessions.values()
-                    if front_of(session.life) == self.door
+                    if front_of(session.life) == self.address_name
                 ],
             ),
             on_result,
--- a/curlewshift/emulator/goodput.py
+++ b/curlewshift/emulator/goodput.py
@@ -35,18 +35,10 @@
 
 
 def one_run(task: tuple) -> dict:
+    """Figures of one run; `storm` is a crash of half the servers after which all viewers come again."""
     mode, load, fronts, seed, storm = task
     troubles = [Trouble("crash", LOST_AT, LOST_FOR, 0.5, 1.0)] if storm else []
-    script = made_up(
-        fronts,  # Length of a run (LASTS) in s, longest wait in ns.
-        SERVERS,
-        VIEWINGS,
-        LASTS,
-        1.0,
-        seed,
-        troubles=troubles,
-        come_again=1.0 if storm else 0.8,
-    )
+    script = made_up(fronts, SERVERS, VIEWINGS, LASTS, 1.0, seed, troubles=troubles, come_again=1.0 if storm else 0.8)
     script.each_second *= load
     script.site.obligations.longest_wait = LONGEST_WAIT
     terms = OverloadTerms(longest_wait=LONGEST_WAIT, fronts=fronts)
--- a/curlewshift/emulator/machine.py
+++ b/curlewshift/emulator/machine.py
@@ -130,7 +130,7 @@
             # too many set-ups: the server crashes, with all set-ups in progress
             self.deferred.append(setup)
             self.world.record_event("fell-over", server=self.name, boot=self.boot)
-            self.world.fell(self)
+            self.world.fell_over(self)
         elif self.frozen:
             self.deferred.append(setup)
         else:
--- a/curlewshift/emulator/overloaded.py
+++ b/curlewshift/emulator/overloaded.py
@@ -37,7 +37,7 @@
         packages = self.world.site.packages
         super().__init__(lambda: front.session_core, packages)
         self.bounds_further = self.settings.further
-        self.overload = self.settings.overload(self, front.door, packages, self.settings.terms, self.rng)
+        self.overload = self.settings.overload(self, front.address_name, packages, self.settings.terms, self.rng)
         self.world.queue.at(front.now() + self.rng.randrange(self.settings.terms.every), self._round)
 
     def _round(self) -> None:
@@ -54,7 +54,7 @@
         return self.front.wall()
 
     def members(self) -> list[str]:
-        return [name for name in self.world.running_fronts if name != self.front.door] if self.settings.together else []
+        return [name for name in self.world.running_fronts if name != self.front.address_name] if self.settings.together else []
 
     def turned_off(self) -> int:
         return 0
@@ -71,10 +71,10 @@
 
     def tell_round(self, to: str, zone: str, asks: list, begun: float, short: float) -> None:
         self.sequence += 1
-        self._send(to, "round_told", self.front.door, self.life, self.sequence, zone, asks, begun, short)
+        self._send(to, "round_told", self.front.address_name, self.life, self.sequence, zone, asks, begun, short)
 
     def tell_level(self, to: str, zone: str, cut: int, why: str) -> None:
         self._send(to, "level_told", zone, cut, why)
 
     def level_changed(self, zone: str, cut: int, before: int, why: str) -> None:
-        self.world.levels.append((self.now(), self.front.door, zone, cut))
+        self.world.levels.append((self.now(), self.front.address_name, zone, cut))
--- a/curlewshift/emulator/planted_shedding_faults.py
+++ b/curlewshift/emulator/planted_shedding_faults.py
@@ -47,14 +47,14 @@
 
 
 class NoFloorSheddingOrder(SheddingOrder):
-    """No rank is exempt from shedding."""
+    """An order in which no rank is admitted at any level."""
 
     def floored(self, rank):
         return False
 
 
 class NoFloor(Overload):
-    """Sheds without the minimum share that every package keeps."""
+    """Sheds without the part of each package that is admitted at any level."""
 
     order_class = NoFloorSheddingOrder
 
--- a/curlewshift/emulator/shared.py
+++ b/curlewshift/emulator/shared.py
@@ -45,7 +45,7 @@
         self.front, self.world, self.shares = front, front.world, front.world.shared
         self.rng, self.sequence = Random(f"{seed} shares"), 0
         names = [address.name for address in self.world.site.front_addresses]
-        local_index = names.index(front.door)
+        local_index = names.index(front.address_name)
         self.life = front.now()
         self.sharing = Sharing(
             self,
--- a/curlewshift/emulator/viewers.py
+++ b/curlewshift/emulator/viewers.py
@@ -1,7 +1,7 @@
-"""Viewers in virtual time: they do what curlewshift/standins/viewers.py do, by the same script.
+"""Viewers in virtual time, with the behaviour of curlewshift/standins/viewers.py and driven by the same script.
 
-Arrivals, titles, lengths and tempers are drawn from one seeded generator; what a viewer decides draws from its own, so
-that one more draw here changes nobody else.
+Arrivals, titles and durations are drawn from one seeded generator. The decisions of a viewer are drawn from a generator of
+its own, so that an additional draw does not affect other viewers. Times are in ns.
 """
 
 from __future__ import annotations
@@ -20,6 +20,8 @@
 
 
 class Viewer:
+    """One viewer; it may make several requests for the same viewing."""
+
     __slots__ = ("began", "ends_in", "name", "package", "planned_viewing", "rng", "served", "spoilt", "title", "top", "visits")
 
     def __init__(self, name, planned_viewing, package, title, top, ends_in, rng):
@@ -29,20 +31,21 @@
 
 
 class Visit:
-    """One request, sent again where it broke off; `answer` is the first that was heard."""
+    """One request of a viewer, repeated if the connection breaks; `answer` is the first that was received. `tail` is the suffix
+    of the request's name: "h" before a hang-up, "b" after a broken attempt. `asks_on` is the number of retries left."""
 
     __slots__ = (
         "answer",
         "asked_at",
         "asks_on",
-        "at_session_core",
-        "door",
+        "core_request",
+        "ended",
         "front",
+        "front_number",
         "front_session",
         "hangs_up",
         "key",
         "leaves",
-        "over",
         "request",
         "session",
         "tail",
@@ -50,23 +53,23 @@
         "waits",
     )
 
-    def __init__(self, viewer: Viewer, request: str, door: int):
-        self.viewer, self.request, self.door, self.key = viewer, request, door, f"{request} key"
-        self.asked_at, self.front, self.at_session_core, self.waits, self.answer = 0, None, None, False, None
+    def __init__(self, viewer: Viewer, request: str, front_number: int):
+        self.viewer, self.request, self.front_number, self.key = viewer, request, front_number, f"{request} key"
+        self.asked_at, self.front, self.core_request, self.waits, self.answer = 0, None, None, False, None
         self.session = self.front_session = None
-        self.asks_on, self.tail, self.hangs_up, self.leaves, self.over = ASKS_ON, "", False, False, False
+        self.asks_on, self.tail, self.hangs_up, self.leaves, self.ended = ASKS_ON, "", False, False, False
 
 
 class Tally:
-    """What came of a run, whether its traffic is kept or not."""
+    """Totals of a run, counted whether or not its traffic is recorded."""
 
     def __init__(self):
         self.viewings = self.asks = self.plays = self.refused = self.failed = self.unreached = self.again = 0
         self.value = self.served = 0.0
-        # value that was joined in time and left again, as its link gave too little or its server was lost
+        # value that started in time, but ended early because of poor delivery or the loss of the server
         self.spoilt = 0.0
         self.join_us = HdrHistogram(1, 100_000_000, 3)
-        # each second of the day: asks, plays, refusals, value asked for and served by when it was asked for
+        # by second of the run: requests, starts, refusals, value of arriving viewings and value served, by time of arrival
         self.seconds: dict[int, list[float]] = {}
         self.rung_seconds: dict[int, float] = {}
 
@@ -75,17 +78,19 @@
 
 
 class Viewers:
+    """All viewers of a run: arrivals, requests and what they do with the answers."""
+
     def __init__(self, world, seed: int):
         self.world, self.script = world, world.script
-        self.draw = numpy.random.Generator(numpy.random.PCG64(seed))
+        self.rng = numpy.random.Generator(numpy.random.PCG64(seed))
         self.titles = list(world.site.titles)
         ranks = 1 / numpy.arange(1, len(self.titles) + 1) ** world.skew
-        self.upto = numpy.cumsum(ranks / ranks.sum())
+        self.title_cdf = numpy.cumsum(ranks / ranks.sum())
         shares = numpy.array([planned_viewing.share for planned_viewing in self.script.planned_viewings])
-        self.shares = numpy.cumsum(shares / shares.sum())
+        self.share_cdf = numpy.cumsum(shares / shares.sum())
         self.packages = {package.name: package for package in world.site.packages}
         self.tally = Tally()
-        self.names = 0
+        self.last_viewer_number = 0
         self.waiting: dict[str, Visit] = {}
         self.by_path: dict[str, Visit] = {}
         self.ends = world.begins + int(self.script.lasts * NS)
@@ -98,37 +103,41 @@
     def _next(self, now: int) -> None:
         at = (now - self.world.begins) / NS
         rate, more = pressure(self.script, at, self.titles, self.world.curve(at / self.script.lasts))
-        whole = rate + sum(part for part, _, _ in more)
-        when = now + int(self.draw.exponential(1 / whole) * NS)
-        if when < self.ends:
-            self.world.queue.at(when, self._comes, rate, more)
+        total_rate = rate + sum(part for part, _, _ in more)
+        arrives_at = now + int(self.rng.exponential(1 / total_rate) * NS)
+        if arrives_at < self.ends:
+            self.world.queue.at(arrives_at, self._arrive_viewer, rate, more)
 
-    def _comes(self, rate: float, more: list[Part]) -> None:
+    def _arrive_viewer(self, rate: float, more: list[Part]) -> None:
         now = self.world.queue.now
-        crowd, package = drawn_part(rate, more, self.draw.random())
+        crowd, package = drawn_part(rate, more, self.rng.random())
         planned_viewings = self.script.planned_viewings
         planned_viewing = (
-            next((one for one in planned_viewings if one.package == package), None)
-            or planned_viewings[min(len(planned_viewings) - 1, int(numpy.searchsorted(self.shares, self.draw.random(), "right")))]
+            next((planned for planned in planned_viewings if planned.package == package), None)
+            or planned_viewings[
+                min(len(planned_viewings) - 1, int(numpy.searchsorted(self.share_cdf, self.rng.random(), "right")))
+            ]
+        )
+        title = (
+            crowd or self.titles[min(len(self.titles) - 1, int(numpy.searchsorted(self.title_cdf, self.rng.random(), "right")))]
         )
-        title = crowd or self.titles[min(len(self.titles) - 1, int(numpy.searchsorted(self.upto, self.draw.random(), "right")))]
-        pack = self.packages[planned_viewing.package]
-        top = pack.top if self.draw.random() < 0.75 else max(pack.floor, pack.top - 1)
-        self.names += 1
+        viewed_package = self.packages[planned_viewing.package]
+        top = viewed_package.top if self.rng.random() < 0.75 else max(viewed_package.floor, viewed_package.top - 1)
+        self.last_viewer_number += 1
         viewer = Viewer(
-            f"v{self.names}",
+            f"v{self.last_viewer_number}",
             planned_viewing,
-            pack,
+            viewed_package,
             title,
             top,
-            int(self.draw.exponential(planned_viewing.watches) * NS),
-            Random(int(self.draw.integers(2**62))),
+            int(self.rng.exponential(planned_viewing.watches) * NS),
+            Random(int(self.rng.integers(2**62))),
         )
         viewer.began = now
         self.tally.viewings += 1
-        self.tally.value += pack.value
-        self.tally.second((now - self.world.begins) // NS)[3] += pack.value
-        self.world.record_event("viewing", viewing=viewer.name, package=pack.name, title=title)
+        self.tally.value += viewed_package.value
+        self.tally.second((now - self.world.begins) // NS)[3] += viewed_package.value
+        self.world.record_event("viewing", viewing=viewer.name, package=viewed_package.name, title=title)
         self._visit(viewer)
         self._next(now)
 
@@ -144,16 +153,16 @@
         self._ask(visit)
 
     def _ask(self, visit: Visit) -> None:
-        front = self.world.fronts[visit.door]
+        front = self.world.fronts[visit.front_number]
         if front is None or not front.alive:
             self.tally.unreached += 1
             self.world.record_event(
                 "unreached",
                 request=visit.request + visit.tail,
                 viewing=visit.viewer.name,
-                front=self.world.site.front_addresses[visit.door].name,
+                front=self.world.site.front_addresses[visit.front_number].name,
             )
-            self.world.queue.at(self.world.queue.now + self.world.way(), self._nobody, visit)
+            self.world.queue.at(self.world.queue.now + self.world.message_delay(), self._unanswered, visit)
             return
         visit.front, visit.waits, visit.asked_at = front, True, self.world.queue.now
         self.tally.asks += 1
@@ -164,71 +173,71 @@
             "ask",
             request=name,
             viewing=visit.viewer.name,
-            front=front.door,
+            front=front.address_name,
             package=package.name,
             title=visit.viewer.title,
             patience=package.patience,
         )
-        self.world.queue.at(visit.asked_at + self.world.way(), self._arrives, visit, name, front)
+        self.world.queue.at(visit.asked_at + self.world.message_delay(), self._deliver_request, visit, name, front)
         self.world.queue.at(visit.asked_at + package.patience, self._gives_up, visit, name)
         if visit.leaves:
             self.world.queue.at(visit.asked_at + int(visit.viewer.rng.uniform(*LEAVES_AFTER) * NS), self._hangs_up, visit, name)
         elif visit.tail == "h":
             self.world.queue.at(visit.asked_at + int(HANGS_UP_AFTER * NS), self._hangs_up, visit, name)
 
-    def _arrives(self, visit: Visit, name: str, front) -> None:
+    def _deliver_request(self, visit: Visit, name: str, front) -> None:
         if not front.alive:
             return
         viewer, package = visit.viewer, visit.viewer.package
         patience = max(1, package.patience - self.world.site.obligations.way_back)
-        visit.at_session_core = front.asked(name, package.name, viewer.title, viewer.top, patience, visit.key, viewer.name)
+        visit.core_request = front.asked(name, package.name, viewer.title, viewer.top, patience, visit.key, viewer.name)
 
     def _hangs_up(self, visit: Visit, name: str) -> None:
-        if visit.tail == "h" and visit.over:
+        if visit.tail == "h" and visit.ended:
             return
         if self.waiting.get(name) is visit and visit.waits:
             self._stop(visit, name)
         elif visit.leaves:
             return
-        self.world.record_event("hung-up", request=name, viewing=visit.viewer.name, front=visit.front.door)
+        self.world.record_event("hung-up", request=name, viewing=visit.viewer.name, front=visit.front.address_name)
         if visit.leaves:
-            visit.over = True
+            visit.ended = True
             return
-        # whether it was answered or not: who is impatient asks again with its key, and gets the same answer
-        visit.tail, visit.at_session_core = "", None
+        # whether or not it was answered, the viewer repeats the request with its key and gets the same answer
+        visit.tail, visit.core_request = "", None
         self._ask(visit)
 
     def _gives_up(self, visit: Visit, name: str) -> None:
         if self.waiting.get(name) is visit and visit.waits:
             self._stop(visit, name)
-            self.world.record_event("gave-up", request=name, viewing=visit.viewer.name, front=visit.front.door)
-            self._nobody(visit)
+            self.world.record_event("gave-up", request=name, viewing=visit.viewer.name, front=visit.front.address_name)
+            self._unanswered(visit)
 
     def _stop(self, visit: Visit, name: str) -> None:
-        """The connection is closed from here; the front sees it a way later."""
+        """The viewer closes the connection; the front notices after a one-way delay."""
         visit.waits = False
         del self.waiting[name]
-        front, request = visit.front, visit.at_session_core
+        front, request = visit.front, visit.core_request
         if request is not None:
-            self.world.queue.at(self.world.queue.now + self.world.way(), self._seen_gone, front, request)
+            self.world.queue.at(self.world.queue.now + self.world.message_delay(), self._deliver_hang_up, front, request)
 
     @staticmethod
-    def _seen_gone(front, request) -> None:
+    def _deliver_hang_up(front, request) -> None:
         if front.alive:
             front.session_core.hung_up(request)
 
     def front_died(self, front) -> None:
-        """Connections to it break."""
+        """All connections to the front break."""
         for name, visit in list(self.waiting.items()):
             if visit.front is front and visit.waits:
                 visit.waits = False
                 del self.waiting[name]
-                self.world.record_event("broke", request=name, viewing=visit.viewer.name, front=front.door)
-                self.world.queue.at(self.world.queue.now + self.world.way(), self._nobody, visit)
+                self.world.record_event("broke", request=name, viewing=visit.viewer.name, front=front.address_name)
+                self.world.queue.at(self.world.queue.now + self.world.message_delay(), self._unanswered, visit)
 
-    def _nobody(self, visit: Visit) -> None:
-        """It got no answer. What was paid for is asked for again at the same front with the same key."""
-        visit.at_session_core = None
+    def _unanswered(self, visit: Visit) -> None:
+        """There was no answer. A paid request is repeated at the same front with the same key."""
+        visit.core_request = None
         if visit.viewer.package.paid_at_setup and visit.asks_on:
             visit.asks_on -= 1
             visit.tail = "b"
@@ -239,20 +248,22 @@
     # ---- answers
 
     def answered(self, name: str, answer: Answer, front) -> None:
-        """The front has written it; it is heard a way later."""
-        self.world.queue.at(self.world.queue.now + self.world.way(), self._heard, name, answer, front)
+        """The front has sent the answer; it is received after a one-way delay."""
+        self.world.queue.at(self.world.queue.now + self.world.message_delay(), self._receive_answer, name, answer, front)
 
-    def _heard(self, name: str, answer: Answer, front) -> None:
+    def _receive_answer(self, name: str, answer: Answer, front) -> None:
         visit = self.waiting.get(name)
         if visit is None or visit.front is not front:
             return
         package, now = visit.viewer.package, self.world.queue.now
-        self.world.record_event("answer", request=name, viewing=visit.viewer.name, front=front.door, status=STATUS[answer.kind])
+        self.world.record_event(
+            "answer", request=name, viewing=visit.viewer.name, front=front.address_name, status=STATUS[answer.kind]
+        )
         if not visit.waits:
-            # one answer too many
+            # a second answer to the same request
             return
         visit.waits = False
-        # kept while more might come on the same connection
+        # keeps the request for a further 0.5 s, to notice a second answer on the same connection
         self.world.queue.at(now + NS // 2, self.waiting.pop, name, None)
         if visit.tail == "h":
             return
@@ -283,70 +294,70 @@
         visit.session, visit.front_session = session, front_session
         self.by_path[session.path] = visit
         if machine.frozen:
-            # the media do not begin: that is waited for only so long
+            # the media do not start; the viewer waits for MEDIA_WITHIN seconds
             self.world.queue.at(self.world.queue.now + int(MEDIA_WITHIN * NS), self._media_hang, visit)
         session.watcher = visit
         self.world.queue.at(self.world.queue.now + max(NS // 10, visit.viewer.ends_in), self._leaves, visit)
 
     def _media_hang(self, visit: Visit) -> None:
-        if not visit.over and visit.session is not None and visit.session.server.frozen:
+        if not visit.ended and visit.session is not None and visit.session.server.frozen:
             self.media_broke(visit.session)
 
     def _leaves(self, visit: Visit) -> None:
-        """The viewer has had enough."""
-        if visit.over:
+        """The viewer stops watching."""
+        if visit.ended:
             return
-        visit.over = True
+        visit.ended = True
         session = visit.session
         self.by_path.pop(session.path, None)
         session.watcher, session.unwatched_since = None, self.world.queue.now
-        self.world.queue.at(self.world.queue.now + self.world.way(), self._closes, visit)
+        self.world.queue.at(self.world.queue.now + self.world.message_delay(), self._close_session, visit)
 
-    def _closes(self, visit: Visit) -> None:
+    def _close_session(self, visit: Visit) -> None:
         front = visit.front
         if front is not None and front.alive and visit.front_session is not None and visit.front_session.viewing.playing:
             front.closed(visit.front_session)
             self.world.record_event("closed", requests=[visit.request, visit.request + "h", visit.request + "b"])
 
     def short_of(self, session) -> None:
-        """One more line of media that came with too little."""
+        """A further media line arrived with too low a rate."""
         session.short_count += 1
         if session.short_count >= FOR_LINES and session.watcher is not None:
-            self._spoils(session.watcher.viewer)
+            self._count_spoilt(session.watcher.viewer)
             self._leaves(session.watcher)
 
-    def _spoils(self, viewer: Viewer) -> None:
+    def _count_spoilt(self, viewer: Viewer) -> None:
         if viewer.served and not viewer.spoilt:
             viewer.spoilt = True
             self.tally.spoilt += viewer.package.value
 
     def media_broke(self, session) -> None:
         visit = session.watcher
-        if visit is not None and not visit.over:
-            visit.over = True
-            self._spoils(visit.viewer)
+        if visit is not None and not visit.ended:
+            visit.ended = True
+            self._count_spoilt(visit.viewer)
             session.watcher = None
             self.by_path.pop(session.path, None)
             watched = self.world.queue.now - visit.asked_at
             visit.viewer.ends_in -= watched
-            self.world.queue.at(self.world.queue.now + self.world.way(), self._ended, visit, "broke", 0)
+            self.world.queue.at(self.world.queue.now + self.world.message_delay(), self._ended, visit, "broke", 0)
 
     def taken_up(self, front, front_session, path: str) -> None:
-        """Another life of its front has its session now."""
+        """A later life of the front has taken over the session."""
         visit = self.by_path.get(path)
         if visit is not None:
             visit.front, visit.front_session = front, front_session
 
-    def _ended(self, visit: Visit, how: str, wait: int) -> None:
+    def _ended(self, visit: Visit, outcome: str, wait: int) -> None:
         viewer, now = visit.viewer, self.world.queue.now
-        visit.over = True
-        again = (
-            how in ("refused", "broke", "unreached")
+        visit.ended = True
+        comes_again = (
+            outcome in ("refused", "broke", "unreached")
             and viewer.visits < MOST_VISITS
             and viewer.ends_in > NS
             and (viewer.rng.random() < self.script.come_again)
         )
-        if not again or now > self.ends:
+        if not comes_again or now > self.ends:
             return
         self.tally.again += 1
         pause = wait + int(viewer.rng.uniform(0, 0.5) * NS) if wait else int(viewer.rng.uniform(*PAUSE) * NS)
