--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -3,7 +3,7 @@
 
 import unittest
 
-from curlewshift.emulator.lease_histories import FAULTS, LASTS, MS, TERMS, LeaseHistory, broken
+from curlewshift.emulator.lease_histories import DURATION, FAULTS, MS, TERMS, LeaseHistory, violations
 from curlewshift.leases.acceptor import LeaseAcceptor
 from curlewshift.leases.ballots import NONE, Ballot
 from curlewshift.leases.terms import LeaseTerms
@@ -19,8 +19,8 @@
     """Five fronts, three of them acceptors, one lease, and messages that all arrive; the test adds the faults."""
 
     def __init__(self, seed=1, fronts=5):
-        super().__init__(seed, fronts=fronts, acceptors=3, leases=1, troubled=False)
-        self.loss, self.doubled, self.late = 0.0, 0.0, 5 * MS
+        super().__init__(seed, fronts=fronts, acceptors=3, leases=1, with_faults=False)
+        self.loss, self.duplication, self.max_delay = 0.0, 0.0, 5 * MS
         for front in self.fronts:
             front.rate = 1.0
 
@@ -76,7 +76,7 @@
         # Two simultaneous proposals left the lease without a holder for 2.7 terms: some acceptors had accepted each of them.
         history = UntroubledHistory()
         sent, proposer = [], history.fronts[4].proposer
-        history.say = lambda sender, to, part, what, arguments: sent.append((to, what, arguments))
+        history.send = lambda sender, to, part, what, arguments: sent.append((to, what, arguments))
         proposer._ask("l0", proposer.tries["l0"], proposer._now())
         ballot = proposer.tries["l0"].ballot
         for acceptor in (0, 1):
@@ -195,19 +195,21 @@
 
 class Histories(unittest.TestCase):
     def test_histories_have_one_holder_and_rising_fencing_tokens(self):
-        self.assertEqual(broken(range(150)), [])
+        self.assertEqual(violations(range(150)), [])
 
     def test_histories_that_once_repeated_a_fencing_token(self):
         # A renewal accepted after its tenure had ended went on with the old fencing token.
-        self.assertEqual(broken(range(10, 11)) + broken(range(15, 16)) + broken(range(37, 38)), [])
+        self.assertEqual(violations(range(10, 11)) + violations(range(15, 16)) + violations(range(37, 38)), [])
 
     def test_each_planted_fault_is_found(self):
         for name, how in FAULTS.items():
-            self.assertTrue(next((seed for seed in range(300) if broken(range(seed, seed + 1), **how)), None) is not None, name)
+            self.assertTrue(
+                next((seed for seed in range(300) if violations(range(seed, seed + 1), **how)), None) is not None, name
+            )
 
     def test_five_acceptors_and_fifty_leases(self):
         history = LeaseHistory(7, fronts=8, acceptors=5, leases=50)
-        history.run(LASTS // 3)
+        history.run(DURATION // 3)
         self.assertGreater(history.tenures, 50)
 
 
