--- a/curlewshift/emulator/seat_histories.py
+++ b/curlewshift/emulator/seat_histories.py
@@ -1,9 +1,10 @@
-"""Random histories of fronts that lend each other seats, and that never more viewings stand on them than there are seats.
+"""Random histories of fronts that lend each other seats: there may never be more viewings than seats.
 
-As those of loan_histories.py, but what is used lasts: viewings stand at servers until their front ends them, those of a
-front that died for some time longer. What stands is counted by the world alone. The fronts' pools are those of budgets.py, told
-to a look at their facts as the rules have it; between look, bytes and answer a process may be stopped, its rounds come late,
-its endings arrive late, its clock may be doubted or set back, and a later life may take up what it finds remembered.
+Like loan_histories.py, but a seat (a concurrency slot of a title) stays in use: viewings stand at media servers until their
+front ends them, and those of a front that died for some time longer. The history itself counts the viewings at the servers.
+The fronts use the pools of budgets.py and check the seats left as the rules do. Between the check, the request and the answer
+a process may be paused; its rounds and its session ends may be late; its clock may be suspected or set back; and a later life
+(run of the process) may restore the viewings that were stored.
 """
 
 from __future__ import annotations
@@ -16,20 +17,24 @@
 from curlewshift.sharing.standing import StandingLoans
 from curlewshift.sharing.terms import SharedBudgets, SharingTerms
 
-# Standing after its front could act for the last time (ns): a stop of the process, and what servers keep after its death. A
-# set-up that is out when its loan ends is ended once it plays.
+# How long a viewing may stand after its front last acted (ns): a pause of the process, and the time for which servers keep
+# viewings after its death. A set-up that is under way when its loan ends is ended once it plays.
 LONGEST_STOP, KEPT_BY_SERVERS, LONGEST_SETUP = 5000 * MS, 3000 * MS, 2000 * MS
-TOGETHER = SharedBudgets(seat_term=3000 * MS, lingers=LONGEST_STOP + KEPT_BY_SERVERS + 1000 * MS, longest_setup=LONGEST_SETUP)
+SHARED_BUDGETS = SharedBudgets(
+    seat_term=3000 * MS, lingers=LONGEST_STOP + KEPT_BY_SERVERS + 1000 * MS, longest_setup=LONGEST_SETUP
+)
 SHARING = SharingTerms(term=1500 * MS, drift=0.01, window=1000 * MS, every=250 * MS)
-TERMS = TOGETHER.seat_terms(SHARING)
-# From a front's word to its server (ns), at the most; an ending may be late.
-WAY, LATE_ENDING = 100 * MS, KEPT_BY_SERVERS
+TERMS = SHARED_BUDGETS.seat_terms(SHARING)
+# The longest delay of a message from a front to a server (ns); a session end may take longer.
+MAX_DELAY, MAX_END_DELAY = 100 * MS, KEPT_BY_SERVERS
 TITLE = "t"
 
 
 class SeatFront(LoanFront):
-    """What a pool of seats asks of its front, and one desk's account of who sits on them. `out` are set-ups under way, in
-    use from the look at the facts on; `viewings` play as far as this life knows."""
+    """The driver of a pool of seats, with the account of a session core of the seats in use.
+
+    `setups` are under way and use a seat from the check on; `viewings` play as far as this life knows.
+    """
 
     pool_class = Seats
 
@@ -37,8 +42,8 @@
         self.me, self.order, self.rng = number, [f"f{n}" for n in range(len(history.fronts))], history.rng
         self.life = self.acted_at = 0
         self.viewings: dict[str, list[int]] = {}
-        self.out: dict[str, list[int]] = {}
-        self.ending: list[tuple[str, int]] = []
+        self.setups: dict[str, list[int]] = {}
+        self.pending_ends: list[tuple[str, int]] = []
         super().__init__(history, number)
 
     @property
@@ -47,15 +52,15 @@
 
     def start(self) -> None:
         self.life += 1
-        before = self.viewings
-        for key, names in self.out.items():
+        earlier_viewings = self.viewings
+        for key, names in self.setups.items():
             for name in names:
-                self._left_to_its_server(key, name)
-        # what was told to end and had not been heard of is tried by nobody now
-        self.ending = []
-        self.told: dict[str, list] = {}
+                self._leave_to_server(key, name)
+        # session ends that were not confirmed before the restart are not retried
+        self.pending_ends = []
+        self.reported_rights: dict[str, list] = {}
         self.wanted_at: dict[tuple[str, str], int] = {}
-        self.viewings, self.out = ({key: [] for key in self.history.rights} for _ in range(2))
+        self.viewings, self.setups = ({key: [] for key in self.history.rights} for _ in range(2))
         self.pool: Pool = self.pool_class(
             self,
             self.history.terms,
@@ -64,174 +69,174 @@
             self.history.kind,
         )
         self.loans = self.pool.loans
-        for key, names in before.items():
+        for key, names in earlier_viewings.items():
             for name in names:
                 if self.rng.random() < 0.7 and self._seat_left(key):
-                    # remembered, and taken up before its door opens
+                    # restored from the stored state before the listener opens
                     self.viewings[key].append(name)
-                    self._leaves_some_time(key, name)
+                    self._schedule_leave(key, name)
                 else:
-                    self._left_to_its_server(key, name)
+                    self._leave_to_server(key, name)
 
-    def _left_to_its_server(self, key: str, name: int) -> None:
-        self.history.at(self.history.now + self.rng.randrange(KEPT_BY_SERVERS), self.history.over, key, name)
+    def _leave_to_server(self, key: str, name: int) -> None:
+        self.history.at(self.history.now + self.rng.randrange(KEPT_BY_SERVERS), self.history.viewing_ended, key, name)
 
-    # ---- the pool's outside
+    # ---- the driver of the pool
 
     def ask(self, lender: int, number: int, keys: list[str]) -> None:
-        self.history.say(self.number, lender, "asked", (self.number, number, keys, self.life))
+        self.history.send(self.number, lender, "asked", (self.number, number, keys, self.life))
 
     def seats_wanted_at(self) -> dict[tuple[str, str], int]:
         return self.wanted_at
 
     def seats_in_use(self, package: str, title: str) -> int:
         key = f"{SEAT}{package} {title}"
-        return len(self.viewings[key]) + len(self.out[key])
+        return len(self.viewings[key]) + len(self.setups[key])
 
     def seats_ending(self, package: str, title: str) -> bool:
-        return any(key == f"{SEAT}{package} {title}" for key, _ in self.ending)
+        return any(key == f"{SEAT}{package} {title}" for key, _ in self.pending_ends)
 
     def seats_held(self, package: str, title: str, rights: list) -> None:
-        self.told[f"{SEAT}{package} {title}"] = rights
+        self.reported_rights[f"{SEAT}{package} {title}"] = rights
 
     def seats_over(self, package: str, title: str, count: int) -> None:
-        """Only what plays can be ended; what is out is ended when it does."""
+        """Ends this many playing viewings; set-ups under way can only be ended once they play."""
         key = f"{SEAT}{package} {title}"
         for name in self.viewings[key][-count:]:
-            self.history.cut_short += 1
+            self.history.ended_early += 1
             self._end(key, name)
 
-    # ---- the rules' part
+    # ---- the part of the rules
 
     def _seat_left(self, key: str) -> bool:
-        """As in rules.py: what nothing was ever told of is this front's own, all of it."""
+        """As in rules.py: a budget of which no rights were ever reported belongs to this front entirely."""
         now = self.now()
         seats = (
             self.history.rights[key]
-            if key not in self.told
-            else sum(count for since, until, count in self.told[key] if since <= now < until)
+            if key not in self.reported_rights
+            else sum(count for since, until, count in self.reported_rights[key] if since <= now < until)
         )
         return self.seats_in_use(_package(key), TITLE) < seats
 
-    def tries(self, key: str) -> bool:
+    def try_use(self, key: str) -> bool:
         if not self._seat_left(key):
             self.wanted_at[_package(key), TITLE] = self.now()
             return False
         name = self.history.name()
-        self.out[key].append(name)
-        self.history.at(self.history.now + self.rng.randrange(WAY), self._sends, key, name, self.life)
+        self.setups[key].append(name)
+        self.history.at(self.history.now + self.rng.randrange(MAX_DELAY), self._send_setup, key, name, self.life)
         return True
 
-    def _sends(self, key: str, name: int, life: int) -> None:
-        """Looked at a moment ago; a process that was stopped meanwhile does it late, or sees that it is too late."""
+    def _send_setup(self, key: str, name: int, life: int) -> None:
+        """Sends the set-up that was checked before; a process paused meanwhile sends it late, or finds that it is too late."""
         if life != self.life:
             return
         if self.paused_until > self.history.now:
             late = self.rng.random() < 0.5
-            self.history.at(self.paused_until, self._sends if late else self._never_sent, key, name, life)
+            self.history.at(self.paused_until, self._send_setup if late else self._drop_setup, key, name, life)
             return
-        # what it has told to end frees its own seat at once, as at one front alone
-        for ended in [ended for ended in self.ending if ended[0] == key]:
-            self.history.over(*ended)
-            self.ending.remove(ended)
+        # viewings that it has requested to end free their seats at once, as with a single front
+        for ended in [ended for ended in self.pending_ends if ended[0] == key]:
+            self.history.viewing_ended(*ended)
+            self.pending_ends.remove(ended)
         self.history.begins(key, name)
-        self.history.at(self.history.now + self.rng.randrange(LONGEST_SETUP), self._plays, key, name, life)
+        self.history.at(self.history.now + self.rng.randrange(LONGEST_SETUP), self._start_playing, key, name, life)
 
-    def _never_sent(self, key: str, name: int, life: int) -> None:
+    def _drop_setup(self, key: str, name: int, life: int) -> None:
         if life == self.life:
-            self.out[key].remove(name)
+            self.setups[key].remove(name)
 
-    def _plays(self, key: str, name: int, life: int) -> None:
+    def _start_playing(self, key: str, name: int, life: int) -> None:
         if life != self.life:
             return
         if self.paused_until > self.history.now:
-            self.history.at(self.paused_until, self._plays, key, name, life)
+            self.history.at(self.paused_until, self._start_playing, key, name, life)
             return
-        self.out[key].remove(name)
+        self.setups[key].remove(name)
         self.viewings[key].append(name)
         if self.rng.random() < 0.1:
-            # its viewer has hung up meanwhile
+            # the viewer has hung up during the set-up
             self._end(key, name)
         else:
-            self._leaves_some_time(key, name)
+            self._schedule_leave(key, name)
 
     def _end(self, key: str, name: int) -> None:
-        """Its front counts it no more from now on; its server hears of that later."""
+        """The front stops counting the viewing now; the server receives the session end later."""
         self.viewings[key].remove(name)
-        self.ending.append((key, name))
-        late = WAY if self.rng.random() < 0.7 else LATE_ENDING
-        self.history.at(self.history.now + self.rng.randrange(late), self._ended, key, name)
+        self.pending_ends.append((key, name))
+        max_delay = MAX_DELAY if self.rng.random() < 0.7 else MAX_END_DELAY
+        self.history.at(self.history.now + self.rng.randrange(max_delay), self._end_confirmed, key, name)
 
-    def _ended(self, key: str, name: int) -> None:
-        self.history.over(key, name)
-        if (key, name) in self.ending:
-            self.ending.remove((key, name))
+    def _end_confirmed(self, key: str, name: int) -> None:
+        self.history.viewing_ended(key, name)
+        if (key, name) in self.pending_ends:
+            self.pending_ends.remove((key, name))
 
-    def _leaves_some_time(self, key: str, name: int) -> None:
-        self.history.at(self.history.now + self.rng.randrange(self.history.longest), self.leaves, key, name, self.life)
+    def _schedule_leave(self, key: str, name: int) -> None:
+        self.history.at(self.history.now + self.rng.randrange(self.history.max_viewing), self.leave, key, name, self.life)
 
-    def leaves(self, key: str, name: int, life: int) -> None:
-        """Its viewer has had enough; a front that is stopped hears of it when it goes on."""
+    def leave(self, key: str, name: int, life: int) -> None:
+        """The viewer leaves; a paused front learns of it when it resumes."""
         if life != self.life or name not in self.viewings[key]:
             return
         if self.paused_until > self.history.now:
-            self.history.at(self.paused_until, self.leaves, key, name, life)
+            self.history.at(self.paused_until, self.leave, key, name, life)
         else:
-            # a seat is free once its front knows, as it is at one front alone
+            # a seat is free as soon as its front knows, as with a single front
             self.viewings[key].remove(name)
-            self.history.over(key, name)
+            self.history.viewing_ended(key, name)
 
 
 class SeatHistory(LoanHistory):
-    """`stands` are the viewings at servers, by key."""
+    """One random history of seats; `standing` are the viewings at servers, by key."""
 
-    terms, front_class, key_form, lasts = TERMS, SeatFront, f"{SEAT}p{{}} {TITLE}", 60_000 * MS
+    terms, front_class, key_form, duration = TERMS, SeatFront, f"{SEAT}p{{}} {TITLE}", 60_000 * MS
     sizes = (*(3, 3, 4, 5) * 4, *(8, 12) * 2, 20, 50)
-    # a front that starts keeps still for long: killed as often as those of other loans, most would hold nothing
-    calm, killed = 6000 * MS, 0.15
+    # a starting front stays quiet for long: restarted as often as in the loan histories, most fronts would hold no rights
+    max_fault_interval, restart_share = 6000 * MS, 0.15
 
     def __init__(self, seed: int, kind: type[StandingLoans] = StandingLoans, fronts: int = 0):
-        self.stands: dict[str, set[int]] = {}
-        self.most, self.names, self.cut_short, self.turn = Counter(), 0, 0, 0
-        self.longest, self.rounds_late = 12_000 * MS, 0
+        self.standing: dict[str, set[int]] = {}
+        self.peak_counts, self.names, self.ended_early, self.turn = Counter(), 0, 0, 0
+        self.max_viewing, self.max_round_delay = 12_000 * MS, 0
         super().__init__(seed, kind, fronts)
-        # viewers that stay for longer than any loan lasts unrenewed, and loops that are late now and then
-        self.longest = self.rng.choice((12_000, 50_000)) * MS
-        self.rounds_late = self.rng.choice((0, 0, 2000)) * MS
+        # viewers may stay for longer than a loan lasts unrenewed, and one round in ten may be late
+        self.max_viewing = self.rng.choice((12_000, 50_000)) * MS
+        self.max_round_delay = self.rng.choice((0, 0, 2000)) * MS
 
-    def _round(self, front: SeatFront) -> None:
+    def _run_round(self, front: SeatFront) -> None:
         if front.paused_until > self.now:
-            # what is due is done as soon as it goes on
-            self.at(front.paused_until, self._round, front)
+            # the round that is due runs as soon as the front resumes
+            self.at(front.paused_until, self._run_round, front)
             return
         front.acted_at = self.now
         self.turn += 1
         front.pool.time(set(range(len(self.fronts))) - {front.number}, self.turn)
-        late = self.rng.randrange(self.rounds_late) if self.rounds_late and self.rng.random() < 0.1 else 0
-        self.at(self.now + self.terms.every + late, self._round, front)
+        late = self.rng.randrange(self.max_round_delay) if self.max_round_delay and self.rng.random() < 0.1 else 0
+        self.at(self.now + self.terms.every + late, self._run_round, front)
 
-    def _arrives(self, to: int, what: str, words: tuple) -> None:
-        super()._arrives(to, what, words)
+    def _deliver(self, to: int, what: str, arguments: tuple) -> None:
+        super()._deliver(to, what, arguments)
         front = self.fronts[to]
         if front.paused_until <= self.now and what != "given_back":
-            front.pool.write(key if what == "asked" else key[0] for key in words[2])
+            front.pool.write(key if what == "asked" else key[0] for key in arguments[2])
 
-    def _trouble(self) -> None:
-        super()._trouble()
+    def _inject_fault(self) -> None:
+        super()._inject_fault()
         for front in self.fronts:
-            # stopped again before it could act it would have been stopped for longer
+            # a front paused again before it acted would have been paused for longer than LONGEST_STOP
             front.paused_until = min(front.paused_until, front.acted_at + LONGEST_STOP)
         borrowers = [front for front in self.fronts if front.loans.borrowed and front.paused_until <= self.now]
         lenders = [front for front in self.fronts if front.loans.lent and front.paused_until <= self.now]
         kind = self.rng.random()
         if lenders and kind > 0.8:
-            # by more than may pass for a round that comes late
+            # step the clock by more than a late round can explain
             self.rng.choice(lenders).offset += self.rng.randrange(3000 * MS, 20_000 * MS)
         if not borrowers or kind > 0.5:
             return
         front = self.rng.choice(borrowers)
         if kind < 0.3:
-            # its clock seems to be past the bound, for a while
+            # its clock is suspected to exceed the drift bound, for up to 6 s
             front.loans.withdraw(True)
             self.at(self.now + self.rng.randrange(6000 * MS), front.loans.withdraw, False)
         else:
@@ -242,14 +247,14 @@
         return self.names
 
     def begins(self, key: str, name: int) -> None:
-        standing = self.stands.setdefault(key, set())
-        standing.add(name)
-        self.most[key] = max(self.most[key], len(standing))
-        if len(standing) > self.rights[key]:
-            raise Overdrawn(f"{len(standing)} viewings on {self.rights[key]} seats of {key}")
+        names = self.standing.setdefault(key, set())
+        names.add(name)
+        self.peak_counts[key] = max(self.peak_counts[key], len(names))
+        if len(names) > self.rights[key]:
+            raise Overdrawn(f"{len(names)} viewings on {self.rights[key]} seats of {key}")
 
-    def over(self, key: str, name: int) -> None:
-        self.stands.get(key, set()).discard(name)
+    def viewing_ended(self, key: str, name: int) -> None:
+        self.standing.get(key, set()).discard(name)
 
 
 def _package(key: str) -> str:
@@ -260,7 +265,7 @@
 
 
 class SeatsForEver(StandingLoans):
-    """Keeps a lent seat for as long as its viewer likes, whether its loan was renewed or not."""
+    """Keeps a borrowed seat until the viewer leaves, whether the loan was renewed or not."""
 
     def lends(self, lender, number, rights):
         super().lends(lender, number, rights)
@@ -270,7 +275,7 @@
 
 
 class SeatsLentInUse(StandingLoans):
-    """Lends a seat on which somebody of its own sits."""
+    """Lends a seat that one of its own viewings uses."""
 
     def asked(self, borrower, number, keys, life=0):
         in_use, self.driver.in_use = self.driver.in_use, lambda key: 0
@@ -281,13 +286,15 @@
 
 
 class SeatsSurviveRestart(StandingLoans):
+    """Has no quiet time after a restart."""
+
     def __init__(self, *arguments, **more):
         super().__init__(*arguments, **more)
         self.quiet_until = 0
 
 
 class SeatsForgotten(StandingLoans):
-    """Looks only at loans that it still has: what stands on one that was lost otherwise stays for as long as its viewer likes."""
+    """Ends overdue viewings only of loans that it still has: others stand until the viewer leaves."""
 
     def end_overdue(self):
         self.stood_on &= set(self.borrowed)
@@ -295,26 +302,26 @@
 
 
 class SeatsByTheClock(StandingLoans):
-    """Tells the rules when its own part will be back by the clock, while it lends by steady time."""
+    """Reports to the rules the return of its own part by the clock, while it lends by steady time."""
 
     def in_hand(self, key):
         return Loans.in_hand(self, key)
 
 
-class UntoldSeats(Seats):
-    """Says nothing to the rules before its first round, in which a front that starts has taken up what it remembers."""
+class UnreportedSeats(Seats):
+    """Reports no rights to the rules before its first round, though a starting front has restored its viewings by then."""
 
     def write(self, keys):
         if self.loans.steady.last > self.loans.quiet_until - self.loans.terms.quiet:
             super().write(keys)
 
 
-class UntoldFront(SeatFront):
-    pool_class = UntoldSeats
+class UnreportedFront(SeatFront):
+    pool_class = UnreportedSeats
 
 
-class UntoldHistory(SeatHistory):
-    front_class = UntoldFront
+class UnreportedHistory(SeatHistory):
+    front_class = UnreportedFront
 
 
 FAULTS = {
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -207,9 +207,9 @@
         lending, alone = LoanHistory(0, fronts=200), LoanHistory(0, kind=NoLoans, fronts=200)
         for history in (lending, alone):
             history.rights = {key: 3 for key in history.rights}
-            history.loss, history.late, history._trouble = 0.0, 5 * MS, lambda: None
+            history.loss, history.max_delay, history._inject_fault = 0.0, 5 * MS, lambda: None
             history.run()
-        self.assertGreater(lending.used_count, 2 * alone.used_count)
+        self.assertGreater(lending.successes, 2 * alone.successes)
 
 
 class NeverOverdrawn(unittest.TestCase):
@@ -233,10 +233,10 @@
             lending, alone = LoanHistory(seed, fronts=40), LoanHistory(seed, kind=NoLoans, fronts=40)
             for history in (lending, alone):
                 history.rights = {key: 4 for key in history.rights}
-                history.loss, history.late = 0.0, 5 * MS
-                history._trouble = lambda: None
+                history.loss, history.max_delay = 0.0, 5 * MS
+                history._inject_fault = lambda: None
                 history.run()
-            with_loans, without = with_loans + lending.used_count, without + alone.used_count
+            with_loans, without = with_loans + lending.successes, without + alone.successes
         self.assertGreater(with_loans, 1.2 * without)
 
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from curlewshift.emulator.loan_histories import overdrawn
-from curlewshift.emulator.seat_histories import FAULTS, SeatHistory, UntoldHistory
+from curlewshift.emulator.seat_histories import FAULTS, SeatHistory, UnreportedHistory
 from curlewshift.session_core.session_core import InvalidRequest
 from curlewshift.sharing.budgets import FURTHER, SEAT
 from curlewshift.sharing.sharing import Sharing
@@ -175,7 +175,7 @@
     def test_each_planted_fault_is_found(self):
         for name, fault in FAULTS.items():
             self.assertTrue(any(overdrawn(range(seed, seed + 1), fault, SeatHistory) for seed in range(60)), name)
-        self.assertTrue(any(overdrawn(range(seed, seed + 1), StandingLoans, UntoldHistory) for seed in range(60)))
+        self.assertTrue(any(overdrawn(range(seed, seed + 1), StandingLoans, UnreportedHistory) for seed in range(60)))
 
 
 class Fleet:
