--- a/curlewshift/emulator/peer_figures.py
+++ b/curlewshift/emulator/peer_figures.py
@@ -1,6 +1,6 @@
-"""What membership does at 8 to 1,000 fronts, with the channels that serve, in virtual time. Called by `measure peers`.
+"""Measures membership at 8 to 1,000 fronts with the production channels in virtual time. Called by `measure peers`.
 
-All figures are simulated: periods, counts, and bytes as encoded.
+All figures are simulated: protocol periods, counts, and bytes as encoded.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 PERIOD = NS
 SIZES = (8, 32, 200, 1000)
 KILLS = {8: 40, 32: 30, 200: 10, 1000: 4}
-# Member-minutes without a fault, with one datagram in twenty lost; and those in which a tenth of the fronts hears badly.
+# Runs with one datagram in twenty lost as the only fault, and runs in which a tenth of the fronts also loses half of what it is
+# sent.
 CALM_FRONTS, CALM_MINUTES, CALM_RUNS = 32, 45, 7
-HARD_OF_HEARING, HARD_MINUTES = 0.5, 8
-HISTORIES, AT_ONCE = 10_000, 50
+RECEIVE_LOSS, RECEIVE_LOSS_MINUTES = 0.5, 8
+HISTORIES, HISTORIES_PER_TASK = 10_000, 50
 
 
-def of_size(size: int) -> dict:
-    """Detection of kills, bytes, and how soon halves that were cut apart hold the same again."""
+def measure_size(size: int) -> dict:
+    """Measures detection of kills, bytes sent, and the time until two halves agree again after a partition."""
     fleet = PeerFleet(size, 1, default_membership_terms(PERIOD))
     fleet.start_settled()
     fleet.run(3)
@@ -31,11 +32,11 @@
     quiet = (fleet.bytes - before) / size / 5
     took = []
     for number in range(KILLS[size]):
-        victim, fleet.calls = fleet.posts[size // 2 - number % (size // 3)], []
+        victim, fleet.gone_reports = fleet.posts[size // 2 - number % (size // 3)], []
         victim.kill()
         killed_at, others = fleet.queue.now, len(fleet.alive())
-        fleet.until(lambda: sum(name == victim.name for _, _, name in fleet.calls) >= others, 30)
-        took += [(at - killed_at) / PERIOD for at, _, name in fleet.calls if name == victim.name]
+        fleet.until(lambda: sum(name == victim.name for _, _, name in fleet.gone_reports) >= others, 30)
+        took += [(at - killed_at) / PERIOD for at, _, name in fleet.gone_reports if name == victim.name]
         victim.start()
         fleet.until(fleet.agreed, 30)
         fleet.run(2)
@@ -43,7 +44,7 @@
     half = size // 2
     fleet.links.parted = lambda a, b: (a < half) != (b < half)
     fleet.run(15)
-    fleet.links.parted, fleet.calls = lambda a, b: False, []
+    fleet.links.parted, fleet.gone_reports = lambda a, b: False, []
     healed = fleet.until(fleet.agreed, 60)
     return {
         "fronts": size,
@@ -52,60 +53,64 @@
         "detected_p99_periods": round(took[int(len(took) * 0.99)], 2),
         "bytes_a_second_a_front": round(quiet, 1),
         "agreed_after_cut_periods": None if healed is None else round(healed * NS / PERIOD, 1),
-        "called_gone_after_cut": len(fleet.calls),
+        "called_gone_after_cut": len(fleet.gone_reports),
     }
 
 
-def calm(task: tuple[int, bool, bool]) -> dict:
-    """No fault but loss: who is called gone is called so wrongly."""
-    seed, lifeguard, hard = task
+def measure_false_positives(task: tuple[int, bool, bool]) -> dict:
+    """Runs with loss as the only fault, so every member declared gone is a false positive."""
+    seed, lifeguard, with_receive_loss = task
     links = Links(loss=0.05)
-    if hard:
-        links.hard_of_hearing = {number: HARD_OF_HEARING for number in range(0, CALM_FRONTS, 10)}
+    if with_receive_loss:
+        links.receive_loss = {number: RECEIVE_LOSS for number in range(0, CALM_FRONTS, 10)}
     fleet = PeerFleet(CALM_FRONTS, seed, default_membership_terms(PERIOD, lifeguard=lifeguard), links=links)
     fleet.start_settled()
-    minutes = HARD_MINUTES if hard else CALM_MINUTES
+    minutes = RECEIVE_LOSS_MINUTES if with_receive_loss else CALM_MINUTES
     fleet.run(60 * minutes)
     return {
-        "hard": hard,
+        "hard": with_receive_loss,
         "lifeguard": lifeguard,
         "member_minutes": CALM_FRONTS * minutes,
-        "false_gone": len(fleet.calls),
+        "false_gone": len(fleet.gone_reports),
         "suspicions": fleet.suspicions,
     }
 
 
-def some_histories(seeds: range) -> list[tuple[int, float | None]]:
+def run_histories(seeds: range) -> list[tuple[int, float | None]]:
     return histories(seeds)
 
 
 def measure_peers_emulated(workers: int = 0) -> dict:
-    """Everything simulated, spread over processes."""
+    """Runs all simulations, spread over worker processes."""
     with ProcessPoolExecutor(workers or max(1, (os.cpu_count() or 2) - 1)) as pool:
-        sizes = [pool.submit(of_size, size) for size in reversed(SIZES)]
-        calms = [
-            pool.submit(calm, (seed, lifeguard, hard))
+        sizes = [pool.submit(measure_size, size) for size in reversed(SIZES)]
+        false_positive_runs = [
+            pool.submit(measure_false_positives, (seed, lifeguard, with_receive_loss))
             for seed in range(CALM_RUNS)
             for lifeguard in (True, False)
-            for hard in (False, True)
+            for with_receive_loss in (False, True)
         ]
-        runs = [pool.submit(some_histories, range(at, at + AT_ONCE)) for at in range(0, HISTORIES, AT_ONCE)]
-        told: dict = {"simulated": True, "period_ms": PERIOD // MS, "sizes": [one.result() for one in reversed(sizes)]}
-        flat = {row["fronts"]: row["bytes_a_second_a_front"] for row in told["sizes"]}
-        told["bytes_1000_over_32"] = round(flat[1000] / flat[32], 2)
-        for hard in (False, True):
+        runs = [pool.submit(run_histories, range(at, at + HISTORIES_PER_TASK)) for at in range(0, HISTORIES, HISTORIES_PER_TASK)]
+        figures: dict = {"simulated": True, "period_ms": PERIOD // MS, "sizes": [task.result() for task in reversed(sizes)]}
+        flat = {row["fronts"]: row["bytes_a_second_a_front"] for row in figures["sizes"]}
+        figures["bytes_1000_over_32"] = round(flat[1000] / flat[32], 2)
+        for with_receive_loss in (False, True):
             for lifeguard in (True, False):
-                rows = [row for row in (one.result() for one in calms) if row["hard"] is hard and row["lifeguard"] is lifeguard]
-                told[f"{'a_tenth_hears_badly' if hard else 'loss_of_5_percent'}_{'with' if lifeguard else 'without'}"] = {
-                    name: sum(row[name] for row in rows) for name in ("member_minutes", "false_gone", "suspicions")
-                }
-        ended = [pair for one in runs for pair in one.result()]
+                rows = [
+                    row
+                    for row in (task.result() for task in false_positive_runs)
+                    if row["hard"] is with_receive_loss and row["lifeguard"] is lifeguard
+                ]
+                figures[
+                    f"{'a_tenth_hears_badly' if with_receive_loss else 'loss_of_5_percent'}_{'with' if lifeguard else 'without'}"
+                ] = {name: sum(row[name] for row in rows) for name in ("member_minutes", "false_gone", "suspicions")}
+        ended = [pair for task in runs for pair in task.result()]
         took = sorted(after for _, after in ended if after is not None)
-        told["histories"] = {
+        figures["histories"] = {
             "run": len(ended),
             "not_agreed": [seed for seed, after in ended if after is None],
             "agreed_median_periods": round(took[len(took) // 2], 1),
             "agreed_p99_periods": round(took[int(len(took) * 0.99)], 1),
             "agreed_longest_periods": round(took[-1], 1),
         }
-    return told
+    return figures
--- a/curlewshift/emulator/peer_histories.py
+++ b/curlewshift/emulator/peer_histories.py
@@ -1,19 +1,20 @@
-"""Random histories of fronts that know each other: troubles by seed, then quiet, and all have to hold the same.
+"""Random histories of membership: random faults, then a quiet time, in which all fronts must come to the same view.
 
-Called by `measure peers` (ten thousand of them) and by tests (a few, and the seeds that once failed).
+Called by `measure peers` (ten thousand of them) and by tests (a few, and the seeds that failed earlier).
 """
 
 from __future__ import annotations
 
 from random import Random
 
-from curlewshift.emulator.peers import BORN, MS, NS, PeerFleet
+from curlewshift.emulator.peers import MS, NS, START_TIME, PeerFleet
 from curlewshift.membership.membership import Membership
 from curlewshift.membership.terms import MembershipTerms, default_membership_terms
 
 PERIOD = NS // 2
-# Periods of trouble, and of quiet after it: the last one of many waits nine for an answer and then 18 for a suspect.
-TROUBLED, QUIET = 60, 60
+# Periods with faults, and the quiet periods after them: the last survivor of many fronts waits nine periods for an answer and
+# then 18 for a suspect.
+FAULT_PERIODS, QUIET_PERIODS = 60, 60
 SEEDS = 2
 KINDS = (
     "kill",
@@ -34,39 +35,42 @@
 )
 
 
-def membership_terms(**more) -> MembershipTerms:
-    return default_membership_terms(PERIOD, **more)
+def membership_terms(**options) -> MembershipTerms:
+    return default_membership_terms(PERIOD, **options)
 
 
 class History:
-    """One history; `run()` returns how many periods after the last trouble all agreed, None if they did not."""
+    """One history; `run()` returns the periods from the last fault until all agreed, or None if they did not.
+
+    `faults` lists the injected faults: seconds, kind and front.
+    """
 
     def __init__(self, seed: int, membership: type[Membership] = Membership):
         self.rng = rng = Random(f"history {seed}")
         self.size = rng.randint(3, 7)
         self.fleet = PeerFleet(self.size, seed, membership_terms(), seeds=SEEDS, membership=membership)
-        self.story: list[tuple] = []
+        self.faults: list[tuple] = []
 
     def run(self) -> float | None:
         fleet, rng = self.fleet, self.rng
         fleet.start(rng.sample(range(self.size), rng.randint(1, self.size)))
-        while fleet.queue.now < BORN + TROUBLED * PERIOD:
+        while fleet.queue.now < START_TIME + FAULT_PERIODS * PERIOD:
             fleet.run(rng.uniform(0.05, 4))
-            self._befall(rng.choice(KINDS), rng.choice(fleet.posts))
-        self._calm()
-        after = fleet.until(fleet.agreed, QUIET * PERIOD / NS)
+            self._inject_fault(rng.choice(KINDS), rng.choice(fleet.posts))
+        self._end_faults()
+        after = fleet.until(fleet.agreed, QUIET_PERIODS * PERIOD / NS)
         return None if after is None else after * NS / PERIOD
 
-    def _befall(self, kind: str, post) -> None:
+    def _inject_fault(self, kind: str, post) -> None:
         links, rng = self.fleet.links, self.rng
-        self.story.append((round((self.fleet.queue.now - BORN) / NS, 2), kind, post.name))
+        self.faults.append((round((self.fleet.queue.now - START_TIME) / NS, 2), kind, post.name))
         if kind == "kill":
             post.kill()
         elif kind == "start":
             if post.channel is None:
                 post.start()
         elif kind == "twin":
-            # a second process takes the place of one that still runs
+            # a second process replaces one that still runs
             if post.channel is not None:
                 post.start()
         elif kind == "leave":
@@ -76,40 +80,40 @@
         elif kind == "pause":
             post.pause()
         elif kind == "go-on":
-            post.go_on()
+            post.resume()
         elif kind == "cut":
             side = set(rng.sample(range(self.size), rng.randint(1, self.size - 1)))
             links.parted = lambda a, b: (a in side) != (b in side)
         elif kind == "one-way":
-            links.parted = lambda a, b, mute=post.number: a == mute
+            links.parted = lambda a, b, silenced=post.number: a == silenced
         elif kind == "heal":
             links.parted = lambda a, b: False
         elif kind == "loss":
-            links.loss, links.doubled, links.spoilt = rng.uniform(0, 0.6), rng.random(), rng.uniform(0, 0.3)
+            links.loss, links.duplication, links.corruption = rng.uniform(0, 0.6), rng.random(), rng.uniform(0, 0.3)
             links.late, links.late_by = rng.uniform(0, 0.5), rng.randint(10, 8000) * MS
         elif kind == "clean":
-            self._clean()
+            self._clear_link_faults()
         elif kind == "step":
             post.set_clock(rng.choice((-1, 1)) * rng.randint(1, 600) * NS)
         elif kind == "rate":
-            # steps keep what the clock shows, as a clock that is led does
+            # the offset keeps the time shown, as with a clock whose rate is disciplined
             shown, post.rate = post.now(), rng.uniform(0.99, 1.01)
             post.offset += shown - post.now()
 
-    def _clean(self) -> None:
+    def _clear_link_faults(self) -> None:
         links = self.fleet.links
-        links.loss = links.doubled = links.spoilt = links.late = 0.0
+        links.loss = links.duplication = links.corruption = links.late = 0.0
 
-    def _calm(self) -> None:
-        self._clean()
+    def _end_faults(self) -> None:
+        self._clear_link_faults()
         self.fleet.links.parted = lambda a, b: False
         for post in self.fleet.posts:
-            post.go_on()
-        # who starts while no seed is up is found by nobody until one is
+            post.resume()
+        # a front that starts while no seed is up is not found until one is
         if all(post.channel is None for post in self.fleet.posts[:SEEDS]):
             self.fleet.posts[0].start()
 
 
 def histories(seeds: range, membership: type[Membership] = Membership) -> list[tuple[int, float | None]]:
-    """Each seed with what came of it."""
+    """Returns each seed with the periods until agreement, or None."""
     return [(seed, History(seed, membership).run()) for seed in seeds]
--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -1,6 +1,7 @@
-"""Fronts that know each other, in virtual time: the channels that serve, on links that lose, delay, double and spoil.
+"""Membership of up to some thousand fronts in virtual time: the production channels on faulty links.
 
-To some thousand fronts. Called by `measure peers`, the experiments and the random histories. Its figures are simulated.
+A front is one process of the program. The links lose, delay, duplicate and corrupt datagrams. Called by `measure peers`, the
+experiments and the random histories. All figures are simulated.
 """
 
 from __future__ import annotations
@@ -16,23 +17,29 @@
 
 NS = 1_000_000_000
 MS = 1_000_000
-BORN = 1_000_000 * NS
-# A way between two fronts (ns).
-WAY = (0.3 * MS, 2 * MS)
+START_TIME = 1_000_000 * NS
+# The range of delays between two fronts (ns).
+DELAY_RANGE = (0.3 * MS, 2 * MS)
 
 
 class Links:
-    """What befalls datagrams; shares from 0 to 1. `parted(a, b)` tells whether a's words do not reach b."""
+    """The faults of the links, as probabilities from 0 to 1; `late_by` in ns.
 
-    def __init__(self, loss: float = 0.0, doubled: float = 0.0, spoilt: float = 0.0, late: float = 0.0, late_by: int = 0):
-        self.loss, self.doubled, self.spoilt, self.late, self.late_by = loss, doubled, spoilt, late, late_by
+    `parted(a, b)` returns whether datagrams from a do not reach b.
+    """
+
+    def __init__(self, loss: float = 0.0, duplication: float = 0.0, corruption: float = 0.0, late: float = 0.0, late_by: int = 0):
+        self.loss, self.duplication, self.corruption, self.late, self.late_by = loss, duplication, corruption, late, late_by
         self.parted: Callable[[int, int], bool] = lambda a, b: False
-        # datagrams to these fronts are lost by this share besides: machines that are slow to read
-        self.hard_of_hearing: dict[int, float] = {}
+        # additional loss of datagrams to these fronts, as on machines that are slow to read
+        self.receive_loss: dict[int, float] = {}
 
 
 class Post:
-    """One front of the fleet over its lives. Its clock may run fast, stand still or be set."""
+    """One front of the fleet over all its lives (runs of its process), with a clock that may drift or be set.
+
+    It is the driver of its channel.
+    """
 
     def __init__(self, fleet: PeerFleet, number: int):
         self.fleet, self.number = fleet, number
@@ -46,7 +53,7 @@
         return int(self.fleet.queue.now * self.rate) + self.offset
 
     def wake(self, at: int) -> None:
-        # in so long by the clock as it is now, as a process sleeps
+        # wait for the remaining time at the present rate of the clock, as a sleeping process does
         wait = int((at - self.now()) / self.rate) + 1
         self.fleet.queue.at(self.fleet.queue.now + max(0, wait), self._time, self.channel)
 
@@ -55,7 +62,7 @@
             channel.time()
 
     def post(self, address: tuple[str, int], data: bytes) -> None:
-        self.fleet.carry(self, address, data)
+        self.fleet.transmit(self, address, data)
 
     def arrive(self, data: bytes) -> None:
         if self.paused:
@@ -69,7 +76,7 @@
     def outlived(self, over: bool) -> None:
         pass
 
-    # ---- what befalls it
+    # ---- faults
 
     def start(self) -> None:
         self.lives += 1
@@ -82,7 +89,7 @@
             self.now() // MS * 1024 + self.lives,
             self.fleet.seeds,
             self.fleet.membership_terms,
-            self.fleet.most_bytes,
+            self.fleet.max_bytes,
             Random(f"{self.fleet.seed} {self.number} {self.lives}"),
             self.fleet.membership,
         )
@@ -94,7 +101,7 @@
     def pause(self) -> None:
         self.paused = True
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.paused, waiting, self.waiting = False, self.waiting, []
         for data in waiting:
             self.arrive(data)
@@ -106,7 +113,7 @@
 
 
 class PeerFleet:
-    """`size` fronts, the first `seeds` of which are named to all. `run(s)` lets time pass."""
+    """`size` fronts, the first `seeds` of which are known to all from the start."""
 
     def __init__(
         self,
@@ -114,18 +121,18 @@
         seed: int,
         membership_terms: MembershipTerms,
         seeds: int = 3,
-        most_bytes: int = 128 * 1024,
+        max_bytes: int = 128 * 1024,
         links: Links | None = None,
         membership: type[Membership] = Membership,
     ):
-        self.queue, self.rng, self.seed = Buckets(BORN), Random(seed), seed
-        self.membership_terms, self.most_bytes, self.membership = membership_terms, most_bytes, membership
+        self.queue, self.rng, self.seed = Buckets(START_TIME), Random(seed), seed
+        self.membership_terms, self.max_bytes, self.membership = membership_terms, max_bytes, membership
         self.links = links or Links()
         self.posts = [Post(self, number) for number in range(size)]
         self.seeds = [post.address for post in self.posts[:seeds]]
         self.at = {post.address: post for post in self.posts}
-        # (when, who holds it, of whom) each time a member was taken for gone
-        self.calls: list[tuple[int, str, str]] = []
+        # (time in ns, observer, member) each time a front declared a member gone
+        self.gone_reports: list[tuple[int, str, str]] = []
         self.suspicions = self.datagrams = self.bytes = 0
 
     def start(self, numbers=None) -> None:
@@ -133,58 +140,59 @@
             self.posts[number].start()
 
     def start_settled(self) -> None:
-        """All at once and knowing each other, as a fleet that has run for long: what a start costs is another question."""
+        """Starts all fronts at once, already joined, as in a fleet that has run for long; the cost of joining is left out."""
         self.start()
         members = [post.channel.membership for post in self.posts]
-        for mine in members:
-            mine.joined = True
-            mine.told([other.me.claim() for other in members if other is not mine], "settled")
-            for name in list(mine.news.level):
-                mine.news.drop(name)
+        for member in members:
+            member.joined = True
+            member.told([other.me.claim() for other in members if other is not member], "settled")
+            for name in list(member.news.level):
+                member.news.drop(name)
 
     def run(self, seconds: float) -> None:
+        """Runs the fleet for this virtual time."""
         self.queue.run(self.queue.now + int(seconds * NS))
 
-    def carry(self, sender: Post, address: tuple[str, int], data: bytes) -> None:
+    def transmit(self, sender: Post, address: tuple[str, int], data: bytes) -> None:
         self.datagrams += 1
         self.bytes += len(data)
         to = self.at.get(address)
         links, rng = self.links, self.rng
         if to is None or links.parted(sender.number, to.number):
             return
-        if rng.random() < links.loss or rng.random() < links.hard_of_hearing.get(to.number, 0.0):
+        if rng.random() < links.loss or rng.random() < links.receive_loss.get(to.number, 0.0):
             return
-        if links.spoilt and rng.random() < links.spoilt:
+        if links.corruption and rng.random() < links.corruption:
             at = rng.randrange(len(data))
             data = data[:at] + bytes((data[at] ^ 1 << rng.randrange(8),)) + data[at + 1 :]
-        for _ in range(2 if links.doubled and rng.random() < links.doubled else 1):
-            way = rng.uniform(*WAY)
+        for _ in range(2 if links.duplication and rng.random() < links.duplication else 1):
+            delay = rng.uniform(*DELAY_RANGE)
             if links.late and rng.random() < links.late:
-                way += rng.uniform(0, links.late_by)
-            self.queue.at(self.queue.now + int(way), to.arrive, data)
+                delay += rng.uniform(0, links.late_by)
+            self.queue.at(self.queue.now + int(delay), to.arrive, data)
 
     def changed(self, post: Post, member: Member, before: Rank | None) -> None:
         if member.rank is Rank.GONE:
-            self.calls.append((self.queue.now, post.name, member.name))
+            self.gone_reports.append((self.queue.now, post.name, member.name))
         elif member.rank is Rank.SUSPECT:
             self.suspicions += 1
 
-    # ---- what is to be seen
+    # ---- observations
 
     def alive(self) -> list[Post]:
         return [post for post in self.posts if post.channel is not None]
 
     def agreed(self) -> bool:
-        """All that run hold the same to be in, and those are the ones that run."""
+        """Returns whether all running fronts have the same view, and it holds exactly the running fronts."""
         alive = self.alive()
         names = {post.name for post in alive}
         views = {post.channel.membership.views.whole for post in alive}
         return len(views) == 1 and {member.name for member in alive[0].channel.membership.ring} == (names - {alive[0].name})
 
-    def until(self, what: Callable[[], bool], seconds: float, step: float = 0.1) -> float | None:
-        """Seconds until that was so; None if it was not within the time given."""
+    def until(self, condition: Callable[[], bool], seconds: float, step: float = 0.1) -> float | None:
+        """Runs until the condition holds; returns the seconds that it took, or None after the time-out."""
         began = self.queue.now
-        while not what():
+        while not condition():
             if self.queue.now - began > seconds * NS:
                 return None
             self.run(step)
--- a/curlewshift/emulator/versions.py
+++ b/curlewshift/emulator/versions.py
@@ -149,7 +149,7 @@
 
 class VersionFleet(PeerFleet):
     def __init__(self, size: int, seed: int = 1, zones: int = 9, regions: int = 3, stores: int = 4, loss: float = 0.0):
-        super().__init__(0, seed, default_membership_terms(NS), most_bytes=64 * 1024, links=Links(loss=loss))
+        super().__init__(0, seed, default_membership_terms(NS), max_bytes=64 * 1024, links=Links(loss=loss))
         self.fronts, self.log, self.disks = size, NoLog(), {}
         self.posts = [VersionPost(self, number) for number in range(size + stores)]
         for number, post in enumerate(self.posts[size:]):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -110,7 +110,7 @@
     def test_no_false_gone_at_five_percent_loss(self):
         fleet = started_fleet(16, links=Links(loss=0.05))
         fleet.run(240)
-        self.assertEqual(fleet.calls, [])
+        self.assertEqual(fleet.gone_reports, [])
 
     def test_partition_heals_within_ten_periods(self):
         for side in ({0, 1, 2, 3}, {5}):
@@ -136,10 +136,10 @@
         fleet.posts[1].pause()
         fleet.run(20 * PERIOD / NS)
         self.assertEqual(rank_at(fleet, 0, "f1"), Rank.GONE)
-        fleet.calls.clear()
-        fleet.posts[1].go_on()
+        fleet.gone_reports.clear()
+        fleet.posts[1].resume()
         self.assertLess(fleet.until(fleet.agreed, 20), 10 * PERIOD / NS)
-        self.assertEqual([call for call in fleet.calls if call[1] == "f1"], [])
+        self.assertEqual([call for call in fleet.gone_reports if call[1] == "f1"], [])
         self.assertGreater(fleet.posts[0].channel.membership.members["f1"].incarnation, 0)
 
     def test_paused_process_that_does_not_refute_stays_gone(self):
@@ -148,7 +148,7 @@
         fleet.until(fleet.agreed, 10)
         fleet.posts[1].pause()
         fleet.run(20 * PERIOD / NS)
-        fleet.posts[1].go_on()
+        fleet.posts[1].resume()
         self.assertIsNone(fleet.until(fleet.agreed, 20))
 
     def test_clock_steps_and_drift_cause_no_false_gone(self):
@@ -160,7 +160,7 @@
             shown, post.rate = post.now(), rate
             post.offset += shown - post.now()
         fleet.run(60)
-        self.assertEqual((fleet.calls, fleet.agreed()), ([], True))
+        self.assertEqual((fleet.gone_reports, fleet.agreed()), ([], True))
         self.assertEqual([fleet.posts[n].channel.membership.steady.stalls for n in (0, 1)], [1, 1])
 
 
@@ -361,7 +361,7 @@
         self.assertAlmostEqual(spent.read(10 * NS), 1000 / 2.718281828, delta=1)
 
     def test_pieces_keep_to_the_allowance_and_the_rest_follows_later(self):
-        fleet = PeerFleet(300, 1, default_membership_terms(NS), seeds=1, most_bytes=4_000)
+        fleet = PeerFleet(300, 1, default_membership_terms(NS), seeds=1, max_bytes=4_000)
         fleet.start_settled()
         fleet.run(3)
         newcomer = type(fleet.posts[0])(fleet, 300)
