--- a/curlewshift/emulator/versions.py
+++ b/curlewshift/emulator/versions.py
@@ -1,7 +1,7 @@
-"""Nodes that take versions of the configuration, over the channels that serve, in virtual time. Called by `measure versions`.
+"""Distribution of configuration versions over the production channels in virtual time. Called by `measure versions`.
 
-630 nodes in nine zones of three regions and the control machines, whose lease the fleet gives to one of them. Frames, words and
-their bytes are the program's own; figures from here are simulated.
+630 nodes in nine zones of three regions, and the control machines, one of which the fleet gives the lease. Frames, messages and
+their encoding are those of the program; all figures are simulated.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from curlewshift.membership.terms import default_membership_terms
 from curlewshift.peering.distributed import DistributionWire
 
-EVERY = 200 * MS
+ROUND_INTERVAL = 200 * MS
 
 
 def site_file(fronts: int, changed: int = 0) -> bytes:
-    """Settings with so many fronts named; with another `changed` one attribute differs."""
+    """Returns a settings file that names this many fronts; `changed` sets the value of one attribute."""
     rng = Random(1)
     rows = [
         f'    <front name="{rng.choice("abcdefgh")}{rng.randrange(10**5)}-{n}" listen="10.{rng.randrange(256)}.'
@@ -47,20 +47,24 @@
     ).encode()
 
 
-class OneMemory(Library):
-    """All nodes of an emulated fleet share what is the same: a content each would be gigabytes."""
+class SharedLibrary(Library):
+    """Shares equal contents between all nodes of the fleet; a copy for each would take gigabytes."""
 
-    same: dict[bytes, bytes] = {}
+    contents_by_digest: dict[bytes, bytes] = {}
 
     def hold(self, content: bytes) -> None:
-        super().hold(self.same.setdefault(digest_of(content), content))
+        super().hold(self.contents_by_digest.setdefault(digest_of(content), content))
 
 
 class EmulatedWire(DistributionWire):
-    library_class = OneMemory
+    """The production wire with shared contents."""
+
+    library_class = SharedLibrary
 
 
 class NoLog:
+    """Discards log lines, but raises on a `fault`."""
+
     def info(self, *_, **__) -> None:
         pass
 
@@ -72,18 +76,18 @@
 
 
 class VersionPost(Post):
-    """A node with its disk."""
+    """A node with its disk; the driver of its wire."""
 
     wire: DistributionWire | None = None
     copy: bytes | None = None
     vote: bytes | None = None
-    # bytes of whole datagrams; `own` are those of this kind, and what rides on others
-    fence = sent = received = own = 0
+    # bytes of complete datagrams; `distribution_sent` counts those of distribution, and what it piggybacks on others
+    fence = sent = received = distribution_sent = 0
 
     def start(self) -> None:
         super().start()
         fleet, life = self.fleet, self.lives
-        self._count_own(self.channel)
+        self._count_distribution(self.channel)
         self.wire = EmulatedWire(
             self.channel,
             self,
@@ -97,31 +101,31 @@
             self.copy,
             self.vote,
         )
-        fleet.queue.at(fleet.queue.now + fleet.rng.randrange(EVERY), self._round, life)
+        fleet.queue.at(fleet.queue.now + fleet.rng.randrange(ROUND_INTERVAL), self._run_round, life)
 
-    def _round(self, life: int) -> None:
+    def _run_round(self, life: int) -> None:
         if self.channel is not None and self.lives == life:
             self.wire.time()
-            self.fleet.queue.at(self.fleet.queue.now + EVERY, self._round, life)
+            self.fleet.queue.at(self.fleet.queue.now + ROUND_INTERVAL, self._run_round, life)
 
-    def _count_own(self, channel) -> None:
+    def _count_distribution(self, channel) -> None:
         say, rides = channel.say, channel.rides
 
-        def counted(to, kind, body) -> bool:
+        def counted_say(to, kind, body) -> bool:
             before = self.sent
-            gone = say(to, kind, body)
-            self.own += self.sent - before
-            return gone
+            sent = say(to, kind, body)
+            self.distribution_sent += self.sent - before
+            return sent
 
-        def ridden(rider, heard) -> None:
+        def counted_rides(rider, handler) -> None:
             def counted_rider() -> bytes:
                 body = rider()
-                self.own += len(body)
+                self.distribution_sent += len(body)
                 return body
 
-            rides(counted_rider, heard)
+            rides(counted_rider, handler)
 
-        channel.say, channel.rides = counted, ridden
+        channel.say, channel.rides = counted_say, counted_rides
 
     def post(self, address: tuple[str, int], data: bytes) -> None:
         self.sent += len(data)
@@ -136,11 +140,11 @@
         return None
 
     def take_configuration(self, version: str, content: bytes) -> str | None:
-        self.fleet.taken(self, version)
+        self.fleet.record_in_force(self, version)
         return None
 
     def keep_configuration(self, data: bytes) -> None:
-        # as equal as contents are
+        # equal copies are shared, like contents
         self.copy = self.fleet.disks.setdefault(data, data)
 
     def keep_vote(self, data: bytes) -> None:
@@ -148,6 +152,8 @@
 
 
 class VersionFleet(PeerFleet):
+    """`size` nodes and the control machines (`stores`), which keep the versions."""
+
     def __init__(self, size: int, seed: int = 1, zones: int = 9, regions: int = 3, stores: int = 4, loss: float = 0.0):
         super().__init__(0, seed, default_membership_terms(NS), max_bytes=64 * 1024, links=Links(loss=loss))
         self.fronts, self.log, self.disks = size, NoLog(), {}
@@ -164,21 +170,21 @@
         }
         self.terms = DistributionTerms(tuple(post.name for post in self.stores))
         self.fences = self.changes = 0
-        # version -> when each node took it; when it was asked for, and when it was answered
-        self.took: dict[str, dict[str, int]] = {}
-        self.asked: dict[str, int] = {}
-        self.answered: dict[str, int] = {}
+        # version -> times (ns) at which each node put it in force, at which it was requested, and at which that was answered
+        self.in_force_at: dict[str, dict[str, int]] = {}
+        self.requested_at: dict[str, int] = {}
+        self.answered_at: dict[str, int] = {}
         self.last = "file"
-        self.first_s: float | None = None
+        self.first_version_s: float | None = None
 
     def begin(self) -> VersionFleet:
-        """Settled, with a first version in force everywhere."""
+        """Starts the fleet settled and puts a first version in force everywhere."""
         self.start_settled()
         self.run(2)
         self.grant(self.stores[0])
         self.change()
         self.run(0.5)
-        self.first_s = self.until(self.everywhere, 60)
+        self.first_version_s = self.until(self.everywhere, 60)
         self.run(2)
         return self
 
@@ -191,29 +197,30 @@
     def holder(self) -> VersionPost:
         return next(store for store in self.stores if store.fence)
 
-    def taken(self, post: VersionPost, version: str) -> None:
-        self.took.setdefault(version, {})[post.name] = self.queue.now
+    def record_in_force(self, post: VersionPost, version: str) -> None:
+        self.in_force_at.setdefault(version, {})[post.name] = self.queue.now
 
     def change(self, within: float = 15) -> None:
-        """One attribute of one package."""
+        """Requests a change of one attribute of one package, with a time-out of `within` seconds."""
         self.changes += 1
-        asked, wire = self.queue.now, self.holder().wire
+        requested_at, wire = self.queue.now, self.holder().wire
 
-        def done(told: dict) -> None:
-            if not told["ok"]:
-                raise RuntimeError(f"a change was not made: {told['wrong']}")
-            self.last = told["version"]
-            self.asked[self.last], self.answered[self.last] = asked, self.queue.now
+        def done(result: dict) -> None:
+            if not result["ok"]:
+                raise RuntimeError(f"configuration change failed: {result['wrong']}")
+            self.last = result["version"]
+            self.requested_at[self.last], self.answered_at[self.last] = requested_at, self.queue.now
 
         wire.begin_put(site_file(self.fronts, self.changes), wire.version, int(within * NS), done)
 
     def everywhere(self) -> bool:
+        """Returns whether the last version is in force at all running nodes."""
         return self.last != "file" and all(post.wire.version == self.last for post in self.alive())
 
     def times(self, version: str) -> list[float]:
-        """Seconds from the operator's word until in force, by node, rising."""
-        return sorted((at - self.asked[version]) / NS for at in self.took.get(version, {}).values())
+        """Returns the seconds from the operator's request until the version was in force, one per node, ascending."""
+        return sorted((at - self.requested_at[version]) / NS for at in self.in_force_at.get(version, {}).values())
 
-    def spent(self) -> dict[str, tuple[int, int, int]]:
+    def traffic(self) -> dict[str, tuple[int, int, int]]:
         """Bytes sent, received, and sent for distribution, by node."""
-        return {post.name: (post.sent, post.received, post.own) for post in self.posts}
+        return {post.name: (post.sent, post.received, post.distribution_sent) for post in self.posts}
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -492,8 +492,8 @@
     def frames(self, piggyback):
         fleet = PeerFleet(3, 1, default_membership_terms(NS))
         seen = []
-        carry = fleet.carry
-        fleet.carry = lambda sender, address, data: (seen.append(decode(data, "emulated")), carry(sender, address, data))
+        transmit = fleet.transmit
+        fleet.transmit = lambda sender, address, data: (seen.append(decode(data, "emulated")), transmit(sender, address, data))
         fleet.start_settled()
         heard = []
         if piggyback:
