--- a/curlewshift/emulator/version_histories.py
+++ b/curlewshift/emulator/version_histories.py
@@ -1,8 +1,9 @@
-"""Random histories of control machines that make versions and nodes that take them, and that there is one order, for everybody.
+"""Random histories of control machines that make versions and nodes that put them in force: all must see one order.
 
-The wires are the program's own, with their words as bytes; membership is the world's, late by a while. Words are lost, doubled,
-late and cut off, processes are killed, stopped and started with their disk or without, contents are spoilt on the way and in
-memories. Leases are as bad as they can be: several hold one, or the same number. The world alone sees all disks and judges.
+The wires are the production ones, with encoded messages; membership is simulated, with a delay of up to 3 s. Messages are lost,
+duplicated, delayed and partitioned; processes are killed, paused and started with their disk or without it; contents are
+corrupted on links and in memory. Leases give no guarantee here: several stores may hold one, or hold the same fence (fencing
+token). The history sees all disks and checks the invariants.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 MS = 1_000_000
 NS = 1_000_000_000
-TROUBLED, QUIET = 24 * NS, 18 * NS
-EVERY = 200 * MS
-# How late membership tells that one has gone, and that one is in.
-GONE_AFTER, IN_AFTER = 3 * NS, 500 * MS
+FAULT_DURATION, QUIET_DURATION = 24 * NS, 18 * NS
+ROUND_INTERVAL = 200 * MS
+# The delay after which membership reports that a process has gone, and that it has joined (ns).
+GONE_DELAY, JOIN_DELAY = 3 * NS, 500 * MS
 KINDS = (
     "kill",
     "kill",
@@ -47,43 +48,43 @@
 
 
 class InvariantViolated(Exception):
-    """What must never be has come about."""
+    """An invariant of the distribution of versions was violated."""
 
 
 class Peer:
-    """A member as all others see it."""
+    """A member as all others see it. A life is one run of its process."""
 
     def __init__(self, name: str):
         self.name, self.there, self.life = name, False, 0
 
 
-class Lane:
-    """A process's channel."""
+class EmulatedChannel:
+    """The channel of a process."""
 
     def __init__(self, process: Process):
         self.process, self.membership = process, self
         self.me = Peer(process.name)
         self.me.life = process.lives
         self.members = {name: peer for name, peer in process.history.peers.items() if name != process.name}
-        self.heard = self.rider = self.ride_heard = None
+        self.handler = self.rider = self.piggyback_handler = None
 
     @property
     def ring(self) -> list[Peer]:
         return [peer for peer in self.members.values() if peer.there]
 
-    def carries(self, kind: int, heard) -> None:
-        self.heard = heard
+    def carries(self, kind: int, handler) -> None:
+        self.handler = handler
 
-    def rides(self, rider, heard) -> None:
-        self.rider, self.ride_heard = rider, heard
+    def rides(self, rider, handler) -> None:
+        self.rider, self.piggyback_handler = rider, handler
 
     def say(self, to: Peer, kind: int, body: bytes) -> bool:
-        self.process.history.carry(self.process, to.name, body)
+        self.process.history.transmit(self.process, to.name, body)
         return True
 
 
 class Process:
-    """A node or control machine over its lives; the host of its wire, with its disk."""
+    """A node or control machine over all its lives; the driver of its wire, with its disk."""
 
     def __init__(self, history: VersionHistory, name: str, place: tuple[str, str], is_store: bool):
         self.history, self.name, self.place, self.is_store = history, name, place, is_store
@@ -92,7 +93,7 @@
         self.vote: bytes | None = None
         self.disk_full = False
         self.wire: DistributionWire | None = None
-        # the number in force in this life, and the highest that this disk was given
+        # the version number in force in this life, and the highest that was written to this disk
         self.life_number = self.number = (0, 0)
 
     def now(self) -> int:
@@ -105,9 +106,9 @@
         if self.copy is None:
             self.number = (0, 0)
         history = self.history
-        self.lane = Lane(self)
+        self.channel = EmulatedChannel(self)
         self.wire = history.wire(
-            self.lane,
+            self.channel,
             self,
             self.name,
             history.places,
@@ -120,14 +121,14 @@
             self.vote,
         )
 
-    # ---- the wire's host
+    # ---- the driver of the wire
 
     def check_configuration(self, content: bytes) -> str | None:
-        # some versions are wrong in the eyes of some nodes, as older programs see newer settings
+        # some nodes refuse some versions, as older programs refuse newer settings
         return "line 1: not for me" if b"refused-by " + self.name.encode() + b";" in content else None
 
     def take_configuration(self, version: str, content: bytes) -> str | None:
-        self.history.taken(self, version, content)
+        self.history.version_taken(self, version, content)
         return None
 
     def keep_configuration(self, data: bytes) -> None:
@@ -142,8 +143,8 @@
         self.history.voted(self, data)
 
 
-class Quiet:
-    """A log that nobody reads, but for what must not be."""
+class FaultLog:
+    """Discards log lines, but collects those that report a violated invariant."""
 
     def __init__(self):
         self.faults: list[dict] = []
@@ -153,20 +154,22 @@
 
     warning = info
 
-    def error(self, event: str, **more) -> None:
+    def error(self, event: str, **fields) -> None:
         if event in ("fault", "configuration-forked"):
-            self.faults.append(f"{event}: {more}")
+            self.faults.append(f"{event}: {fields}")
 
 
 class VersionHistory:
-    def __init__(self, seed: int, wire: type[DistributionWire] = DistributionWire, nodes: int = 0, troubled: bool = True):
+    """One random history; the seed decides sizes, message loss and faults. Zero for `nodes` draws the count at random."""
+
+    def __init__(self, seed: int, wire: type[DistributionWire] = DistributionWire, nodes: int = 0, with_faults: bool = True):
         self.seed, self.rng, self.now, self.wire = seed, Random(f"versions {seed}"), 1000 * NS, wire
         rng = self.rng
         self.queue: list[tuple] = []
         self.order = count()
-        self.log = Quiet()
-        self.loss = self.doubled = self.spoilt = 0.0
-        self.late = 5 * MS
+        self.log = FaultLog()
+        self.loss = self.duplication = self.corruption = 0.0
+        self.max_delay = 5 * MS
         self.parted = lambda a, b: False
         stores = [f"c{n}" for n in range(rng.choice((3, 3, 4, 5)))]
         zones = rng.randint(2, 4)
@@ -179,7 +182,7 @@
         self.processes = {name: Process(self, name, place, name in stores) for name, place in self.places.items()}
         self.stores = [self.processes[name] for name in stores]
         self.fences = 0
-        # contents made: content -> base it was made upon; versions by number; who took which version under which ballot
+        # content -> the version that it was based on; versions by number; the stores that accepted a version, by its ballot
         self.bases: dict[bytes, str] = {}
         self.numbers: dict[tuple[int, int], Version] = {}
         self.votes: dict[tuple[Version, tuple], set[str]] = {}
@@ -191,18 +194,19 @@
         self.takes = self.restarts = self.made = 0
         for process in self.processes.values():
             self._start(process)
-            self.at(self.now + rng.randrange(EVERY), self._round, process)
+            self.at(self.now + rng.randrange(ROUND_INTERVAL), self._run_round, process)
             self.at(self.now + rng.randrange(NS), self._probe, process)
         self.at(self.now + 100 * MS, self._grant)
-        self.last_trouble = self.now
-        if troubled:
+        self.last_fault_at = self.now
+        if with_faults:
             self.at(self.now + NS, self._put)
-            self.at(self.now + 2 * NS, self._trouble)
+            self.at(self.now + 2 * NS, self._inject_fault)
 
     def at(self, when: int, call, *arguments) -> None:
         heapq.heappush(self.queue, (when, next(self.order), call, arguments))
 
     def run_to(self, until: int) -> None:
+        """Runs the history until this virtual time (ns)."""
         while self.queue and self.queue[0][0] < until:
             self.now, _, call, arguments = heapq.heappop(self.queue)
             call(*arguments)
@@ -211,15 +215,18 @@
         self.now = max(self.now, until)
 
     def run(self) -> float | None:
-        """Seconds from the last trouble until all had the newest in force, and then one more put; None: not within `QUIET`.
-        Raises `InvariantViolated`."""
-        self.troubled_until = self.now + TROUBLED
-        self.run_to(self.troubled_until)
+        """Runs random faults, then a quiet time in which all must agree, and one more change must come into force.
+
+        Returns the seconds from the last fault until then, or None if it took longer than `QUIET_DURATION`. Raises
+        `InvariantViolated`.
+        """
+        self.faults_until = self.now + FAULT_DURATION
+        self.run_to(self.faults_until)
         began = self.now
-        self._calm()
+        self._end_faults()
         made = []
-        while self.now < began + QUIET:
-            self.run_to(self.now + EVERY)
+        while self.now < began + QUIET_DURATION:
+            self.run_to(self.now + ROUND_INTERVAL)
             holder = next((store for store in self.stores if store.fence), None)
             if not made and holder is not None and self.agreed() and holder.wire.writer.wanted is None:
                 self._put_at(holder, made, refusable=False)
@@ -240,76 +247,76 @@
             for process in self.processes.values()
         )
 
-    # ---- words
+    # ---- messages
 
-    def carry(self, sender: Process, to: str, body: bytes, ride: bool = False) -> None:
+    def transmit(self, sender: Process, to: str, body: bytes, piggyback: bool = False) -> None:
         rng = self.rng
         if rng.random() < self.loss:
             return
-        if self.spoilt and not ride and rng.random() < self.spoilt:
-            body = self._spoil(body)
-        for _ in range(2 if self.doubled and rng.random() < self.doubled else 1):
-            self.at(self.now + 1 + rng.randrange(self.late), self._arrives, sender, sender.name, to, body, ride)
-
-    def _spoil(self, body: bytes) -> bytes:
-        """A piece's data change on their way, and the frame's sum with them: as in a giver's memory."""
-        word = DECODER.decode(body)
-        if type(word) is Piece and word.data:
-            at = self.rng.randrange(len(word.data))
-            word.data = word.data[:at] + bytes((word.data[at] ^ 1 << self.rng.randrange(8),)) + word.data[at + 1 :]
-            return ENCODER.encode(word)
+        if self.corruption and not piggyback and rng.random() < self.corruption:
+            body = self._corrupt(body)
+        for _ in range(2 if self.duplication and rng.random() < self.duplication else 1):
+            self.at(self.now + 1 + rng.randrange(self.max_delay), self._deliver, sender, sender.name, to, body, piggyback)
+
+    def _corrupt(self, body: bytes) -> bytes:
+        """Flips a bit in the data of a piece before the checksum of the frame is made, as in the memory of the sender."""
+        message = DECODER.decode(body)
+        if type(message) is Piece and message.data:
+            at = self.rng.randrange(len(message.data))
+            message.data = message.data[:at] + bytes((message.data[at] ^ 1 << self.rng.randrange(8),)) + message.data[at + 1 :]
+            return ENCODER.encode(message)
         return body
 
-    def _arrives(self, sender: Process, by: str, to: str, body: bytes, ride: bool) -> None:
+    def _deliver(self, sender: Process, by: str, to: str, body: bytes, piggyback: bool) -> None:
         process = self.processes[to]
         if not process.alive or self.parted(sender, process):
             return
         if process.paused_until > self.now:
-            self.at(process.paused_until, self._arrives, sender, by, to, body, ride)
+            self.at(process.paused_until, self._deliver, sender, by, to, body, piggyback)
             return
-        lane = process.lane
-        if not ride:
-            lane.heard(lane.members[by], body)
+        channel = process.channel
+        if not piggyback:
+            channel.handler(channel.members[by], body)
             return
-        lane.ride_heard(lane.members[by], body)
+        channel.piggyback_handler(channel.members[by], body)
 
-    def _round(self, process: Process) -> None:
+    def _run_round(self, process: Process) -> None:
         if process.alive and process.paused_until <= self.now:
             process.wire.time()
-        self.at(self.now + EVERY, self._round, process)
+        self.at(self.now + ROUND_INTERVAL, self._run_round, process)
 
     def _probe(self, process: Process) -> None:
-        """Membership's probe each second, and its answer."""
+        """Sends the probe of membership, once a second, and its answer; both carry piggybacked data."""
         if process.alive and process.paused_until <= self.now:
-            ring = process.lane.ring
+            ring = process.channel.ring
             if ring:
                 other = self.processes[self.rng.choice(ring).name]
-                self.carry(process, other.name, process.lane.rider(), ride=True)
+                self.transmit(process, other.name, process.channel.rider(), piggyback=True)
                 if other.alive:
-                    self.carry(other, process.name, other.lane.rider(), ride=True)
+                    self.transmit(other, process.name, other.channel.rider(), piggyback=True)
         self.at(self.now + NS, self._probe, process)
 
-    # ---- what befalls them
+    # ---- faults
 
     def _start(self, process: Process) -> None:
         process.start()
         self.restarts += 1
-        self.at(self.now + IN_AFTER, self._in, process, process.lives)
+        self.at(self.now + JOIN_DELAY, self._report_joined, process, process.lives)
 
-    def _in(self, process: Process, life: int) -> None:
+    def _report_joined(self, process: Process, life: int) -> None:
         if process.alive and process.lives == life:
             self.peers[process.name].there = True
 
     def _kill(self, process: Process) -> None:
         process.alive, process.fence = False, 0
-        self.at(self.now + GONE_AFTER, self._gone, process, process.lives)
+        self.at(self.now + GONE_DELAY, self._report_gone, process, process.lives)
 
-    def _gone(self, process: Process, life: int) -> None:
+    def _report_gone(self, process: Process, life: int) -> None:
         if not process.alive and process.lives == life:
             self.peers[process.name].there = False
 
     def _grant(self, kind: str = "lease") -> None:
-        """Who holds the lease: one, or two of them, or two with one number."""
+        """Grants the lease to a random store; `kind` lets an earlier holder keep it, or gives out the same fence again."""
         able = [store for store in self.stores if store.alive]
         if not able:
             return
@@ -321,8 +328,8 @@
             self.fences += self.rng.randint(1, 3)
         self.rng.choice(able).fence = self.fences
 
-    def _trouble(self) -> None:
-        if self.now >= self.troubled_until:
+    def _inject_fault(self) -> None:
+        if self.now >= self.faults_until:
             return
         rng, kind = self.rng, self.rng.choice(KINDS)
         process = rng.choice(self.stores if rng.random() < 0.5 else list(self.processes.values()))
@@ -340,41 +347,44 @@
         elif kind == "heal":
             self.parted = lambda a, b: False
         elif kind == "links":
-            self.loss, self.doubled = rng.choice((0, 0.1, 0.4)), rng.choice((0, 0.3))
-            self.late, self.spoilt = rng.choice((5, 100, 4000)) * MS, rng.choice((0, 0.1))
+            self.loss, self.duplication = rng.choice((0, 0.1, 0.4)), rng.choice((0, 0.3))
+            self.max_delay, self.corruption = rng.choice((5, 100, 4000)) * MS, rng.choice((0, 0.1))
         elif kind == "clean":
-            self._clean()
+            self._clear_link_faults()
         elif kind == "spoil":
-            self._rot(process)
+            self._corrupt_memory(process)
         elif kind == "wipe":
             self._wipe(process)
         elif kind == "full-disk":
             process.disk_full = not process.disk_full
         else:
             self._grant(kind)
-        self.at(self.now + rng.randrange(2 * NS), self._trouble)
+        self.at(self.now + rng.randrange(2 * NS), self._inject_fault)
 
-    def _rot(self, process: Process) -> None:
-        """A node's memory of a content changes; it gives on what it has."""
+    def _corrupt_memory(self, process: Process) -> None:
+        """Corrupts the newest content in the memory of a node, which continues to serve it to others."""
         contents = process.wire.library.contents if process.alive and not process.is_store else {}
         for digest in list(contents)[-1:]:
             contents[digest] = contents[digest][:-1] + b"!"
 
     def _wipe(self, process: Process) -> None:
-        """A machine comes back with another disk. Of the stores' records a majority is always left: more is the end of them."""
+        """Restarts a process with an empty disk, unless that left records at less than a majority of the stores.
+
+        The stores do not survive the loss of a majority of their records.
+        """
         if process.is_store:
-            blank = sum(store.vote is None for store in self.stores if store is not process)
-            if len(self.stores) - blank - 1 < self.terms.majority:
+            empty_stores = sum(store.vote is None for store in self.stores if store is not process)
+            if len(self.stores) - empty_stores - 1 < self.terms.majority:
                 return
         process.copy = process.vote = None
         self._start(process)
 
-    def _clean(self) -> None:
-        self.loss = self.doubled = self.spoilt = 0.0
-        self.late = 5 * MS
+    def _clear_link_faults(self) -> None:
+        self.loss = self.duplication = self.corruption = 0.0
+        self.max_delay = 5 * MS
 
-    def _calm(self) -> None:
-        self._clean()
+    def _end_faults(self) -> None:
+        self._clear_link_faults()
         self.parted = lambda a, b: False
         for process in self.processes.values():
             process.paused_until, process.disk_full = 0, False
@@ -385,7 +395,7 @@
     # ---- changes
 
     def _put(self) -> None:
-        if self.now >= self.troubled_until:
+        if self.now >= self.faults_until:
             return
         able = [store for store in self.stores if store.alive and store.paused_until <= self.now]
         held = [store for store in able if store.fence]
@@ -401,7 +411,7 @@
             lines[0] = b"refused-by n%d;" % rng.randrange(5)
         elif not refusable:
             lines[0] = b"good for all"
-        # no two alike: the judge knows by its content upon what a change was made
+        # contents are unique, because the checks look up the base of a change by its content
         self.made += 1
         lines[-1] = b"change %d" % self.made
         content = b"\n".join(lines)
@@ -412,73 +422,73 @@
         self.contents[digest_of(content)] = content
         made.append(None)
 
-        def done(told: dict) -> None:
-            made[:] = [told]
-            self.puts["ok" if told["ok"] else "unknown" if told["unknown"] else "refused"] += 1
-            if told["ok"]:
-                self.ok_versions.append(told["version"])
-                if told["version"] not in [version.text for version in self.chosen.values()]:
-                    self._wrong(f"put answered ok, and no majority has {told['version']}")
+        def done(result: dict) -> None:
+            made[:] = [result]
+            self.puts["ok" if result["ok"] else "unknown" if result["unknown"] else "refused"] += 1
+            if result["ok"]:
+                self.ok_versions.append(result["version"])
+                if result["version"] not in [version.text for version in self.chosen.values()]:
+                    self._report_violation(f"put was answered ok, but no majority of stores has {result['version']}")
 
         wire.begin_put(content, base, 4 * NS, done)
 
-    # ---- the judge
+    # ---- invariants
 
-    def _wrong(self, words: str) -> None:
-        """Told by the next event: what is raised within a wire's call is its own to catch."""
-        self.log.faults.append(words)
+    def _report_violation(self, text: str) -> None:
+        """Records a violation, raised after the present event: the wire would catch an exception raised within its call."""
+        self.log.faults.append(text)
 
-    def _known(self, version: Version) -> None:
+    def _check_number(self, version: Version) -> None:
         other = self.numbers.setdefault(version.number, version)
         if other != version:
-            self._wrong(f"two contents under one number: {other.text} and {version.text}")
+            self._report_violation(f"two contents under one version number: {other.text} and {version.text}")
 
     def voted(self, store: Process, data: bytes) -> None:
         record = read_record(data)
         version = Version(*record.taken)
         if not version.fence:
             return
-        self._known(version)
+        self._check_number(version)
         self.holding.setdefault(version, set()).add(store.name)
         votes = self.votes.setdefault((version, tuple(record.taken_at)), set())
         votes.add(store.name)
         if len(votes) >= self.terms.majority and version.number not in self.chosen:
             self.chosen[version.number] = version
-            self._one_chain()
+            self._check_chain()
 
-    def _one_chain(self) -> None:
-        """Each was made upon the one before it: nobody's change is lost under another's."""
+    def _check_chain(self) -> None:
+        """Checks that each chosen version is based on the one before it, so that no change is lost under another."""
         before = "file"
         for number in sorted(self.chosen):
             version = self.chosen[number]
             base = self.bases[self.contents[version.digest]]
             if base != before:
-                self._wrong(f"{version.text} was made upon {base}, and {before} came before it")
+                self._report_violation(f"{version.text} is based on {base}, but its predecessor is {before}")
             before = version.text
 
-    def taken(self, process: Process, text: str, content: bytes) -> None:
+    def version_taken(self, process: Process, text: str, content: bytes) -> None:
         self.takes += 1
         version = next((version for version in self.numbers.values() if version.text == text), None)
         if version is None or digest_of(content) != version.digest:
-            self._wrong(f"{process.name} has in force under {text} what that is not")
+            self._report_violation(f"{process.name} put in force under {text} a content that is not of this version")
             return
         if len(self.holding.get(version, ())) < self.terms.majority:
-            self._wrong(f"{process.name} was told of {text} before a majority had it")
+            self._report_violation(f"{process.name} put {text} in force before a majority of stores had it")
         if version.number < max(process.number, process.life_number):
-            self._wrong(f"{process.name} went back to {text} from {max(process.number, process.life_number)}")
+            self._report_violation(f"{process.name} went back to {text} from {max(process.number, process.life_number)}")
         process.life_number = version.number
         if not process.disk_full:
             process.number = version.number
 
 
-def histories(seeds: range, **how) -> list[tuple[int, float | None, str]]:
-    """Each seed with how soon all agreed after the last trouble (s; None: not within the bound), and what broke."""
+def histories(seeds: range, **options) -> list[tuple[int, float | None, str]]:
+    """Returns each seed with the seconds from the last fault to agreement (None: not in time) and the violation, if any."""
     ended = []
     for seed in seeds:
         try:
-            ended.append((seed, VersionHistory(seed, **how).run(), ""))
-        except InvariantViolated as wrong:
-            ended.append((seed, None, str(wrong)))
+            ended.append((seed, VersionHistory(seed, **options).run(), ""))
+        except InvariantViolated as violation:
+            ended.append((seed, None, str(violation)))
     return ended
 
 
@@ -486,25 +496,25 @@
 
 
 class NoMajority(Writer):
-    """Tells as soon as one store has it."""
+    """Announces a version as soon as one store has it."""
 
     def _enough(self):
         return 1
 
 
 class OldOverNew(Copy):
-    """Takes whatever it hears last."""
+    """Takes whichever version it received last, though it may be older."""
 
     def heard(self, version):
-        news, self.newest = version != self.newest, version
-        return news
+        changed, self.newest = version != self.newest, version
+        return changed
 
     def newer(self, version):
         return version != self.held
 
 
 class HalfInForce(Copy):
-    """Takes the first half before the rest."""
+    """Puts the first half of a content in force before the rest."""
 
     def _take(self, version, content, kept_already=False):
         if self.content:
@@ -514,17 +524,21 @@
 
 
 class DigestUncheckedFetch(Fetch):
+    """Does not check the digest of a fetched content."""
+
     def _fits(self, content, version):
         return True
 
 
 class DigestUncheckedCopy(Copy):
+    """Does not check the digest of a content before it is put in force."""
+
     def _fits(self, version, content):
         return True
 
 
 class BlankVotes(Store):
-    """Takes its memory being empty for knowing that there is nothing."""
+    """Votes after the loss of its record as if no version had ever been made."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -532,7 +546,7 @@
 
 
 class UnnotedLetIn(Writer):
-    """Lets a store in without telling the others that its old record is void."""
+    """Admits a store that lost its record without noting at the others that the earlier record is void."""
 
     def _let_in(self, voters, again):
         tenure = self.tenure
@@ -546,7 +560,7 @@
 
 
 class ByNumber(Writer):
-    """Takes the version with the highest number for the newest, whoever outweighed it since."""
+    """Takes the version with the highest number as the newest and ignores the ballots under which versions were accepted."""
 
     def _decide(self, voters):
         tenure = self.tenure
@@ -557,6 +571,8 @@
 
 
 class BaseUnchecked(Writer):
+    """Makes a change though its base is no longer the newest version."""
+
     def _make(self):
         if self.wanted is not None and self.wanted.version is None:
             self.wanted.base = self.tenure.value.text
@@ -564,6 +580,7 @@
 
 
 def wire_of(**classes) -> type[DistributionWire]:
+    """Returns the wire class with these classes in place of its own."""
     return type("Planted", (DistributionWire,), classes)
 
 
@@ -580,4 +597,5 @@
 
 
 def planted(fault: str) -> type[DistributionWire]:
+    """Returns the wire class with the planted fault of this name."""
     return wire_of(**{f"{part}_class": kind for part, kind in FAULTS[fault].items()})
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -42,8 +42,8 @@
     """Three stores and some nodes without random faults; the test injects its own. The history's invariants are checked."""
 
     def __init__(self, nodes=6):
-        super().__init__(3, nodes=nodes, troubled=False)
-        self.troubled_until = self.now
+        super().__init__(3, nodes=nodes, with_faults=False)
+        self.faults_until = self.now
         self.run_for(2)
 
     def run_for(self, seconds):
@@ -272,7 +272,7 @@
         self.assertTrue(history.put(third, refusable=False)["ok"])
 
     def test_blank_stores_are_founded_only_when_all_of_them_answer(self):
-        history = VersionHistory(3, nodes=3, troubled=False)
+        history = VersionHistory(3, nodes=3, with_faults=False)
         history._kill(history.stores[2])
         history.run_to(history.now + 5 * NS)
         self.assertTrue(all(store.wire.store.blank for store in history.stores[:2]))
@@ -513,7 +513,7 @@
         self.assertTrue(heard)
 
     def test_start_from_peers_ends_in_time_without_peers(self):
-        history = VersionHistory(3, nodes=3, troubled=False)
+        history = VersionHistory(3, nodes=3, with_faults=False)
         wire = history.processes["n0"].wire
 
         async def begins():
@@ -524,7 +524,7 @@
         self.assertEqual(wire.version, "file")
 
     def test_malformed_messages_are_counted_and_dropped(self):
-        wire: DistributionWire = VersionHistory(3, nodes=3, troubled=False).processes["n0"].wire
+        wire: DistributionWire = VersionHistory(3, nodes=3, with_faults=False).processes["n0"].wire
         member, rng = wire.channel.members["n1"], Random(1)
         for _ in range(200):
             wire.handle_message(member, rng.randbytes(rng.randrange(60)))
