--- a/curlewshift/emulator/lease_figures.py
+++ b/curlewshift/emulator/lease_figures.py
@@ -46,7 +46,7 @@
 def holder_gaps(task: tuple[str, int]) -> list[float]:
     """Returns the times without a holder, in lease terms, after the holder was hit by a fault of this kind."""
     kind, seed = task
-    history, took = FaultFreeHistory(seed, FRONTS, ACCEPTORS, 1), []
+    history, gaps = FaultFreeHistory(seed, FRONTS, ACCEPTORS, 1), []
     history.run_until_held("l0")
     for _ in range(TRIALS):
         history.run(history.now + 6 * SECOND)
@@ -73,22 +73,22 @@
         if kind == "release":
             history.run_until_held("l0")
             holder.proposer.want("l0")
-        took.append((history.now - began) / history.terms.term)
+        gaps.append((history.now - began) / history.terms.term)
         if kind == "kill":
             holder.start()
         elif kind == "cut":
             isolate(history, None)
         history.run(history.now + 8 * SECOND)
-    return took
+    return gaps
 
 
 def isolate(history: FaultFreeHistory, number: int | None) -> None:
     """Drops all messages to and from this front; None ends the isolation."""
 
-    def send(sender, to, part, what, arguments):
+    def send(sender, to, role, message, arguments):
         if to != sender.number and number in (sender.number, to):
             return
-        LeaseHistory.send(history, sender, to, part, what, arguments)
+        LeaseHistory.send(history, sender, to, role, message, arguments)
 
     history.send = send
 
@@ -136,11 +136,11 @@
         runs = [pool.submit(run_histories, range(at, at + HISTORIES_PER_TASK)) for at in range(0, HISTORIES, HISTORIES_PER_TASK)]
         figures: dict = {"simulated": True, "term_ms": FaultFreeHistory.terms.term // MS, "drift": FaultFreeHistory.terms.drift}
         for kind, parts in gap_tasks.items():
-            took = sorted(gap for part in parts for gap in part.result())
+            gaps = sorted(gap for part in parts for gap in part.result())
             figures[f"without_holder_after_{kind}_terms"] = {
-                "times": len(took),
-                "median": round(took[len(took) // 2], 2),
-                "p99": round(took[int(len(took) * 0.99)], 2),
+                "times": len(gaps),
+                "median": round(gaps[len(gaps) // 2], 2),
+                "p99": round(gaps[int(len(gaps) * 0.99)], 2),
             }
         figures["sizes"] = [task.result() for task in sizes]
         ended = [task.result() for task in runs]
--- a/curlewshift/emulator/lease_histories.py
+++ b/curlewshift/emulator/lease_histories.py
@@ -136,24 +136,24 @@
         self.now = max(self.now, until)
         return self
 
-    def send(self, sender: LeaseFront, to: int, part: str, what: str, arguments: tuple) -> None:
+    def send(self, sender: LeaseFront, to: int, role: str, message: str, arguments: tuple) -> None:
         self.messages_sent += 1
         if to == sender.number:
             # messages to itself arrive at once and are never lost
-            self.at(self.now, self._deliver, to, sender.life, part, what, arguments)
+            self.at(self.now, self._deliver, to, sender.life, role, message, arguments)
             return
         for _ in range(2 if self.rng.random() < self.duplication else 1):
             if self.rng.random() >= self.loss:
-                self.at(self.now + 1 + self.rng.randrange(self.max_delay), self._deliver, to, 0, part, what, arguments)
+                self.at(self.now + 1 + self.rng.randrange(self.max_delay), self._deliver, to, 0, role, message, arguments)
 
-    def _deliver(self, to: int, life: int, part: str, what: str, arguments: tuple) -> None:
+    def _deliver(self, to: int, life: int, role: str, message: str, arguments: tuple) -> None:
         front = self.fronts[to]
         if not front.alive or (life and life != front.life):
             return
         if front.paused_until > self.now:
-            self.at(front.paused_until, self._deliver, to, life, part, what, arguments)
+            self.at(front.paused_until, self._deliver, to, life, role, message, arguments)
         else:
-            getattr(getattr(front, part), what)(*arguments)
+            getattr(getattr(front, role), message)(*arguments)
 
     def _run_round(self, front: LeaseFront) -> None:
         if front.alive and front.paused_until <= self.now:
--- a/curlewshift/emulator/loan_histories.py
+++ b/curlewshift/emulator/loan_histories.py
@@ -106,23 +106,23 @@
         heapq.heappush(self.queue, (when, next(self.order), call, arguments))
 
     def run(self) -> LoanHistory:
-        """Runs the whole history; raises `Overdrawn` on a violation."""
+        """Runs the entire history; raises `Overdrawn` on a violation."""
         while self.queue and self.queue[0][0] < self.duration:
             self.now, _, call, arguments = heapq.heappop(self.queue)
             call(*arguments)
         return self
 
-    def send(self, sender: int, to: int, what: str, arguments: tuple) -> None:
+    def send(self, sender: int, to: int, message: str, arguments: tuple) -> None:
         for _ in range(2 if self.rng.random() < self.duplication else 1):
             if self.rng.random() >= self.loss:
-                self.at(self.now + 1 + self.rng.randrange(self.max_delay), self._deliver, to, what, arguments)
+                self.at(self.now + 1 + self.rng.randrange(self.max_delay), self._deliver, to, message, arguments)
 
-    def _deliver(self, to: int, what: str, arguments: tuple) -> None:
+    def _deliver(self, to: int, message: str, arguments: tuple) -> None:
         front = self.fronts[to]
         if front.paused_until > self.now:
-            self.at(front.paused_until, self._deliver, to, what, arguments)
+            self.at(front.paused_until, self._deliver, to, message, arguments)
         else:
-            getattr(front.loans, what)(*arguments)
+            getattr(front.loans, message)(*arguments)
 
     def _run_round(self, front: LoanFront) -> None:
         if front.paused_until <= self.now:
--- a/curlewshift/emulator/peer_figures.py
+++ b/curlewshift/emulator/peer_figures.py
@@ -30,17 +30,17 @@
     before = fleet.bytes
     fleet.run(5)
     quiet = (fleet.bytes - before) / size / 5
-    took = []
+    detection_periods = []
     for number in range(KILLS[size]):
         victim, fleet.gone_reports = fleet.posts[size // 2 - number % (size // 3)], []
         victim.kill()
         killed_at, others = fleet.queue.now, len(fleet.alive())
         fleet.until(lambda: sum(name == victim.name for _, _, name in fleet.gone_reports) >= others, 30)
-        took += [(at - killed_at) / PERIOD for at, _, name in fleet.gone_reports if name == victim.name]
+        detection_periods += [(at - killed_at) / PERIOD for at, _, name in fleet.gone_reports if name == victim.name]
         victim.start()
         fleet.until(fleet.agreed, 30)
         fleet.run(2)
-    took.sort()
+    detection_periods.sort()
     half = size // 2
     fleet.links.parted = lambda a, b: (a < half) != (b < half)
     fleet.run(15)
@@ -49,8 +49,8 @@
     return {
         "fronts": size,
         "kills": KILLS[size],
-        "detected_median_periods": round(took[len(took) // 2], 2),
-        "detected_p99_periods": round(took[int(len(took) * 0.99)], 2),
+        "detected_median_periods": round(detection_periods[len(detection_periods) // 2], 2),
+        "detected_p99_periods": round(detection_periods[int(len(detection_periods) * 0.99)], 2),
         "bytes_a_second_a_front": round(quiet, 1),
         "agreed_after_cut_periods": None if healed is None else round(healed * NS / PERIOD, 1),
         "called_gone_after_cut": len(fleet.gone_reports),
@@ -105,12 +105,12 @@
                     f"{'a_tenth_hears_badly' if with_receive_loss else 'loss_of_5_percent'}_{'with' if lifeguard else 'without'}"
                 ] = {name: sum(row[name] for row in rows) for name in ("member_minutes", "false_gone", "suspicions")}
         ended = [pair for task in runs for pair in task.result()]
-        took = sorted(after for _, after in ended if after is not None)
+        agreement_periods = sorted(after for _, after in ended if after is not None)
         figures["histories"] = {
             "run": len(ended),
             "not_agreed": [seed for seed, after in ended if after is None],
-            "agreed_median_periods": round(took[len(took) // 2], 1),
-            "agreed_p99_periods": round(took[int(len(took) * 0.99)], 1),
-            "agreed_longest_periods": round(took[-1], 1),
+            "agreed_median_periods": round(agreement_periods[len(agreement_periods) // 2], 1),
+            "agreed_p99_periods": round(agreement_periods[int(len(agreement_periods) * 0.99)], 1),
+            "agreed_longest_periods": round(agreement_periods[-1], 1),
         }
     return figures
--- a/curlewshift/emulator/peer_histories.py
+++ b/curlewshift/emulator/peer_histories.py
@@ -90,7 +90,7 @@
             links.parted = lambda a, b: False
         elif kind == "loss":
             links.loss, links.duplication, links.corruption = rng.uniform(0, 0.6), rng.random(), rng.uniform(0, 0.3)
-            links.late, links.late_by = rng.uniform(0, 0.5), rng.randint(10, 8000) * MS
+            links.delayed, links.max_extra_delay = rng.uniform(0, 0.5), rng.randint(10, 8000) * MS
         elif kind == "clean":
             self._clear_link_faults()
         elif kind == "step":
@@ -102,7 +102,7 @@
 
     def _clear_link_faults(self) -> None:
         links = self.fleet.links
-        links.loss = links.duplication = links.corruption = links.late = 0.0
+        links.loss = links.duplication = links.corruption = links.delayed = 0.0
 
     def _end_faults(self) -> None:
         self._clear_link_faults()
--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -23,13 +23,21 @@
 
 
 class Links:
-    """The faults of the links, as probabilities from 0 to 1; `late_by` in ns.
+    """The faults of the links, as probabilities from 0 to 1; `max_extra_delay` in ns.
 
     `parted(a, b)` returns whether datagrams from a do not reach b.
     """
 
-    def __init__(self, loss: float = 0.0, duplication: float = 0.0, corruption: float = 0.0, late: float = 0.0, late_by: int = 0):
-        self.loss, self.duplication, self.corruption, self.late, self.late_by = loss, duplication, corruption, late, late_by
+    def __init__(
+        self, loss: float = 0.0, duplication: float = 0.0, corruption: float = 0.0, delayed: float = 0.0, max_extra_delay: int = 0
+    ):
+        self.loss, self.duplication, self.corruption, self.delayed, self.max_extra_delay = (
+            loss,
+            duplication,
+            corruption,
+            delayed,
+            max_extra_delay,
+        )
         self.parted: Callable[[int, int], bool] = lambda a, b: False
         # additional loss of datagrams to these fronts, as on machines that are slow to read
         self.receive_loss: dict[int, float] = {}
@@ -167,8 +175,8 @@
             data = data[:at] + bytes((data[at] ^ 1 << rng.randrange(8),)) + data[at + 1 :]
         for _ in range(2 if links.duplication and rng.random() < links.duplication else 1):
             delay = rng.uniform(*DELAY_RANGE)
-            if links.late and rng.random() < links.late:
-                delay += rng.uniform(0, links.late_by)
+            if links.delayed and rng.random() < links.delayed:
+                delay += rng.uniform(0, links.max_extra_delay)
             self.queue.at(self.queue.now + int(delay), to.arrive, data)
 
     def changed(self, post: Post, member: Member, before: Rank | None) -> None:
--- a/curlewshift/emulator/seat_histories.py
+++ b/curlewshift/emulator/seat_histories.py
@@ -106,7 +106,7 @@
             self.history.ended_early += 1
             self._end(key, name)
 
-    # ---- the part of the rules
+    # ---- what the rules do
 
     def _seat_left(self, key: str) -> bool:
         """As in rules.py: a budget of which no rights were ever reported belongs to this front entirely."""
@@ -132,8 +132,8 @@
         if life != self.life:
             return
         if self.paused_until > self.history.now:
-            late = self.rng.random() < 0.5
-            self.history.at(self.paused_until, self._send_setup if late else self._drop_setup, key, name, life)
+            sent_late = self.rng.random() < 0.5
+            self.history.at(self.paused_until, self._send_setup if sent_late else self._drop_setup, key, name, life)
             return
         # viewings that it has requested to end free their seats at once, as with a single front
         for ended in [ended for ended in self.pending_ends if ended[0] == key]:
@@ -212,14 +212,14 @@
         front.acted_at = self.now
         self.turn += 1
         front.pool.time(set(range(len(self.fronts))) - {front.number}, self.turn)
-        late = self.rng.randrange(self.max_round_delay) if self.max_round_delay and self.rng.random() < 0.1 else 0
-        self.at(self.now + self.terms.every + late, self._run_round, front)
+        delay = self.rng.randrange(self.max_round_delay) if self.max_round_delay and self.rng.random() < 0.1 else 0
+        self.at(self.now + self.terms.every + delay, self._run_round, front)
 
-    def _deliver(self, to: int, what: str, arguments: tuple) -> None:
-        super()._deliver(to, what, arguments)
+    def _deliver(self, to: int, message: str, arguments: tuple) -> None:
+        super()._deliver(to, message, arguments)
         front = self.fronts[to]
-        if front.paused_until <= self.now and what != "given_back":
-            front.pool.write(key if what == "asked" else key[0] for key in arguments[2])
+        if front.paused_until <= self.now and message != "given_back":
+            front.pool.write(key if message == "asked" else key[0] for key in arguments[2])
 
     def _inject_fault(self) -> None:
         super()._inject_fault()
--- a/curlewshift/emulator/version_figures.py
+++ b/curlewshift/emulator/version_figures.py
@@ -33,10 +33,10 @@
         fleet.change()
         fleet.run(CHANGE_INTERVAL_S)
         after = fleet.traffic()
-        took = fleet.until(fleet.everywhere, 30)
+        duration_s = fleet.until(fleet.everywhere, 30)
         times = fleet.times(fleet.last)
         every += times
-        last.append(times[-1] if took is not None else None)
+        last.append(times[-1] if duration_s is not None else None)
         cost.append(sum(after[name][0] - before[name][0] for name in after) / len(after) / CHANGE_INTERVAL_S)
     every.sort()
     return {
@@ -73,14 +73,14 @@
         post.copy = None
         post.start()
     before, began = fleet.traffic(), fleet.queue.now
-    took = fleet.until(fleet.everywhere, 60)
+    duration_s = fleet.until(fleet.everywhere, 60)
     fleet.run(max(0.0, 18 - (fleet.queue.now - began) / NS))
     after = fleet.traffic()
     seconds = (fleet.queue.now - began) / NS
     others = [post for post in fleet.nodes if post not in zone]
     return {
         "returned": len(zone),
-        "in_force_in_all_s": None if took is None else round(took, 2),
+        "in_force_in_all_s": None if duration_s is None else round(duration_s, 2),
         "over_s": round(seconds, 1),
         **by_node(before, after, others, seconds, "others"),
         **by_node(before, after, zone, seconds, "returned"),
@@ -99,13 +99,13 @@
     nodes_at_newest = [post for post in fleet.alive() if post.wire.version == fleet.last]
     fleet.links.parted = lambda a, b: False
     before, began = fleet.traffic(), fleet.queue.now
-    took = fleet.until(fleet.everywhere, 120)
+    duration_s = fleet.until(fleet.everywhere, 120)
     after, duration = fleet.traffic(), max(0.1, (fleet.queue.now - began) / NS)
     return {
         "apart_s": seconds,
         "changes_meanwhile": PARTITION_CHANGES,
         "had_it_before_they_met": len(nodes_at_newest),
-        "in_force_everywhere_after_meeting_s": None if took is None else round(took, 2),
+        "in_force_everywhere_after_meeting_s": None if duration_s is None else round(duration_s, 2),
         **by_node(before, after, fleet.nodes, duration, "until_then"),
     }
 
@@ -116,7 +116,7 @@
     quiet = fleet.traffic()
     fleet.run(8)
     alone = by_node(quiet, fleet.traffic(), fleet.nodes, 8, "quiet")
-    before, began, late = fleet.traffic(), fleet.queue.now, 0
+    before, began, unfinished = fleet.traffic(), fleet.queue.now, 0
     for number in range(STRETCH_CHANGES):
         if number % (STRETCH_CHANGES // STRETCH_RESTARTS) == 2:
             post = fleet.rng.choice(fleet.nodes)
@@ -125,8 +125,8 @@
             post.start()
         fleet.change()
         fleet.run(STRETCH_INTERVAL_S)
-        late += not fleet.everywhere()
-    took = fleet.until(fleet.everywhere, 30)
+        unfinished += not fleet.everywhere()
+    duration_s = fleet.until(fleet.everywhere, 30)
     seconds = (fleet.queue.now - began) / NS
     after = fleet.traffic()
     busy = by_node(before, after, fleet.nodes, seconds, "nodes")
@@ -140,8 +140,8 @@
         **by_node(before, after, fleet.stores, seconds, "stores"),
         "own_bytes_a_change_a_node": round(a_change),
         "own_at_910_changes_a_day_bytes_a_second": round(alone["quiet_own_sent_mean"] + a_change * 910 / 86_400, 1),
-        "not_everywhere_at_the_next_change": late,
-        "everywhere_at_the_end": took is not None,
+        "not_everywhere_at_the_next_change": unfinished,
+        "everywhere_at_the_end": duration_s is not None,
     }
 
 
@@ -190,14 +190,14 @@
     faults = {fault: pool.submit(count_detections, fault, range(min(HISTORIES_PER_FAULT, count))) for fault in FAULTS}
     parts = [run.result() for run in runs]
     ended = [history for part in parts for history in part["ended"]]
-    took = sorted(after for _, after, _ in ended if after is not None)
+    durations = sorted(after for _, after, _ in ended if after is not None)
     return {
         "run": len(ended),
         "broken": [(seed, violation) for seed, _, violation in ended if violation],
         "not_agreed": [seed for seed, after, violation in ended if after is None and not violation],
-        "agreed_after_last_trouble_median_s": round(took[len(took) // 2], 1),
-        "agreed_p99_s": round(took[int(len(took) * 0.99)], 1),
-        "agreed_longest_s": round(took[-1], 1),
+        "agreed_after_last_trouble_median_s": round(durations[len(durations) // 2], 1),
+        "agreed_p99_s": round(durations[int(len(durations) * 0.99)], 1),
+        "agreed_longest_s": round(durations[-1], 1),
         **{name: sum(part[name] for part in parts) for name in ("changes", "takes", "restarts", "ok", "unknown", "refused")},
         "planted_caught_of": min(HISTORIES_PER_FAULT, count),
         "planted_caught": {fault: run.result() for fault, run in faults.items()},
