--- a/curlewshift/emulator/front.py
+++ b/curlewshift/emulator/front.py
@@ -108,12 +108,12 @@
             self.recovery.begin()
             self._continue_recovery()
         else:
-            self.recovery.over = True
+            self.recovery.finished = True
         # the stored records are compacted to what is open; new ones are appended
-        self.disk.book, self.disk.intents = self.book.snapshot(), self.intents.anew()
+        self.disk.book, self.disk.intents = self.book.snapshot(), self.intents.snapshot()
 
     def _continue_recovery(self) -> None:
-        if self.alive and not self.recovery.over:
+        if self.alive and not self.recovery.finished:
             self.recovery.time()
             self.world.queue.at(self.now() + NS // 10, self._continue_recovery)
 
@@ -315,7 +315,7 @@
         )
 
     def answer(self, request: Request, answer: Answer) -> None:
-        if answer.kind is Kind.PLAYS:
+        if answer.kind is AnswerKind.PLAYS:
             self._store_session(answer.front_session)
         if self.sheds is not None:
             self.sheds.answered(request, answer)
@@ -338,7 +338,7 @@
         if front_session in self.tokens:
             return
         token = self.tokens[front_session] = f"{self.name} {front_session.viewing.name}"
-        self._append_record(self.book.began(remembered(front_session, token, None, front_session.session)))
+        self._append_record(self.book.began(to_stored_session(front_session, token, None, front_session.session)))
 
     def _append_record(self, record: list | None) -> None:
         if record is not None:
--- a/curlewshift/emulator/loan_histories.py
+++ b/curlewshift/emulator/loan_histories.py
@@ -46,16 +46,16 @@
         return int(self.history.now * self.rate) + self.offset
 
     def ask(self, lender: int, number: int, keys: list[str]) -> None:
-        self.history.send(self.number, lender, "asked", (self.number, number, keys))
+        self.history.send(self.number, lender, "loan_requested", (self.number, number, keys))
 
     def lend(self, borrower: int, number: int, rights: list[tuple[str, int]]) -> None:
-        self.history.send(self.number, borrower, "lends", (self.number, number, rights))
+        self.history.send(self.number, borrower, "loan_received", (self.number, number, rights))
 
     def give_back(self, lender: int, number: int, key: str) -> None:
-        self.history.send(self.number, lender, "given_back", (self.number, number, key))
+        self.history.send(self.number, lender, "loan_returned", (self.number, number, key))
 
     def part(self, key: str) -> int:
-        return dealt(self.history.rights[key], self.number, len(self.history.fronts), self.history.placement_hashes[key])
+        return initial_share(self.history.rights[key], self.number, len(self.history.fronts), self.history.placement_hashes[key])
 
     def try_use(self, key: str) -> bool:
         """Requests a set-up: uses a right if one is held, else asks the loans for one; returns whether it was used."""
--- a/curlewshift/emulator/oracle.py
+++ b/curlewshift/emulator/oracle.py
@@ -22,7 +22,7 @@
         if late or not seats_left or not self._budget_left(viewing) or not available:
             self._block(viewing)
             return
-        best = max(available, key=lambda server: (self._free_bandwidth(server), server.mark))
+        best = max(available, key=lambda server: (self._free_bandwidth(server), server.placement_hash))
         free_bandwidth = self._free_bandwidth(best)
         fitting_rungs = [
             rung
--- a/curlewshift/emulator/overloaded.py
+++ b/curlewshift/emulator/overloaded.py
@@ -69,12 +69,12 @@
         if front.alive:
             getattr(front.sheds.overload, message)(*fields)
 
-    def tell_round(self, to: str, zone: str, asks: list, begun: float, short: float) -> None:
+    def send_round(self, to: str, zone: str, asks: list, begun: float, short: float) -> None:
         self.sequence += 1
-        self._send(to, "round_told", self.front.address_name, self.life, self.sequence, zone, asks, begun, short)
+        self._send(to, "receive_round", self.front.address_name, self.life, self.sequence, zone, asks, begun, short)
 
-    def tell_level(self, to: str, zone: str, cut: int, why: str) -> None:
-        self._send(to, "level_told", zone, cut, why)
+    def send_level(self, to: str, zone: str, cut: int, why: str) -> None:
+        self._send(to, "receive_level", zone, cut, why)
 
     def level_changed(self, zone: str, cut: int, before: int, why: str) -> None:
         self.world.levels.append((self.now(), self.front.address_name, zone, cut))
--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -153,7 +153,7 @@
         members = [post.channel.membership for post in self.posts]
         for member in members:
             member.joined = True
-            member.told([other.me.claim() for other in members if other is not member], "settled")
+            member.told([other.local_member.claim() for other in members if other is not member], "settled")
             for name in list(member.news.level):
                 member.news.drop(name)
 
--- a/curlewshift/emulator/seat_histories.py
+++ b/curlewshift/emulator/seat_histories.py
@@ -84,7 +84,7 @@
     # ---- the driver of the pool
 
     def ask(self, lender: int, number: int, keys: list[str]) -> None:
-        self.history.send(self.number, lender, "asked", (self.number, number, keys, self.life))
+        self.history.send(self.number, lender, "loan_requested", (self.number, number, keys, self.life))
 
     def seats_wanted_at(self) -> dict[tuple[str, str], int]:
         return self.wanted_at
@@ -195,7 +195,7 @@
     # a starting front stays quiet for long: restarted as often as in the loan histories, most fronts would hold no rights
     max_fault_interval, restart_share = 6000 * MS, 0.15
 
-    def __init__(self, seed: int, kind: type[StandingLoans] = StandingLoans, fronts: int = 0):
+    def __init__(self, seed: int, kind: type[RenewableLoans] = RenewableLoans, fronts: int = 0):
         self.standing: dict[str, set[int]] = {}
         self.peak_counts, self.names, self.ended_early, self.turn = Counter(), 0, 0, 0
         self.max_viewing, self.max_round_delay = 12_000 * MS, 0
@@ -218,8 +218,8 @@
     def _deliver(self, to: int, message: str, arguments: tuple) -> None:
         super()._deliver(to, message, arguments)
         front = self.fronts[to]
-        if front.paused_until <= self.now and message != "given_back":
-            front.pool.write(key if message == "asked" else key[0] for key in arguments[2])
+        if front.paused_until <= self.now and message != "loan_returned":
+            front.pool.write(key if message == "loan_requested" else key[0] for key in arguments[2])
 
     def _inject_fault(self) -> None:
         super()._inject_fault()
@@ -264,7 +264,7 @@
 # ---- planted faults
 
 
-class SeatsForEver(StandingLoans):
+class SeatsForEver(RenewableLoans):
     """Keeps a borrowed seat until the viewer leaves, whether the loan was renewed or not."""
 
     def loan_received(self, lender, number, rights):
@@ -274,7 +274,7 @@
                 self.borrowed[key][lender] = (2**62, lent, number)
 
 
-class SeatsLentInUse(StandingLoans):
+class SeatsLentInUse(RenewableLoans):
     """Lends a seat that one of its own viewings uses."""
 
     def loan_requested(self, borrower, number, keys, life=0):
@@ -285,7 +285,7 @@
             self.driver.in_use = in_use
 
 
-class SeatsSurviveRestart(StandingLoans):
+class SeatsSurviveRestart(RenewableLoans):
     """Has no quiet time after a restart."""
 
     def __init__(self, *arguments, **more):
@@ -293,7 +293,7 @@
         self.quiet_until = 0
 
 
-class SeatsForgotten(StandingLoans):
+class SeatsForgotten(RenewableLoans):
     """Ends overdue viewings only of loans that it still has: others stand until the viewer leaves."""
 
     def end_overdue(self):
@@ -301,7 +301,7 @@
         super().end_overdue()
 
 
-class SeatsByTheClock(StandingLoans):
+class SeatsByTheClock(RenewableLoans):
     """Reports to the rules the return of its own part by the clock, while it lends by steady time."""
 
     def in_hand(self, key):
--- a/curlewshift/emulator/shared.py
+++ b/curlewshift/emulator/shared.py
@@ -96,25 +96,25 @@
 
     def ask(self, to: str, number: int, keys: list[str]) -> None:
         if self.shares.rights:
-            self._send(to, "asked", self.sharing.name, self.life, number, keys)
+            self._send(to, "loan_requested", self.sharing.name, self.life, number, keys)
 
     def lend(self, to: str, number: int, rights: list) -> None:
         self._send(to, "lent", self.sharing.name, number, rights)
 
     def give_back_to(self, to: str, number: int, key: str) -> None:
-        self._send(to, "given_back", self.sharing.name, number, key)
+        self._send(to, "loan_returned", self.sharing.name, number, key)
 
     def send_use(self, to: str, rows: list) -> None:
         if self.shares.counts:
             self.sequence += 1
-            self._send(to, "use_told", self.sharing.name, self.life, self.sequence, rows)
+            self._send(to, "receive_use", self.sharing.name, self.life, self.sequence, rows)
 
-    def tell_sums(self, to: str, rows: list) -> None:
+    def send_sums(self, to: str, rows: list) -> None:
         self.sequence += 1
-        self._send(to, "sums_told", self.sharing.name, self.life, self.sequence, rows)
+        self._send(to, "receive_sums", self.sharing.name, self.life, self.sequence, rows)
 
-    def tell_report(self, to: str, rows: list) -> None:
-        self._send(to, "report_told", self.sharing.name, rows)
+    def send_link_report(self, to: str, rows: list) -> None:
+        self._send(to, "receive_link_report", self.sharing.name, rows)
 
     def link_reported(self, server: Server, use: float) -> None:
         self.front.session_core.link_reported(server, use)
@@ -122,7 +122,7 @@
     def send_observations(self, to: str, rows: list) -> None:
         if self.shares.seen:
             self.sequence += 1
-            self._send(to, "seen_told", self.sharing.name, self.life, self.sequence, rows)
+            self._send(to, "receive_observations", self.sharing.name, self.life, self.sequence, rows)
 
     def rights_held(self, server: Server, rights: list) -> None:
         self.front.session_core.rights_held(server, rights)
@@ -139,8 +139,8 @@
         if self.shares.seen:
             self.front.session_core.seen_warm(server)
 
-    def ask_what_is_known(self, to: str) -> None:
-        self._send(to, "known_asked", self.sharing.name)
+    def request_observations(self, to: str) -> None:
+        self._send(to, "send_known_observations", self.sharing.name)
 
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
         if self.shares.counts:
--- a/curlewshift/emulator/sharing_bytes.py
+++ b/curlewshift/emulator/sharing_bytes.py
@@ -46,7 +46,7 @@
             for server in self.fleet:
                 if server.link.own:
                     # a report arrives, and the use of the server changes
-                    server.heard_at = self.clock
+                    server.last_seen_at = self.clock
                     server.link.own = 700.0 * self.rng.uniform(0.9, 1.1)
             self.sharing.time()
         return self
@@ -71,18 +71,18 @@
     def members(self) -> list[str]:
         return self.names[1:]
 
-    def tell_use(self, to: str, rows: list) -> None:
+    def send_use(self, to: str, rows: list) -> None:
         self._count(USE, uses=rows)
         # as many reports of other fronts are received and answered
         self._count(SUMS, sums=[(key, value, 100_000_000, 0.5, 200_000_000) for key, value in rows])
 
-    def tell_seen(self, to: str, rows: list) -> None:
+    def send_observations(self, to: str, rows: list) -> None:
         self._count(SEEN, seen=rows)
 
     def ignore(self, *arguments, **more) -> None:
         """Not counted. Requests for rights are rare, since only cold servers have rights."""
 
-    ask = lend = give_back_to = tell_sums = tell_report = ask_what_is_known = ignore
+    ask = lend = give_back_to = send_sums = send_link_report = request_observations = ignore
     rights_held = doubted = counted = uplink_counted = link_reported = seen_warm = clock_off = ignore
 
 
--- a/curlewshift/emulator/version_histories.py
+++ b/curlewshift/emulator/version_histories.py
@@ -72,13 +72,13 @@
     def ring(self) -> list[Peer]:
         return [peer for peer in self.members.values() if peer.is_present]
 
-    def carries(self, kind: int, handler) -> None:
+    def register_handler(self, kind: int, handler) -> None:
         self.handler = handler
 
-    def rides(self, rider, handler) -> None:
+    def register_piggyback(self, rider, handler) -> None:
         self.rider, self.piggyback_handler = rider, handler
 
-    def say(self, to: Peer, kind: int, body: bytes) -> bool:
+    def send(self, to: Peer, kind: int, body: bytes) -> bool:
         self.process.history.transmit(self.process, to.name, body)
         return True
 
@@ -92,7 +92,7 @@
         self.copy: bytes | None = None
         self.vote: bytes | None = None
         self.disk_full = False
-        self.wire: DistributionWire | None = None
+        self.wire: DistributionProtocol | None = None
         # the version number in force in this life, and the highest that was written to this disk
         self.life_number = self.number = (0, 0)
 
@@ -127,7 +127,7 @@
         # some nodes refuse some versions, as older programs refuse newer settings
         return "line 1: not for me" if b"refused-by " + self.name.encode() + b";" in content else None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         self.history.version_taken(self, version, content)
         return None
 
@@ -162,7 +162,9 @@
 class VersionHistory:
     """One random history; the seed decides sizes, message loss and faults. Zero for `nodes` draws the count at random."""
 
-    def __init__(self, seed: int, wire: type[DistributionWire] = DistributionWire, nodes: int = 0, with_faults: bool = True):
+    def __init__(
+        self, seed: int, wire: type[DistributionProtocol] = DistributionProtocol, nodes: int = 0, with_faults: bool = True
+    ):
         self.seed, self.rng, self.now, self.wire = seed, Random(f"versions {seed}"), 1000 * NS, wire
         rng = self.rng
         self.queue: list[tuple] = []
@@ -505,7 +507,7 @@
 class OldOverNew(Copy):
     """Takes whichever version it received last, though it may be older."""
 
-    def heard(self, version):
+    def version_announced(self, version):
         changed, self.newest = version != self.newest, version
         return changed
 
@@ -523,7 +525,7 @@
         return super()._take(version, content, already_stored)
 
 
-class DigestUncheckedFetch(Fetch):
+class DigestUncheckedFetch(Fetcher):
     """Does not check the digest of a fetched content."""
 
     def _fits(self, content, version):
@@ -579,9 +581,9 @@
         super()._make()
 
 
-def wire_of(**classes) -> type[DistributionWire]:
+def wire_of(**classes) -> type[DistributionProtocol]:
     """Returns the wire class with these classes in place of its own."""
-    return type("Planted", (DistributionWire,), classes)
+    return type("Planted", (DistributionProtocol,), classes)
 
 
 FAULTS = {
@@ -596,6 +598,6 @@
 }
 
 
-def planted(fault: str) -> type[DistributionWire]:
+def planted(fault: str) -> type[DistributionProtocol]:
     """Returns the wire class with the planted fault of this name."""
     return wire_of(**{f"{part}_class": kind for part, kind in FAULTS[fault].items()})
--- a/curlewshift/emulator/versions.py
+++ b/curlewshift/emulator/versions.py
@@ -47,7 +47,7 @@
     ).encode()
 
 
-class SharedLibrary(Library):
+class SharedLibrary(ContentCache):
     """Shares equal contents between all nodes of the fleet; a copy for each would take gigabytes."""
 
     contents_by_digest: dict[bytes, bytes] = {}
@@ -56,7 +56,7 @@
         super().hold(self.contents_by_digest.setdefault(digest_of(content), content))
 
 
-class EmulatedWire(DistributionWire):
+class EmulatedWire(DistributionProtocol):
     """The production wire with shared contents."""
 
     library_class = SharedLibrary
@@ -109,7 +109,7 @@
             self.fleet.queue.at(self.fleet.queue.now + ROUND_INTERVAL, self._run_round, life)
 
     def _count_distribution(self, channel) -> None:
-        say, rides = channel.say, channel.rides
+        say, register_piggyback = channel.send, channel.register_piggyback
 
         def counted_say(to, kind, body) -> bool:
             before = self.sent
@@ -123,9 +123,9 @@
                 self.distribution_sent += len(body)
                 return body
 
-            rides(counted_rider, handler)
+            register_piggyback(counted_rider, handler)
 
-        channel.say, channel.rides = counted_say, counted_rides
+        channel.send, channel.register_piggyback = counted_say, counted_rides
 
     def post(self, address: tuple[str, int], data: bytes) -> None:
         self.sent += len(data)
@@ -139,11 +139,11 @@
     def check_configuration(self, content: bytes) -> str | None:
         return None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         self.fleet.record_in_force(self, version)
         return None
 
-    def keep_configuration(self, data: bytes) -> None:
+    def store_configuration(self, data: bytes) -> None:
         # equal copies are shared, like contents
         self.copy = self.fleet.disks.setdefault(data, data)
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -526,7 +526,7 @@
         self.assertEqual(wire.version, "file")
 
     def test_malformed_messages_are_counted_and_dropped(self):
-        wire: DistributionWire = VersionHistory(3, nodes=3, with_faults=False).processes["n0"].wire
+        wire: DistributionProtocol = VersionHistory(3, nodes=3, with_faults=False).processes["n0"].wire
         member, rng = wire.channel.members["n1"], Random(1)
         for _ in range(200):
             wire.handle_message(member, rng.randbytes(rng.randrange(60)))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -77,8 +77,8 @@
         history = UntroubledHistory()
         sent, proposer = [], history.fronts[4].proposer
         history.send = lambda sender, to, part, what, arguments: sent.append((to, what, arguments))
-        proposer._ask("l0", proposer.tries["l0"], proposer._now())
-        ballot = proposer.tries["l0"].ballot
+        proposer._prepare("l0", proposer.views["l0"], proposer._now())
+        ballot = proposer.views["l0"].ballot
         for acceptor in (0, 1):
             proposer.promise(acceptor, "l0", ballot, -1, NONE, 0)
         self.assertTrue(proposer.views["l0"].proposing)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -175,7 +175,7 @@
     def test_each_planted_fault_is_found(self):
         for name, fault in FAULTS.items():
             self.assertTrue(any(overdrawn(range(seed, seed + 1), fault, SeatHistory) for seed in range(60)), name)
-        self.assertTrue(any(overdrawn(range(seed, seed + 1), StandingLoans, UnreportedHistory) for seed in range(60)))
+        self.assertTrue(any(overdrawn(range(seed, seed + 1), RenewableLoans, UnreportedHistory) for seed in range(60)))
 
 
 class Fleet:
