--- a/curlewshift/emulator/front.py
+++ b/curlewshift/emulator/front.py
@@ -383,7 +383,7 @@
             ),
         )
 
-    def taken_up(self, stored: StoredSession, server: Server):
+    def resume(self, stored: StoredSession, server: Server):
         front_session = self.session_core.handed_over(
             stored.package, stored.title, stored.ceiling, server, stored.path, stored.rung, stored.key, Offer(stored.offer)
         )
@@ -394,5 +394,5 @@
     def session_of(self, listed: ListedSession, doubt: InterruptedSetup | None) -> str:
         return listed.path
 
-    def forgotten(self, stored: StoredSession) -> None:
+    def ended_before_resume(self, stored: StoredSession) -> None:
         self._append_record(self.book.ended(stored.token))
--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -154,8 +154,8 @@
         for member in members:
             member.joined = True
             member.told([other.local_member.claim() for other in members if other is not member], "settled")
-            for name in list(member.news.level):
-                member.news.drop(name)
+            for name in list(member.updates.transmissions):
+                member.updates.drop(name)
 
     def run(self, seconds: float) -> None:
         """Runs the fleet for this virtual time."""
