--- a/curlewshift/scale/__init__.py
+++ b/curlewshift/scale/__init__.py
@@ -1,1 +1,4 @@
-"""Hollow nodes on real sockets beside real ones, their load, faults and slopes. It drives, and decides nothing."""
+"""Scale runs and slope measurements: hollow nodes (all node protocols, no viewers) and real nodes, load and faults.
+
+This package only drives the nodes under test; it makes no policy decisions.
+"""
--- a/curlewshift/scale/fits.py
+++ b/curlewshift/scale/fits.py
@@ -1,8 +1,8 @@
-"""Straight lines through measured points, with their errors, and whether the points are straight at all. No I/O.
+"""Linear regression of measured points, with standard errors and tests of linearity. No I/O.
 
-Called by the slopes of a real node; its figures go into docs/measured/ as they are. Points are called not straight by either of
-two tests (any textbook of regression has them): a quadratic term beyond its error, and, where sizes were repeated, means of
-sizes that lie off the line by more than their repeats differ (lack of fit), as a step does that no parabola follows.
+Used for the slopes of a real node; the figures go into docs/measured/ unchanged. Points are reported as not straight by either of
+two standard regression tests: a significant quadratic term, and, where sizes were repeated, lack of fit (the means of the sizes
+deviate from the line by more than the repeats scatter). The second finds steps, which a parabola does not follow.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 from dataclasses import dataclass
 from math import exp, inf, lgamma, log, sqrt
 
-# What chance does not do more often than so: of each test, as two are made.
-CHANCE = 0.025
-# What is proven and yet so small a part of the rise makes no figure wrong that is carried beyond the points by a little.
-BEND = 0.05
-SIZES_LEAST = 4
+# Significance level of each test; two tests are made.
+SIGNIFICANCE_LEVEL = 0.025
+# A significant deviation below this fraction of the rise is ignored: it does not spoil a modest extrapolation.
+MIN_DEVIATION = 0.05
+MIN_SIZES = 4
 
 
 class TooFewPoints(ValueError):
-    """Points of which nothing can be said."""
+    """Too few different sizes to fit a line and test its linearity."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
     """y = intercept + slope * x by least squares. `slope_error` is the standard error, `worst_residual` the largest distance
-    of a point in units of y; `by` says what the tests found."""
+    of a point in units of y; `by` describes the results of the tests."""
 
     intercept: float
     slope: float
@@ -34,7 +34,7 @@
     straight: bool
     by: str
 
-    def told(self) -> dict:
+    def as_record(self) -> dict:
         return {
             "intercept": rounded(self.intercept),
             "slope": rounded(self.slope),
@@ -48,70 +48,75 @@
 def fit(points: list[tuple[float, float]]) -> Fit:
     """Raises `TooFewPoints` under four different x."""
     xs, ys, count = [float(x) for x, _ in points], [float(y) for _, y in points], len(points)
-    if len(set(xs)) < SIZES_LEAST:
-        raise TooFewPoints(f"{len(set(xs))} different sizes, from {SIZES_LEAST} on a slope can be told from a bend")
+    if len(set(xs)) < MIN_SIZES:
+        raise TooFewPoints(f"{len(set(xs))} different sizes; at least {MIN_SIZES} are needed to tell a line from a curve")
     middle, mean = sum(xs) / count, sum(ys) / count
-    # x in parts of its own span: squares of 68,000 beside 1 would cost the digits
+    # x is scaled by its span: squares of 68,000 next to 1 would lose floating-point precision
     span = max(xs) - min(xs)
     us = [(x - middle) / span for x in xs]
     uu = sum(u * u for u in us)
     slope = sum(u * (y - mean) for u, y in zip(us, ys)) / uu
-    rests = [y - mean - slope * u for u, y in zip(us, ys)]
-    left = sum(rest * rest for rest in rests)
-    # under the digits that floats keep, nothing is a measurement
+    residuals = [y - mean - slope * u for u, y in zip(us, ys)]
+    residual_sum = sum(residual * residual for residual in residuals)
+    # differences below this are floating-point rounding
     floor = 1e-12 * (abs(mean) + abs(slope))
-    bent, bend = _bent(us, rests, uu, left, floor, abs(slope))
-    off, step = _off(us, rests, floor, abs(slope))
+    bent, bend = _test_curvature(us, residuals, uu, residual_sum, floor, abs(slope))
+    off, step = _test_lack_of_fit(us, residuals, floor, abs(slope))
     return Fit(
         mean - slope * middle / span,
         slope / span,
-        sqrt(left / (count - 2) / uu) / span,
-        max(map(abs, rests)),
+        sqrt(residual_sum / (count - 2) / uu) / span,
+        max(map(abs, residuals)),
         not (bent or off),
-        f"{bend}; {step}; not straight where one of them is under {100 * CHANCE:g}% and over {100 * BEND:g}% of the rise",
+        f"{bend}; {step}; not straight where one of them is under {100 * SIGNIFICANCE_LEVEL:g}% and over "
+        f"{100 * MIN_DEVIATION:g}% of the rise",
     )
 
 
-def _bent(us: list[float], rests: list[float], uu: float, left: float, floor: float, rise: float) -> tuple[bool, str]:
-    """The quadratic term against its error."""
+def _test_curvature(
+    us: list[float], residuals: list[float], uu: float, residual_sum: float, floor: float, rise: float
+) -> tuple[bool, str]:
+    """F test of the quadratic term."""
     count = len(us)
-    # what is new in the square: of no mean and at a right angle to u
+    # the square, made orthogonal to the constant and to u
     square, skew = uu / count, sum(u**3 for u in us) / uu
     qs = [u * u - square - skew * u for u in us]
     qq = sum(q * q for q in qs)
-    curve = sum(q * rest for q, rest in zip(qs, rests)) / qq
-    # a parabola leaves its chord by a quarter of its coefficient
-    return _judged("quadratic term", curve * curve * qq, 1, left - curve * curve * qq, count - 3, abs(curve) / 4, floor, rise)
+    curve = sum(q * residual for q, residual in zip(qs, residuals)) / qq
+    # over a span of 1 a parabola deviates from its chord by a quarter of its coefficient
+    return _f_test(
+        "quadratic term", curve * curve * qq, 1, residual_sum - curve * curve * qq, count - 3, abs(curve) / 4, floor, rise
+    )
 
 
-def _off(us: list[float], rests: list[float], floor: float, rise: float) -> tuple[bool, str]:
-    """How far the means of sizes lie off the line against how far repeats differ."""
+def _test_lack_of_fit(us: list[float], residuals: list[float], floor: float, rise: float) -> tuple[bool, str]:
+    """Lack-of-fit F test: deviation of the means of sizes from the line against the scatter of repeats."""
     by_size = defaultdict(list)
-    for u, rest in zip(us, rests):
-        by_size[u].append(rest)
+    for u, residual in zip(us, residuals):
+        by_size[u].append(residual)
     if len(by_size) == len(us):
         return False, "no size repeated, so that a step is not told from noise"
     means = {u: sum(same) / len(same) for u, same in by_size.items()}
     lack = sum(len(same) * means[u] ** 2 for u, same in by_size.items())
-    pure = sum((rest - means[u]) ** 2 for u, same in by_size.items() for rest in same)
-    most = max(map(abs, means.values()))
-    return _judged("lack of fit", lack, len(by_size) - 2, pure, len(us) - len(by_size), most, floor, rise)
+    pure = sum((residual - means[u]) ** 2 for u, same in by_size.items() for residual in same)
+    max_distance = max(map(abs, means.values()))
+    return _f_test("lack of fit", lack, len(by_size) - 2, pure, len(us) - len(by_size), max_distance, floor, rise)
 
 
-def _judged(
+def _f_test(
     name: str, found: float, of: int, noise: float, free: int, size: float, floor: float, rise: float
 ) -> tuple[bool, str]:
     noise = max(0.0, noise)
     ratio = 0.0 if size <= floor else found / of / (noise / free) if noise > free * floor * floor else inf
     p_value, part = f_tail(ratio, of, free), size / max(rise, floor, 1e-300)
     return (
-        p_value < CHANCE and part > BEND,
+        p_value < SIGNIFICANCE_LEVEL and part > MIN_DEVIATION,
         f"{name}: F({of}, {free}) {ratio:.3g}, chance {100 * p_value:.2g}%, {100 * part:.1f}% of the rise",
     )
 
 
 def f_tail(ratio: float, of: int, free: int) -> float:
-    """How often chance alone gives so large a ratio of variances (the F distribution, by the incomplete beta function)."""
+    """Upper tail probability of the F distribution at `ratio`, by the incomplete beta function."""
     if ratio <= 0:
         return 1.0
     if ratio == inf:
@@ -120,11 +125,11 @@
 
 
 def _beta(a: float, b: float, x: float) -> float:
-    """The regularized incomplete beta function by its continued fraction (DLMF 8.17.22), by Lentz's way."""
+    """The regularized incomplete beta function by its continued fraction (DLMF 8.17.22), by Lentz's method."""
     if x >= 1.0:
         return 1.0
     if x > (a + 1) / (a + b + 2):
-        # it converges fast below its mean, and the other end is the same by symmetry
+        # the fraction converges fast below the mean; above it the symmetry relation is used
         return 1.0 - _beta(b, a, 1.0 - x)
     front = exp(lgamma(a + b) - lgamma(a) - lgamma(b) + a * log(x) + b * log(1.0 - x)) / a
     tiny = 1e-300
@@ -146,5 +151,5 @@
 
 
 def rounded(value: float, digits: int = 5) -> float:
-    """As many digits as a measurement has, and not more."""
+    """Rounded to `digits` significant digits."""
     return float(f"{value:.{digits}g}")
--- a/curlewshift/scale/fleet.py
+++ b/curlewshift/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run: relays, hollow nodes, real fronts with their stand-in servers; and that none outlives it."""
+"""The processes of a scale run: relays, hollow nodes, and real fronts with their stand-in servers. All end with the run."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from curlewshift.fault_injection.processes import ChildProcess, free_ports, listens
 from curlewshift.front.control import tell
 from curlewshift.scale.plan import CONTROL, KEEPERS, Place, Plan, write_plan
-from curlewshift.scale.talk import Spoken
+from curlewshift.scale.talk import CommandedProcess
 
 SERVERS = 4
-START_WITHIN = 60.0
+START_TIMEOUT_S = 60.0
 SITE = (
     """<site name="scale">
   <fronts most-waiting="1000">{fronts}
@@ -30,11 +30,11 @@
 
 
 class RunFailed(Exception):
-    """Something of the run did not come up, or ended by itself; its log says why."""
+    """A process of the run did not start or exited by itself; its log says why."""
 
 
 class RealFront:
-    """A front as it serves, over its lives."""
+    """A front as run in service, over its lives (a life is one run of the process)."""
 
     def __init__(self, fleet: Fleet, site: str, name: str, port: int):
         self.fleet, self.site, self.name, self.port = fleet, site, name, port
@@ -50,14 +50,14 @@
             ["front", str(self.fleet.out / f"{self.site}.xml"), "--name", self.name, "--seed", "1", "--state", str(self.state)],
             f"{self.site}-{self.name}",
         )
-        if not await listens(self.port, START_WITHIN):
+        if not await listens(self.port, START_TIMEOUT_S):
             raise RunFailed(f"front {self.name} does not listen; see {self.fleet.out / f'{self.site}-{self.name}.log'}")
         self.open = True
 
     def kill(self) -> None:
         self.open = False
         self.core_before += cpu_of(self.child.process.pid)
-        self.fleet.ends(self.child)
+        self.fleet.end_child(self.child)
 
     def core(self) -> float:
         """Seconds of processor time over all its lives."""
@@ -74,18 +74,18 @@
 
 
 class Fleet:
-    """`heard` is told which relay says what unasked; `apart`: whether fronts are wanted that know no hollow
-    node. Whoever starts it calls `end_all`, which ends every process by its id."""
+    """`on_tick` is called with a relay's number and each periodic report of it; `apart`: whether to also start
+    fronts that know no hollow node. The caller that starts it calls `end_all`, which ends every process by its id."""
 
-    def __init__(self, plan: Plan, out: Path, heard, apart: bool = True):
-        self.plan, self.out, self.heard, self.wants_apart = plan, out, heard, apart
+    def __init__(self, plan: Plan, out: Path, on_tick, apart: bool = True):
+        self.plan, self.out, self.on_tick, self.wants_apart = plan, out, on_tick, apart
         for left_over in out.glob("*.log"):
             left_over.unlink()
         for name in ("site", "apart"):
             shutil.rmtree(out / name, ignore_errors=True)
         self.children: dict[ChildProcess, str] = {}
-        self.relays: list[Spoken] = []
-        self.hollow: dict[int, Spoken] = {}
+        self.relays: list[CommandedProcess] = []
+        self.hollow: dict[int, CommandedProcess] = {}
         self.real: dict[str, RealFront] = {}
         self.apart: list[RealFront] = []
 
@@ -96,20 +96,20 @@
         self.children[child] = log
         return child
 
-    def ends(self, child: ChildProcess) -> None:
+    def end_child(self, child: ChildProcess) -> None:
         self.children.pop(child, None)
         child.kill()
 
     def end_all(self) -> None:
         for child in list(self.children):
-            self.ends(child)
+            self.end_child(child)
 
-    def fallen(self) -> list[str]:
-        """Who ended though nobody ended it."""
+    def exited_children(self) -> list[str]:
+        """Log names of the processes that exited by themselves."""
         return [log for child, log in self.children.items() if child.process.poll() is not None]
 
     def memory(self) -> float:
-        """kB of all its processes now."""
+        """Current memory of all its processes (kB)."""
         total = 0.0
         for child in self.children:
             try:
@@ -121,48 +121,53 @@
     # ---- the start
 
     async def start(self, tasks) -> None:
-        """Raises `RunFailed`. Hollow nodes are there and silent until `play` starts them; real fronts run."""
+        """Raises `RunFailed`. Hollow nodes exist but send nothing until the run starts them; real fronts run."""
         self.plan.lay_out()
         write_plan(self.out, self.plan)
         for part in range(self.plan.relays):
             self.relays.append(
-                self._spoken(["scale", "relay", str(self.out), str(part)], f"relay-{part}", tasks, partial(self.heard, part))
+                self._start_commanded(
+                    ["scale", "relay", str(self.out), str(part)], f"relay-{part}", tasks, partial(self.on_tick, part)
+                )
             )
         reach: dict[str, int] = {}
         for relay in self.relays:
-            reach |= (await self._told(relay))["reach"]
+            reach |= (await self._first_answer(relay))["reach"]
         for place in self.plan.places:
             place.reach = reach[place.name]
         servers = self._write_sites()
         write_plan(self.out, self.plan)
         for process in sorted({place.process for place in self.plan.named("hollow", "control")}):
-            self.hollow[process] = self._spoken(["scale", "hollow", str(self.out), str(process)], f"hollow-{process}", tasks)
+            self.hollow[process] = self._start_commanded(
+                ["scale", "hollow", str(self.out), str(process)], f"hollow-{process}", tasks
+            )
         await self._start_service(servers)
-        for spoken in self.hollow.values():
-            await self._told(spoken)
+        for commanded in self.hollow.values():
+            await self._first_answer(commanded)
 
-    def _spoken(self, arguments: list[str], log: str, tasks, heard=lambda told: None) -> Spoken:
-        spoken = Spoken(self.child(arguments, log, talks=True), heard)
-        tasks.start_soon(spoken.read)
-        return spoken
+    def _start_commanded(self, arguments: list[str], log: str, tasks, on_tick=lambda message: None) -> CommandedProcess:
+        commanded = CommandedProcess(self.child(arguments, log, talks=True), on_tick)
+        tasks.start_soon(commanded.read)
+        return commanded
 
-    async def _told(self, spoken: Spoken) -> dict:
+    async def _first_answer(self, commanded: CommandedProcess) -> dict:
         try:
-            return await spoken.told(START_WITHIN)
+            return await commanded.next_answer(START_TIMEOUT_S)
         except TimeoutError:
-            log = self.children[spoken.child]
+            log = self.children[commanded.child]
             raise RunFailed(f"{log} does not start; see {self.out / log}.log") from None
 
     def _write_sites(self) -> list[int]:
-        """Of the fleet, and of as many fronts that know each other alone, to be compared with; the ports of list and servers."""
+        """Writes the site of the fleet and, for comparison, one of as many fronts without hollow nodes. Returns the ports of the
+        server list and the servers."""
         real = self.plan.named("real")
         ports = free_ports(2 * len(real) + SERVERS + 1, Random(os.getpid()))
-        doors, apart, service = ports[: len(real)], ports[len(real) : 2 * len(real)], ports[2 * len(real) :]
-        door_of = {place.name: port for place, port in zip(real, doors)}
+        front_ports, apart, service = ports[: len(real)], ports[len(real) : 2 * len(real)], ports[2 * len(real) :]
+        port_of = {place.name: port for place, port in zip(real, front_ports)}
         self._write_site(
-            "site", [(place, door_of.get(place.name, 9), place.listen, place.reach) for place in self.plan.places], *service
+            "site", [(place, port_of.get(place.name, 9), place.listen, place.reach) for place in self.plan.places], *service
         )
-        self.real = {place.name: RealFront(self, "site", place.name, door_of[place.name]) for place in real}
+        self.real = {place.name: RealFront(self, "site", place.name, port_of[place.name]) for place in real}
         if self.wants_apart and real:
             self.apart = [RealFront(self, "apart", place.name, port) for place, port in zip(real, apart)]
             self._write_site(
@@ -171,12 +176,12 @@
         return service
 
     async def _start_service(self, ports: list[int]) -> None:
-        """Servers with their list, and the fronts."""
+        """Starts the servers with their list, and the fronts."""
         if not self.real:
             return
         self.child(["standin", "server", str(self.out / "site.xml"), "--setup-work", "0"], "servers")
         for port in ports:
-            if not await listens(port, START_WITHIN):
+            if not await listens(port, START_TIMEOUT_S):
                 raise RunFailed(f"nothing listens at port {port}; see {self.out / 'servers.log'}")
         async with anyio.create_task_group() as tasks:
             for front in [*self.real.values(), *self.apart]:
@@ -220,32 +225,32 @@
             )
         )
 
-    # ---- what is done to nodes
+    # ---- commands to nodes and relays
 
-    def process_of(self) -> dict[int, list[str]]:
-        told: dict[int, list[str]] = {}
+    def names_by_process(self) -> dict[int, list[str]]:
+        names_of: dict[int, list[str]] = {}
         for place in self.plan.named("hollow", "control"):
-            told.setdefault(place.process, []).append(place.name)
-        return told
+            names_of.setdefault(place.process, []).append(place.name)
+        return names_of
 
-    async def hollow_do(self, do: str, names: set[str] | None = None, empty: bool = False) -> None:
-        """`start` or `stop`; all of them where no names are said. `empty`: their disks are lost."""
-        for process, here in self.process_of().items():
+    async def command_hollow_nodes(self, do: str, names: set[str] | None = None, empty: bool = False) -> None:
+        """`do`: `start` or `stop`. All hollow nodes where `names` is None. `empty`: their disks are lost."""
+        for process, here in self.names_by_process().items():
             affected = here if names is None else [name for name in here if name in names]
             if affected:
                 await self.hollow[process].ask({"do": do, "names": affected, "empty": empty})
 
-    async def ways(self, **how) -> None:
+    async def set_relay_faults(self, **settings) -> None:
         for relay in self.relays:
-            await relay.ask({"do": "ways", **how})
+            await relay.ask({"do": "ways", **settings})
 
-    async def asked_of_all(self, spoken: list[Spoken], do: str) -> list[dict]:
-        answers: list[dict | None] = [None] * len(spoken)
+    async def request_all(self, commanded: list[CommandedProcess], do: str) -> list[dict]:
+        answers: list[dict | None] = [None] * len(commanded)
 
-        async def one(at: int) -> None:
-            answers[at] = await spoken[at].ask({"do": do})
+        async def request_one(at: int) -> None:
+            answers[at] = await commanded[at].ask({"do": do})
 
         async with anyio.create_task_group() as tasks:
-            for at in range(len(spoken)):
-                tasks.start_soon(one, at)
+            for at in range(len(commanded)):
+                tasks.start_soon(request_one, at)
         return answers
--- a/curlewshift/scale/hollow.py
+++ b/curlewshift/scale/hollow.py
@@ -1,4 +1,4 @@
-"""A process of hollow nodes: makes them, stops and starts them, and tells what each spent. Started by scale/fleet.py."""
+"""A process of hollow nodes: creates, starts and stops them, and reports what each used. Started by scale/fleet.py."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from curlewshift.fault_injection.joins import memory_of
 from curlewshift.scale.node import HollowNode
 from curlewshift.scale.plan import read_plan
-from curlewshift.scale.talk import obey, say
+from curlewshift.scale.talk import send_message, serve_commands
 from curlewshift.site.site import read_site
 from curlewshift.standins.running import until_told
 
-# What belongs to nobody: a walk over a node's objects does not go through it.
+# Objects shared by the whole program: the traversal of a node's objects skips them.
 NOT_WALKED = (type, ModuleType, FunctionType, BuiltinFunctionType)
 
 
-class Hollow:
+class HollowProcess:
     def __init__(self, folder: Path, process: int, tasks):
         self.tasks = tasks
         plan, site = read_plan(folder), read_site(folder / "site.xml")
-        # read once for all of this process, as its nodes would be if each were alone
+        # plan and site are read once for all nodes of this process
         self.shared = {id(plan), id(site)}
         self.empty = memory_of(os.getpid())
         self.nodes = {place.name: HollowNode(plan, site, place) for place in plan.places if place.process == process}
@@ -52,14 +52,14 @@
         return {}
 
     async def put(self, content: bytes, within: float) -> dict:
-        """By the control machine that holds the lease, as soon as one does."""
+        """Publishes a configuration at the control machine that holds the lease, as soon as one does; `within` in s."""
         began = time.monotonic()
         while time.monotonic() < began + within:
             for node in self.nodes.values():
                 if node.scope is not None and node.distributed is not None and node.fence():
                     wire = node.distributed
-                    told = await wire.put(content, wire.version, began + within - time.monotonic())
-                    return {**told, "by": node.place.name, "took_s": time.monotonic() - began}
+                    result = await wire.put(content, wire.version, began + within - time.monotonic())
+                    return {**result, "by": node.place.name, "took_s": time.monotonic() - began}
             await anyio.sleep(0.05)
         return {"ok": False, "wrong": "no control machine held the lease", "took_s": within}
 
@@ -77,7 +77,7 @@
         }
 
     def weigh(self) -> dict[str, float]:
-        """kB of one node's own objects by subsystem: what hangs on each and on none before it."""
+        """Memory (kB) of one node's own objects by subsystem: those reachable from it and from no earlier subsystem."""
         node = next(iter(self.nodes.values()))
         known = {
             id(node),
@@ -92,20 +92,20 @@
         }
         for part in node.parts.values():
             known.add(id(part))
-        told = {}
+        result = {}
         for name, part in [*node.parts.items(), ("model", node.session_core)]:
-            told[name] = round(weight(part, known) / 1024, 1)
-        return told
+            result[name] = round(retained_size(part, known) / 1024, 1)
+        return result
 
 
-def weight(root, known: set[int]) -> int:
-    """Bytes of all that hangs on an object, as the interpreter counts them, beyond what is known already."""
+def retained_size(root, known: set[int]) -> int:
+    """Bytes of all objects reachable from `root`, by `sys.getsizeof`, except those in `known`; adds them to `known`."""
     known.add(id(root))
     waiting, total = [root], 0
     while waiting:
-        one = waiting.pop()
-        total += sys.getsizeof(one)
-        for held in gc.get_referents(one):
+        item = waiting.pop()
+        total += sys.getsizeof(item)
+        for held in gc.get_referents(item):
             if id(held) not in known and not isinstance(held, NOT_WALKED):
                 known.add(id(held))
                 waiting.append(held)
@@ -113,10 +113,10 @@
 
 
 async def run_hollow(folder: Path, process: int) -> None:
-    """Tells once its sockets are open, then obeys."""
+    """Reports once when its sockets are open, then executes commands until the end of input."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(until_told, tasks)
-        hollow = Hollow(folder, process, tasks)
-        say({"ready": len(hollow.nodes)})
-        await obey(hollow.carry_out)
+        hollow = HollowProcess(folder, process, tasks)
+        send_message({"ready": len(hollow.nodes)})
+        await serve_commands(hollow.carry_out)
         tasks.cancel_scope.cancel()
--- a/curlewshift/scale/judge.py
+++ b/curlewshift/scale/judge.py
@@ -1,8 +1,8 @@
-"""Whether views agree and are right, and whether anybody sound was called gone, from what the relays saw alone.
+"""Checks that membership views agree and are right, and that no healthy node was declared gone, from the relayed frames alone.
 
-A frame bears its sender's life, incarnation and the digest of its view (docs/peers.md). Who runs is the run's own record of whom
-it started, stopped or killed; the digest that all have to show follows from that and from what each shows of itself. Nothing here
-comes from the program that is judged.
+A frame carries its sender's life (the number of its process run; a restart is a new life), its incarnation and the digest of its
+view (docs/peers.md). Which nodes run is known from the run's own record of starts, stops and kills; the expected digest follows
+from that and from the life and incarnation that each node shows. No code of the program under test is used here.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from hashlib import blake2b
 from math import inf
 
-# What a node that was struck is still called, and what it calls others, for so many periods after it is over.
-SHOWS_ON = 16
+# Periods after the end of a fault in which an affected node may still be declared gone or declare others gone.
+GRACE_PERIODS = 16
 
 
 def digest_of(name: str, life: int, incarnation: int) -> int:
-    """As docs/peers.md has it: what one member adds to a view by exclusive or."""
+    """One member's contribution to the digest of a view, combined by exclusive or (docs/peers.md)."""
     return int.from_bytes(blake2b(f"{name} {life} {incarnation}".encode(), digest_size=8).digest(), "big") >> 2
 
 
 class VersionsSeen:
-    """Which version of the configuration each showed when, by what rides on its probes: up to a period after it held it."""
+    """Configuration versions by node and time, as piggybacked on probes: up to one period after the node stored them."""
 
     def __init__(self):
-        # of the life that runs: version, since when, rising
-        self.course: dict[str, list[tuple[tuple[int, int], float]]] = {}
-        # over all lives of a name; a node that came back empty may hold nothing for a while, and never less than it held
+        # by node, in its current life: (version, time first shown), rising
+        self.versions_since: dict[str, list[tuple[tuple[int, int], float]]] = {}
+        # highest over all lives of a name; after losing its disk a node may show none, but never an older one
         self.highest: dict[str, tuple[int, int]] = {}
         self.last: dict[str, tuple[int, int]] = {}
         self.digests: dict[tuple[int, int], str] = {}
@@ -34,7 +34,7 @@
         self.forks: list[str] = []
 
     def saw(self, name: str, life: int, version: list, at: float, datagram: int) -> None:
-        """What rode on a datagram of that number; one relay may tell of it after another told of a later one."""
+        """Records the version carried by datagram number `datagram`; relays may report datagrams out of order."""
         number, digest = (version[0], version[1]), version[2]
         if number == (0, 0):
             return
@@ -45,23 +45,23 @@
             self.last[name] = life, datagram
             if number < self.highest.get(name, number):
                 self.regressions.append(f"{name} shows {number} after {self.highest[name]}")
-        course = self.course.setdefault(name, [])
-        if not course or number > course[-1][0]:
-            course.append((number, at))
+        versions_since = self.versions_since.setdefault(name, [])
+        if not versions_since or number > versions_since[-1][0]:
+            versions_since.append((number, at))
         self.highest[name] = max(number, self.highest.get(name, number))
 
     def down(self, name: str) -> None:
-        self.course.pop(name, None)
+        self.versions_since.pop(name, None)
 
     def emptied(self, name: str) -> None:
-        """Its disk is lost: it may begin anew from what it is given."""
+        """Its disk is lost: it may restart from any version that it is given."""
         self.highest.pop(name, None)
 
     def reached(self, number: tuple[int, int], names: Iterable[str]) -> tuple[list[float], list[str]]:
-        """When each of the names first showed this version or a newer one, and who has not yet."""
+        """Times at which the nodes first showed this version or a newer one, and the nodes that have not yet."""
         times, missing = [], []
         for name in names:
-            at = next((at for held, at in self.course.get(name, ()) if held >= number), None)
+            at = next((at for held, at in self.versions_since.get(name, ()) if held >= number), None)
             if at is None:
                 missing.append(name)
             else:
@@ -73,18 +73,18 @@
     """Times are seconds of the machine's monotonic clock."""
 
     def __init__(self, period: float):
-        self.shows_on = SHOWS_ON * period
+        self.grace_s = GRACE_PERIODS * period
         self.shown: dict[str, list] = {}
         self.running: set[str] = set()
-        # when each was struck: from, until
+        # by node: [start, end] of each fault
         self.affected: dict[str, list[list[float]]] = {}
         self.called_gone: dict[tuple[str, int], tuple[str, float]] = {}
         self.versions = VersionsSeen()
 
-    # ---- what the run does
+    # ---- actions of the run
 
-    def strikes(self, names: Iterable[str], at: float, down: bool) -> None:
-        """They are stopped or killed (`down`), or cut off."""
+    def fault_started(self, names: Iterable[str], at: float, down: bool) -> None:
+        """The nodes are stopped or killed (`down`), or cut off."""
         for name in names:
             self.affected.setdefault(name, []).append([at, inf])
             if down:
@@ -92,13 +92,13 @@
                 self.shown.pop(name, None)
                 self.versions.down(name)
 
-    def over(self, names: Iterable[str], at: float) -> None:
+    def fault_ended(self, names: Iterable[str], at: float) -> None:
         for name in names:
             for span in self.affected.get(name, ())[-1:]:
                 span[1] = min(span[1], at)
             self.running.add(name)
 
-    # ---- what the relays saw
+    # ---- reports of the relays
 
     def saw(self, tick: dict) -> None:
         for name, row in tick["shown"].items():
@@ -110,28 +110,29 @@
         for name, life, by, at in tick["gone"]:
             self.called_gone.setdefault((name, life), (by, at))
 
-    def astray(self, groups: Iterable[set[str]]) -> int:
-        """How many of those that run show another view than exactly their group as it is, or show nothing yet."""
-        wrong = 0
+    def wrong_views(self, groups: Iterable[set[str]]) -> int:
+        """Number of running nodes whose view is not exactly the running members of their group, or that show no view yet."""
+        wrong_count = 0
         for group in groups:
             there = [name for name in group if name in self.running]
             held = [self.shown.get(name) for name in there]
             if None in held:
-                wrong += len(there)
+                wrong_count += len(there)
                 continue
-            right = 0
+            expected_digest = 0
             for name, row in zip(there, held):
-                right ^= digest_of(name, row[0], row[1])
-            wrong += sum(row[2] != right for row in held)
-        return wrong
+                expected_digest ^= digest_of(name, row[0], row[1])
+            wrong_count += sum(row[2] != expected_digest for row in held)
+        return wrong_count
 
     def false_gone(self) -> list[str]:
-        """Who was called gone with nothing having befallen it or who said so. What is told of a life that was over is true."""
-        told = []
+        """Nodes declared gone while neither they nor the reporter were affected by a fault. Reports of a life that has ended are
+        true."""
+        found = []
         for (name, _life), (by, at) in sorted(self.called_gone.items()):
-            if not self._befallen(name, at) and not self._befallen(by, at):
-                told.append(f"{by} calls {name} gone")
-        return told
+            if not self._was_affected(name, at) and not self._was_affected(by, at):
+                found.append(f"{by} calls {name} gone")
+        return found
 
-    def _befallen(self, name: str, at: float) -> bool:
-        return any(began <= at <= ended + self.shows_on for began, ended in self.affected.get(name, ()))
+    def _was_affected(self, name: str, at: float) -> bool:
+        return any(began <= at <= ended + self.grace_s for began, ended in self.affected.get(name, ()))
--- a/curlewshift/scale/meter.py
+++ b/curlewshift/scale/meter.py
@@ -1,7 +1,7 @@
-"""What one hollow node spends, by subsystem: processor time of its thread, datagrams and bytes.
+"""Resources used by one hollow node, by subsystem: processor time (ns) of its thread, datagrams and bytes sent.
 
-Sections nest and are exclusive: what is spent in an inner one is not the outer one's, as a datagram of sharing that comes in
-through the channel's reading is sharing's.
+Metered calls nest, and time is exclusive: an inner call's time is not counted for the outer one. Handling a sharing datagram
+that the channel reads, for instance, counts for sharing.
 """
 
 from __future__ import annotations
@@ -32,29 +32,29 @@
             self.spent[name] = Spent()
         return self.spent[name]
 
-    def _turn(self) -> None:
+    def _charge_elapsed(self) -> None:
         now = self.clock()
         if self.open:
             self.of(self.open[-1]).core += now - self.mark
         self.mark = now
 
     def metered(self, name: str, call: Callable) -> Callable:
-        """The same call, on this subsystem's account."""
+        """Wraps a call so that its use is counted for subsystem `name`."""
 
         @wraps(call)
         def counted(*arguments, **more):
-            self._turn()
+            self._charge_elapsed()
             self.open.append(name)
             try:
                 return call(*arguments, **more)
             finally:
-                self._turn()
+                self._charge_elapsed()
                 self.open.pop()
 
         return counted
 
     def sent(self, size: int) -> None:
-        """One datagram, by whoever has its turn."""
+        """Counts one datagram for the innermost subsystem running."""
         spent = self.of(self.open[-1] if self.open else OTHER)
         spent.datagrams += 1
         spent.bytes += size
--- a/curlewshift/scale/node.py
+++ b/curlewshift/scale/node.py
@@ -19,7 +19,7 @@
 from curlewshift.peering.leased import LeaseWire
 from curlewshift.peering.shared import SharedWire
 from curlewshift.peering.wire import PeerWire
-from curlewshift.scale.figures import part_of
+from curlewshift.scale.figures import subsystem_of
 from curlewshift.scale.meter import Meter
 from curlewshift.scale.plan import Load, Place, Plan
 from curlewshift.schedule.clock import Clock
@@ -224,7 +224,7 @@
             if getattr(self, name) is not None:
                 self.parts[PARTS[name]] = getattr(self, name)
         for kind, heard in channel.carried.items():
-            channel.carried[kind] = metered(part_of(kind), heard)
+            channel.carried[kind] = metered(subsystem_of(kind), heard)
         channel.received = metered("membership", channel.received)
         channel.time = metered("membership", channel.time)
         channel.start = metered("membership", channel.start)
--- a/curlewshift/scale/relay.py
+++ b/curlewshift/scale/relay.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from curlewshift.scale.plan import read_plan
-from curlewshift.scale.talk import obey, say
+from curlewshift.scale.talk import send_message, serve_commands
 from curlewshift.standins.relay import LARGEST, Relay
 from curlewshift.standins.running import until_told
 from curlewshift.standins.traffic import Traffic
@@ -127,7 +127,7 @@
         while True:
             await anyio.sleep(TELLS_EVERY)
             gone = list(self.gone.values())
-            say(
+            send_message(
                 {
                     "tick": time.monotonic(),
                     "shown": {name: self.shown[name] for name in self.news},
@@ -162,7 +162,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(until_told, tasks)
         relay = ScaleRelay(folder, part)
-        say({"reach": relay.ports()})
+        send_message({"reach": relay.ports()})
         await relay.run(tasks)
-        await obey(relay.carry_out)
+        await serve_commands(relay.carry_out)
         tasks.cancel_scope.cancel()
--- a/curlewshift/scale/run.py
+++ b/curlewshift/scale/run.py
@@ -13,7 +13,7 @@
 import anyio
 
 from curlewshift.scale.faults import Fault
-from curlewshift.scale.figures import Mark, Stretch, a_node, off, spread
+from curlewshift.scale.figures import Mark, Stretch, per_node_figures, relative_error, spread
 from curlewshift.scale.fleet import Fleet, RunFailed
 from curlewshift.scale.judge import Judge
 from curlewshift.scale.plan import CONTROL, Plan, machine_memory
@@ -123,9 +123,9 @@
         most, _ = machine_memory()
         while True:
             await anyio.sleep(1.0)
-            fallen = self.fleet.fallen()
-            if fallen:
-                raise RunFailed(f"{', '.join(fallen)} ended by itself; see its log in {self.out}")
+            exited_children = self.fleet.exited_children()
+            if exited_children:
+                raise RunFailed(f"{', '.join(exited_children)} ended by itself; see its log in {self.out}")
             self.most_memory = max(self.most_memory, self.fleet.memory())
             if self.most_memory > most:
                 raise RunFailed(f"the run takes {self.most_memory / 2**20:.1f} GiB, over half of this machine's memory")
@@ -134,21 +134,21 @@
         """Seconds from `since` until all views agreed and were right; None if they did not within so long."""
         told = 0.0
         while True:
-            astray = self.judge.astray(groups)
+            wrong_views = self.judge.wrong_views(groups)
             now = time.monotonic()
-            if not astray:
+            if not wrong_views:
                 return round(now - since, 2)
             if now - since > within:
                 return None
             if now - told > 2:
                 told = now
-                self.progress(f"{now - since:5.1f} s: {astray} views are not yet as they should be")
+                self.progress(f"{now - since:5.1f} s: {wrong_views} views are not yet as they should be")
             await anyio.sleep(LOOK)
 
     async def _mark(self) -> Mark:
         fleet = self.fleet
-        relays = await fleet.asked_of_all(fleet.relays, "mark")
-        hollow = await fleet.asked_of_all(list(fleet.hollow.values()), "mark")
+        relays = await fleet.request_all(fleet.relays, "mark")
+        hollow = await fleet.request_all(list(fleet.hollow.values()), "mark")
         return Mark(
             time.monotonic(), relays, dict(zip(fleet.hollow, hollow)), {name: front.core() for name, front in fleet.real.items()}
         )
@@ -160,7 +160,7 @@
         everyone = {place.name for place in plan.places}
         self.progress(f"{plan.nodes} nodes and {CONTROL} control machines in {len(fleet.children)} processes")
         began = time.monotonic()
-        await fleet.hollow_do("start")
+        await fleet.command_hollow_nodes("start")
         judge.running = set(everyone)
         joined = await self._agree([everyone], self.agree_within, began)
         if joined is None:
@@ -173,25 +173,31 @@
         fronts, shared = self._front_names(), self._shared_processes()
         self.figures = {
             "joined_s": joined,
-            "settled_s": round(settling.lasted, 2),
-            "settling": a_node(settling, fronts, shared),
-            "a_node": a_node(quiet, fronts, shared, memory["by_part"]),
-            "control": {**a_node(quiet, [place.name for place in plan.named("control")], [0]), "memory_kB": memory["control_kB"]},
+            "settled_s": round(settling.duration, 2),
+            "settling": per_node_figures(settling, fronts, shared),
+            "a_node": per_node_figures(quiet, fronts, shared, memory["by_part"]),
+            "control": {
+                **per_node_figures(quiet, [place.name for place in plan.named("control")], [0]),
+                "memory_kB": memory["control_kB"],
+            },
             "memory": memory,
             "alone": self._alone(quiet),
             "relay_core": spread(
-                [(after - before) / 1e9 / quiet.lasted for before, after in zip(quiet.begun.relay_core, quiet.ended.relay_core)],
+                [
+                    (after - before) / 1e9 / quiet.duration
+                    for before, after in zip(quiet.begun.relay_core, quiet.ended.relay_core)
+                ],
                 3,
             ),
         }
         for part in ("sharing", "leasing"):
             some = [place.name for place in plan.places if (place.shares if part == "sharing" else place.leases)]
             if some and len(some) < len(plan.named("hollow")):
-                self.figures[f"a_{part}_node"] = a_node(quiet, some, [1, *self._shared_processes()])
+                self.figures[f"a_{part}_node"] = per_node_figures(quiet, some, [1, *self._shared_processes()])
         if fleet.real:
             self.figures["real_node"] = {
                 "core": spread(list(quiet.real_core().values()), 5),
-                "bytes_a_second": spread([sum(quiet.bytes_of(name, part) for part in quiet.parts()) for name in fleet.real], 1),
+                "bytes_a_second": spread([sum(quiet.rate_of(name, part) for part in quiet.parts()) for name in fleet.real], 1),
                 "memory_kB": spread([front.memory() for front in fleet.real.values()], 0),
                 "own_count": await self._real_counts(quiet),
             }
@@ -239,9 +245,9 @@
             "first": await self.versions.change("first", everyone),
             "no_loss": await self.versions.several("no loss", self.plan.in_a_row, everyone),
         }
-        await self.fleet.ways(loss=LOST)
+        await self.fleet.set_relay_faults(loss=LOST)
         told["loss"] = await self.versions.several("5% lost", self.plan.in_a_row, everyone)
-        await self.fleet.ways(loss=self.plan.loss)
+        await self.fleet.set_relay_faults(loss=self.plan.loss)
         return told
 
     async def _stretch_of_changes(self, everyone: set[str]) -> dict | None:
@@ -266,20 +272,20 @@
         return {
             "changes": len(rows),
             "restarts": plan.changes // 5,
-            "lasted_s": round(stretch.lasted, 1),
+            "lasted_s": round(stretch.duration, 1),
             "everywhere_median_s": waits[len(waits) // 2] if waits else None,
             "everywhere_worst_s": waits[-1] if waits else None,
             "not_everywhere": len(rows) - len(waits),
-            "a_node": a_node(stretch, self._front_names(), self._shared_processes()),
-            "control": a_node(stretch, [place.name for place in plan.named("control")], [0]),
+            "a_node": per_node_figures(stretch, self._front_names(), self._shared_processes()),
+            "control": per_node_figures(stretch, [place.name for place in plan.named("control")], [0]),
             "real_core": spread(list(stretch.real_core().values()), 5),
         }
 
     async def _restart(self, name: str) -> None:
-        await self.fleet.hollow_do("stop", {name})
-        self.judge.strikes([name], time.monotonic(), down=True)
-        await self.fleet.hollow_do("start", {name})
-        self.judge.over([name], time.monotonic())
+        await self.fleet.command_hollow_nodes("stop", {name})
+        self.judge.fault_started([name], time.monotonic(), down=True)
+        await self.fleet.command_hollow_nodes("start", {name})
+        self.judge.fault_ended([name], time.monotonic())
 
     async def _befall(self, fault: Fault) -> dict:
         plan = self.plan
@@ -294,22 +300,22 @@
                 told["change_while"] = await self._change_in(fault)
             await anyio.sleep(max(0.0, since + plan.seconds - time.monotonic()))
         middle = await self._mark()
-        over = time.monotonic()
+        fault_ended = time.monotonic()
         await fault.end()
         if self.versions is not None:
-            told["change_after"] = await self.versions.change(f"after {fault.kind}", fault.everyone, over)
+            told["change_after"] = await self.versions.change(f"after {fault.kind}", fault.all_names, fault_ended)
         # views that agreed are looked at once more: those who came back are heard of a moment later
-        converged = await self._agree([{place.name for place in plan.places}], self.agree_within, over)
-        await anyio.sleep(max(0.0, over + plan.seconds - time.monotonic()))
+        converged = await self._agree([{place.name for place in plan.places}], self.agree_within, fault_ended)
+        await anyio.sleep(max(0.0, fault_ended + plan.seconds - time.monotonic()))
         ended = await self._mark()
         self.stretches += [(fault.kind, begun.at, middle.at), (f"after {fault.kind}", middle.at, ended.at)]
         sound = [name for name in self._front_names() if name not in fault.affected or fault.kind == "regions-apart"]
         told = {"kind": fault.kind, "struck": len(fault.affected), "known_s": known, "converged_s": converged, **told}
         for key, stretch in (("while", Stretch(begun, middle)), ("after", Stretch(middle, ended))):
             told[key] = {
-                "lasted_s": round(stretch.lasted, 2),
+                "lasted_s": round(stretch.duration, 2),
                 "most_bytes_in_a_second": self._most(stretch),
-                **a_node(stretch, sound, self._shared_processes()),
+                **per_node_figures(stretch, sound, self._shared_processes()),
             }
         return {**told, "bytes_a_second": told["after"]["all"]["bytes_a_second"]}
 
@@ -379,7 +385,7 @@
                 told[name] = {
                     "says": peers["sent_a_second"],
                     "members": peers["size"],
-                    "seen": round(sum(quiet.bytes_of(name, part) for part in quiet.parts())),
+                    "seen": round(sum(quiet.rate_of(name, part) for part in quiet.parts())),
                 }
         return told
 
@@ -389,7 +395,7 @@
         """From the sockets: all nodes are stopped, what is on its way arrives, and counters are held to what was seen."""
         fleet, judge = self.fleet, self.judge
         dropped = dropped_at({port for place in self.plan.places for port in (place.listen, place.reach)})
-        await fleet.hollow_do("stop")
+        await fleet.command_hollow_nodes("stop")
         await anyio.sleep(ARRIVES)
         end = await self._mark()
         liars, seen_all, own_all = {}, 0, 0
@@ -398,7 +404,7 @@
                 own = [sum(row[at] for row in parts.values()) for at in (1, 2)]
                 seen = [sum(row[at] for row in end.said.get(name, {}).values()) for at in (0, 1)]
                 own_all, seen_all = own_all + own[1], seen_all + seen[1]
-                if any(off(one, other) > MAY_BE_OFF for one, other in zip(own, seen)) and (
+                if any(relative_error(one, other) > MAY_BE_OFF for one, other in zip(own, seen)) and (
                     abs(own[0] - seen[0]) > LAST_MOMENT or abs(own[1] - seen[1]) > LAST_MOMENT * 1200
                 ):
                     liars[name] = {"own": own, "seen": seen}
--- a/curlewshift/scale/slopes.py
+++ b/curlewshift/scale/slopes.py
@@ -56,7 +56,7 @@
             "command": command,
             "machine": machine,
             "points": points,
-            "fit": fit(self.points).told(),
+            "fit": fit(self.points).as_record(),
             "measured_to": max(size for size, _ in self.points),
             "notes": self.notes,
         }
--- a/curlewshift/scale/talk.py
+++ b/curlewshift/scale/talk.py
@@ -1,4 +1,4 @@
-"""How the run talks with its own processes: JSON lines, each command answered by one line. The end of input is the end."""
+"""Protocol between the run and its child processes: JSON lines, one answer line per command. A child exits at end of input."""
 
 from __future__ import annotations
 
@@ -11,44 +11,45 @@
 from curlewshift.fault_injection.processes import ChildProcess
 
 
-async def obey(carry_out: Callable[[dict], Awaitable[dict | None]]) -> None:
-    """Commands from standard input until its end; whoever started this has gone if nothing more can come."""
+async def serve_commands(carry_out: Callable[[dict], Awaitable[dict | None]]) -> None:
+    """Executes commands from standard input until its end, which also comes when the parent process has exited."""
     while True:
         line = await anyio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True)
         if not line.strip():
             return
-        say(await carry_out(json.loads(line)) or {})
+        send_message(await carry_out(json.loads(line)) or {})
 
 
-def say(told: dict) -> None:
-    print(json.dumps(told, separators=(",", ":")), flush=True)
+def send_message(message: dict) -> None:
+    print(json.dumps(message, separators=(",", ":")), flush=True)
 
 
-class Spoken:
-    """A child that obeys. What it says unasked bears `tick` and goes to `heard`; the rest are answers in order."""
+class CommandedProcess:
+    """A child process that executes commands. Its periodic reports have the key `tick` and go to `on_tick`; other lines are
+    answers, in the order of the commands."""
 
-    def __init__(self, child: ChildProcess, heard: Callable[[dict], None] = lambda told: None):
-        self.child, self.heard = child, heard
+    def __init__(self, child: ChildProcess, on_tick: Callable[[dict], None] = lambda message: None):
+        self.child, self.on_tick = child, on_tick
         self.answers, self.answered = anyio.create_memory_object_stream(100)
 
     async def read(self) -> None:
-        """Until it has nothing more to say."""
+        """Reads lines until the end of the child's output."""
         while True:
             line = await anyio.to_thread.run_sync(self.child.process.stdout.readline, abandon_on_cancel=True)
             if not line.strip():
                 return
-            told = json.loads(line)
-            if "tick" in told:
-                self.heard(told)
+            message = json.loads(line)
+            if "tick" in message:
+                self.on_tick(message)
             else:
-                self.answers.send_nowait(told)
+                self.answers.send_nowait(message)
 
     async def ask(self, command: dict, within: float = 30.0) -> dict:
-        """Raises `TimeoutError`, and `OSError` where it has gone."""
+        """Raises `TimeoutError` after `within` seconds, and `OSError` where the child has exited."""
         self.child.process.stdin.write((json.dumps(command) + "\n").encode())
         self.child.process.stdin.flush()
-        return await self.told(within)
+        return await self.next_answer(within)
 
-    async def told(self, within: float = 30.0) -> dict:
+    async def next_answer(self, within: float = 30.0) -> dict:
         with anyio.fail_after(within):
             return await self.answered.receive()
--- a/curlewshift/scale/versions.py
+++ b/curlewshift/scale/versions.py
@@ -82,7 +82,7 @@
     async def own_words(self) -> None:
         """Beside each change: when the last hollow node says that it took it."""
         took: dict[str, list] = {}
-        for answer in await self.fleet.asked_of_all(list(self.fleet.hollow.values()), "took"):
+        for answer in await self.fleet.request_all(list(self.fleet.hollow.values()), "took"):
             took |= answer
         for row in self.made:
             if row["ok"]:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,8 +17,8 @@
 from curlewshift.membership.views import Views
 from curlewshift.peering.distributed import ENCODER, Piggyback
 from curlewshift.scale import plan as plans
-from curlewshift.scale.figures import Mark, Stretch, a_node, off
-from curlewshift.scale.hollow import weight
+from curlewshift.scale.figures import Mark, Stretch, per_node_figures, relative_error
+from curlewshift.scale.hollow import retained_size
 from curlewshift.scale.judge import Judge, VersionsSeen
 from curlewshift.scale.meter import Meter
 from curlewshift.scale.plan import InsufficientResources, Load, Plan
@@ -76,21 +76,21 @@
         everyone = [{"a", "b", "c"}]
         self.shows("a", self.views.whole)
         self.shows("b", self.views.whole)
-        self.assertEqual(self.judge.astray(everyone), 3, "one has shown nothing")
+        self.assertEqual(self.judge.wrong_views(everyone), 3, "one has shown nothing")
         self.shows("c", self.views.whole ^ 1)
-        self.assertEqual(self.judge.astray(everyone), 1)
+        self.assertEqual(self.judge.wrong_views(everyone), 1)
         self.shows("c", self.views.whole, number=2)
-        self.assertEqual(self.judge.astray(everyone), 0)
+        self.assertEqual(self.judge.wrong_views(everyone), 0)
         self.shows("c", self.views.whole ^ 1, number=1)
-        self.assertEqual(self.judge.astray(everyone), 0, "an earlier datagram that came by another relay changes nothing")
+        self.assertEqual(self.judge.wrong_views(everyone), 0, "an earlier datagram that came by another relay changes nothing")
 
     def test_views_that_agree_on_something_else_are_astray(self):
         self.views.toggle("c", 7, 0)
         for name in "abc":
             self.shows(name, self.views.whole)
-        self.assertEqual(self.judge.astray([{"a", "b", "c"}]), 3)
-        self.judge.strikes(["c"], 5.0, down=True)
-        self.assertEqual(self.judge.astray([{"a", "b", "c"}]), 0)
+        self.assertEqual(self.judge.wrong_views([{"a", "b", "c"}]), 3)
+        self.judge.fault_started(["c"], 5.0, down=True)
+        self.assertEqual(self.judge.wrong_views([{"a", "b", "c"}]), 0)
 
     def test_each_side_of_a_cut_is_to_know_its_own(self):
         side = Views()
@@ -98,24 +98,24 @@
         side.toggle("b", 7, 0)
         other = Views()
         other.toggle("c", 7, 0)
-        self.judge.strikes("abc", 5.0, down=False)
+        self.judge.fault_started("abc", 5.0, down=False)
         self.shows("a", side.whole)
         self.shows("b", side.whole)
         self.shows("c", self.views.whole)
-        self.assertEqual(self.judge.astray([{"a", "b"}, {"c"}]), 1)
+        self.assertEqual(self.judge.wrong_views([{"a", "b"}, {"c"}]), 1)
         self.shows("c", other.whole, number=2)
-        self.assertEqual(self.judge.astray([{"a", "b"}, {"c"}]), 0)
+        self.assertEqual(self.judge.wrong_views([{"a", "b"}, {"c"}]), 0)
 
     def test_a_sound_one_that_is_called_gone_is_told(self):
         self.shows("a", 0, gone=[["b", 7, "a", 10.0]])
         self.assertEqual(self.judge.false_gone(), ["a calls b gone"])
 
     def test_what_befell_one_excuses_the_word_for_a_while_only(self):
-        self.judge.strikes(["b"], 9.0, down=True)
-        self.judge.over(["b"], 12.0)
+        self.judge.fault_started(["b"], 9.0, down=True)
+        self.judge.fault_ended(["b"], 12.0)
         self.shows("a", 0, gone=[["b", 7, "a", 20.0]])
         self.assertEqual(self.judge.false_gone(), [])
-        self.shows("a", 0, gone=[["b", 8, "c", 12.0 + self.judge.shows_on + 1]])
+        self.shows("a", 0, gone=[["b", 8, "c", 12.0 + self.judge.grace_s + 1]])
         self.assertEqual(self.judge.false_gone(), ["c calls b gone"])
 
 
@@ -200,7 +200,7 @@
             mark(10.0, {"1": [4, 400], "16": [1, 900]}, 1_000_000_000, 4_000_000_000),
             mark(12.0, {"1": [8, 800], "2": [2, 100], "16": [3, 1900]}, 2_000_000_000, 8_000_000_000),
         )
-        told = a_node(stretch, ["a", "b"], [2])
+        told = per_node_figures(stretch, ["a", "b"], [2])
         self.assertEqual(told["membership"]["bytes_a_second"], {"mean": 125.0, "worst": 250.0})
         self.assertEqual(told["sharing"]["datagrams_a_second"], {"mean": 0.5, "worst": 1.0})
         self.assertEqual(told["membership"]["core"], {"mean": 0.25, "worst": 0.5})
@@ -209,11 +209,11 @@
         self.assertEqual(told["all"]["bytes_a_second"]["worst"], 750.0)
 
     def test_by_how_much_a_count_is_off(self):
-        self.assertEqual((off(50, 100), off(100, 100), off(3, 0)), (0.5, 0.0, 3.0))
+        self.assertEqual((relative_error(50, 100), relative_error(100, 100), relative_error(3, 0)), (0.5, 0.0, 3.0))
 
     def test_weight_counts_what_is_shared_once(self):
         known, shared = set(), [bytes(10_000)]
-        first, second = weight({"a": shared}, known), weight({"a": shared}, known)
+        first, second = retained_size({"a": shared}, known), retained_size({"a": shared}, known)
         self.assertGreater(first, 10_000)
         self.assertLess(second, 1_000)
 
