--- a/curlewshift/scale/hollow.py
+++ b/curlewshift/scale/hollow.py
@@ -46,7 +46,7 @@
         elif do == "put":
             return await self.put(Path(command["path"]).read_bytes(), command["within"])
         elif do == "took":
-            return {name: node.took for name, node in self.nodes.items()}
+            return {name: node.taken for name, node in self.nodes.items()}
         elif do == "weigh":
             return {"memory_kB": self.weigh()}
         return {}
--- a/curlewshift/scale/node.py
+++ b/curlewshift/scale/node.py
@@ -1,7 +1,7 @@
-"""One hollow node: the objects that serve, on a socket of their own, without door and desk. Held by scale/hollow.py.
+"""One hollow node: the protocol objects of a front on a socket of their own, without listener and session core.
 
-What the desk would tell them comes from the load model; what they tell the desk is written into the model's own servers.
-Logs are counted and not written.
+Created by scale/hollow.py. Input that the session core would give comes from the load model, and results are written to the
+model's servers. Log lines are counted and not written.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from curlewshift.site.site import ListenAddress, Site
 
 NS = 1_000_000_000
-# How much what a node uses of a link goes up and down from round to round.
-WANDERS = 0.1
+# Relative variation of a node's use of a link from round to round.
+USE_VARIATION = 0.1
 PARTS = {"shared": "sharing", "leased": "leases", "distributed": "distribution"}
 
 
 class CountedLog:
-    """Lines are counted by event; errors are kept, as nothing else would tell of them."""
+    """Counts lines and keeps the first errors, which are reported nowhere else."""
 
     def __init__(self):
         self.lines, self.errors = 0, []
@@ -49,7 +49,7 @@
 
 
 class CountedWire(PeerWire):
-    """A wire whose datagrams its node's meter counts."""
+    """A `PeerWire` that counts its datagrams with the node's meter."""
 
     meter: Meter
 
@@ -58,44 +58,46 @@
         super().post(address, data)
 
 
-class DeafWire(CountedWire):
-    """Planted: it goes on asking, and reads nothing."""
+class NonReadingWire(CountedWire):
+    """Planted fault: sends requests and reads no datagrams."""
 
     async def _read(self) -> None:
         await anyio.sleep_forever()
 
 
-class LyingMeter(Meter):
-    """Planted: it tells of half of what it sent."""
+class UnderreportingMeter(Meter):
+    """Planted fault: counts half of the bytes sent."""
 
     def sent(self, size: int) -> None:
         super().sent(size // 2)
 
 
 class HollowSessionCore:
-    """What sharing and leases read of a desk, and write to it. Servers lie in racks; a node plays on some of their links."""
+    """The part of a session core that sharing and leases use. Servers are in racks; the node plays on some of their links."""
 
     def __init__(self, load: Load, rng: Random, now):
         self.load, self.rng, self.now = load, rng, now
-        marks = Random("marks")
+        hash_rng = Random("marks")
         racks = [Rack(number, Link(1e6), name=f"rack-{number}") for number in range(-(-load.servers // load.rack))]
         self.servers = [
-            Server(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8100", marks.getrandbits(32), "", 40, racks[n // load.rack], Link(1e5))
+            Server(
+                f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8100", hash_rng.getrandbits(32), "", 40, racks[n // load.rack], Link(1e5)
+            )
             for n in range(load.servers)
         ]
         self.played = rng.sample(self.servers, load.links)
-        self.usual = load.viewings * load.rate / max(1, load.links)
+        self.mean_use = load.viewings * load.rate / max(1, load.links)
         self.rules = SimpleNamespace(
             servers=self.servers, rights_of=lambda server: 3, further_wanted_at=0, seat_wanted_at={}, seats={}
         )
         self.packages: dict = {}
-        self.told = 0
+        self.ignored_calls = 0
 
-    def live(self) -> None:
-        """A round of the load: links that are played on are heard of, and their use moves."""
+    def play_round(self) -> None:
+        """One round of the load: the servers played on count as heard from, and the use of their links varies."""
         for server in self.played:
             server.rack.link.own -= server.link.own
-            server.link.own = self.usual * self.rng.uniform(1 - WANDERS, 1 + WANDERS)
+            server.link.own = self.mean_use * self.rng.uniform(1 - USE_VARIATION, 1 + USE_VARIATION)
             server.rack.link.own += server.link.own
             server.heard_at = self.now()
 
@@ -114,14 +116,14 @@
     def uplink_counted(self, server: Server, use: float, age: int) -> None:
         server.rack.link.counted = use
 
-    def nothing(self, *words) -> None:
-        self.told += 1
+    def ignore(self, *arguments) -> None:
+        self.ignored_calls += 1
 
-    link_reported = seen_warm = further_held = seats_held = seats_over = planned = nothing
+    link_reported = seen_warm = further_held = seats_held = seats_over = planned = ignore
 
 
 class HollowNode:
-    """Over its lives. Raises `OSError` where its socket cannot be had."""
+    """A node over its lives (a restart is a new life). Raises `OSError` if its socket cannot be bound."""
 
     def __init__(self, plan: Plan, site: Site, place: Place):
         self.plan, self.site, self.place = plan, site, place
@@ -133,19 +135,19 @@
             else ListenAddress(machine.name, "", 0, machine.peers_listen, machine.peers_reach)
         )
         self.stores = list(machines)
-        self.places = {one.name: (one.region, one.zone) for one in plan.places}
+        self.places = {other.name: (other.region, other.zone) for other in plan.places}
         self.clock, self.log = Clock(), CountedLog()
-        # what a disk would keep over its lives, and when each version came into force here
+        # data that a disk would keep over its lives, and (version, time) of each configuration applied here
         self.disk: dict[str, bytes] = {}
-        self.took: list[tuple[str, float]] = []
+        self.taken: list[tuple[str, float]] = []
         self.rng = Random(f"{plan.seed} {place.name}")
-        self.meter = LyingMeter() if f"lies={place.name}" in plan.spoil.split() else Meter()
+        self.meter = UnderreportingMeter() if f"lies={place.name}" in plan.spoil.split() else Meter()
         self.scope: anyio.CancelScope | None = None
         self.lives = 0
         self._make()
 
     def _make(self) -> None:
-        wire = DeafWire if f"deaf={self.place.name}" in self.plan.spoil.split() else CountedWire
+        wire = NonReadingWire if f"deaf={self.place.name}" in self.plan.spoil.split() else CountedWire
         self.wire = wire(self.site.name, self.door, self.site.peers, self.clock, self.log, Random(self.rng.random()))
         channel, metered = self.wire.channel, self.meter.metered
         self.wire.meter = self.meter
@@ -154,7 +156,7 @@
             self.plan.load if self.place.shares else Load(0, 0, 0), Random(self.rng.random()), self.clock.now
         )
         self.shared = self.leased = self.distributed = None
-        order, rng = [door.name for door in self.site.front_addresses], Random(self.rng.random())
+        order, rng = [address.name for address in self.site.front_addresses], Random(self.rng.random())
         if self.place.shares:
             self.shared = SharedWire(
                 channel,
@@ -199,7 +201,7 @@
                 wants.orphans_after,
             )
         if self.leased is not None:
-            # a control machine's has its own time, a front's that of its tasks
+            # a control machine's leases have a timer of their own, a front's are timed by its lease tasks
             rounds = self.leased if self.place.kind == "control" else self.leased.tasks
             for owner, name in ((rounds, "time"), (self.leased.acceptor, "time"), (self.leased, "_to_itself")):
                 if owner is not None:
@@ -230,11 +232,11 @@
         channel.start = metered("membership", channel.start)
 
     def _round(self) -> None:
-        self.session_core.live()
+        self.session_core.play_round()
         self.share()
 
     async def run(self) -> None:
-        """One life, until `stop` ends it without a word, as a kill does."""
+        """One life, until `stop` ends it without sending anything, as a kill does."""
         if self.lives:
             self._make()
         self.lives += 1
@@ -249,16 +251,16 @@
         self.scope = None
 
     def fence(self) -> int:
-        """No lease of its own: a control machine has one."""
+        """Fence of a node without a lease; on control machines the lease's fence replaces it."""
         return 0
 
-    # ---- the host of distribution: it takes at once
+    # ---- host of distribution: applies configurations at once
 
     def check_configuration(self, content: bytes) -> str | None:
         return None
 
     def take_configuration(self, version: str, content: bytes) -> str | None:
-        self.took.append((version, time.monotonic()))
+        self.taken.append((version, time.monotonic()))
         return None
 
     def keep_configuration(self, data: bytes) -> None:
@@ -271,7 +273,7 @@
         if self.scope is not None:
             self.scope.cancel()
 
-    # ---- what leases' tasks ask of a front beside its desk: reaching servers is not control, and is left out
+    # ---- interface that lease tasks use of a front besides its session core; requests to servers are left out
 
     @property
     def server_pool(self) -> HollowNode:
--- a/curlewshift/scale/plan.py
+++ b/curlewshift/scale/plan.py
@@ -1,4 +1,4 @@
-"""What one scale run is to be: nodes with their places, the load model, faults; and what it may take of the machine.
+"""Plan of a scale run: nodes with their places, the load model and faults, and the limits on the machine's resources.
 
 Made by commands/scale.py, written into the run's folder, and read there by each process of it.
 """
@@ -15,25 +15,25 @@
 
 FAULTS = ("zone-lost", "regions-apart", "restart-some", "kill-control")
 PARTS = ("membership", "sharing", "leases", "distribution")
-# Machines set aside for control, and how many fronts keep the fronts' own leases (an odd number).
+# Number of control machines, and of fronts that are acceptors of the fronts' own leases (odd, for a majority).
 CONTROL, KEEPERS = 4, 3
-MOST_PROCESSES = 200
-# UDP ports of nodes: beside those of rehearsals (12,000 to 20,000), below those that outgoing connections are given.
+MAX_PROCESSES = 200
+# UDP ports of nodes: above those of fault injection runs (12,000 to 20,000) and below the ephemeral ports.
 UDP_PORTS = range(20_000, 32_000)
-# Memory assumed before the start (kB): a process of hollow nodes, of a relay, of a front; a node, a member that it holds,
-# a server that it shares. Measured at 70 nodes and rounded up; the run tells what it really took.
+# Memory estimates (kB) for the check before the start: by process of hollow nodes, relay and front; by node, by member that a
+# node knows and by server that it shares. From a run of 70 nodes, rounded up; the run reports what it used.
 A_PROCESS, A_RELAY, A_FRONT, A_NODE, A_MEMBER, A_SERVER = 70_000, 60_000, 120_000, 150, 1.2, 2.5
-# Descriptors of a process beyond one a node.
-MORE_DESCRIPTORS = 64
+# File descriptors of a process beyond one per node.
+EXTRA_DESCRIPTORS = 64
 
 
 class InsufficientResources(Exception):
-    """Why the run does not fit this machine, in one line."""
+    """The run does not fit this machine; the message is one line."""
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What drives hollow nodes that share: each plays on links of its own choice and uses them by its viewings, a little more or
-    less each round. `sharing` nodes do so and `leasing` ask for leases; the rest are members that do neither."""
+    """Load of the hollow nodes. Each of `sharing` nodes has viewings on randomly chosen links, whose use varies a little from
+    round to round; `leasing` nodes request leases. The others are members only. `rate` in kB/s per viewing, `rack` in servers."""
 
     servers: int = 2000
     links: int = 40
@@ -45,7 +45,7 @@
 
 
 class Place(msgspec.Struct):
-    """One node. `kind`: hollow, real, control; `process` counts the processes of hollow nodes, -1 for a real one."""
+    """One node. `kind`: hollow, real, control; `process` is the number of its process of hollow nodes, -1 for a real node."""
 
     name: str
     kind: str
@@ -59,7 +59,7 @@
 
 
 class Plan(msgspec.Struct):
-    """Times in s. `late` is what a datagram takes between zones and between regions; `period` that of probes."""
+    """Times in s. `late`: latency of a datagram between zones and between regions; `period`: probe period."""
 
     nodes: int
     real: int
@@ -74,11 +74,11 @@
     faults: list[str]
     load: Load
     places: list[Place] = []
-    # UDP ports of fronts that stand apart
+    # UDP ports of the fronts that know no hollow node
     apart: list[int] = []
     late: tuple[float, float] = (0.001, 0.03)
     period: float = 1.0
-    # changes of the configuration: without loss and with it, and in the stretch at the end
+    # configuration changes: number without loss and again with loss, then number and interval (s) of those at the end
     in_a_row: int = 3
     changes: int = 0
     change_every: float = 3.0
@@ -102,15 +102,15 @@
             )
         if self.load.links > self.load.servers:
             raise InsufficientResources(f"links played on are {self.load.links} of {self.load.servers}")
-        # hollow ones, one of them alone, relays, fronts of the fleet and apart from it, servers with their list
+        # of hollow nodes, one of them alone; relays; fronts in the fleet and outside it; servers with their list
         processes = self.processes + 1 + self.relays + 2 * self.real + 1 + 1
-        if processes > MOST_PROCESSES:
-            raise InsufficientResources(f"{processes} processes are needed, and {MOST_PROCESSES} are the most")
-        most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        a_process = -(-(self.nodes + CONTROL) // min(self.processes, self.relays)) + MORE_DESCRIPTORS
-        if a_process > most:
+        if processes > MAX_PROCESSES:
+            raise InsufficientResources(f"{processes} processes are needed, and {MAX_PROCESSES} are the most")
+        max_descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+        a_process = -(-(self.nodes + CONTROL) // min(self.processes, self.relays)) + EXTRA_DESCRIPTORS
+        if a_process > max_descriptors:
             raise InsufficientResources(
-                f"{a_process} descriptors are needed in a process, and {most} are allowed: more processes would do"
+                f"{a_process} descriptors are needed in a process, and {max_descriptors} are allowed: more processes would do"
             )
         if 2 * (self.nodes + CONTROL) > len(UDP_PORTS):
             raise InsufficientResources(
@@ -125,7 +125,7 @@
             raise InsufficientResources(f"some {need / 2**20:.1f} GiB are needed, and {free / 2**20:.1f} GiB are free now")
 
     def memory(self) -> float:
-        """kB that the run is expected to take."""
+        """Expected memory of the run (kB)."""
         hollow = self.nodes + CONTROL - self.real
         return (
             (self.processes + 2) * A_PROCESS
@@ -136,7 +136,7 @@
         )
 
     def lay_out(self) -> None:
-        """Nodes in their places, with free ports: real ones in zones in turn, control machines in regions in turn."""
+        """Assigns zones and free ports to nodes: real nodes to the zones in turn, control machines to the regions in turn."""
         rng = Random(f"{self.seed} places")
         ports = free_udp_ports(self.nodes + CONTROL + self.real)
         self.apart = [ports.pop() for _ in range(self.real)]
@@ -149,13 +149,13 @@
             Place(f"n{number:04}", "real" if number in real else "hollow", *self._labels(zone_of[number]), ports.pop())
             for number in range(self.nodes)
         ]
-        # last: fronts that share are numbered without them
+        # control machines come last, so that the numbers of sharing fronts do not depend on them
         self.places += [
             Place(f"c{number}", "control", *self._labels(number * self.zones // CONTROL), ports.pop(), 0)
             for number in range(CONTROL)
         ]
         hollow = [place for place in self.places if place.kind == "hollow"]
-        # control machines in a process of their own (0), one node alone (1), the others in turn
+        # process 0: control machines; process 1: one node alone; the other nodes are spread over the rest in turn
         for number, place in enumerate(hollow):
             place.process = 1 if number == 0 else 2 + (number - 1) % self.processes
         drawn = [hollow[0], *rng.sample(hollow[1:], len(hollow) - 1)]
@@ -172,30 +172,30 @@
 
 
 def machine_memory() -> tuple[float, float]:
-    """Half of the machine's memory, and what is available now (kB)."""
-    told = dict(line.split(":", 1) for line in Path("/proc/meminfo").read_text().splitlines())
-    return int(told["MemTotal"].split()[0]) / 2, int(told["MemAvailable"].split()[0])
+    """Half of the machine's memory, and the memory available now (kB)."""
+    fields = dict(line.split(":", 1) for line in Path("/proc/meminfo").read_text().splitlines())
+    return int(fields["MemTotal"].split()[0]) / 2, int(fields["MemAvailable"].split()[0])
 
 
 def free_udp_ports(count: int) -> list[int]:
-    """Loopback ports that nobody has now. Raises `OSError` where there are not as many."""
+    """Loopback UDP ports that are free now. Raises `OSError` if there are fewer than `count`."""
     held: list[socket.socket] = []
     start = Random(os.getpid()).randrange(len(UDP_PORTS))
     try:
         for step in range(len(UDP_PORTS)):
-            door = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
-                door.bind(("127.0.0.1", UDP_PORTS[(start + step) % len(UDP_PORTS)]))
+                sock.bind(("127.0.0.1", UDP_PORTS[(start + step) % len(UDP_PORTS)]))
             except OSError:
-                door.close()
+                sock.close()
                 continue
-            held.append(door)
+            held.append(sock)
             if len(held) == count:
-                return [door.getsockname()[1] for door in held]
-        raise OSError(f"{count} UDP ports are wanted, and {len(held)} are free")
+                return [sock.getsockname()[1] for sock in held]
+        raise OSError(f"{count} UDP ports are needed, and {len(held)} are free")
     finally:
-        for door in held:
-            door.close()
+        for sock in held:
+            sock.close()
 
 
 def read_plan(folder: Path) -> Plan:
--- a/curlewshift/scale/relay.py
+++ b/curlewshift/scale/relay.py
@@ -1,8 +1,8 @@
-"""What lies between the nodes of a scale run: some nodes' share of it, a process each. Started by scale/fleet.py.
+"""UDP relays between the nodes of a scale run; each process serves some of the nodes. Started by scale/fleet.py.
 
-The rehearsal's relay with other ways: datagrams are counted by sender, kind and size instead of written down, as a fleet's
-would fill the disk, and take the time that lies between their zones. What it tells is all that the verdict rests on; frames are
-read by the judge's own reader.
+Unlike the relay of fault injection runs, it counts datagrams by sender, kind and size instead of recording them, as the traffic
+of a fleet would fill the disk, and delays them by the latency between zones. The verdict rests on its reports alone; frames are
+decoded by the verdict's own reader.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from curlewshift.standins.traffic import Traffic
 from curlewshift.verdict.members import read_datagram
 
-# Datagrams read in one go from one node's port, and between what it tells unasked (s).
-AT_ONCE, TELLS_EVERY = 64, 0.5
+# Maximum number of datagrams read at once from one node's port, and the interval of the periodic reports (s).
+MAX_READS, REPORT_INTERVAL_S = 64, 0.5
 GONE = 2
-# Kinds of frames (docs/peers.md): on which a version rides, and which tell of members alone.
-PROBES, NEWS = (1, 2), (5, 7)
+# Kinds of frames (docs/peers.md): those that carry a version, and those that carry membership updates only.
+PROBES, UPDATES = (1, 2), (5, 7)
 
 
-def version_ridden(body: bytes) -> list | None:
-    """[fence, count, digest's beginning] of a probe's rider (docs/distribution.md: version and age)."""
+def piggybacked_version(body: bytes) -> list | None:
+    """[fence, count, start of the digest] that a probe carries (docs/distribution.md: version and age), None if malformed."""
     try:
         fence, count, digest = msgspec.msgpack.decode(body)[0]
         return [fence, count, digest.hex()[:12]]
@@ -38,7 +38,7 @@
 
 
 class ScaleRelay(Relay):
-    """Reaches the nodes whose numbers leave `part` over `relays`."""
+    """Relays to the nodes whose number modulo `relays` is `part`."""
 
     def __init__(self, folder: Path, part: int):
         plan = self.plan = read_plan(folder)
@@ -50,26 +50,26 @@
         self.zone = {place.name: place.zone for place in plan.places}
         self.loss, self.regions_apart = plan.loss, False
         # by sender and kind, and by receiver: datagrams, bytes
-        self.said: dict[tuple[str, int], list[int]] = {}
+        self.sent: dict[tuple[str, int], list[int]] = {}
         self.handed_to: dict[str, list[int]] = {name: [0, 0] for name in self.names}
         self.lost = self.cut = self.spoilt = 0
-        # what senders show: life, incarnation, view, number of the datagram, when; and what rode last: version, first seen here
-        # when, number of the last datagram that it rode on
+        # by sender, of its latest datagram: life, incarnation, view, number, time; and of the last piggybacked version: life,
+        # version, time first seen here, number of the last datagram that carried it
         self.shown: dict[str, list] = {}
-        self.rode: dict[str, tuple[int, list, float, int]] = {}
+        self.piggybacked: dict[str, tuple[int, list, float, int]] = {}
         self.news: set[str] = set()
         self.gone: dict[tuple[str, int], list] = {}
 
     async def run(self, tasks) -> None:
         self.loop = asyncio.get_running_loop()
-        for name, door in self.sockets.items():
-            self.loop.add_reader(door, self._read_some, name, door)
-        tasks.start_soon(self._tell)
+        for name, sock in self.sockets.items():
+            self.loop.add_reader(sock, self._read_some, name, sock)
+        tasks.start_soon(self._report_periodically)
 
-    def _read_some(self, to: str, door) -> None:
-        for _ in range(AT_ONCE):
+    def _read_some(self, to: str, sock) -> None:
+        for _ in range(MAX_READS):
             try:
-                data, (_, port) = door.recvfrom(LARGEST)
+                data, (_, port) = sock.recvfrom(LARGEST)
             except BlockingIOError:
                 return
             except OSError:
@@ -83,10 +83,10 @@
         if frame is None or frame[1] != sender:
             self.spoilt += 1
             return
-        self._look(sender, frame)
-        row = self.said.get((sender, frame[7]))
+        self._inspect(sender, frame)
+        row = self.sent.get((sender, frame[7]))
         if row is None:
-            row = self.said[sender, frame[7]] = [0, 0]
+            row = self.sent[sender, frame[7]] = [0, 0]
         row[0] += 1
         row[1] += len(data)
         if self.regions_apart and self.region[sender] != self.region[to]:
@@ -98,57 +98,64 @@
         else:
             self.loop.call_later(self.plan.late[self.region[sender] != self.region[to]], self._hand_on, to, data, False)
 
-    def _look(self, sender: str, frame: list) -> None:
+    def _inspect(self, sender: str, frame: list) -> None:
         life, incarnation, number, view = frame[4], frame[5], frame[6], frame[10]
         held = self.shown.get(sender)
         if held is None or (life, number) > (held[0], held[3]):
             self.news.add(sender)
             now = time.monotonic()
             if frame[7] in PROBES and frame[12]:
-                version = version_ridden(frame[12])
-                rode = self.rode.get(sender)
-                if version is not None and (rode is None or (life, number) > (rode[0], rode[3])):
-                    same = rode is not None and rode[:2] == (life, version)
-                    self.rode[sender] = life, version, rode[2] if same else now, number
-            rode = self.rode.get(sender)
-            self.shown[sender] = [life, incarnation, view, number, now, *(rode[1:] if rode and rode[0] == life else ())]
+                version = piggybacked_version(frame[12])
+                piggybacked = self.piggybacked.get(sender)
+                if version is not None and (piggybacked is None or (life, number) > (piggybacked[0], piggybacked[3])):
+                    same = piggybacked is not None and piggybacked[:2] == (life, version)
+                    self.piggybacked[sender] = life, version, piggybacked[2] if same else now, number
+            piggybacked = self.piggybacked.get(sender)
+            self.shown[sender] = [
+                life,
+                incarnation,
+                view,
+                number,
+                now,
+                *(piggybacked[1:] if piggybacked and piggybacked[0] == life else ()),
+            ]
         for claim in frame[11]:
             if claim[5] == GONE and (claim[0], claim[3]) not in self.gone:
                 self.gone[claim[0], claim[3]] = [claim[0], claim[3], sender, time.monotonic()]
 
-    def _hand_on(self, to: str, data: bytes, spoilt: bool) -> None:
+    def _hand_on(self, to: str, data: bytes, corrupt: bool) -> None:
         row = self.handed_to[to]
         row[0] += 1
         row[1] += len(data)
-        super()._hand_on(to, data, spoilt)
+        super()._hand_on(to, data, corrupt)
 
-    async def _tell(self) -> None:
-        told = 0
+    async def _report_periodically(self) -> None:
+        reported = 0
         while True:
-            await anyio.sleep(TELLS_EVERY)
+            await anyio.sleep(REPORT_INTERVAL_S)
             gone = list(self.gone.values())
             send_message(
                 {
                     "tick": time.monotonic(),
                     "shown": {name: self.shown[name] for name in self.news},
-                    "gone": gone[told:],
-                    "bytes": sum(row[1] for row in self.said.values()),
-                    "news": sum(row[0] for (_, kind), row in self.said.items() if kind in NEWS),
+                    "gone": gone[reported:],
+                    "bytes": sum(row[1] for row in self.sent.values()),
+                    "news": sum(row[0] for (_, kind), row in self.sent.items() if kind in UPDATES),
                 }
             )
             self.news.clear()
-            told = len(gone)
+            reported = len(gone)
 
     async def carry_out(self, command: dict) -> dict:
         if command["do"] == "ways":
             self.regions_apart, self.loss = command.get("apart", self.regions_apart), command.get("loss", self.loss)
             return {}
-        said: dict[str, dict[int, list[int]]] = {}
-        for (sender, kind), row in self.said.items():
-            said.setdefault(sender, {})[kind] = row
+        sent: dict[str, dict[int, list[int]]] = {}
+        for (sender, kind), row in self.sent.items():
+            sent.setdefault(sender, {})[kind] = row
         return {
             "at": time.monotonic(),
-            "said": said,
+            "said": sent,
             "handed": self.handed_to,
             "lost": self.lost,
             "cut": self.cut,
@@ -158,7 +165,7 @@
 
 
 async def run_relay(folder: Path, part: int) -> None:
-    """Tells the ports at which its nodes are reached, then obeys."""
+    """Reports the ports at which its nodes are reached, then executes commands."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(until_told, tasks)
         relay = ScaleRelay(folder, part)
--- a/curlewshift/scale/report.py
+++ b/curlewshift/scale/report.py
@@ -1,4 +1,4 @@
-"""A scale run as tables and as a chart, for people."""
+"""Tables and a chart of a scale run."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 
 def tables(figures: dict) -> list[Table]:
-    spent = Table(title=f"a node of {figures['nodes']}, quiet")
+    usage = Table(title=f"a node of {figures['nodes']}, quiet")
     for column in ("part", "bytes/s mean", "worst", "datagrams/s", "core mean", "worst", "memory kB"):
-        spent.add_column(column, justify="left" if column == "part" else "right")
+        usage.add_column(column, justify="left" if column == "part" else "right")
     for part, row in figures["a_node"].items():
         size, count, core = (row.get(name, {}) for name in ("bytes_a_second", "datagrams_a_second", "core"))
-        spent.add_row(
+        usage.add_row(
             part,
-            *(_told(one) for one in (size.get("mean"), size.get("worst"), count.get("mean"))),
-            *(_share(one) for one in (core.get("mean"), core.get("worst"))),
-            _told(row.get("memory_kB")),
+            *(_number(value) for value in (size.get("mean"), size.get("worst"), count.get("mean"))),
+            *(_share(value) for value in (core.get("mean"), core.get("worst"))),
+            _number(row.get("memory_kB")),
         )
-    befell = Table(title="faults")
+    fault_table = Table(title="faults")
     for column in ("fault", "struck", "known after s", "agreed after s", "bytes/s while", "after", "worst", "core after"):
-        befell.add_column(column, justify="left" if column == "fault" else "right")
+        fault_table.add_column(column, justify="left" if column == "fault" else "right")
     for fault in figures["faults"]:
         during, after = fault["while"]["all"], fault["after"]["all"]
-        befell.add_row(
+        fault_table.add_row(
             fault["kind"],
             str(fault["struck"]),
-            _told(fault["known_s"]),
-            _told(fault["converged_s"]),
-            _told(during["bytes_a_second"]["mean"]),
-            _told(after["bytes_a_second"]["mean"]),
-            _told(after["bytes_a_second"]["worst"]),
+            _number(fault["known_s"]),
+            _number(fault["converged_s"]),
+            _number(during["bytes_a_second"]["mean"]),
+            _number(after["bytes_a_second"]["mean"]),
+            _number(after["bytes_a_second"]["worst"]),
             _share(after.get("core", {}).get("mean")),
         )
-    verdict = Table(title="verdict, from the relays and the real nodes' doors")
+    verdict = Table(title="verdict, from the relays and the real nodes' listeners")
     verdict.add_column("")
     verdict.add_column("", justify="right")
     for name, value in figures["verdict"].items():
         verdict.add_row(name.replace("_", " "), str(value))
-    return [spent, befell, verdict]
+    return [usage, fault_table, verdict]
 
 
-def _told(value) -> str:
+def _number(value) -> str:
     return "" if value is None else f"{value:,.1f}" if isinstance(value, float) else f"{value:,}"
 
 
@@ -52,8 +52,8 @@
 
 
 def draw(seen: dict[int, int], stretches: list[tuple[str, float, float]], nodes: int, path: Path) -> None:
-    """Writes an SVG: bytes a second a node over the run, as the relays saw them, with the stretches. `seen` is what they had
-    carried in all at each second."""
+    """Writes an SVG: bytes per second and node over the run, as the relays saw them, with the stretches marked. `seen`: total
+    bytes relayed up to each second."""
     import matplotlib
 
     matplotlib.use("svg")
--- a/curlewshift/scale/versions.py
+++ b/curlewshift/scale/versions.py
@@ -1,7 +1,8 @@
-"""Changes of the configuration in a scale run: made at a control machine, and timed until every node that runs shows them.
+"""Configuration changes in a scale run: made at a control machine, and timed until every running node shows them.
 
-Times are from the moment the change was asked for (or from the end of a fault), by what rode on probes through the relays: a node
-is seen up to a probe's period after it took a version. What the nodes say themselves goes beside it and proves nothing.
+Times count from the request for the change (or from the end of a fault) and come from the versions piggybacked on probes through
+the relays: a node shows a version up to one probe period after applying it. The nodes' own reports are recorded for comparison
+and do not enter the verdict.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from curlewshift.scale.fleet import Fleet
 from curlewshift.scale.judge import Judge
 
-# A change is asked for again until one is made, so long (s); a put itself may take so long.
-MADE_WITHIN, PUT_WITHIN = 30.0, 8.0
-# Until all have it (s); the bound is 18 s.
-EVERYWHERE_WITHIN = 60.0
-LOOK = 0.1
+# Time-outs (s): a change is retried for up to the first; one put may take the second.
+CHANGE_TIMEOUT_S, PUT_TIMEOUT_S = 30.0, 8.0
+# Time-out until all nodes have a version (s); the required bound is 18 s.
+EVERYWHERE_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.1
 
 
 def number_in(text: str) -> tuple[int, int]:
@@ -33,39 +34,39 @@
         self.made: list[dict] = []
         self.site = (fleet.out / "site.xml").read_text()
 
-    async def put(self, within: float = PUT_WITHIN) -> dict:
-        """One try at the next content: the site's file with another figure that a front takes in service."""
+    async def put(self, within: float = PUT_TIMEOUT_S) -> dict:
+        """One attempt to publish the next content: the site file with a changed setting that fronts apply while running."""
         self.count += 1
         path = self.fleet.out / "next.xml"
         path.write_text(re.sub(r'most-waiting="\d+"', f'most-waiting="{1000 + self.count}"', self.site))
         return await self.fleet.hollow[0].ask({"do": "put", "path": str(path), "within": within}, within + 30)
 
     async def change(self, when: str, names: set[str], since: float | None = None) -> dict:
-        """A change made, if need be by several tries, and in force at all the names. `since`: what its time counts from, if
-        that was earlier."""
+        """Makes a change, retrying if refused, and waits until it is in force at all of `names`. `since`: start of its time,
+        if earlier than the call."""
         since = time.monotonic() if since is None else since
-        refused, told = [], {"ok": False}
-        while not told["ok"] and time.monotonic() - since < MADE_WITHIN:
-            told = await self.put()
-            if not told["ok"]:
-                refused.append(told["wrong"])
-        row = {"when": when, "ok": told["ok"], "refused": refused[:3], "version": told.get("version", "")}
-        if told["ok"]:
+        refused, answer = [], {"ok": False}
+        while not answer["ok"] and time.monotonic() - since < CHANGE_TIMEOUT_S:
+            answer = await self.put()
+            if not answer["ok"]:
+                refused.append(answer["wrong"])
+        row = {"when": when, "ok": answer["ok"], "refused": refused[:3], "version": answer.get("version", "")}
+        if answer["ok"]:
             row["made_s"] = round(time.monotonic() - since, 2)
-            row |= await self.everywhere(number_in(told["version"]), names, since)
+            row |= await self.wait_everywhere(number_in(answer["version"]), names, since)
         self.made.append({**row, "since": since})
         return row
 
-    async def everywhere(self, number: tuple[int, int], names: set[str], since: float) -> dict:
+    async def wait_everywhere(self, number: tuple[int, int], names: set[str], since: float) -> dict:
         while True:
-            # real ones count once they show versions at all
+            # real nodes count from the first version that they show
             there = [
                 name for name in names & self.judge.running if name not in self.fleet.real or name in self.judge.versions.highest
             ]
             times, missing = self.judge.versions.reached(number, there)
-            if not missing or time.monotonic() - since > EVERYWHERE_WITHIN:
+            if not missing or time.monotonic() - since > EVERYWHERE_TIMEOUT_S:
                 break
-            await anyio.sleep(LOOK)
+            await anyio.sleep(POLL_INTERVAL_S)
         waits = sorted(max(0.0, at - since) for at in times)
         return {
             "nodes": len(there),
@@ -79,16 +80,16 @@
     async def several(self, when: str, count: int, names: set[str]) -> list[dict]:
         return [await self.change(when, names) for _ in range(count)]
 
-    async def own_words(self) -> None:
-        """Beside each change: when the last hollow node says that it took it."""
+    async def add_own_reports(self) -> None:
+        """Adds to each change when the last hollow node applied it, by the nodes' own reports."""
         took: dict[str, list] = {}
         for answer in await self.fleet.request_all(list(self.fleet.hollow.values()), "took"):
             took |= answer
         for row in self.made:
             if row["ok"]:
                 at = [
-                    next((at for text, at in mine if number_in(text) >= number_in(row["version"])), None)
-                    for mine in took.values()
+                    next((at for text, at in reports if number_in(text) >= number_in(row["version"])), None)
+                    for reports in took.values()
                 ]
                 waits = [one - row["since"] for one in at if one is not None]
                 row["own_last_s"] = round(max(waits), 2) if waits else None
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,7 +22,7 @@
 from curlewshift.scale.judge import Judge, VersionsSeen
 from curlewshift.scale.meter import Meter
 from curlewshift.scale.plan import InsufficientResources, Load, Plan
-from curlewshift.scale.relay import version_ridden
+from curlewshift.scale.relay import piggybacked_version
 from curlewshift.scale.run import ScaleRun
 from curlewshift.scale.versions import number_in
 
@@ -159,11 +159,11 @@
     def test_what_rides_is_read_without_the_program(self):
         version = Version(5, 3, bytes(range(32)))
         body = ENCODER.encode(Piggyback(tuple(version), 7))
-        self.assertEqual(version_ridden(body), [5, 3, "000102030405"])
+        self.assertEqual(piggybacked_version(body), [5, 3, "000102030405"])
         self.assertEqual(version.text, "5.3-000102030405")
         self.assertEqual(number_in(version.text), (5, 3))
         for spoilt in (b"", b"\xff", b"\x91\x01", b"\x92\x93\x01\x02\x03\x01"):
-            self.assertIsNone(version_ridden(spoilt))
+            self.assertIsNone(piggybacked_version(spoilt))
 
 
 class Accounts(unittest.TestCase):
