--- a/curlewshift/scale/run.py
+++ b/curlewshift/scale/run.py
@@ -35,7 +35,7 @@
 
 
 class ScaleRun:
-    """`progress(words)` is called with a line on each step. `joins`: number of joins compared at each front, 0 for none."""
+    """`progress(text)` is called with a line on each step. `joins`: number of joins compared at each front, 0 for none."""
 
     def __init__(
         self, plan: Plan, out: Path, progress: Callable[[str], None], joins: int = 400, agree_within: float = AGREE_TIMEOUT_S
@@ -132,7 +132,7 @@
 
     async def _agree(self, groups: list[set[str]], within: float, since: float) -> float | None:
         """Seconds from `since` until all views agreed and were right; None if they did not within so long."""
-        result = 0.0
+        reported_at = 0.0
         while True:
             wrong_views = self.judge.wrong_views(groups)
             now = time.monotonic()
@@ -140,8 +140,8 @@
                 return round(now - since, 2)
             if now - since > within:
                 return None
-            if now - result > 2:
-                result = now
+            if now - reported_at > 2:
+                reported_at = now
                 self.progress(f"{now - since:5.1f} s: {wrong_views} views are not yet as they should be")
             await anyio.sleep(POLL_INTERVAL_S)
 
--- a/curlewshift/scale/slopes.py
+++ b/curlewshift/scale/slopes.py
@@ -1,7 +1,7 @@
-"""What one real front node costs by size: which slopes there are, what they need, and the form in which they are kept.
+"""Resource slopes of one real front node (cost by size): the measurements, the resources they need and their file format.
 
-Called by `curlewshift slopes`. Every slope is of the program in service, in a process of its own, against stand-ins of
-slopes_stands.py; whether there is room for it is asked before it starts.
+Called by `curlewshift slopes`. Each slope is measured on the program as in service, in its own process, against the stand-ins
+(test doubles) of slopes_stands.py. Descriptors and memory are checked before it starts.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 from curlewshift.scale.fits import fit, rounded
 
 GIB = 2**30
-# Of the machine's memory a run may want so much; it is others' too.
-MEMORY_PART = 0.5
-# Bytes a run is counted with, as measured once and rounded up: a node and the measuring side when empty, and each
-# connection with a viewing at the node, at the measuring side and in the kernel for both.
-EMPTY, A_CONNECTION = 256 * 2**20, 40 * 1024
-# Descriptors of either side beside the viewers' connections, with those to media servers.
-OTHERS = 600
-# Steps of the fixed work with which processor times are compared.
-YARD = 100_000
+# Fraction of the machine's memory that a run may need; other processes use the machine too.
+MEMORY_FRACTION = 0.5
+# Memory estimate of a run (bytes), rounded up: a node and the measuring side without connections; and by connection with one
+# viewing, at the node, at the measuring side and in the kernel for both.
+BASE_MEMORY, CONNECTION_MEMORY = 256 * 2**20, 40 * 1024
+# File descriptors of either side besides the viewers' connections, including those to media servers.
+OTHER_DESCRIPTORS = 600
+# Iterations of the reference workload with which processor times are compared.
+YARDSTICK_STEPS = 100_000
 
 
 class MeasurementRefused(Exception):
-    """Why a run does not begin, in one line."""
+    """A measurement is refused before its start; the message is one line."""
 
 
 @dataclass
 class Slope:
-    """One figure by size, with every repeat as a point of its own."""
+    """One figure by size; each repeat is a separate point."""
 
     name: str
     x: tuple[str, str]
@@ -44,8 +44,8 @@
     notes: list[str] = field(default_factory=list)
     of: str = "front node"
 
-    def told(self, command: str, machine: dict) -> dict:
-        """As docs/measured/ keeps it. Raises `fits.TooFewPoints`."""
+    def as_record(self, command: str, machine: dict) -> dict:
+        """The record stored in docs/measured/. Raises `fits.TooFewPoints`."""
         x, y = ({"name": name, "unit": unit} for name, unit in (self.x, self.y))
         points = [[size, rounded(figure, 6)] for size, figure in self.points]
         return {
@@ -64,15 +64,15 @@
 
 @dataclass
 class Run:
-    """What a measurement is given. `say` is told how far it is."""
+    """Parameters of a measurement. `say` is called with progress lines."""
 
     sizes: tuple[int, ...]
     seed: int
     folder: Path
     say: Callable[[str], None]
     rounds: int = 2
-    # how long one size is left to come to rest, and measured (s); the time of the last who asked is over meanwhile, and with
-    # it what the node had to do about that
+    # time for the node to come to rest at a size, and time measured (s); during the rest, timers of the last requests expire, so
+    # that their work is not in the figure
     rest: float = 4.0
     lasts: float = 5.0
 
@@ -83,8 +83,8 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """One measurement: `sizes` if none are said, and how many `connections` it has open at a size. `measure` is a function's
-    place, imported when it is called."""
+    """One measurement: default `sizes`, and number of `connections` open at a size. `measure` is `module.function`, imported
+    when it is called."""
 
     name: str
     what: str
@@ -102,36 +102,37 @@
 
 
 def check_room(kind: Kind, sizes: tuple[int, ...], descriptors: int | None = None, memory: int | None = None) -> None:
-    """Raises `MeasurementRefused`. The limits are the machine's, unless said."""
+    """Raises `MeasurementRefused`. The limits default to the machine's."""
     descriptors = soft_limit() if descriptors is None else descriptors
     memory = machine_memory() if memory is None else memory
-    most = max(kind.connections(size) for size in sizes)
+    max_connections = max(kind.connections(size) for size in sizes)
     if len(set(sizes)) < 4:
-        raise MeasurementRefused(f"{kind.name}: {len(set(sizes))} sizes, four at the least tell a slope from a bend")
-    if most + OTHERS > descriptors:
+        raise MeasurementRefused(f"{kind.name}: {len(set(sizes))} sizes; at least four are needed to tell a line from a curve")
+    if max_connections + OTHER_DESCRIPTORS > descriptors:
         raise MeasurementRefused(
-            f"{kind.name}: {most} connections and {OTHERS} others want more descriptors than the {descriptors} there are"
+            f"{kind.name}: {max_connections} connections and {OTHER_DESCRIPTORS} others need more descriptors "
+            f"than the {descriptors} available"
         )
-    wanted = EMPTY + most * A_CONNECTION
-    if wanted > memory * MEMORY_PART:
+    needed = BASE_MEMORY + max_connections * CONNECTION_MEMORY
+    if needed > memory * MEMORY_FRACTION:
         raise MeasurementRefused(
-            f"{kind.name}: some {wanted / GIB:.1f} GiB are wanted, half of the machine's memory is "
-            f"{memory * MEMORY_PART / GIB:.1f}"
+            f"{kind.name}: some {needed / GIB:.1f} GiB are wanted, half of the machine's memory is "
+            f"{memory * MEMORY_FRACTION / GIB:.1f}"
         )
 
 
 def yardstick() -> float:
-    """Processor time of the same work each time, of Python's usual kind: where it is longer, others share the cores' caches
-    and threads, and all processor times of the run are longer with it (s)."""
+    """Processor time of a fixed reference workload in Python (s). It is longer where other processes share the cores' caches
+    and threads, and all processor times of the run are longer then."""
     began = time.process_time()
-    rows = {number: [number] for number in range(YARD)}
-    for number in range(YARD):
-        rows[number].append(rows[YARD - 1 - number][0])
+    rows = {number: [number] for number in range(YARDSTICK_STEPS)}
+    for number in range(YARDSTICK_STEPS):
+        rows[number].append(rows[YARDSTICK_STEPS - 1 - number][0])
     return time.process_time() - began
 
 
 def measured(kind: Kind, run: Run, command: str) -> dict:
-    """Raises `MeasurementRefused` before anything is started."""
+    """Runs the measurement. Raises `MeasurementRefused` before anything is started."""
     from importlib import import_module
 
     check_room(kind, run.sizes)
@@ -148,12 +149,12 @@
         "load_after": round(os.getloadavg()[0], 2),
         "yardstick_s": [round(yard, 3), round(yardstick(), 3)],
     }
-    return {"slopes": [slope.told(command, machine) for slope in slopes]}
+    return {"slopes": [slope.as_record(command, machine) for slope in slopes]}
 
 
-def kept(told: dict, kind: Kind, out: Path) -> Path:
+def kept(as_record: dict, kind: Kind, out: Path) -> Path:
     path = out / f"slope-{kind.name}.json"
-    path.write_text(json.dumps(told, indent=1) + "\n")
+    path.write_text(json.dumps(as_record, indent=1) + "\n")
     return path
 
 
--- a/curlewshift/scale/slopes_asked.py
+++ b/curlewshift/scale/slopes_asked.py
@@ -1,8 +1,8 @@
-"""What a node uses by what is asked of it a second: set-ups, ends told on to viewers, and changes of rung, at steady paces.
+"""Resource use of a node by request rate: set-ups, session ends passed on to viewers, and changes of rung.
 
-Paces are open: what is asked does not wait for what was asked before, so that a node that cannot keep up shows it in its
-p99 and does not slow its askers down. Processor time is the node's own; waits are seen from the viewers' sockets, on a machine
-that others may use, and say so.
+The load is open-loop: a request does not wait for earlier ones, so that a node that cannot keep up shows a higher p99 and does
+not slow the load down. Processor time is the node's own; waits are measured at the viewers' sockets and include delays by other
+processes on the machine, as their notes say.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 NS = 1_000_000_000
 MS = 1_000_000
 CONNECTIONS = 500
-# A viewing that was asked for ends after this (ns), and media servers keep so many of their connections.
-LASTS, MEDIAS = NS // 2, 8
-# Viewings whose rungs are changed, on so many media servers; in a round each viewing of one goes down by a rung at the most,
-# so that one of them is told short of so many changes.
-CHANGED, CHANGED_ON, A_ROUND = 2000, 16, 60
-# More than this part of a pace not done within its time is said.
-LATE = 0.05
+# Duration of a viewing (ns), and number of media servers.
+VIEWING_NS, MEDIAS = NS // 2, 8
+# Number of viewings whose rungs are changed, number of media servers they are on, and maximum number of changes requested of one
+# server per round of the rules: in a round each viewing goes down by one rung at most.
+CHANGED_VIEWINGS, CHANGED_MEDIAS, CHANGES_PER_SERVER = 2000, 16, 60
+# A deviation from the requested rate above this fraction is noted.
+MAX_SHORTFALL = 0.05
 WAITS = "a p99 is of wall time, on loopback, and what else runs here lengthens it"
 
 
 class Pace:
-    """`call()` so often in each second, at times drawn over it: as Poisson's where the count is given. Called from the
-    stand-ins' loop; what comes late is called late, and none is left out."""
+    """Calls `call()` `rate` times in each second, at uniformly random times (a Poisson process given its count). Runs in the
+    stand-ins' loop; late calls are made late, none is dropped."""
 
-    def __init__(self, stands: Stands, often: int, call: Callable[[], None]):
-        self.stands, self.often, self.call = stands, often, call
+    def __init__(self, stands: Stands, rate: int, call: Callable[[], None]):
+        self.stands, self.rate, self.call = stands, rate, call
         self.second, self.times = time.monotonic_ns(), []
-        stands.loop.each_turn.append(self.turn)
+        stands.loop.turn_callbacks.append(self.turn)
 
     def turn(self, now: int) -> None:
         while self.times or self.second <= now:
             if not self.times:
-                self.times = sorted((self.second + self.stands.rng.randrange(NS) for _ in range(self.often)), reverse=True)
+                self.times = sorted((self.second + self.stands.rng.randrange(NS) for _ in range(self.rate)), reverse=True)
                 self.second += NS
             while self.times and self.times[-1] <= now:
                 self.times.pop()
@@ -50,33 +50,33 @@
                 return
 
     def stop(self) -> None:
-        self.stands.loop.each_turn.remove(self.turn)
+        self.stands.loop.turn_callbacks.remove(self.turn)
 
 
 def p99(waits: list[int]) -> float:
-    """Of nanoseconds, in seconds."""
+    """99th percentile of waits in ns; in s."""
     return sorted(waits)[int(len(waits) * 0.99)] / NS
 
 
 def _paced(
-    stands: Stands, node, seconds: float, warm: float, often: float, call: Callable[[], None], begin: Callable[[], None]
+    stands: Stands, node, seconds: float, warm_up: float, rate: float, call: Callable[[], None], begin: Callable[[], None]
 ) -> float:
-    """Processor time a second at this pace, after a while in which it comes about."""
-    pace = Pace(stands, often, call)
+    """Processor time per second at this rate, measured for `seconds` after a warm-up of `warm_up` seconds."""
+    pace = Pace(stands, rate, call)
     try:
-        _turns(stands, warm)
+        _run_loop(stands, warm_up)
         begin()
-        before, began, ends = node.processor_ns(), time.monotonic_ns(), time.monotonic() + seconds
-        _turns(stands, ends - time.monotonic())
+        before, began, until = node.processor_ns(), time.monotonic_ns(), time.monotonic() + seconds
+        _run_loop(stands, until - time.monotonic())
         return (node.processor_ns() - before) / (time.monotonic_ns() - began)
     finally:
         pace.stop()
 
 
-def _turns(stands: Stands, seconds: float) -> None:
-    """Short ones: a pace is only as even as they are."""
-    ends = time.monotonic() + seconds
-    while time.monotonic() < ends:
+def _run_loop(stands: Stands, seconds: float) -> None:
+    """Runs the loop in short turns, as the request times are only as precise as the turns."""
+    until = time.monotonic() + seconds
+    while time.monotonic() < until:
         stands.loop.turn(0.001)
 
 
@@ -87,7 +87,8 @@
         ("set-ups a second", "1/s"),
         ("processor time a second", "seconds"),
         notes=[
-            f"{CONNECTIONS} connections; each set-up plays and is torn down {LASTS / NS:g} s later, so that one end is in it",
+            f"{CONNECTIONS} connections; each set-up plays and is torn down {VIEWING_NS / NS:g} s later, "
+            "so that one end is in it",
             "every answer was 200 unless told otherwise",
         ],
     )
@@ -95,16 +96,16 @@
     for number in range(run.rounds):
         with place(run, MEDIAS) as (stands, node, crowd):
             crowd.connected(CONNECTIONS)
-            viewers, ends = list(crowd.viewers), deque()
-            crowd.answered = lambda id, viewer, message: ends.append((time.monotonic_ns() + LASTS, id))
+            viewers, scheduled_ends = list(crowd.viewers), deque()
+            crowd.answered = lambda id, viewer, message: scheduled_ends.append((time.monotonic_ns() + VIEWING_NS, id))
 
             def tear_down(now: int) -> None:
-                while ends and ends[0][0] <= now:
-                    id = ends.popleft()[1]
+                while scheduled_ends and scheduled_ends[0][0] <= now:
+                    id = scheduled_ends.popleft()[1]
                     if id in crowd.playing:
                         crowd.tear_down(id)
 
-            stands.loop.each_turn.append(tear_down)
+            stands.loop.turn_callbacks.append(tear_down)
             for size in run.sizes:
                 share = _paced(
                     stands, node, run.lasts, 1.0, size, lambda: crowd.ask(stands.rng.choice(viewers)), crowd.answers.clear
@@ -112,7 +113,7 @@
                 done, answers = len(crowd.answers) / run.lasts, list(crowd.answers)
                 stands.loop.until(lambda: not crowd.asked and not crowd.playing, 30, "what was asked is answered and ended")
                 refused = sum(status != 200 for _, status in answers)
-                if abs(done - size) > LATE * size:
+                if abs(done - size) > MAX_SHORTFALL * size:
                     used.notes.append(f"round {number + 1}: at {size} a second asked, {done:.0f} were answered")
                 if refused:
                     used.notes.append(
@@ -129,21 +130,21 @@
     return [used, late]
 
 
-def _profiled(run: Run, often: int) -> list[str]:
-    """Where a set-up's time goes."""
+def _profiled(run: Run, rate: int) -> list[str]:
+    """Profile lines on where the time of set-ups goes."""
     out = run.folder / "profile"
     with place(run, MEDIAS, profile=out) as (stands, node, crowd):
         crowd.connected(CONNECTIONS)
         viewers = list(crowd.viewers)
-        pace = Pace(stands, often, lambda: crowd.ask(stands.rng.choice(viewers)))
-        _turns(stands, 1.0)
-        told = profile_of(run, stands, node, out, f"{often} set-ups a second")
+        pace = Pace(stands, rate, lambda: crowd.ask(stands.rng.choice(viewers)))
+        _run_loop(stands, 1.0)
+        lines = profile_of(run, stands, node, out, f"{rate} set-ups a second")
         pace.stop()
-    return told
+    return lines
 
 
 def measure_notices(run: Run) -> list[Slope]:
-    """Ends that media servers tell, each passed on to its viewer: the notices that a node passes on."""
+    """Session ends announced by media servers, each passed on to its viewer by the node."""
     used = Slope(
         "processor-time-by-notice",
         ("notices passed on a second", "1/s"),
@@ -164,12 +165,12 @@
                 stands.loop.run(0.5)
                 out, waits = {}, []
                 crowd.ended = lambda id: waits.append(time.monotonic_ns() - out.pop(id))
-                left = [(media, id) for media in stands.medias for id in media.sessions]
-                stands.rng.shuffle(left)
+                unreleased = [(media, id) for media in stands.medias for id in media.sessions]
+                stands.rng.shuffle(unreleased)
 
                 def release() -> None:
-                    if left:
-                        media, id = left.pop()
+                    if unreleased:
+                        media, id = unreleased.pop()
                         out[id.hex()] = time.monotonic_ns()
                         media.release(id)
 
@@ -186,38 +187,39 @@
 
 
 def measure_rungs(run: Run) -> list[Slope]:
-    """Changes of rung: a media server says that it delivers too little, and the rules step viewings down a round later."""
+    """Changes of rung: a media server reports short delivery, and the rules step viewings down in their next round."""
     used = Slope(
         "processor-time-by-change-of-rung",
         ("changes of rung told to media servers a second", "1/s"),
         ("processor time a second", "seconds"),
         notes=[
-            f"{CHANGED} viewings; media servers tell once a second of short delivery, and the round of the rules answers it",
+            f"{CHANGED_VIEWINGS} viewings; media servers tell once a second of short delivery, "
+            "and the round of the rules answers it",
             "the node passes changes to media servers; viewers see them in the media and are told nothing",
         ],
     )
     for number in range(run.rounds):
         for size in run.sizes:
-            with place(run, CHANGED_ON) as (stands, node, crowd):
+            with place(run, CHANGED_MEDIAS) as (stands, node, crowd):
                 crowd.connected(CONNECTIONS)
-                crowd.play(CHANGED, list(crowd.viewers))
+                crowd.play(CHANGED_VIEWINGS, list(crowd.viewers))
                 stands.loop.run(1.5)
-                told = {"at": 0, "next": 0}
+                state = {"at": 0, "next": 0}
 
                 def each_second(now: int) -> None:
-                    if now - told["at"] < NS:
+                    if now - state["at"] < NS:
                         return
-                    told["at"] = now
-                    servers = -(-size // A_ROUND)
+                    state["at"] = now
+                    servers = -(-size // CHANGES_PER_SERVER)
                     for _ in range(servers):
-                        media = stands.medias[told["next"] % len(stands.medias)]
-                        told["next"] += 1
-                        # so much short that so many changes of one rung make it up
-                        owed = size / servers * (RUNGS[1] - RUNGS[0])
-                        media.note(b"kept_up", b"%.4f" % max(0.01, 1 - owed / max(1.0, _asks(media))))
-
-                stands.loop.each_turn.append(each_second)
-                _turns(stands, 1.5)
+                        media = stands.medias[state["next"] % len(stands.medias)]
+                        state["next"] += 1
+                        # a shortfall that `size / servers` changes by one rung make up for
+                        shortfall = size / servers * (RUNGS[1] - RUNGS[0])
+                        media.note(b"kept_up", b"%.4f" % max(0.01, 1 - shortfall / max(1.0, _requested_rate(media))))
+
+                stands.loop.turn_callbacks.append(each_second)
+                _run_loop(stands, 1.5)
                 before = stands.rungs
                 share = node.share(run.lasts)
                 done = (stands.rungs - before) / run.lasts
@@ -226,6 +228,6 @@
     return [used]
 
 
-def _asks(media) -> float:
-    """What the viewings there ask for now, as far as it was told: all began on the highest rung (kB/s)."""
+def _requested_rate(media) -> float:
+    """Rate that the viewings of a media server request, by the rung changes it received; all began on the highest rung (kB/s)."""
     return len(media.sessions) * RUNGS[-1] - media.rungs * (RUNGS[1] - RUNGS[0])
--- a/curlewshift/scale/slopes_control.py
+++ b/curlewshift/scale/slopes_control.py
@@ -1,5 +1,5 @@
-"""What control costs a node by size: sharing by the links it plays on, membership by the nodes there are. Both in virtual
-time, with the objects that serve and frames as they are encoded, without sockets.
+"""Control-plane cost of a node: sharing by the number of links it plays on, membership by the number of nodes. Both are
+simulated in virtual time, with the protocol objects and frame encoding of the program and without sockets.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from curlewshift.membership.terms import default_membership_terms
 from curlewshift.scale.slopes import Run, Slope
 
-# The fleet of the users' size.
+# Size of the fleet that the program is specified for.
 FRONTS, SERVERS, ZONES, REGIONS = 630, 2000, 9, 3
-# What a link plays for this front (kB/s), as in emulator/sharing_bytes.py.
-OWN = 700.0
-# How long the fleet is watched at rest, after a zone was lost, with regions apart, and once they have agreed again (s).
-QUIET, AFTER_LOSS, APART, AFTER = 5, 15, 60, 5
-SETTLES, AGREES_WITHIN = 3, 60
+# Use of a link by this front (kB/s), as in emulator/sharing_bytes.py.
+OWN_USE = 700.0
+# Measured times (s): at rest, after the loss of a zone, during a partition of the regions, and after all agree again.
+QUIET_S, AFTER_LOSS_S, APART_S, AFTER_S = 5, 15, 60, 5
+SETTLE_S, AGREE_TIMEOUT_S = 3, 60
 
 
 def measure_sharing(run: Run) -> list[Slope]:
@@ -53,7 +53,7 @@
     for server in among.fleet:
         server.link.own = server.rack.link.own = 0.0
     for server in among.rng.sample(among.fleet, links):
-        server.link.own = server.rack.link.own = OWN
+        server.link.own = server.rack.link.own = OWN_USE
     return among
 
 
@@ -63,10 +63,10 @@
     slopes = {
         name: Slope(f"membership-bytes-{name}", by, y, notes=[f"{why}; {what}"])
         for name, what in (
-            ("quiet", f"over {QUIET} s of nothing"),
-            ("zone-lost", f"over the {AFTER_LOSS} s after a zone was lost, a node that is left"),
-            ("regions-apart", f"over {APART} s of regions apart, after all were there again"),
-            ("agreed-again", f"over the {AFTER} s after the regions had agreed again"),
+            ("quiet", f"over {QUIET_S} s of nothing"),
+            ("zone-lost", f"over the {AFTER_LOSS_S} s after a zone was lost, a node that is left"),
+            ("regions-apart", f"over {APART_S} s of regions apart, after all were there again"),
+            ("agreed-again", f"over the {AFTER_S} s after the regions had agreed again"),
         )
     }
     took = Slope("membership-agreed-after-apart", by, ("from the regions' meeting until all agree", "seconds"), notes=[why])
@@ -83,25 +83,25 @@
 
 
 def _membership(size: int, seed: int) -> dict[str, float]:
-    """Raises `TimeoutError` where the fleet does not agree again."""
+    """Bytes per second and node in each phase. Raises `TimeoutError` if the views do not agree again."""
     fleet = PeerFleet(size, seed, default_membership_terms(NS))
     fleet.start_settled()
-    fleet.run(SETTLES)
-    told = {"quiet": _bytes(fleet, QUIET, size)}
+    fleet.run(SETTLE_S)
+    result = {"quiet": _bytes(fleet, QUIET_S, size)}
     zone = [post for number, post in enumerate(fleet.posts) if number % ZONES == ZONES - 1]
     for post in zone:
         post.kill()
-    told["zone-lost"] = _bytes(fleet, AFTER_LOSS, size - len(zone))
+    result["zone-lost"] = _bytes(fleet, AFTER_LOSS_S, size - len(zone))
     for post in zone:
         post.start()
     _agree(fleet)
-    fleet.run(SETTLES)
+    fleet.run(SETTLE_S)
     fleet.links.parted = lambda a, b: a % REGIONS != b % REGIONS
-    told["regions-apart"] = _bytes(fleet, APART, size)
+    result["regions-apart"] = _bytes(fleet, APART_S, size)
     fleet.links.parted = lambda a, b: False
-    told["took"] = _agree(fleet)
-    told["agreed-again"] = _bytes(fleet, AFTER, size)
-    return told
+    result["took"] = _agree(fleet)
+    result["agreed-again"] = _bytes(fleet, AFTER_S, size)
+    return result
 
 
 def _bytes(fleet: PeerFleet, seconds: int, nodes: int) -> float:
@@ -111,7 +111,7 @@
 
 
 def _agree(fleet: PeerFleet) -> float:
-    after = fleet.until(fleet.agreed, AGREES_WITHIN)
+    after = fleet.until(fleet.agreed, AGREE_TIMEOUT_S)
     if after is None:
-        raise TimeoutError(f"{len(fleet.posts)} nodes do not agree within {AGREES_WITHIN} s")
+        raise TimeoutError(f"{len(fleet.posts)} nodes do not agree within {AGREE_TIMEOUT_S} s")
     return after
--- a/curlewshift/scale/slopes_idle.py
+++ b/curlewshift/scale/slopes_idle.py
@@ -1,6 +1,6 @@
-"""Memory and processor time of a node of which nothing is asked, by connection, by viewing, and by both together.
+"""Memory and processor time of an idle node by connection, by viewing, and by both together.
 
-One node grows through the sizes, and a second one does so again, so that a size is not only ever seen after the same past.
+One node goes through the sizes in rising order, and further rounds repeat this on a new node.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from curlewshift.scale.slopes_stands import Stands
 
 MEDIAS = 8
-# Viewings alone are spread over so many connections.
-FEW = 100
-# As the node has it (node/node.py, limits/descriptors.py): of what it is told, two fifths and 16 are not for viewers, and over
-# three quarters of the rest connections that rest are dropped.
-FOR_SERVERS, FOR_OTHERS, CROWDED = 0.4, 16, 0.75
-MOST_LINES = 8
+# Number of connections that carry the viewings when only viewings are varied.
+VIEWING_CONNECTIONS = 100
+# The node's rules (node/node.py, limits/descriptors.py): two fifths of its descriptors and 16 are not for viewers; when over
+# three quarters of the rest are in use, idle connections are dropped.
+FOR_SERVERS, FOR_OTHERS, CROWDED_FRACTION = 0.4, 16, 0.75
+MAX_LINES = 8
 BY = {
     "connection": "connections, each greeted once, nothing played",
-    "viewing": f"viewings that play, on {FEW} connections",
+    "viewing": f"viewings that play, on {VIEWING_CONNECTIONS} connections",
     "connection-with-viewing": "connections with one viewing that plays on each",
 }
 MEASURED_BY = tuple(BY)
 
 
 @contextmanager
-def place(run: Run, medias: int = MEDIAS, **told) -> Iterator[tuple[Stands, RealNode, Crowd]]:
-    """A node in service among stand-ins; it and they are gone afterwards."""
+def place(run: Run, medias: int = MEDIAS, **node_options) -> Iterator[tuple[Stands, RealNode, Crowd]]:
+    """A node in service among stand-ins; all of them end with the context."""
     stands = Stands(medias, run.seed)
     node = None
     try:
-        node = RealNode(run.folder, stands, run.descriptors, **told)
+        node = RealNode(run.folder, stands, run.descriptors, **node_options)
         node.ready()
         yield stands, node, stands.crowd(node.port)
     finally:
@@ -47,13 +47,13 @@
         stands.loop.close()
 
 
-def resting_most(descriptors: int) -> int:
-    """How many connections may rest at a node that is told of so many descriptors, before it drops some of them."""
-    return int((descriptors - int(descriptors * FOR_SERVERS) - FOR_OTHERS) * CROWDED)
+def max_idle_connections(descriptors: int) -> int:
+    """Number of idle connections that a node with this descriptor limit keeps before it drops some."""
+    return int((descriptors - int(descriptors * FOR_SERVERS) - FOR_OTHERS) * CROWDED_FRACTION)
 
 
 def measure_idle(run: Run) -> list[Slope]:
-    most, slopes = resting_most(run.descriptors), []
+    max_idle, slopes = max_idle_connections(run.descriptors), []
     for by in MEASURED_BY:
         what = BY[by]
         memory = Slope(f"memory-by-{by}", (by, "count"), ("resident memory", "bytes"), notes=[what])
@@ -73,18 +73,18 @@
                 if crowd.dropped:
                     idle.notes.append(
                         f"round {number + 1}: {crowd.dropped} connections were dropped by the node, which lets "
-                        f"{most} rest with {run.descriptors} descriptors"
+                        f"{max_idle} rest with {run.descriptors} descriptors"
                     )
         slopes += [memory, idle]
-    said = _profiled(run, min(max(run.sizes), most))
+    profile_lines = _profiled(run, min(max(run.sizes), max_idle))
     for slope in slopes:
         if slope.name.startswith("idle"):
-            slope.notes += said
+            slope.notes += profile_lines
     return slopes
 
 
 class Returning(Crowd):
-    """Who was dropped connects again at once, and rests again."""
+    """Viewers that reconnect at once when dropped, and then stay idle."""
 
     def left(self, viewer: Viewer) -> None:
         super().left(viewer)
@@ -92,14 +92,14 @@
 
 
 def measure_crowded(run: Run) -> list[Slope]:
-    """Idle processor time past the mark from which a node drops connections that rest, while those dropped come again."""
-    most = resting_most(run.descriptors)
+    """Idle processor time above the limit at which a node drops idle connections, while dropped viewers reconnect."""
+    max_idle = max_idle_connections(run.descriptors)
     idle = Slope(
         "idle-time-crowded",
         ("connections that want to rest", "count"),
         ("processor time a second", "seconds"),
         notes=[
-            f"the node is told of {run.descriptors} descriptors, and drops who rests while over {most} are open",
+            f"the node is told of {run.descriptors} descriptors, and drops who rests while over {max_idle} are open",
             "who is dropped connects again at once: the accepts are in the figure",
         ],
     )
@@ -120,13 +120,13 @@
 
 
 def _fill(crowd: Crowd, by: str, size: int) -> None:
-    crowd.connected(FEW if by == "viewing" else size)
+    crowd.connected(VIEWING_CONNECTIONS if by == "viewing" else size)
     if by != "connection":
         crowd.play(size, list(crowd.viewers))
 
 
 def _profiled(run: Run, size: int, by: str = "connection-with-viewing", kind: type[Crowd] = Crowd) -> list[str]:
-    """Where the idle time goes at this size, in words."""
+    """Text lines on where the idle time goes at this size."""
     out = run.folder / "profile"
     with place(run, profile=out) as (stands, node, _):
         crowd = kind(stands.loop, node.port, stands.rng)
@@ -137,25 +137,25 @@
 
 
 def profile_of(run: Run, stands: Stands, node: RealNode, out: Path, at: str) -> list[str]:
-    """What a node that was started for it does in a while; everything is slower under a profile, so it tells shares alone.
-    Raises `TimeoutError`."""
+    """Profiles a node that was started with `profile` for `run.lasts` seconds. Only shares are meaningful, as profiling
+    slows everything. Raises `TimeoutError`."""
     node.process.send_signal(signal.SIGUSR1)
     stands.loop.run(run.lasts)
     node.process.send_signal(signal.SIGUSR2)
     stands.loop.until(lambda: out.exists() and out.stat().st_size > 0, 5, "the profile")
     time.sleep(0.2)
-    return [f"profile at {at}, {run.lasts:g} s, share of the processor time under the profile:", *lines_of(out, MOST_LINES)]
+    return [f"profile at {at}, {run.lasts:g} s, share of the processor time under the profile:", *lines_of(out, MAX_LINES)]
 
 
-def lines_of(profile: Path, most: int) -> list[str]:
-    """The functions with most time of their own: share, file and line, name, calls."""
+def lines_of(profile: Path, max_idle: int) -> list[str]:
+    """The functions with the most time of their own: share, file and line, name, calls."""
     stats = pstats.Stats(str(profile)).stats
-    # a wait for events is no work
+    # waiting for events is not counted as work
     rows = [
         (own, f"{Path(file).parent.name}/{Path(file).name}:{line}" if line else "built in", name, calls)
         for (file, line, name), (_, calls, own, _, _) in stats.items()
         if "poll" not in name
     ]
     rows.sort(reverse=True)
-    whole = sum(own for own, *_ in rows) or 1.0
-    return [f"{100 * own / whole:.0f}% {where} {name}, {calls} calls" for own, where, name, calls in rows[:most]]
+    total = sum(own for own, *_ in rows) or 1.0
+    return [f"{100 * own / total:.0f}% {where} {name}, {calls} calls" for own, where, name, calls in rows[:max_idle]]
--- a/curlewshift/scale/slopes_list.py
+++ b/curlewshift/scale/slopes_list.py
@@ -1,4 +1,4 @@
-"""What a node's start costs by what it is told, and what a list costs that rests, by the servers in it. Called by slopes.py."""
+"""Cost of a node's start by size of its configuration, and of an idle server list by its length. Called by slopes.py."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from curlewshift.scale.slopes_node import RealNode
 from curlewshift.scale.slopes_stands import Stands
 
-# Servers and classes where the other is what grows.
+# Number of servers and of classes while the other is varied.
 SERVERS, CLASSES, CELLS = 100, 2, 64
-# Connections with a viewing each, while a list rests.
+# Connections with one viewing each, while the list is idle.
 WATCHING = 200
 WALL = "of wall time, what else runs here lengthens it; its processor time beside it is the node's own"
 
@@ -62,7 +62,7 @@
     for number in range(run.rounds):
         for size in run.sizes:
             with place(run, servers=size, cells=CELLS) as (stands, node, crowd):
-                # all of a title's cells have one that stands
+                # each cell that a title may use has a running media server
                 crowd.homes = MEDIAS - COPIES + 1
                 crowd.connected(WATCHING)
                 crowd.play(WATCHING, list(crowd.viewers))
--- a/curlewshift/scale/slopes_loop.py
+++ b/curlewshift/scale/slopes_loop.py
@@ -1,5 +1,5 @@
-"""One epoll for all that a node is measured against: thousands of connections cost the measuring side too. Called by the
-stand-ins and the crowd.
+"""One epoll loop for all that a node is measured against, as thousands of connections cost the measuring side too. Used by
+the stand-ins and the crowd (simulated viewers).
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 
 class Loop:
-    """Sockets that do not block, each with what is called when it can be read."""
+    """Non-blocking sockets, each with a callback for when it is readable."""
 
     def __init__(self):
         self.selector = selectors.EpollSelector()
-        self.each_turn: list[Callable[[int], None]] = []
+        self.turn_callbacks: list[Callable[[int], None]] = []
 
     def add(self, sock: socket.socket, call: Callable[[], None]) -> None:
         sock.setblocking(False)
         self.selector.register(sock, selectors.EVENT_READ, call)
 
-    def when_up(self, sock: socket.socket, call: Callable[[], None]) -> None:
-        """Called once it can be written to: it is up, or will not come up."""
+    def when_writable(self, sock: socket.socket, call: Callable[[], None]) -> None:
+        """Calls `call` once the socket is writable: connected, or failed to connect."""
         self.selector.register(sock, selectors.EVENT_WRITE, call)
 
-    def reads(self, sock: socket.socket, call: Callable[[], None]) -> None:
-        """From now on, one that was waited for."""
+    def when_readable(self, sock: socket.socket, call: Callable[[], None]) -> None:
+        """Switches a socket registered by `when_writable` to reading."""
         self.selector.modify(sock, selectors.EVENT_READ, call)
 
     def remove(self, sock: socket.socket) -> None:
@@ -35,11 +35,11 @@
 
     def turn(self, wait: float) -> None:
         for key, _ in self.selector.select(wait):
-            # one before it in this turn may have closed it
+            # an earlier callback of this turn may have closed it
             if key.fileobj.fileno() >= 0:
                 key.data()
         now = time.monotonic_ns()
-        for call in self.each_turn:
+        for call in self.turn_callbacks:
             call(now)
 
     def run(self, seconds: float) -> None:
@@ -48,7 +48,7 @@
             self.turn(min(left, 0.05))
 
     def until(self, done: Callable[[], bool], within: float, what: str) -> None:
-        """Raises `TimeoutError`."""
+        """Runs until `done()`. Raises `TimeoutError` after `within` seconds."""
         ends = time.monotonic() + within
         while not done():
             if time.monotonic() > ends:
--- a/curlewshift/scale/slopes_node.py
+++ b/curlewshift/scale/slopes_node.py
@@ -1,4 +1,4 @@
-"""The program in service as a process of its own: what it is told, and what it uses, read from /proc (proc(5)). Called by the
+"""The program in service as a process of its own: its configuration, and its resource use from /proc (proc(5)). Used by the
 slopes of a real node.
 """
 
@@ -15,21 +15,21 @@
 from random import Random
 
 from curlewshift.fault_injection.processes import ROOT, free_ports
-from curlewshift.scale.slopes_crowd import OPTIONS, PATIENCE
+from curlewshift.scale.slopes_crowd import OPTIONS, SETUP_TIMEOUT_MS
 from curlewshift.scale.slopes_stands import Stands
 
 NS = 1_000_000_000
-READY_WITHIN, END_WITHIN = 60.0, 3.0
+READY_TIMEOUT_S, END_TIMEOUT_S = 60.0, 3.0
 PAGE = os.sysconf("SC_PAGESIZE")
-# Ten rungs of one size each: nobody is held to a rung by anything but what the measurement does.
+# Ten evenly spaced rungs (kB/s): only the measurement itself makes viewings change rungs.
 RUNGS = [100.0 * number for number in range(1, 11)]
 
 
 def settings(classes: int = 2, cells: int = 8) -> dict:
-    """Links and places so large that nothing is refused for want of room: what a request costs is asked, not where it goes."""
-    rows = [dict(name="lesson", effect="safe", gain=1.0, goal_time_ms=800, give_up_ms=PATIENCE)]
+    """Settings with such large capacities that nothing is refused: the cost of a request is measured, not its placement."""
+    rows = [dict(name="lesson", effect="safe", gain=1.0, goal_time_ms=800, give_up_ms=SETUP_TIMEOUT_MS)]
     rows += [
-        dict(name=f"clip{number}", effect="unsafe", gain=2.0, goal_time_ms=800, give_up_ms=PATIENCE)
+        dict(name=f"clip{number}", effect="unsafe", gain=2.0, goal_time_ms=800, give_up_ms=SETUP_TIMEOUT_MS)
         for number in range(1, classes)
     ]
     return dict(
@@ -62,7 +62,7 @@
 
 
 def rows_of(stands: Stands, servers: int, cells: int) -> list[dict]:
-    """Those that stand, and others on the list that nobody is sent to: their state is `leaving`."""
+    """Rows of the running media servers, and of further ones in state `leaving`, to which nothing is sent."""
     rows = [
         dict(
             id=media.name,
@@ -93,8 +93,8 @@
 
 
 class RealNode:
-    """`python -m curlewshift.node` with NODE_CONFIG. `descriptors` is what it is told that it may have open; there are as
-    many cells as media servers unless said."""
+    """`python -m curlewshift.node` with NODE_CONFIG. `descriptors`: its configured descriptor limit; `cells` defaults to
+    the number of media servers."""
 
     def __init__(
         self,
@@ -109,26 +109,26 @@
         self.folder, self.stands = folder, stands
         cells = cells or len(stands.medias)
         self.port = free_ports(1, Random(os.getpid() * 1000 + time.monotonic_ns() % 1000))[0]
-        told = dict(
+        config = dict(
             name="n0",
             listen=f"127.0.0.1:{self.port}",
             seed="0f",
             limits=dict(sockets=descriptors),
-            bulletin=f"127.0.0.1:{stands.bulletin.port}",
+            bulletin=f"127.0.0.1:{stands.discovery.port}",
             settings=settings(classes, cells),
             known=dict(no=1, items=[dict(no=1, roster=dict(version=0, full=True, servers=rows_of(stands, servers, cells)))]),
         )
         self.path = folder / "config.json"
-        self.path.write_text(json.dumps(told))
+        self.path.write_text(json.dumps(config))
         self.log = folder / "node.log"
         program = ["-m", "curlewshift.node"] if profile is None else ["-m", "curlewshift.scale.slopes_profiled", str(profile)]
         self.program, self.process = program, None
 
     def start(self) -> None:
-        """Whoever has this object ends the process; so nothing breaks in before the object knows of it."""
-        ends = {signal.SIGTERM, signal.SIGINT}
+        """Signals that end the run are blocked until `process` is set, so that the owner of this object can end the process."""
+        end_signals = {signal.SIGTERM, signal.SIGINT}
         self.began = time.monotonic()
-        before = signal.pthread_sigmask(signal.SIG_BLOCK, ends)
+        before = signal.pthread_sigmask(signal.SIG_BLOCK, end_signals)
         try:
             with open(self.log, "wb") as log:
                 self.process = subprocess.Popen(
@@ -139,7 +139,7 @@
                     stdout=log,
                     stderr=log,
                     start_new_session=True,
-                    preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_UNBLOCK, ends),
+                    preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_UNBLOCK, end_signals),
                 )
         finally:
             signal.pthread_sigmask(signal.SIG_SETMASK, before)
@@ -149,9 +149,9 @@
         return self.process.pid
 
     def ready(self) -> float:
-        """Starts it; seconds until it answered OPTIONS with 200. Raises `TimeoutError`."""
+        """Starts the node; returns the seconds until it answered OPTIONS with 200. Raises `TimeoutError`."""
         self.start()
-        while time.monotonic() - self.began < READY_WITHIN:
+        while time.monotonic() - self.began < READY_TIMEOUT_S:
             if self.process.poll() is not None:
                 raise TimeoutError(f"the node ended with {self.process.returncode}: {self.log.read_text()[-300:]}")
             with socket.socket() as sock:
@@ -164,21 +164,21 @@
                 except OSError:
                     pass
             self.stands.loop.run(0.005)
-        raise TimeoutError(f"the node was not ready within {READY_WITHIN:g} s")
+        raise TimeoutError(f"the node was not ready within {READY_TIMEOUT_S:g} s")
 
     def processor_ns(self) -> int:
         """Processor time of all its threads so far."""
         return sum(int((task / "schedstat").read_text().split()[0]) for task in Path(f"/proc/{self.pid}/task").iterdir())
 
     def rss(self) -> int:
-        """Bytes in memory, without what the kernel holds for its sockets."""
+        """Resident memory (bytes), without the kernel's socket buffers."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * PAGE
 
     def descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
     def share(self, seconds: float) -> float:
-        """Processor time over wall time while the stand-ins run on."""
+        """Processor time divided by wall time over `seconds`, while the stand-ins run."""
         before, began = self.processor_ns(), time.monotonic_ns()
         self.stands.loop.run(seconds)
         return (self.processor_ns() - before) / (time.monotonic_ns() - began)
--- a/curlewshift/scale/slopes_profiled.py
+++ b/curlewshift/scale/slopes_profiled.py
@@ -1,6 +1,6 @@
-"""The node in service under a profile switched on and off from outside: `python -m curlewshift.scale.slopes_profiled OUT`.
+"""The node in service under a profiler controlled by signals: `python -m curlewshift.scale.slopes_profiled OUT`.
 
-SIGUSR1 begins it, SIGUSR2 ends it and writes OUT. It says where time goes; no figure of a slope is taken under it.
+SIGUSR1 starts the profiler; SIGUSR2 stops it and writes OUT. No figures of a slope are measured under it.
 """
 
 from __future__ import annotations
--- a/curlewshift/scale/slopes_stands.py
+++ b/curlewshift/scale/slopes_stands.py
@@ -1,5 +1,5 @@
-"""What one front node is played against while its slopes are measured: media servers and the bulletin, on one epoll with the
-crowd of viewers. Called by the slopes of a real node. They answer at once, and decide nothing.
+"""Stand-ins (test doubles) around one front node while its slopes are measured: media servers and discovery, on one epoll loop
+with the crowd of viewers. Used by the slopes of a real node. They answer at once.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 NS = 1_000_000_000
 LOAD = (isup.REPORT, b"x0:0.5")
-# A media server tells how full its link is once in so long (ns), the bulletin that it has nothing new.
-TOLD_EVERY = NS
-NOTHING_NEW = 0
+# Interval (ns) at which a media server reports the load of its link, and discovery reports that it has no updates.
+REPORT_INTERVAL_NS = NS
+NO_UPDATES = 0
 
 
-class Listening:
-    """A port, and the connections that have come to it."""
+class StandInServer:
+    """A listening port and its accepted connections."""
 
     def __init__(self, loop: Loop, backlog: int = 1024):
-        self.loop, self.lines = loop, []
+        self.loop, self.connections = loop, []
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(backlog)
@@ -37,11 +37,11 @@
         except BlockingIOError:
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.lines.append(sock)
-        take = self.taker(sock)
-        self.loop.add(sock, lambda: self._read(sock, take))
+        self.connections.append(sock)
+        handle = self.make_handler(sock)
+        self.loop.add(sock, lambda: self._read(sock, handle))
 
-    def _read(self, sock: socket.socket, take: Callable[[bytes], None]) -> None:
+    def _read(self, sock: socket.socket, handle: Callable[[bytes], None]) -> None:
         try:
             data = sock.recv(65536)
         except BlockingIOError:
@@ -49,34 +49,34 @@
         except OSError:
             data = b""
         if data:
-            take(data)
+            handle(data)
         else:
-            self.lines.remove(sock)
+            self.connections.remove(sock)
             self.loop.remove(sock)
 
-    def say(self, sock: socket.socket, data: bytes) -> None:
+    def send(self, sock: socket.socket, data: bytes) -> None:
         try:
             sock.sendall(data)
         except ConnectionError:
-            # the node has closed it, as it may; its end is there to be read
+            # the node may close connections; the end of stream is read later
             pass
 
-    def taker(self, sock: socket.socket) -> Callable[[bytes], None]:
+    def make_handler(self, sock: socket.socket) -> Callable[[bytes], None]:
         raise NotImplementedError
 
 
-class Media(Listening):
-    """A media server on which every set-up plays; it tells of its load once a second."""
+class Media(StandInServer):
+    """A media server that accepts every set-up and reports its load once a second."""
 
     def __init__(self, loop: Loop, name: str):
         super().__init__(loop)
-        self.name, self.sessions, self.rungs, self.told_at = name, {}, 0, 0
-        loop.each_turn.append(self._tell)
+        self.name, self.sessions, self.rungs, self.sent_at = name, {}, 0, 0
+        loop.turn_callbacks.append(self._send_periodically)
 
-    def taker(self, sock: socket.socket) -> Callable[[bytes], None]:
+    def make_handler(self, sock: socket.socket) -> Callable[[bytes], None]:
         reader = isup.Reader()
 
-        def take(data: bytes) -> None:
+        def handle(data: bytes) -> None:
             out = b""
             for kind, id, _parameters in reader.feed(data):
                 if kind == isup.SET_UP:
@@ -90,47 +90,47 @@
                 elif kind == isup.RUNG:
                     self.rungs += 1
             if out:
-                self.say(sock, out)
+                self.send(sock, out)
 
-        return take
+        return handle
 
-    def _tell(self, now: int) -> None:
-        if self.lines and now - self.told_at >= TOLD_EVERY:
-            self.told_at = now
+    def _send_periodically(self, now: int) -> None:
+        if self.connections and now - self.sent_at >= REPORT_INTERVAL_NS:
+            self.sent_at = now
             self.note(b"wire", b"0.5")
 
     def note(self, kind: bytes, figure: bytes) -> None:
-        self.say(self.lines[-1], isup.encode(isup.NOTE, bytes(8), (isup.KIND, kind), (isup.FIGURE, figure)))
+        self.send(self.connections[-1], isup.encode(isup.NOTE, bytes(8), (isup.KIND, kind), (isup.FIGURE, figure)))
 
     def release(self, id: bytes) -> None:
-        self.say(self.sessions.pop(id), isup.release(id, isup.OVER))
+        self.send(self.sessions.pop(id), isup.release(id, isup.OVER))
 
 
-class Bulletin(Listening):
-    """It has nothing new, and says so once a second."""
+class Discovery(StandInServer):
+    """Discovery without updates; says so once a second."""
 
     def __init__(self, loop: Loop):
         super().__init__(loop)
-        self.told_at, self.last = 0, 1
-        loop.each_turn.append(self._tell)
+        self.sent_at, self.last = 0, 1
+        loop.turn_callbacks.append(self._send_periodically)
 
-    def taker(self, sock: socket.socket) -> Callable[[bytes], None]:
-        return lambda data: self.say(sock, struct.pack(">IQB", 9, self.last, NOTHING_NEW))
+    def make_handler(self, sock: socket.socket) -> Callable[[bytes], None]:
+        return lambda data: self.send(sock, struct.pack(">IQB", 9, self.last, NO_UPDATES))
 
-    def _tell(self, now: int) -> None:
-        if now - self.told_at >= TOLD_EVERY:
-            self.told_at = now
-            for sock in self.lines:
-                self.say(sock, struct.pack(">IQB", 9, self.last, NOTHING_NEW))
+    def _send_periodically(self, now: int) -> None:
+        if now - self.sent_at >= REPORT_INTERVAL_NS:
+            self.sent_at = now
+            for sock in self.connections:
+                self.send(sock, struct.pack(">IQB", 9, self.last, NO_UPDATES))
 
 
 class Stands:
-    """Media servers, the bulletin, and who watches; all closed together."""
+    """Media servers, discovery and viewers on one loop, closed together."""
 
     def __init__(self, medias: int, seed: int):
         self.loop, self.rng = Loop(), Random(seed)
         self.medias = [Media(self.loop, f"s-{number + 1:08x}") for number in range(medias)]
-        self.bulletin = Bulletin(self.loop)
+        self.discovery = Discovery(self.loop)
 
     def crowd(self, port: int) -> Crowd:
         return Crowd(self.loop, port, self.rng, len(self.medias))
--- a/curlewshift/scale/slopes_storm.py
+++ b/curlewshift/scale/slopes_storm.py
@@ -1,7 +1,7 @@
-"""A node that has died and is started again, and all its clients that come again at once. Called by slopes.py.
+"""Reconnect storm: a node restarts after a crash, and all its clients reconnect at once. Called by slopes.py.
 
-Each client connects without waiting for another, asks, comes back after the pause that it is told, and connects again where its
-connection was closed; so nobody is lost, and what it takes until the last one plays is seen.
+Each client connects independently, requests a viewing, retries after the pause given in a refusal, and reconnects where its
+connection was closed. So no client gives up, and the time until the last one plays is measured.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from curlewshift.scale.slopes import Run, Slope
 from curlewshift.scale.slopes_asked import WAITS, p99
 from curlewshift.scale.slopes_crowd import Crowd, Viewer
-from curlewshift.scale.slopes_idle import place, resting_most
+from curlewshift.scale.slopes_idle import max_idle_connections, place
 
 NS = 1_000_000_000
 MEDIAS = 16
-# Who is refused without a pause comes again after this, and who was closed connects again (ns).
+# Delay before a retry after a refusal without a pause, and before a reconnect (ns).
 PAUSE = NS // 2
 STORM_WITHIN = 240.0
 
 
 class Storm(Crowd):
-    """Clients that want one viewing each. `waits` has how long each took, from the storm's begin until it played (ns)."""
+    """Clients that want one viewing each. `waits`: time of each from the start of the storm until it played (ns)."""
 
     def begin(self, clients: int) -> None:
         self.wanted, self.waits, self.refused, self.began = clients, [], 0, time.monotonic_ns()
         self.later: list[tuple[int, int, object]] = []
-        self.loop.each_turn.append(self.turn)
+        self.loop.turn_callbacks.append(self.turn)
         for _ in range(clients):
             self.connect_soon()
 
@@ -45,7 +45,7 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.connect_ex(("127.0.0.1", self.port))
-        self.loop.when_up(sock, lambda: self.up(sock))
+        self.loop.when_writable(sock, lambda: self.up(sock))
 
     def up(self, sock: socket.socket) -> None:
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -54,7 +54,7 @@
             return
         viewer = Viewer(self, sock)
         self.viewers[viewer] = True
-        self.loop.reads(sock, viewer.read)
+        self.loop.when_readable(sock, viewer.read)
         self.ask(viewer, again=True)
 
     def answered(self, id: str, viewer: Viewer, message: rtsp.Message) -> None:
@@ -70,7 +70,7 @@
 
     def left(self, viewer: Viewer) -> None:
         super().left(viewer)
-        open_ = [id for id, (its, _) in self.asked.items() if its is viewer]
+        open_ = [id for id, (owner, _) in self.asked.items() if owner is viewer]
         for id in open_:
             del self.asked[id]
         if viewer not in self.playing.values():
@@ -108,6 +108,6 @@
             run.say(
                 f"storm, round {number + 1}: {size} clients: all play after {took:.2f} s ({size / took:.0f} a second), p99 "
                 f"{p99(storm.waits):.2f} s, {spent:.2f} s of processor time, {storm.refused} refusals, {storm.dropped} "
-                f"dropped; {resting_most(run.descriptors)} may rest"
+                f"dropped; {max_idle_connections(run.descriptors)} may rest"
             )
     return [over, late, used]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: its judge, its accounts, its bounds, and a small one on real sockets, also with planted wrongs."""
+"""Scale runs: the judge, resource accounting, limits, and small runs on real sockets, also with planted faults."""
 
 import os
 import resource
@@ -29,8 +29,8 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 
-def made(nodes=24, real=2, **more):
-    usual = dict(
+def plan_of(nodes=24, real=2, **more):
+    defaults = dict(
         processes=1,
         relays=1,
         regions=2,
@@ -44,7 +44,7 @@
         period=0.25,
         in_a_row=0,
     )
-    return Plan(nodes, real, **{**usual, **more})
+    return Plan(nodes, real, **{**defaults, **more})
 
 
 def children_of(folder):
@@ -61,7 +61,7 @@
     return found
 
 
-class Judged(unittest.TestCase):
+class JudgeChecks(unittest.TestCase):
     def setUp(self):
         self.judge = Judge(period=1.0)
         self.judge.running = {"a", "b", "c"}
@@ -76,7 +76,7 @@
         everyone = [{"a", "b", "c"}]
         self.shows("a", self.views.whole)
         self.shows("b", self.views.whole)
-        self.assertEqual(self.judge.wrong_views(everyone), 3, "one has shown nothing")
+        self.assertEqual(self.judge.wrong_views(everyone), 3, "one node has shown no view")
         self.shows("c", self.views.whole ^ 1)
         self.assertEqual(self.judge.wrong_views(everyone), 1)
         self.shows("c", self.views.whole, number=2)
@@ -84,7 +84,7 @@
         self.shows("c", self.views.whole ^ 1, number=1)
         self.assertEqual(self.judge.wrong_views(everyone), 0, "an earlier datagram that came by another relay changes nothing")
 
-    def test_views_that_agree_on_something_else_are_astray(self):
+    def test_views_that_agree_on_other_members_are_wrong(self):
         self.views.toggle("c", 7, 0)
         for name in "abc":
             self.shows(name, self.views.whole)
@@ -92,7 +92,7 @@
         self.judge.fault_started(["c"], 5.0, down=True)
         self.assertEqual(self.judge.wrong_views([{"a", "b", "c"}]), 0)
 
-    def test_each_side_of_a_cut_is_to_know_its_own(self):
+    def test_each_side_of_a_partition_must_know_exactly_its_own_members(self):
         side = Views()
         side.toggle("a", 7, 0)
         side.toggle("b", 7, 0)
@@ -106,11 +106,11 @@
         self.shows("c", other.whole, number=2)
         self.assertEqual(self.judge.wrong_views([{"a", "b"}, {"c"}]), 0)
 
-    def test_a_sound_one_that_is_called_gone_is_told(self):
+    def test_a_healthy_node_declared_gone_is_reported(self):
         self.shows("a", 0, gone=[["b", 7, "a", 10.0]])
         self.assertEqual(self.judge.false_gone(), ["a calls b gone"])
 
-    def test_what_befell_one_excuses_the_word_for_a_while_only(self):
+    def test_a_fault_excuses_gone_reports_only_during_the_grace_period(self):
         self.judge.fault_started(["b"], 9.0, down=True)
         self.judge.fault_ended(["b"], 12.0)
         self.shows("a", 0, gone=[["b", 7, "a", 20.0]])
@@ -123,7 +123,7 @@
     def setUp(self):
         self.seen = VersionsSeen()
 
-    def test_each_is_timed_by_the_first_that_is_as_new(self):
+    def test_a_version_is_timed_by_the_first_equal_or_newer_one(self):
         self.seen.saw("a", 7, [5, 1, "aa"], 1.0, 10)
         self.seen.saw("a", 7, [5, 3, "cc"], 4.0, 11)
         self.seen.saw("b", 7, [5, 2, "bb"], 3.0, 10)
@@ -131,7 +131,7 @@
         self.assertEqual(self.seen.reached((6, 1), ["a", "c"]), ([], ["a", "c"]))
         self.assertEqual((self.seen.regressions, self.seen.forks), ([], []))
 
-    def test_an_older_one_over_a_newer_one_is_told_also_over_a_restart(self):
+    def test_an_older_version_after_a_newer_one_is_reported_also_across_restarts(self):
         self.seen.saw("a", 7, [5, 3, "cc"], 1.0, 10)
         self.seen.saw("a", 7, [5, 2, "bb"], 2.0, 11)
         self.assertEqual(len(self.seen.regressions), 1)
@@ -142,32 +142,32 @@
         self.seen.emptied("a")
         self.seen.saw("a", 9, [0, 0, ""], 4.0, 1)
         self.seen.saw("a", 9, [5, 1, "aa"], 5.0, 2)
-        self.assertEqual(len(self.seen.regressions), 2, "whose disk was lost may begin anew")
+        self.assertEqual(len(self.seen.regressions), 2, "a node whose disk was lost may restart from an older version")
 
-    def test_what_another_relay_saw_earlier_is_no_step_back(self):
+    def test_an_earlier_datagram_of_another_relay_is_no_regression(self):
         self.seen.saw("a", 7, [5, 3, "cc"], 2.0, 20)
         self.seen.saw("a", 7, [5, 2, "bb"], 1.0, 15)
         self.assertEqual(self.seen.regressions, [])
         self.seen.saw("a", 7, [5, 2, "bb"], 1.0, 21)
         self.assertEqual(len(self.seen.regressions), 1)
 
-    def test_two_contents_under_one_number_are_told(self):
+    def test_two_contents_under_one_version_number_are_reported(self):
         self.seen.saw("a", 7, [5, 3, "cc"], 1.0, 1)
         self.seen.saw("b", 7, [5, 3, "dd"], 1.0, 1)
         self.assertEqual(len(self.seen.forks), 1)
 
-    def test_what_rides_is_read_without_the_program(self):
+    def test_the_piggybacked_version_is_decoded_independently_of_the_program(self):
         version = Version(5, 3, bytes(range(32)))
         body = ENCODER.encode(Piggyback(tuple(version), 7))
         self.assertEqual(piggybacked_version(body), [5, 3, "000102030405"])
         self.assertEqual(version.text, "5.3-000102030405")
         self.assertEqual(number_in(version.text), (5, 3))
-        for spoilt in (b"", b"\xff", b"\x91\x01", b"\x92\x93\x01\x02\x03\x01"):
-            self.assertIsNone(piggybacked_version(spoilt))
+        for malformed in (b"", b"\xff", b"\x91\x01", b"\x92\x93\x01\x02\x03\x01"):
+            self.assertIsNone(piggybacked_version(malformed))
 
 
-class Accounts(unittest.TestCase):
-    def test_sections_nest_and_are_exclusive(self):
+class Accounting(unittest.TestCase):
+    def test_metered_calls_nest_and_are_exclusive(self):
         clock = iter([100, 130, 170, 200]).__next__
         meter = Meter(clock)
 
@@ -181,7 +181,7 @@
         meter.metered("membership", outer)()
         self.assertEqual(meter.read(), {"membership": [60, 1, 7], "sharing": [40, 1, 50]})
 
-    def test_what_raises_is_counted_and_closed(self):
+    def test_a_call_that_raises_is_counted_and_closed(self):
         meter = Meter(iter([0, 5]).__next__)
         with self.assertRaises(ValueError):
             meter.metered("membership", lambda: int("no"))()
@@ -200,50 +200,50 @@
             mark(10.0, {"1": [4, 400], "16": [1, 900]}, 1_000_000_000, 4_000_000_000),
             mark(12.0, {"1": [8, 800], "2": [2, 100], "16": [3, 1900]}, 2_000_000_000, 8_000_000_000),
         )
-        told = per_node_figures(stretch, ["a", "b"], [2])
-        self.assertEqual(told["membership"]["bytes_a_second"], {"mean": 125.0, "worst": 250.0})
-        self.assertEqual(told["sharing"]["datagrams_a_second"], {"mean": 0.5, "worst": 1.0})
-        self.assertEqual(told["membership"]["core"], {"mean": 0.25, "worst": 0.5})
-        # four seconds in the process, one of them named, the rest by halves
-        self.assertEqual(told["loop"]["core"], {"mean": 0.75, "worst": 0.75})
-        self.assertEqual(told["all"]["bytes_a_second"]["worst"], 750.0)
-
-    def test_by_how_much_a_count_is_off(self):
+        result = per_node_figures(stretch, ["a", "b"], [2])
+        self.assertEqual(result["membership"]["bytes_a_second"], {"mean": 125.0, "worst": 250.0})
+        self.assertEqual(result["sharing"]["datagrams_a_second"], {"mean": 0.5, "worst": 1.0})
+        self.assertEqual(result["membership"]["core"], {"mean": 0.25, "worst": 0.5})
+        # four seconds in the process: one is metered, the rest is split between the two nodes
+        self.assertEqual(result["loop"]["core"], {"mean": 0.75, "worst": 0.75})
+        self.assertEqual(result["all"]["bytes_a_second"]["worst"], 750.0)
+
+    def test_relative_error_of_a_count(self):
         self.assertEqual((relative_error(50, 100), relative_error(100, 100), relative_error(3, 0)), (0.5, 0.0, 3.0))
 
-    def test_weight_counts_what_is_shared_once(self):
+    def test_retained_size_counts_shared_objects_once(self):
         known, shared = set(), [bytes(10_000)]
         first, second = retained_size({"a": shared}, known), retained_size({"a": shared}, known)
         self.assertGreater(first, 10_000)
         self.assertLess(second, 1_000)
 
 
-class Bounds(unittest.TestCase):
+class Limits(unittest.TestCase):
     def refuses(self, what, plan):
-        with self.assertRaises(InsufficientResources) as told:
+        with self.assertRaises(InsufficientResources) as result:
             plan.check()
-        self.assertIn(what, str(told.exception))
-        self.assertNotIn("\n", str(told.exception))
-
-    def test_what_does_not_fit_does_not_begin(self):
-        made().check()
-        self.refuses("processes are needed", made(nodes=1000, processes=197, zones=9, relays=2))
-        self.refuses("more processes would do", made(nodes=resource.getrlimit(resource.RLIMIT_NOFILE)[0]))
-        self.refuses("each region has a zone", made(regions=5))
-        self.refuses("less than one hollow node", made(nodes=4, real=4))
-        self.refuses("too few for 3 keepers", made(load=Load(0, 0, 0, leasing=3)))
-        self.refuses("links played on", made(load=Load(servers=10, links=11, sharing=4)))
+        self.assertIn(what, str(result.exception))
+        self.assertNotIn("\n", str(result.exception))
+
+    def test_a_plan_beyond_the_limits_is_refused(self):
+        plan_of().check()
+        self.refuses("processes are needed", plan_of(nodes=1000, processes=197, zones=9, relays=2))
+        self.refuses("more processes would do", plan_of(nodes=resource.getrlimit(resource.RLIMIT_NOFILE)[0]))
+        self.refuses("each region has a zone", plan_of(regions=5))
+        self.refuses("less than one hollow node", plan_of(nodes=4, real=4))
+        self.refuses("too few for 3 keepers", plan_of(load=Load(0, 0, 0, leasing=3)))
+        self.refuses("links played on", plan_of(load=Load(servers=10, links=11, sharing=4)))
         with mock.patch.object(resource, "getrlimit", lambda what: (1 << 20, 1 << 20)):
-            self.refuses("more ports", made(nodes=6000, processes=100, relays=10))
+            self.refuses("more ports", plan_of(nodes=6000, processes=100, relays=10))
 
-    def test_memory_is_held_to_half_of_the_machine_and_to_what_is_free(self):
-        need = made().memory()
+    def test_memory_is_limited_to_half_of_the_machine_and_to_the_free_memory(self):
+        need = plan_of().memory()
         for have, what in (((need - 1, need + 1), "half of this machine's"), ((need + 1, need - 1), "free now")):
             with mock.patch.object(plans, "machine_memory", lambda have=have: have):
-                self.refuses(what, made())
+                self.refuses(what, plan_of())
 
-    def test_each_zone_has_its_nodes_and_real_ones_stand_in_several(self):
-        plan = made(nodes=30, real=3, zones=9, regions=3, load=Load(10, 2, sharing=5, leasing=7))
+    def test_each_zone_has_nodes_and_real_nodes_are_spread_over_zones(self):
+        plan = plan_of(nodes=30, real=3, zones=9, regions=3, load=Load(10, 2, sharing=5, leasing=7))
         plan.lay_out()
         fronts = plan.named("hollow", "real")
         self.assertEqual(len({place.zone for place in fronts}), 9)
@@ -253,9 +253,9 @@
         self.assertEqual((sum(place.shares for place in fronts), sum(place.leases for place in fronts)), (5, 7))
         self.assertEqual([place.process for place in plan.named("hollow")].count(1), 1)
 
-    def test_the_command_says_so_in_a_line(self):
+    def test_the_command_reports_a_refusal_in_one_line(self):
         with tempfile.TemporaryDirectory() as name:
-            told = subprocess.run(
+            result = subprocess.run(
                 [
                     sys.executable,
                     "-m",
@@ -275,45 +275,45 @@
                 capture_output=True,
                 text=True,
             )
-            self.assertEqual((told.returncode, told.stderr.count("\n")), (2, 1), told.stderr)
-            self.assertIn("does not begin", told.stderr)
+            self.assertEqual((result.returncode, result.stderr.count("\n")), (2, 1), result.stderr)
+            self.assertIn("does not begin", result.stderr)
             self.assertFalse(Path(name, "out").exists())
 
 
 class OnSockets(unittest.TestCase):
     def play(self, plan, **more):
         with tempfile.TemporaryDirectory() as name:
-            figures = anyio.run(ScaleRun(plan, Path(name), lambda words: None, joins=0, **more).run)
+            figures = anyio.run(ScaleRun(plan, Path(name), lambda text: None, joins=0, **more).run)
             self.assertEqual(children_of(name), [])
             return figures
 
-    def test_a_cut_of_24_hollow_and_2_real_is_known_and_healed(self):
-        told = self.play(
-            made(
+    def test_a_partition_of_24_hollow_and_2_real_nodes_is_detected_and_healed(self):
+        result = self.play(
+            plan_of(
                 nodes=26, faults=["regions-apart"], parts=["membership", "leases", "distribution"], load=Load(0, 0, 0, leasing=24)
             ),
             agree_within=30.0,
         )
-        verdict, (fault,) = told["verdict"], told["faults"]
+        verdict, (fault,) = result["verdict"], result["faults"]
         self.assertTrue(verdict["ok"], verdict)
         self.assertGreater(verdict["served"]["played"], 0)
         self.assertLess(fault["converged_s"], 30)
         self.assertGreater(fault["known_s"], 0)
         self.assertEqual(verdict["versions"]["made_without_majority"], 0)
         self.assertLess(verdict["versions"]["in_force_worst_s"], 18)
-        # frames of both: those of hollow ones and those of the fronts as in service
-        self.assertGreater(told["real_node"]["bytes_a_second"]["mean"], 0)
-        self.assertGreater(told["a_node"]["membership"]["bytes_a_second"]["mean"], 0)
-        self.assertGreater(told["a_node"]["membership"]["core"]["mean"], 0)
+        # frames of both kinds of nodes are counted: real fronts and hollow nodes
+        self.assertGreater(result["real_node"]["bytes_a_second"]["mean"], 0)
+        self.assertGreater(result["a_node"]["membership"]["bytes_a_second"]["mean"], 0)
+        self.assertGreater(result["a_node"]["membership"]["core"]["mean"], 0)
 
-    def test_one_that_does_not_hear_and_counters_that_lie_are_seen(self):
-        verdict = self.play(made(nodes=8, real=0, spoil="deaf=n0005 lies=n0007", seconds=0.5), agree_within=3.0)["verdict"]
+    def test_a_node_that_reads_nothing_and_wrong_counters_are_detected(self):
+        verdict = self.play(plan_of(nodes=8, real=0, spoil="deaf=n0005 lies=n0007", seconds=0.5), agree_within=3.0)["verdict"]
         self.assertEqual((verdict["ok"], verdict["agreed"]), (False, False))
-        self.assertTrue(all("n0005" in words for words in verdict["false_gone_examples"]), verdict)
+        self.assertTrue(all("n0005" in text for text in verdict["false_gone_examples"]), verdict)
         self.assertGreater(verdict["false_gone"], 0)
         self.assertEqual(list(verdict["counters_off_examples"]), ["n0007"])
 
-    def test_broken_off_it_ends_its_own(self):
+    def test_an_interrupted_run_ends_its_processes(self):
         with tempfile.TemporaryDirectory() as name:
             run = subprocess.Popen(
                 [
