--- a/curlewshift/scale/node.py
+++ b/curlewshift/scale/node.py
@@ -225,8 +225,8 @@
         for name in ("shared", "leased", "distributed"):
             if getattr(self, name) is not None:
                 self.parts[PARTS[name]] = getattr(self, name)
-        for kind, heard in channel.carried.items():
-            channel.carried[kind] = metered(subsystem_of(kind), heard)
+        for kind, handler in channel.carried.items():
+            channel.carried[kind] = metered(subsystem_of(kind), handler)
         channel.received = metered("membership", channel.received)
         channel.time = metered("membership", channel.time)
         channel.start = metered("membership", channel.start)
--- a/curlewshift/scale/plan.py
+++ b/curlewshift/scale/plan.py
@@ -105,7 +105,7 @@
         # of hollow nodes, one of them alone; relays; fronts in the fleet and outside it; servers with their list
         processes = self.processes + 1 + self.relays + 2 * self.real + 1 + 1
         if processes > MAX_PROCESSES:
-            raise InsufficientResources(f"{processes} processes are needed, and {MAX_PROCESSES} are the most")
+            raise InsufficientResources(f"{processes} processes are needed, and {MAX_PROCESSES} are allowed")
         max_descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         a_process = -(-(self.nodes + CONTROL) // min(self.processes, self.relays)) + EXTRA_DESCRIPTORS
         if a_process > max_descriptors:
--- a/curlewshift/scale/run.py
+++ b/curlewshift/scale/run.py
@@ -125,7 +125,7 @@
             await anyio.sleep(1.0)
             exited_children = self.fleet.exited_children()
             if exited_children:
-                raise RunFailed(f"{', '.join(exited_children)} ended by itself; see its log in {self.out}")
+                raise RunFailed(f"{', '.join(exited_children)} exited unexpectedly; see the log in {self.out}")
             self.max_memory = max(self.max_memory, self.fleet.memory())
             if self.max_memory > memory_limit:
                 raise RunFailed(f"the run takes {self.max_memory / 2**20:.1f} GiB, over half of this machine's memory")
@@ -142,7 +142,7 @@
                 return None
             if now - reported_at > 2:
                 reported_at = now
-                self.progress(f"{now - since:5.1f} s: {wrong_views} views are not yet as they should be")
+                self.progress(f"{now - since:5.1f} s: {wrong_views} views are not yet correct")
             await anyio.sleep(POLL_INTERVAL_S)
 
     async def _mark(self) -> Mark:
@@ -164,7 +164,7 @@
         judge.running = set(all_names)
         joined = await self._agree([all_names], self.agree_within, began)
         if joined is None:
-            self.progress("views did not agree at first")
+            self.progress("views did not agree after the start")
         viewers = Viewers(fleet)
         # updates on joined members still spread after views agree
         settling = await self._settle()
@@ -202,7 +202,7 @@
                 "own_count": await self._real_counts(quiet),
             }
             if self.joins:
-                self.progress("joins at a real node, and at one apart")
+                self.progress("comparing joins at a real node with and without hollow nodes")
                 self.figures["joins"] = await compare_joins(fleet, self.joins)
         for front in fleet.real.values():
             tasks.start_soon(viewers.run_viewers, front)
--- a/curlewshift/scale/slopes.py
+++ b/curlewshift/scale/slopes.py
@@ -74,7 +74,7 @@
     # time for the node to come to rest at a size, and time measured (s); during the rest, timers of the last requests expire, so
     # that their work is not in the figure
     rest: float = 4.0
-    lasts: float = 5.0
+    duration: float = 5.0
 
     @property
     def descriptors(self) -> int:
@@ -140,7 +140,7 @@
     before, yard = os.getloadavg()[0], yardstick()
     with tempfile.TemporaryDirectory(dir=run.folder) as folder:
         slopes = getattr(import_module(f"curlewshift.scale.{place}"), name)(
-            Run(run.sizes, run.seed, Path(folder), run.say, run.rounds, run.rest, run.lasts)
+            Run(run.sizes, run.seed, Path(folder), run.say, run.rounds, run.rest, run.duration)
         )
     machine = {
         "cores": os.cpu_count(),
--- a/curlewshift/scale/slopes_asked.py
+++ b/curlewshift/scale/slopes_asked.py
@@ -108,9 +108,9 @@
             stands.loop.turn_callbacks.append(tear_down)
             for size in run.sizes:
                 share = _paced(
-                    stands, node, run.lasts, 1.0, size, lambda: crowd.ask(stands.rng.choice(viewers)), crowd.answers.clear
+                    stands, node, run.duration, 1.0, size, lambda: crowd.ask(stands.rng.choice(viewers)), crowd.answers.clear
                 )
-                done, answers = len(crowd.answers) / run.lasts, list(crowd.answers)
+                done, answers = len(crowd.answers) / run.duration, list(crowd.answers)
                 stands.loop.until(lambda: not crowd.asked and not crowd.playing, 30, "what was asked is answered and ended")
                 refused = sum(status != 200 for _, status in answers)
                 if abs(done - size) > MAX_SHORTFALL * size:
@@ -161,7 +161,7 @@
         for size in run.sizes:
             with place(run, MEDIAS) as (stands, node, crowd):
                 crowd.connected(CONNECTIONS)
-                crowd.play(int(size * (run.lasts + 1) * 1.2) + 50, list(crowd.viewers))
+                crowd.play(int(size * (run.duration + 1) * 1.2) + 50, list(crowd.viewers))
                 stands.loop.run(0.5)
                 out, waits = {}, []
                 crowd.ended = lambda id: waits.append(time.monotonic_ns() - out.pop(id))
@@ -174,8 +174,8 @@
                         out[id.hex()] = time.monotonic_ns()
                         media.release(id)
 
-                share = _paced(stands, node, run.lasts, 0.5, size, release, waits.clear)
-                done = len(waits) / run.lasts
+                share = _paced(stands, node, run.duration, 0.5, size, release, waits.clear)
+                done = len(waits) / run.duration
                 stands.loop.until(lambda: not out, 10, "each notice is passed on")
             used.points.append((size, share))
             late.points.append((size, p99(waits)))
@@ -221,8 +221,8 @@
                 stands.loop.turn_callbacks.append(each_second)
                 _run_loop(stands, 1.5)
                 before = stands.rungs
-                share = node.share(run.lasts)
-                done = (stands.rungs - before) / run.lasts
+                share = node.share(run.duration)
+                done = (stands.rungs - before) / run.duration
             used.points.append((round(done, 1), share))
             run.say(f"rungs, round {number + 1}: {size} a second wanted, {done:.0f} told: {100 * share:.1f}% of a core")
     return [used]
--- a/curlewshift/scale/slopes_idle.py
+++ b/curlewshift/scale/slopes_idle.py
@@ -63,7 +63,7 @@
                 for size in run.sizes:
                     _fill(crowd, by, size)
                     stands.loop.run(run.rest)
-                    share, rss = node.share(run.lasts), node.rss()
+                    share, rss = node.share(run.duration), node.rss()
                     memory.points.append((size, rss))
                     idle.points.append((size, share))
                     run.say(
@@ -110,8 +110,8 @@
                 _fill(crowd, "connection", size)
                 stands.loop.run(run.rest)
                 before = crowd.dropped
-                share = node.share(run.lasts)
-                dropped = (crowd.dropped - before) / run.lasts
+                share = node.share(run.duration)
+                dropped = (crowd.dropped - before) / run.duration
                 idle.points.append((size, share))
                 idle.notes.append(f"round {number + 1}, {size}: {dropped:.0f} dropped a second, {len(crowd.viewers)} open")
                 run.say(f"crowded, round {number + 1}: {size}: {100 * share:.1f}% of a core, {dropped:.0f} dropped a second")
@@ -137,14 +137,14 @@
 
 
 def profile_of(run: Run, stands: Stands, node: RealNode, out: Path, at: str) -> list[str]:
-    """Profiles a node that was started with `profile` for `run.lasts` seconds. Only shares are meaningful, as profiling
+    """Profiles a node that was started with `profile` for `run.duration` seconds. Only shares are meaningful, as profiling
     slows everything. Raises `TimeoutError`."""
     node.process.send_signal(signal.SIGUSR1)
-    stands.loop.run(run.lasts)
+    stands.loop.run(run.duration)
     node.process.send_signal(signal.SIGUSR2)
     stands.loop.until(lambda: out.exists() and out.stat().st_size > 0, 5, "the profile")
     time.sleep(0.2)
-    return [f"profile at {at}, {run.lasts:g} s, share of the processor time under the profile:", *lines_of(out, MAX_LINES)]
+    return [f"profile at {at}, {run.duration:g} s, share of the processor time under the profile:", *lines_of(out, MAX_LINES)]
 
 
 def lines_of(profile: Path, max_idle: int) -> list[str]:
--- a/curlewshift/scale/slopes_list.py
+++ b/curlewshift/scale/slopes_list.py
@@ -67,7 +67,7 @@
                 crowd.connected(WATCHING)
                 crowd.play(WATCHING, list(crowd.viewers))
                 stands.loop.run(run.rest)
-                share, rss = node.share(run.lasts), node.rss()
+                share, rss = node.share(run.duration), node.rss()
             memory.points.append((size, rss))
             idle.points.append((size, share))
             run.say(f"list, round {number + 1}: {size} servers: {rss / 1e6:.1f} MB, {100 * share:.2f}% of a core")
