--- a/curlewshift/emulator/peers.py
+++ b/curlewshift/emulator/peers.py
@@ -153,7 +153,7 @@
         members = [post.channel.membership for post in self.posts]
         for member in members:
             member.joined = True
-            member.told([other.local_member.claim() for other in members if other is not member], "settled")
+            member.receive_claims([other.local_member.claim() for other in members if other is not member], "settled")
             for name in list(member.updates.transmissions):
                 member.updates.drop(name)
 
--- a/curlewshift/scale/node.py
+++ b/curlewshift/scale/node.py
@@ -15,10 +15,10 @@
 from curlewshift.control.machine import MachineLeases
 from curlewshift.distribution.terms import DistributionTerms
 from curlewshift.model import Link, Rack, Server
-from curlewshift.peering.distributed import DistributionWire
-from curlewshift.peering.leased import LeaseWire
-from curlewshift.peering.shared import SharedWire
-from curlewshift.peering.wire import PeerWire
+from curlewshift.peering.distributed import DistributionProtocol
+from curlewshift.peering.leased import LeaseTaskProtocol
+from curlewshift.peering.shared import SharingProtocol
+from curlewshift.peering.wire import PeerSocket
 from curlewshift.scale.figures import subsystem_of
 from curlewshift.scale.meter import Meter
 from curlewshift.scale.plan import Load, Place, Plan
@@ -48,8 +48,8 @@
             self.errors.append(f"{event}: {facts.get('what', '')} {facts.get('cause', '')}")
 
 
-class CountedWire(PeerWire):
-    """A `PeerWire` that counts its datagrams with the node's meter."""
+class CountedWire(PeerSocket):
+    """A `PeerSocket` that counts its datagrams with the node's meter."""
 
     meter: Meter
 
@@ -225,8 +225,8 @@
         for name in ("shared", "leased", "distributed"):
             if getattr(self, name) is not None:
                 self.parts[PARTS[name]] = getattr(self, name)
-        for kind, handler in channel.carried.items():
-            channel.carried[kind] = metered(subsystem_of(kind), handler)
+        for kind, handler in channel.handlers.items():
+            channel.handlers[kind] = metered(subsystem_of(kind), handler)
         channel.received = metered("membership", channel.received)
         channel.time = metered("membership", channel.time)
         channel.start = metered("membership", channel.start)
@@ -259,7 +259,7 @@
     def check_configuration(self, content: bytes) -> str | None:
         return None
 
-    def take_configuration(self, version: str, content: bytes) -> str | None:
+    def apply_configuration(self, version: str, content: bytes) -> str | None:
         self.taken.append((version, time.monotonic()))
         return None
 
--- a/curlewshift/scale/slopes_stands.py
+++ b/curlewshift/scale/slopes_stands.py
@@ -100,10 +100,10 @@
             self.note(b"wire", b"0.5")
 
     def note(self, kind: bytes, figure: bytes) -> None:
-        self.send(self.connections[-1], isup.encode(isup.NOTE, bytes(8), (isup.KIND, kind), (isup.FIGURE, figure)))
+        self.send(self.connections[-1], isup.encode(isup.NOTE, bytes(8), (isup.KIND, kind), (isup.VALUE, figure)))
 
     def release(self, id: bytes) -> None:
-        self.send(self.sessions.pop(id), isup.release(id, isup.OVER))
+        self.send(self.sessions.pop(id), isup.release(id, isup.ENDED))
 
 
 class Discovery(StandInServer):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -74,20 +74,20 @@
 
     def test_views_are_right_when_each_shows_exactly_who_runs(self):
         everyone = [{"a", "b", "c"}]
-        self.shows("a", self.views.whole)
-        self.shows("b", self.views.whole)
+        self.shows("a", self.views.digest)
+        self.shows("b", self.views.digest)
         self.assertEqual(self.judge.wrong_views(everyone), 3, "one node has shown no view")
-        self.shows("c", self.views.whole ^ 1)
+        self.shows("c", self.views.digest ^ 1)
         self.assertEqual(self.judge.wrong_views(everyone), 1)
-        self.shows("c", self.views.whole, number=2)
+        self.shows("c", self.views.digest, number=2)
         self.assertEqual(self.judge.wrong_views(everyone), 0)
-        self.shows("c", self.views.whole ^ 1, number=1)
+        self.shows("c", self.views.digest ^ 1, number=1)
         self.assertEqual(self.judge.wrong_views(everyone), 0, "an earlier datagram that came by another relay changes nothing")
 
     def test_views_that_agree_on_other_members_are_wrong(self):
         self.views.toggle("c", 7, 0)
         for name in "abc":
-            self.shows(name, self.views.whole)
+            self.shows(name, self.views.digest)
         self.assertEqual(self.judge.wrong_views([{"a", "b", "c"}]), 3)
         self.judge.fault_started(["c"], 5.0, down=True)
         self.assertEqual(self.judge.wrong_views([{"a", "b", "c"}]), 0)
@@ -99,11 +99,11 @@
         other = Views()
         other.toggle("c", 7, 0)
         self.judge.fault_started("abc", 5.0, down=False)
-        self.shows("a", side.whole)
-        self.shows("b", side.whole)
-        self.shows("c", self.views.whole)
+        self.shows("a", side.digest)
+        self.shows("b", side.digest)
+        self.shows("c", self.views.digest)
         self.assertEqual(self.judge.wrong_views([{"a", "b"}, {"c"}]), 1)
-        self.shows("c", other.whole, number=2)
+        self.shows("c", other.digest, number=2)
         self.assertEqual(self.judge.wrong_views([{"a", "b"}, {"c"}]), 0)
 
     def test_a_healthy_node_declared_gone_is_reported(self):
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -165,7 +165,7 @@
 
         for limit in (500, 20_000):
             gate = DescriptorGate(limit, lambda: 0.0, int(limit * SERVER_DESCRIPTOR_SHARE) + RESERVED_DESCRIPTORS)
-            self.assertEqual(slopes_idle.max_idle_connections(limit), int(gate.most * CROWDED_SHARE))
+            self.assertEqual(slopes_idle.max_idle_connections(limit), int(gate.max_connections * CROWDED_SHARE))
 
 
 class FaultyNode(StandInServer):
