--- a/tests/test_captures_kept.py
+++ b/tests/test_captures_kept.py
@@ -107,8 +107,8 @@
             __module__ = "rules at 1a2b3c4"
 
             def _place(self, viewing):
-                placed.append((self, self.chance, viewing, self.unproven_left, viewing.rung, viewing.over))
-                self.unproven_left, viewing.rung, viewing.over = -1.0, 99, True
+                placed.append((self, self.chance, viewing, self.unproven_left, viewing.rung, viewing.ended))
+                self.unproven_left, viewing.rung, viewing.ended = -1.0, 99, True
                 return self.no_such_attribute
 
         class MissingKeyword(Rules):
@@ -127,7 +127,7 @@
             self.assertEqual(compared.placings, 0)
         # the state that the other rules changed is restored
         [(rules, shadow_rng, viewing, *before)] = placed
-        self.assertEqual([rules.unproven_left, viewing.rung, viewing.over], before)
+        self.assertEqual([rules.unproven_left, viewing.rung, viewing.ended], before)
         self.assertIsNot(rules.chance, shadow_rng)
         self.assertNotIsInstance(rules, MissingAttribute)
 
