--- a/curlewshift/adapter/loop.py
+++ b/curlewshift/adapter/loop.py
@@ -158,7 +158,7 @@
         return Viewing(
             name=fields.integer("call"),
             title=fields.text("title", ""),
-            mark=fields.hex_key("path_key"),
+            placement_hash=fields.hex_key("path_key"),
             package=package,
             ceiling=int(fields.number("ceiling_rung", package.top)),
             requested_at=self.clock,
--- a/curlewshift/front/front.py
+++ b/curlewshift/front/front.py
@@ -284,7 +284,7 @@
     def adopt(self, server: Server, paths: list[str]) -> None:
         self.server_pool.adopt(server, paths, self.recovery)
 
-    def taken_up(self, stored: StoredSession, server: Server) -> FrontSession:
+    def resume(self, stored: StoredSession, server: Server) -> FrontSession:
         session = Session(stored.path, stored.answer, stored.etag, stored.ufrag)
         front_session = self.session_core.handed_over(
             stored.package,
@@ -302,7 +302,7 @@
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> Session:
         return Session(found.path, found.answer, found.etag)
 
-    def forgotten(self, stored: StoredSession) -> None:
+    def ended_before_resume(self, stored: StoredSession) -> None:
         self.session_writer.ended(stored.token)
 
     def _restore_calendar(self, store: PeakStore) -> None:
--- a/curlewshift/model_checker/world.py
+++ b/curlewshift/model_checker/world.py
@@ -191,7 +191,7 @@
     def adopt(self, server, paths: list[str]) -> None:
         self.world.queries.append((self.name, "adopt", server, tuple(paths)))
 
-    def taken_up(self, stored: StoredSession, server):
+    def resume(self, stored: StoredSession, server):
         front_session = self.session_core.handed_over(
             stored.package, stored.title, stored.ceiling, server, stored.path, stored.rung, stored.key, Offer(stored.offer)
         )
@@ -201,7 +201,7 @@
     def session_of(self, found: ListedSession, doubt: InterruptedSetup | None) -> str:
         return found.path
 
-    def forgotten(self, stored: StoredSession) -> None:
+    def ended_before_resume(self, stored: StoredSession) -> None:
         self.world.write("book", self.book.ended(stored.token))
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -181,7 +181,7 @@
 
     @async_test
     async def test_no_attempt_begins_if_the_client_leaves_while_the_server_connection_is_being_made(self):
-        for leaves in (lambda connection: connection.cut(), lambda connection: connection.shut_down_sending()):
+        for leaves in (lambda connection: connection.break_connection(), lambda connection: connection.shut_down_sending()):
             for package in ("clip", "paid"):
                 result, standing = await self.run_viewer(self.hold_connecting, package, leaves)
                 self.assertEqual((result["left"], result["attempts"], standing), (1, 0, 0))
